--- a/pebblehinge/agreed/asking.py
+++ b/pebblehinge/agreed/asking.py
@@ -81,9 +81,14 @@
             tell(False, str(error))
             return
         self.proposals.come(
-            int(v["base"]), text, str(v.get("author", "")), str(v.get("note", "")), str(v.get("session", "")),
-            int(v.get("serial", 0)), tell,
-        )  # fmt: skip
+            int(v["base"]),
+            text,
+            str(v.get("author", "")),
+            str(v.get("note", "")),
+            str(v.get("session", "")),
+            int(v.get("serial", 0)),
+            tell,
+        )
 
     def _ask_rollback(self, tell: Callable[[bool, str], None], v: dict[str, str | int]) -> None:
         text = self.member.state.text(int(v["version"]))
@@ -159,16 +164,27 @@
     def _status_object(self) -> str:
         raft, state, now = self.member.node.raft, self.member.state, self.member.clock()
         held = self.member.leases.holding if self.member.leases is not None else {}
-        return msgspec.json.encode({
-            "instance": self.member.name, "role": raft.role.value, "leader": raft.leader, "term": raft.term,
-            "commit": raft.commit, "version": state.active, "pending": state.pending,
-            "members": list(raft.members.voters), "learners": list(raft.members.learners),
-            "heads": [
-                {"id": n, "version": row.version,
-                 "lag_ms": round(now - held[n].answered_ms, 1) if n in held else None}
-                for n, row in sorted(state.heads.items())
-            ],
-        }).decode()  # fmt: skip
+        return msgspec.json.encode(
+            {
+                "instance": self.member.name,
+                "role": raft.role.value,
+                "leader": raft.leader,
+                "term": raft.term,
+                "commit": raft.commit,
+                "version": state.active,
+                "pending": state.pending,
+                "members": list(raft.members.voters),
+                "learners": list(raft.members.learners),
+                "heads": [
+                    {
+                        "id": n,
+                        "version": row.version,
+                        "lag_ms": round(now - held[n].answered_ms, 1) if n in held else None,
+                    }
+                    for n, row in sorted(state.heads.items())
+                ],
+            }
+        ).decode()
 
     def _status(self) -> str:
         raft, state = self.member.node.raft, self.member.state
--- a/pebblehinge/agreed/feed.py
+++ b/pebblehinge/agreed/feed.py
@@ -171,9 +171,16 @@
                 self._later(self.rng.uniform(0.0, self.group.renew / 2), self._connect)
 
     def granted(
-        self, token: int, lease_ms: float, active: int, active_text: str, pending: int, pending_text: str,
-        aside: dict[str, tuple[float, float]], leader: str,
-    ) -> None:  # fmt: skip
+        self,
+        token: int,
+        lease_ms: float,
+        active: int,
+        active_text: str,
+        pending: int,
+        pending_text: str,
+        aside: dict[str, tuple[float, float]],
+        leader: str,
+    ) -> None:
         self.answered_ms = self.clock()
         if token == self.out:
             self.out = 0
--- a/pebblehinge/agreed/server.py
+++ b/pebblehinge/agreed/server.py
@@ -88,9 +88,18 @@
             if other != name
         }
         self.node = Node(
-            loop, raft, storage, links, group.tick, group.compact, self._apply, self._restore,
-            lambda: self.state.dump(), self._read_done, self._failed,
-        )  # fmt: skip
+            loop,
+            raft,
+            storage,
+            links,
+            group.tick,
+            group.compact,
+            self._apply,
+            self._restore,
+            lambda: self.state.dump(),
+            self._read_done,
+            self._failed,
+        )
         self.conns: dict[MemberConn, None] = {}
         self.proposals: dict[int, tuple[int, Callable[[str], None]]] = {}  # index -> term, who waits
         self.reads: dict[int, Callable[[bool], None]] = {}
--- a/pebblehinge/agreed/state.py
+++ b/pebblehinge/agreed/state.py
@@ -177,10 +177,17 @@
     # ---- snapshots
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(Kept(
-            list(self.versions.values()), self.active, self.pending, self.aside, self.heads,
-            [(name, serial, said) for name, (serial, said) in self.sessions.items()], self.changed,
-        ))  # fmt: skip
+        return msgspec.msgpack.encode(
+            Kept(
+                list(self.versions.values()),
+                self.active,
+                self.pending,
+                self.aside,
+                self.heads,
+                [(name, serial, said) for name, (serial, said) in self.sessions.items()],
+                self.changed,
+            )
+        )
 
     @classmethod
     def restore(cls, data: bytes) -> State:
--- a/pebblehinge/agreed/taking.py
+++ b/pebblehinge/agreed/taking.py
@@ -1,9 +1,9 @@
 """What a head acts on, from what the group told it and how long ago. No I/O, no clock.
 
-    taking = Taking(head, floor)              # or Taking.restore(...): the last version, without a lease
-    taking.asked(now)  -> token               # a renewal leaves
-    taking.answered(token, ...)               # what the group said; may raise nothing, may refuse a version
-    taking.config(now)                        # what to act on now, and in which mode
+taking = Taking(head, floor)              # or Taking.restore(...): the last version, without a lease
+taking.asked(now)  -> token               # a renewal leaves
+taking.answered(token, ...)               # what the group said; may raise nothing, may refuse a version
+taking.config(now)                        # what to act on now, and in which mode
 """
 
 from __future__ import annotations
@@ -53,9 +53,11 @@
         return taking
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(KeptVersion(
-            self.active, self.texts.get(self.active, ""), self.aside, self.pending, self.texts.get(self.pending, "")
-        ))  # fmt: skip
+        return msgspec.msgpack.encode(
+            KeptVersion(
+                self.active, self.texts.get(self.active, ""), self.aside, self.pending, self.texts.get(self.pending, "")
+            )
+        )
 
     @property
     def acknowledges(self) -> int:
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -40,8 +40,10 @@
     if as_json:
         click.echo(json.dumps(told))
         return
-    click.echo(f"{told['segments']} segments, {told['bytes']} bytes; {told['live']} writes not yet at their shelfs "
-               f"({told['live_bytes']} bytes), {told['done']} done, {told['barriers']} barriers")  # fmt: skip
+    click.echo(
+        f"{told['segments']} segments, {told['bytes']} bytes; {told['live']} writes not yet at their shelfs "
+        f"({told['live_bytes']} bytes), {told['done']} done, {told['barriers']} barriers"
+    )
     for write in writes[:20]:
         click.echo(f"  {write.number}: {write.volume}/{write.extent} at {write.offset}, {len(write.data)} bytes")
     for line in told["damage"]:
@@ -115,8 +117,9 @@
                     break
                 label = f"wb.{write.label}.{write.number}"
                 if got.honoured:
-                    got = await client.write(write.volume, write.extent, write.data, offset=write.offset, label=label,
-                                             **where)  # fmt: skip
+                    got = await client.write(
+                        write.volume, write.extent, write.data, offset=write.offset, label=label, **where
+                    )
                     if got.honoured:
                         brought += 1
                         break
--- a/pebblehinge/core/books.py
+++ b/pebblehinge/core/books.py
@@ -25,9 +25,22 @@
     """One access that this head took. A front adds what its trips need."""
 
     __slots__ = (
-        "key", "conn", "id", "access", "volume", "units", "data", "came_ms", "answered", "trip", "trips", "shelf",
-        "sent_ms", "begin_by_ms", "trip_ms",
-    )  # fmt: skip
+        "key",
+        "conn",
+        "id",
+        "access",
+        "volume",
+        "units",
+        "data",
+        "came_ms",
+        "answered",
+        "trip",
+        "trips",
+        "shelf",
+        "sent_ms",
+        "begin_by_ms",
+        "trip_ms",
+    )
 
     def __init__(self) -> None:
         self.key, self.conn, self.volume, self.units, self.data, self.came_ms = 0, None, "", 0.0, b"", 0.0
@@ -72,9 +85,17 @@
     # ---- from clients
 
     def accept(
-        self, now: float, taken: Taken, extent: str | None, profile: str, plan: str, set_size: int, slot: int,
-        abandon_ms: float, again: bool | None,
-    ) -> None:  # fmt: skip
+        self,
+        now: float,
+        taken: Taken,
+        extent: str | None,
+        profile: str,
+        plan: str,
+        set_size: int,
+        slot: int,
+        abandon_ms: float,
+        again: bool | None,
+    ) -> None:
         """An access that its front has admitted; volume, units and data stand in it."""
         self.keys += 1
         taken.key, taken.came_ms = self.keys, now
--- a/pebblehinge/decide/head.py
+++ b/pebblehinge/decide/head.py
@@ -70,8 +70,7 @@
         was written (whole). Harm: a fleet that changed meanwhile is judged by what it was, for seconds."""
         shelfs, path, left, lives = self.shelfs, self.path, math.exp(-age / KEEPS_MS), state.get("lives", {})
         shelfs.recalled_ms = now
-        shelfs.past = {name: Past.of(row, lives.get(name), now - age, left)
-                       for name, row in state["shelfs"].items()}  # fmt: skip
+        shelfs.past = {name: Past.of(row, lives.get(name), now - age, left) for name, row in state["shelfs"].items()}
         shelfs.all_ms, fed, low, worth = state["every"]
         shelfs.fed_ms = now - age - fed
         if left > 0.5:
--- a/pebblehinge/decide/path.py
+++ b/pebblehinge/decide/path.py
@@ -29,9 +29,20 @@
         self.limits = Limits(shelfs, self.worth, notes, now)
         self.refusal = Refusal(self.limits, self.extents)
 
-    def take(self, now: float, id_: int, extent: str | None, profile: str, plan: str, volume: str,
-             set_size: int, slot: int, units: float, abandon_ms: float,
-             repeat: bool | None = None) -> tuple[Access, Changes]:
+    def take(
+        self,
+        now: float,
+        id_: int,
+        extent: str | None,
+        profile: str,
+        plan: str,
+        volume: str,
+        set_size: int,
+        slot: int,
+        units: float,
+        abandon_ms: float,
+        repeat: bool | None = None,
+    ) -> tuple[Access, Changes]:
         """A client's access has come; a repeat is its further try, None if not told. serve goes on."""
         a, cfg = Access(), self.given.cfg
         a.path, a.id, a.extent, a.volume, a.slot, a.units = self, id_, extent, volume, slot, units
--- a/pebblehinge/decide/refusal.py
+++ b/pebblehinge/decide/refusal.py
@@ -57,8 +57,9 @@
                 continue
             if least:
                 heapq.heappush(least, (a.density, -a.due_ms, -a.seq, a))
-            while a.held and ((down and i) or now >= a.abandon_ms
-                              or now + needs + mean * max(0, i + 1 - room) / bound > a.due_ms):  # fmt: skip
+            while a.held and (
+                (down and i) or now >= a.abandon_ms or now + needs + mean * max(0, i + 1 - room) / bound > a.due_ms
+            ):
                 if not least:
                     least = [(b.density, -b.due_ms, -b.seq, b) for b in held[: i + 1]]
                     heapq.heapify(least)
@@ -74,8 +75,11 @@
         """The final answer, at once. Pushed back where trying again is harmless, with a time to stay away,
         drawn, or all come back in step."""
         repeat, group = a.profile.repeat, a.profile.group
-        clean = (a.risk_ms is None and not a.out) or repeat is Repeat.REDOABLE or (
-            repeat is Repeat.LABELLED and group is Group.ALL)  # fmt: skip
+        clean = (
+            (a.risk_ms is None and not a.out)
+            or repeat is Repeat.REDOABLE
+            or (repeat is Repeat.LABELLED and group is Group.ALL)
+        )
         stay = self.shelfs.given.cfg.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
         a.answer = Answer(Final.PUSHED_BACK, stay, why) if clean else Answer(Final.TERMINATED, why=why)
         self.worth.give_back(a)
--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -94,9 +94,14 @@
             volume = self.config.volume[block.volume]
             most = self.config.rules.most_units
             place = self.places[name] = Place(
-                name, block, volume.slots, most, self.turns, lambda **v: self.inside.access(block.volume, **v),
+                name,
+                block,
+                volume.slots,
+                most,
+                self.turns,
+                lambda **v: self.inside.access(block.volume, **v),
                 self.keeping,
-            )  # fmt: skip
+            )
         return place
 
 
@@ -157,10 +162,20 @@
         door.counts["completed" if whole else "failed"] += 1
         door.counts["saves"] += len(told.saved)
         door.log.info(
-            "transfer", module=told.module, user=told.user, address=self.address, push=told.push, files=told.files,
-            bytes=told.bytes, literal=told.literal, matched=told.matched, failed=len(told.failed),
-            error=told.error or self.why, code=told.code, ms=round(door.clock() - self.began_ms, 1),
-        )  # fmt: skip
+            "transfer",
+            module=told.module,
+            user=told.user,
+            address=self.address,
+            push=told.push,
+            files=told.files,
+            bytes=told.bytes,
+            literal=told.literal,
+            matched=told.matched,
+            failed=len(told.failed),
+            error=told.error or self.why,
+            code=told.code,
+            ms=round(door.clock() - self.began_ms, 1),
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -208,9 +208,19 @@
         assert wire is not None
         self.out[out.number] = out
         wire.send(
-            Kind.TRIP, out.number, taken.trace, out.trip, f"{taken.volume}/{taken.extent}", taken.op, taken.offset,
-            taken.length, taken.units, taken.label, out.until_ms - now, taken.data,
-        )  # fmt: skip
+            Kind.TRIP,
+            out.number,
+            taken.trace,
+            out.trip,
+            f"{taken.volume}/{taken.extent}",
+            taken.op,
+            taken.offset,
+            taken.length,
+            taken.units,
+            taken.label,
+            out.until_ms - now,
+            taken.data,
+        )
         if self.noted is not None:
             self.noted(now, "trip", id=taken.trace, n=out.trip, shelf=self.shelf, until=round(out.until_ms, 3))
 
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -60,9 +60,15 @@
         self.back: Back | None = None
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.listing = ListingLink(
-            loop, clock, name, config.listing.listen, config.limits, random.Random(self.block.seed), self._listed,
+            loop,
+            clock,
+            name,
+            config.listing.listen,
+            config.limits,
+            random.Random(self.block.seed),
+            self._listed,
             config.listing.mode == "ask",
-        )  # fmt: skip
+        )
 
     async def start(self) -> None:
         host, port = parse_address(self.block.listen)
@@ -84,9 +90,7 @@
         """Before `start`: buffered volumes are confirmed from a journal on this disk."""
         self.back = Back(self, disk, lasts)
 
-    def remember(
-        self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
-    ) -> None:
+    def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline) -> None:
         """Before `start`: takes up what an earlier life learned, and keeps what this one learns, beside the loop.
         `times` gives the wall clock and the machine's time since its start, in ms, and which start that was."""
         self.memory = Remembering(self, disk, times, beside)
@@ -208,9 +212,15 @@
                     self.retired.append(link)
                     link.retire()
                 self.links[shelf] = ShelfLink(
-                    self.loop, self.clock, self.name, shelf, address, self.config.limits, self._ended,
+                    self.loop,
+                    self.clock,
+                    self.name,
+                    shelf,
+                    address,
+                    self.config.limits,
+                    self._ended,
                     self.note if self.records.on else None,
-                )  # fmt: skip
+                )
         self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.listed(now, kind, entries)
--- a/pebblehinge/http1/__init__.py
+++ b/pebblehinge/http1/__init__.py
@@ -5,6 +5,13 @@
 from pebblehinge.http1.writing import write_answer, write_request
 
 __all__ = [
-    "BODY_LIMIT", "HttpError", "Request", "Requests", "Response", "Responses", "Stream", "write_answer",
+    "BODY_LIMIT",
+    "HttpError",
+    "Request",
+    "Requests",
+    "Response",
+    "Responses",
+    "Stream",
+    "write_answer",
     "write_request",
-]  # fmt: skip
+]
--- a/pebblehinge/http1/reader.py
+++ b/pebblehinge/http1/reader.py
@@ -43,9 +43,21 @@
     """What both directions share: pieces are handed to the parser so that none goes past a message's end."""
 
     __slots__ = (
-        "buffer", "parser", "headers", "parts", "size", "head", "tail", "length", "chunked", "began", "done", "keeps",
-        "fault", "wire",
-    )  # fmt: skip
+        "buffer",
+        "parser",
+        "headers",
+        "parts",
+        "size",
+        "head",
+        "tail",
+        "length",
+        "chunked",
+        "began",
+        "done",
+        "keeps",
+        "fault",
+        "wire",
+    )
 
     most = BODY_LIMIT
 
--- a/pebblehinge/http1/writing.py
+++ b/pebblehinge/http1/writing.py
@@ -3,9 +3,16 @@
 from __future__ import annotations
 
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+}
 
 
 def write_request(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
--- a/pebblehinge/kept/memory.py
+++ b/pebblehinge/kept/memory.py
@@ -30,14 +30,27 @@
 def pack(now: float, shelfs: Any, path: Any) -> dict[str, Any]:
     """What stays of a head's shelfs and of its path for a later life, as plain values."""
     known = {
-        name: [shelfs.plain_ms[s], shelfs.run_ms[s], shelfs.mean_ms[s], now - shelfs.seen_ms[s], shelfs.width[s],
-               -1.0 if shelfs.cold_ms[s] is None else now - shelfs.cold_ms[s]]
-        for s, name in enumerate(shelfs.names) if shelfs.mean_ms[s] or shelfs.cold_ms[s] is not None
-    }  # fmt: skip
-    lives = {name: [shelfs.slots[s], now - shelfs.started[s] if shelfs.started[s] else -1.0]
-             for name, s in shelfs.index.items() if name in known}  # fmt: skip
-    return {"shelfs": known, "lives": lives,
-            "every": [shelfs.all_ms, now - shelfs.fed_ms, shelfs.low_ms, path.worth.usual],
-            "thinks": {x: e.counts for x, e in path.extents.items() if e.counts},
-            "limits": {v: [st.limit, now - st.at_ms] for v, st in path.worth.stores.items()},
-            "further": [now - t for t in path.limits.further]}  # fmt: skip
+        name: [
+            shelfs.plain_ms[s],
+            shelfs.run_ms[s],
+            shelfs.mean_ms[s],
+            now - shelfs.seen_ms[s],
+            shelfs.width[s],
+            -1.0 if shelfs.cold_ms[s] is None else now - shelfs.cold_ms[s],
+        ]
+        for s, name in enumerate(shelfs.names)
+        if shelfs.mean_ms[s] or shelfs.cold_ms[s] is not None
+    }
+    lives = {
+        name: [shelfs.slots[s], now - shelfs.started[s] if shelfs.started[s] else -1.0]
+        for name, s in shelfs.index.items()
+        if name in known
+    }
+    return {
+        "shelfs": known,
+        "lives": lives,
+        "every": [shelfs.all_ms, now - shelfs.fed_ms, shelfs.low_ms, path.worth.usual],
+        "thinks": {x: e.counts for x, e in path.extents.items() if e.counts},
+        "limits": {v: [st.limit, now - st.at_ms] for v, st in path.worth.stores.items()},
+        "further": [now - t for t in path.limits.further],
+    }
--- a/pebblehinge/lab/caller.py
+++ b/pebblehinge/lab/caller.py
@@ -25,7 +25,7 @@
     read_varlong,
     read_vstring,
     short,
-)  # fmt: skip
+)
 from pebblehinge.rsync.options import Options, parse, receiver_wants_filters
 from pebblehinge.rsync.serve import BASIS, STOPPED_DELETING, TRANSFER, XNAME
 from pebblehinge.rsync.stream import (
@@ -44,7 +44,7 @@
     Gone,
     RsyncError,
     Stream,
-)  # fmt: skip
+)
 from pebblehinge.rsync.sums import Search, Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
 
--- a/pebblehinge/lab/crash.py
+++ b/pebblehinge/lab/crash.py
@@ -155,9 +155,16 @@
             books.sent[label] = (extent, slot, offset, data)
             books.asked[label] = books.event()
             got = await client.write(
-                "bids", extent, data, offset=offset, slot=slot, label=label, profile="save", units=1.0,
+                "bids",
+                extent,
+                data,
+                offset=offset,
+                slot=slot,
+                label=label,
+                profile="save",
+                units=1.0,
                 patience_ms=2000.0,
-            )  # fmt: skip
+            )
             if got.honoured:
                 books.confirmed[label] = books.event()
             elif got.final != "pushed back":
@@ -182,11 +189,16 @@
         after = [first[x] for x, at in books.asked.items() if at > honoured and x in first]
         broken += bool(before and after and max(before) > min(after))
     return {
-        "confirmed": len(books.confirmed), "missing": len(missing), "doubled": len(doubled),
-        "claimed_wrongly": len(books.claimed_wrongly), "order_broken": broken, "unknown": len(books.unknown),
-        "flushes": books.flushes, "barriers": len(books.barriers),
+        "confirmed": len(books.confirmed),
+        "missing": len(missing),
+        "doubled": len(doubled),
+        "claimed_wrongly": len(books.claimed_wrongly),
+        "order_broken": broken,
+        "unknown": len(books.unknown),
+        "flushes": books.flushes,
+        "barriers": len(books.barriers),
         "first": (missing or doubled or books.claimed_wrongly or [""])[0],
-    }  # fmt: skip
+    }
 
 
 class Virtual:
@@ -311,8 +323,18 @@
     try:
         return Virtual(seed).play(kills)
     except (AssertionError, RuntimeError, StorageError) as error:
-        return {"confirmed": 0, "missing": 0, "doubled": 0, "claimed_wrongly": 0, "order_broken": 0, "unknown": 0,
-                "flushes": 0, "barriers": 0, "first": f"{type(error).__name__}: {error}", "fault": 1}  # fmt: skip
+        return {
+            "confirmed": 0,
+            "missing": 0,
+            "doubled": 0,
+            "claimed_wrongly": 0,
+            "order_broken": 0,
+            "unknown": 0,
+            "flushes": 0,
+            "barriers": 0,
+            "first": f"{type(error).__name__}: {error}",
+            "fault": 1,
+        }
 
 
 def summed(rounds: list[dict[str, Any]]) -> dict[str, Any]:
@@ -325,8 +347,17 @@
                 total[key] += value
         if told["first"] and not first:
             first = f"round {n}: {told['first']}"
-    keys = ("confirmed", "missing", "doubled", "claimed_wrongly", "order_broken", "unknown", "flushes", "barriers",
-            "fault")  # fmt: skip
+    keys = (
+        "confirmed",
+        "missing",
+        "doubled",
+        "claimed_wrongly",
+        "order_broken",
+        "unknown",
+        "flushes",
+        "barriers",
+        "fault",
+    )
     return {"rounds": len(rounds), **{k: total[k] for k in keys}, "first": first}
 
 
--- a/pebblehinge/plan/planner.py
+++ b/pebblehinge/plan/planner.py
@@ -1,9 +1,9 @@
 """The planner: asks for trials in batches, and turns what they showed into an answer. No I/O, no clock, no loop.
 
-    planner = Planner(demand, config, goal=0.95)
-    while (batch := planner.ask()):
-        planner.told([play(trial) for trial in batch])     # or fewer results: it can stop at any time
-    planner.answer()
+planner = Planner(demand, config, goal=0.95)
+while (batch := planner.ask()):
+    planner.told([play(trial) for trial in batch])     # or fewer results: it can stop at any time
+planner.answer()
 """
 
 from __future__ import annotations
@@ -252,25 +252,37 @@
             "accesses": len(self.demand.at),
             "service_now": {"service": round(base[0], 4), "low": round(base[1], 4), "high": round(base[2], 4)},
             "first_limit": {
-                "name": first.name, "where": first.where, "at_multiple": round(first.at_multiple, 3),
-                "low": round(low, 3), "high": round(high, 3), "reason": first.reason,
+                "name": first.name,
+                "where": first.where,
+                "at_multiple": round(first.at_multiple, 3),
+                "low": round(low, 3),
+                "high": round(high, 3),
+                "reason": first.reason,
             },
             "other_limits": [
                 {"name": x.name, "where": x.where, "at_multiple": round(x.at_multiple, 2), "reason": x.reason}
-                for x in rest if x is not first
+                for x in rest
+                if x is not first
             ],
             "needed": needed,
             "losses": [
-                {"what": x.what, "service": round(x.service, 4), "low": round(x.low, 4), "high": round(x.high, 4),
-                 "during": round(x.during, 4), "after": round(x.after, 4),
-                 "by_plan": {k: round(v, 4) for k, v in x.by_plan.items()}, "reason": x.reason}
+                {
+                    "what": x.what,
+                    "service": round(x.service, 4),
+                    "low": round(x.low, 4),
+                    "high": round(x.high, 4),
+                    "during": round(x.during, 4),
+                    "after": round(x.after, 4),
+                    "by_plan": {k: round(v, 4) for k, v in x.by_plan.items()},
+                    "reason": x.reason,
+                }
                 for x in losses
             ],
             "next_step": self._next_step(first, needed),
             "curve": [[round(m, 3), round(s, 4)] for m, s in self._curve("", None)],
             "trials": len(self.results),
             "notes": notes,
-        }  # fmt: skip
+        }
 
     def _at_one(self) -> tuple[float, float, float]:
         values = [r.service for t, r in self.results.items() if t.multiple == 1.0 and not t.lose and t.shelfs is None]
@@ -304,8 +316,15 @@
         peak = float(np.bincount((self.demand.at / 1000.0).astype(int)).max()) * self.growth
         heads = max(1, math.ceil(peak * self.head_cost_ms / 1000.0 / HEAD_LOAD))
         if not tried:
-            return {"shelfs": self.guess_shelfs, "heads": heads, "service": None, "low": None, "high": None,
-                    "kind": self._kind(), "reason": "by formulas alone"}  # fmt: skip
+            return {
+                "shelfs": self.guess_shelfs,
+                "heads": heads,
+                "service": None,
+                "low": None,
+                "high": None,
+                "kind": self._kind(),
+                "reason": "by formulas alone",
+            }
         smooth = _falling(np.array([s for _, s in tried])[::-1])[::-1]
         good = [i for i, s in enumerate(smooth) if s >= self.goal]
         noise = self._noise()
@@ -315,22 +334,34 @@
                 f"no number of shelfs that was tried meets the goal: {tried[best][0]} shelfs reach {smooth[best]:.3f}; "
                 + self._why_never()
             )
-            return {"shelfs": None, "heads": heads, "service": round(float(smooth[best]), 4),
-                    "low": round(float(smooth[best]) - noise, 4), "high": round(float(smooth[best]) + noise, 4),
-                    "kind": self._kind(), "reason": self._why_never()}  # fmt: skip
+            return {
+                "shelfs": None,
+                "heads": heads,
+                "service": round(float(smooth[best]), 4),
+                "low": round(float(smooth[best]) - noise, 4),
+                "high": round(float(smooth[best]) + noise, 4),
+                "kind": self._kind(),
+                "reason": self._why_never(),
+            }
         count, service = tried[good[0]][0], float(smooth[good[0]])
         return {
-            "shelfs": count, "heads": heads, "service": round(service, 4), "low": round(service - noise, 4),
-            "high": round(min(1.0, service + noise), 4), "kind": self._kind(),
+            "shelfs": count,
+            "heads": heads,
+            "service": round(service, 4),
+            "low": round(service - noise, 4),
+            "high": round(min(1.0, service + noise), 4),
+            "kind": self._kind(),
             "reason": f"with {count} shelfs of the fleet's kinds in turn, data laid out anew, {self.growth:g} times "
             f"the captured peak reaches {service:.3f}; {heads} heads carry its busiest second",
-        }  # fmt: skip
+        }
 
     def _kind(self) -> str:
         """Which kind does most for one shelf."""
         kinds = self.config.kind
-        return max(sorted({s.kind for s in self.config.shelf.values()}),
-                   key=lambda k: kinds[k].cores * sum(kinds[k].speed) / 2 / kinds[k].unit_work)  # fmt: skip
+        return max(
+            sorted({s.kind for s in self.config.shelf.values()}),
+            key=lambda k: kinds[k].cores * sum(kinds[k].speed) / 2 / kinds[k].unit_work,
+        )
 
     def _why_never(self) -> str:
         biggest = max((t.shelfs for t in self.results if t.shelfs), default=0)
@@ -354,9 +385,15 @@
         during, after = float(np.mean([r.during for r in mine])), float(np.mean([r.after for r in mine]))
         worst = min(plans, key=plans.__getitem__) if plans else "none"
         return Loss(
-            what, service, min(services) - noise, max(services) + noise, during, after, plans,
+            what,
+            service,
+            min(services) - noise,
+            max(services) + noise,
+            during,
+            after,
+            plans,
             f"while it is away {during:.3f} is served, in the cold return {after:.3f}; plan {worst} suffers most",
-        )  # fmt: skip
+        )
 
     def _next_step(self, first: Limit, needed: dict[str, Any]) -> str:
         if first.name == "plan limit":
@@ -371,17 +408,19 @@
         return f"add {more} shelfs of kind {needed['kind']}" if more > 0 else "nothing now: the fleet holds the goal"
 
 
-def blame(
-    shelf: dict[str, float], limit: dict[str, float], shelfs: int, at: float
-) -> tuple[str, str, str]:
+def blame(shelf: dict[str, float], limit: dict[str, float], shelfs: int, at: float) -> tuple[str, str, str]:
     """Name, place and reason of the limit that takes the service, from what was lost where."""
     of_shelfs, of_limits = sum(shelf.values()), sum(limit.values())
     total = max(1e-9, of_shelfs + of_limits)
     if of_limits > of_shelfs:
         name = max(limit, key=limit.__getitem__)
-        return "plan limit", name, (
-            f"at {at:.2f} times the captured load {of_limits / total:.0%} of what is lost is asked beyond plans' "
-            f"limits, most by {name}"
+        return (
+            "plan limit",
+            name,
+            (
+                f"at {at:.2f} times the captured load {of_limits / total:.0%} of what is lost is asked beyond plans' "
+                f"limits, most by {name}"
+            ),
         )
     if not shelf:
         return "shelf time", "all shelfs", f"nothing is lost up to {at:.2f} times the captured load"
@@ -390,9 +429,13 @@
     top_two = sum(sorted(shelf.values())[-2:]) / max(1e-9, of_shelfs)
     if shelfs > 2 and (part > max(CONCENTRATED, 2.0 / shelfs) or (shelfs > 4 and top_two > 0.7)):
         return "hot shelf", name, f"at {at:.2f} times the captured load {part:.0%} of what is lost is lost at {name}"
-    return "shelf time", "all shelfs", (
-        f"at {at:.2f} times the captured load the shelfs' time is used up in the busiest seconds; "
-        f"{name} loses most, {part:.0%} of it"
+    return (
+        "shelf time",
+        "all shelfs",
+        (
+            f"at {at:.2f} times the captured load the shelfs' time is used up in the busiest seconds; "
+            f"{name} loses most, {part:.0%} of it"
+        ),
     )
 
 
--- a/pebblehinge/rsync/flist.py
+++ b/pebblehinge/rsync/flist.py
@@ -21,7 +21,7 @@
     short,
     varint,
     varlong,
-)  # fmt: skip
+)
 from pebblehinge.rsync.stream import RsyncError, Stream
 
 TOP_DIR, SAME_MODE, EXTENDED, SAME_UID, SAME_GID, SAME_NAME, LONG_NAME, SAME_TIME = (1 << n for n in range(8))
--- a/pebblehinge/rsync/place.py
+++ b/pebblehinge/rsync/place.py
@@ -30,7 +30,7 @@
     split,
     sums_of,
     whole_sum,
-)  # fmt: skip
+)
 from pebblehinge.settings.schema import ModuleBlock
 from pebblehinge.wire.frames import APPEND, APPENDED, READ, WRITE
 
@@ -117,9 +117,15 @@
     """One module of one head: what its sessions share."""
 
     def __init__(
-        self, name: str, block: ModuleBlock, slots: list[int], most_units: float, turns: Turns, access: Access,
+        self,
+        name: str,
+        block: ModuleBlock,
+        slots: list[int],
+        most_units: float,
+        turns: Turns,
+        access: Access,
         keeping: Keeping,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.name, self.block, self.slots, self.most_units = name, block, slots, most_units
         self.turns, self.access, self.keeping = turns, access, keeping
         self.folders: OrderedDict[bytes, _Log] = OrderedDict()
@@ -304,9 +310,16 @@
                     raise Refused("the transfer's time is over", TIMEOUT)
                 self.count += 1
                 answer = await self.place.access(
-                    op=op, extent=extent, slot=slot_of(extent, self.place.slots), profile=profile, units=units,
-                    patience_ms=patience, trace=f"{self.trace}.{self.count}", again=turn.tries > 0, **more,
-                )  # fmt: skip
+                    op=op,
+                    extent=extent,
+                    slot=slot_of(extent, self.place.slots),
+                    profile=profile,
+                    units=units,
+                    patience_ms=patience,
+                    trace=f"{self.trace}.{self.count}",
+                    again=turn.tries > 0,
+                    **more,
+                )
                 final, stay = answer.final, answer.stay_ms
             finally:
                 self.turns.ended(turn, final, stay)
@@ -317,9 +330,16 @@
 
     async def read(self, extent: str, offset: int, length: int) -> bytes:
         answer = await self._do(
-            READ, extent, self.block.read, length / self.block.unit, True, offset=offset, length=length, data=b"",
+            READ,
+            extent,
+            self.block.read,
+            length / self.block.unit,
+            True,
+            offset=offset,
+            length=length,
+            data=b"",
             label=None,
-        )  # fmt: skip
+        )
         if answer.final != "honoured":
             raise Refused(f"a read was {answer.final}: {answer.reason or 'no shelf could serve it in time'}", TIMEOUT)
         return answer.data
@@ -327,18 +347,32 @@
     async def write(self, extent: str, data: bytes) -> None:
         """A block: the same bytes at the same place do no harm twice."""
         answer = await self._do(
-            WRITE, extent, self.block.write, len(data) / self.block.unit, True, offset=0, length=len(data), data=data,
+            WRITE,
+            extent,
+            self.block.write,
+            len(data) / self.block.unit,
+            True,
+            offset=0,
+            length=len(data),
+            data=data,
             label=None,
-        )  # fmt: skip
+        )
         if answer.final != "honoured":
             raise Refused(f"a write was {answer.final}: {answer.reason or 'no shelf could serve it in time'}", TIMEOUT)
 
     async def append(self, extent: str, end: int, data: bytes, label: str) -> tuple[str, bool | None, int]:
         """One attempt, pushed back ones apart: how it ended, whether it landed, the log's length."""
         answer = await self._do(
-            APPEND, extent, self.block.commit, len(data) / self.block.unit, False, offset=end, length=len(data),
-            data=data, label=label or None,
-        )  # fmt: skip
+            APPEND,
+            extent,
+            self.block.commit,
+            len(data) / self.block.unit,
+            False,
+            offset=end,
+            length=len(data),
+            data=data,
+            label=label or None,
+        )
         if answer.final == "pushed back":
             raise Refused(f"a save was pushed back: {answer.reason or 'no shelf could take it in time'}", TIMEOUT)
         if answer.final != "honoured":
--- a/pebblehinge/rsync/serve.py
+++ b/pebblehinge/rsync/serve.py
@@ -24,7 +24,7 @@
     short,
     varlong,
     vstring,
-)  # fmt: skip
+)
 from pebblehinge.rsync.options import Options, parse, receiver_wants_filters
 from pebblehinge.rsync.place import Transfer, Writer
 from pebblehinge.rsync.stream import (
@@ -42,7 +42,7 @@
     Gone,
     RsyncError,
     Stream,
-)  # fmt: skip
+)
 from pebblehinge.rsync.sums import Search, Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
 from pebblehinge.rsync.tree import Entry, Folder, clean
--- a/pebblehinge/rsync/sums.py
+++ b/pebblehinge/rsync/sums.py
@@ -86,9 +86,7 @@
 
     def packed(self) -> bytes:
         assert self.weak is not None and self.strongs is not None
-        return self.head() + b"".join(
-            w.to_bytes(4, "little") + s for w, s in zip(self.weak, self.strongs, strict=True)
-        )
+        return self.head() + b"".join(w.to_bytes(4, "little") + s for w, s in zip(self.weak, self.strongs, strict=True))
 
 
 class Summing:
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -40,9 +40,21 @@
     """One client's connection. At most one access of it is open; what was sent ahead waits for its answer."""
 
     __slots__ = (
-        "door", "transport", "sock", "requests", "taken", "keeps", "since", "over", "waits", "full", "closing",
-        "shelved", "counted", "until",
-    )  # fmt: skip
+        "door",
+        "transport",
+        "sock",
+        "requests",
+        "taken",
+        "keeps",
+        "since",
+        "over",
+        "waits",
+        "full",
+        "closing",
+        "shelved",
+        "counted",
+        "until",
+    )
 
     def __init__(self, door: Door, sock: socket.socket) -> None:
         self.door, self.sock = door, sock
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -83,9 +83,13 @@
     something: what it still tells is not lost. `told` is called with each object that counts."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], rng: random.Random,
-        told: Callable[[Told], None], say: Callable[..., None],
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        rng: random.Random,
+        told: Callable[[Told], None],
+        say: Callable[..., None],
+    ) -> None:
         self.loop, self.address, self.rng, self.told, self.say = loop, address, rng, told, say
         self.version: int | None = None  # asked on from; None asks for the whole list
         self.newest = -1  # version that was told
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -33,8 +33,7 @@
 class Trip:
     """One trip that is out. `written` once its last byte is with the machine's network."""
 
-    __slots__ = ("taken", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms",
-                 "written")  # fmt: skip
+    __slots__ = ("taken", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms", "written")
 
     def __init__(self, taken: Taken, number: int, shelf: Shelf, until_ms: float, now: float) -> None:
         self.taken, self.number, self.shelf, self.until_ms, self.sent_ms = taken, number, shelf, until_ms, now
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -16,13 +16,29 @@
 ONCE = (b"host", b"x-request-id", b"x-class", b"x-plan", b"cookie", b"x-deadline-ms", b"x-io", b"x-retry")
 # Headers that belong to one connection, or that this head words itself; all others are the client's to its shelf.
 OF_THE_LINE = {
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te", b"trailer",
-    b"transfer-encoding", b"upgrade", b"expect", b"content-length", b"x-deadline-ms",
-}  # fmt: skip
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"expect",
+    b"content-length",
+    b"x-deadline-ms",
+}
 PASSED_ON = {
-    b"host": b"Host", b"x-request-id": b"X-Request-Id", b"x-class": b"X-Class", b"x-plan": b"X-Plan",
-    b"cookie": b"Cookie", b"x-io": b"X-IO", b"x-retry": b"X-Retry", b"content-type": b"Content-Type",
-}  # fmt: skip
+    b"host": b"Host",
+    b"x-request-id": b"X-Request-Id",
+    b"x-class": b"X-Class",
+    b"x-plan": b"X-Plan",
+    b"cookie": b"Cookie",
+    b"x-io": b"X-IO",
+    b"x-retry": b"X-Retry",
+    b"content-type": b"Content-Type",
+}
 
 
 class ServiceTaken(Taken):
@@ -37,8 +53,18 @@
     """A client's request as the module is told of it."""
 
     __slots__ = (
-        "id", "profile", "plan", "extent", "volume", "units", "slot", "set_size", "patience_ms", "again", "head",
-    )  # fmt: skip
+        "id",
+        "profile",
+        "plan",
+        "extent",
+        "volume",
+        "units",
+        "slot",
+        "set_size",
+        "patience_ms",
+        "again",
+        "head",
+    )
 
 
 def read_access(request: Request, config: ServiceConfig) -> Asked:
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -42,9 +42,12 @@
     """One running head."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: ServiceConfig, path: str = "",
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: ServiceConfig,
+        path: str = "",
         clock: Callable[[], float] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.config, self.path = loop, config, path
         self.clock = clock or make_clock()
         self.born = self.clock()
@@ -69,8 +72,11 @@
         self.lines += 1
         if self.lines <= MOST_LINES:
             more = "".join(f" {k.replace(' ', '-')}={str(v)[:300]!r}" for k, v in facts.items())
-            print(f"pebblehinge {self.config.name} {(self.clock() - self.born) / 1000.0:.3f} {what}{more}",
-                  file=sys.stderr, flush=True)  # fmt: skip
+            print(
+                f"pebblehinge {self.config.name} {(self.clock() - self.born) / 1000.0:.3f} {what}{more}",
+                file=sys.stderr,
+                flush=True,
+            )
 
     def limit(self) -> None:
         """How many connections clients and shelfs may hold, by the descriptors that there are."""
@@ -158,15 +164,30 @@
     def _sum(self) -> None:
         """A line on what has passed since the last."""
         core, door = self.core, self.door
-        sums = {**core.counts, **{o.value: n for o, n in core.outcomes.items()}, **core.reasons, "errors": door.refused,
-                **self.shelfs.answers}  # fmt: skip
+        sums = {
+            **core.counts,
+            **{o.value: n for o, n in core.outcomes.items()},
+            **core.reasons,
+            "errors": door.refused,
+            **self.shelfs.answers,
+        }
         new = {k: n - self.summed.get(k, 0) for k, n in sums.items() if n != self.summed.get(k, 0)}
         self.summed = sums
         if new:
-            self.say("passed", **new, open=core.open, out=self.shelfs.out, clients=door.count,
-                     fresh=len(door.fresh), idle=len(door.idle), spared=door.spared, unserved=door.unserved,
-                     gone=door.gone, shelf_connections=self.shelfs.connections,
-                     late_ms=round(self.late_ms))  # fmt: skip
+            self.say(
+                "passed",
+                **new,
+                open=core.open,
+                out=self.shelfs.out,
+                clients=door.count,
+                fresh=len(door.fresh),
+                idle=len(door.idle),
+                spared=door.spared,
+                unserved=door.unserved,
+                gone=door.gone,
+                shelf_connections=self.shelfs.connections,
+                late_ms=round(self.late_ms),
+            )
 
     def _sum_again(self) -> None:
         self.loop.call_later(SUMS_S, self._sum_again)
--- a/pebblehinge/settings/load.py
+++ b/pebblehinge/settings/load.py
@@ -317,9 +317,13 @@
             self.fault(name.place, f"{name.text} with {' '.join(target)!r}", "no target")
             return None
         return Trouble(
-            at=at, name=name.text, target=target, by=clauses.get("by"), every=clauses.get("every"),
+            at=at,
+            name=name.text,
+            target=target,
+            by=clauses.get("by"),
+            every=clauses.get("every"),
             last=clauses.get("for"),
-        )  # fmt: skip
+        )
 
     @staticmethod
     def figure(text: str, clause: str) -> float:
@@ -356,21 +360,28 @@
                     self.fault(place("volume", name), found, "heads 1: one journal holds its newest bytes")
         for name, profile in config.profile.items():
             if profile.patience < profile.expected:
-                self.fault(place("profile", name), f"profile {name} has less patience than expected time",
-                           "patience of at least the expected time")  # fmt: skip
+                self.fault(
+                    place("profile", name),
+                    f"profile {name} has less patience than expected time",
+                    "patience of at least the expected time",
+                )
             if profile.repeat == "labelled" and not profile.window:
                 self.fault(place("profile", name), f"profile {name} is labelled with no window", "a line window TIME")
         for name, plan in config.plan.items():
             if plan.limit and plan.burst < config.rules.most_units:
                 found = f"plan {name} has a limit and a burst of {plan.burst:g}"
-                self.fault(place("plan", name), found,
-                           f"at least the largest access, {config.rules.most_units:g} units")  # fmt: skip
+                self.fault(
+                    place("plan", name), found, f"at least the largest access, {config.rules.most_units:g} units"
+                )
         for name, mix in config.mix.items():
             if name not in config.profile and ("profile", name) not in self.places:
                 self.fault(place("mix", name), f"profile {name!r} is not there", one_of(config.profile))
             if mix.units[1] > config.rules.most_units:
-                self.fault(place("mix", name, "units"), f"up to {mix.units[1]:g} units",
-                           f"at most the {config.rules.most_units:g} that the rules name")  # fmt: skip
+                self.fault(
+                    place("mix", name, "units"),
+                    f"up to {mix.units[1]:g} units",
+                    f"at most the {config.rules.most_units:g} that the rules name",
+                )
             if mix.bytes + 1024 > config.limits.frame:
                 self.fault(place("mix", name, "bytes"), f"{mix.bytes} bytes", "less than the limit of a frame")
         for name, shelf in config.shelf.items():
@@ -395,7 +406,6 @@
         if config.limits.frame < 4096:
             self.fault(place("limits", "frame"), f"a frame of {config.limits.frame} bytes", "at least 4KiB")
 
-
     def module(self, config: Config, name: str, module: ModuleBlock) -> None:
         """A module's volume, profiles, users and networks."""
 
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -214,8 +214,15 @@
         return Settings(
             profiles=tuple(
                 Profile(
-                    name, p.importance, p.expected, p.patience, p.late_share, Repeat(p.repeat), Group(p.group),
-                    p.window, p.in_order,
+                    name,
+                    p.importance,
+                    p.expected,
+                    p.patience,
+                    p.late_share,
+                    Repeat(p.repeat),
+                    Group(p.group),
+                    p.window,
+                    p.in_order,
                 )
                 for name, p in self.profile.items()
             ),
@@ -240,4 +247,4 @@
             budget_share=r.budget_share,
             budget_free=r.budget_free,
             budget_window_ms=r.budget_window,
-        )  # fmt: skip
+        )
--- a/pebblehinge/shelf/server.py
+++ b/pebblehinge/shelf/server.py
@@ -69,9 +69,19 @@
         self.shelf.now = self.shelf.clock()
 
     def on_trip(
-        self, number: int, id_: str, trip: int, extent: str, op: int, offset: int, length: int, units: float,
-        label: str | None, left_ms: float, data: bytes,
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        id_: str,
+        trip: int,
+        extent: str,
+        op: int,
+        offset: int,
+        length: int,
+        units: float,
+        label: str | None,
+        left_ms: float,
+        data: bytes,
+    ) -> None:
         if number in self.trips:
             raise WireError(f"TRIP: number {number} is out already")
         t = _Trip()
@@ -155,10 +165,19 @@
         self._register()
         kind, machine = self.machine.kind, self.machine
         self.records.note(
-            self.clock(), "up", role="shelf", name=self.name, slot=self.block.slot, cold=self.restarted,
-            started=machine.started_ms, cores=kind.cores, speed=machine.speed, cold_from=kind.cold_from,
-            warm_ms=kind.cold, unit_work=kind.unit_work,
-        )  # fmt: skip
+            self.clock(),
+            "up",
+            role="shelf",
+            name=self.name,
+            slot=self.block.slot,
+            cold=self.restarted,
+            started=machine.started_ms,
+            cores=kind.cores,
+            speed=machine.speed,
+            cold_from=kind.cold_from,
+            warm_ms=kind.cold,
+            unit_work=kind.unit_work,
+        )
 
     def stop(self) -> None:
         self.closed = True
@@ -222,9 +241,19 @@
         if chance and self.rng.random() < chance:
             # An error that comes at once: half of them after the effect, so that nobody may trust them.
             self.records.note(
-                now, "got", id=t.id, n=t.trip, head=t.conn.session.peer_name, x=t.extent, u=units, w=0.0, op=t.op,
-                full=False, label=t.label, cold=self.machine.warmth(now) < 1.0,
-            )  # fmt: skip
+                now,
+                "got",
+                id=t.id,
+                n=t.trip,
+                head=t.conn.session.peer_name,
+                x=t.extent,
+                u=units,
+                w=0.0,
+                op=t.op,
+                full=False,
+                label=t.label,
+                cold=self.machine.warmth(now) < 1.0,
+            )
             if self.rng.random() < 0.5:
                 self._effect(t, now)
             self._answer(t, ERRED, "failed", b"")
@@ -234,9 +263,19 @@
         t.job = job
         taken = not self.draining and self.machine.take(now, job)
         self.records.note(
-            now, "got", id=t.id, n=t.trip, head=t.conn.session.peer_name, x=t.extent, u=units, w=round(job.work, 3),
-            op=t.op, full=not taken, label=t.label, cold=self.machine.warmth(now) < 1.0,
-        )  # fmt: skip
+            now,
+            "got",
+            id=t.id,
+            n=t.trip,
+            head=t.conn.session.peer_name,
+            x=t.extent,
+            u=units,
+            w=round(job.work, 3),
+            op=t.op,
+            full=not taken,
+            label=t.label,
+            cold=self.machine.warmth(now) < 1.0,
+        )
         if self.machine.fell and not self.told_fall:
             self._fall(now)
             return
