--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -1,8 +1,8 @@
 """Many heads of the real decision module in virtual time: a heap of events, shelfs that answer as a scene says.
 
 Each head is `pebblehinge.decide.Head` and knows what its own calls told it; nothing is shared between heads but the
-shelfs. Times are virtual milliseconds. A scene derives from `Fleet` and says what a trip comes to (`answers`), and may
-look at each trip that leaves (`left`) and each access that is over (`over`).
+shelfs. Times are virtual milliseconds. A scene derives from `Fleet` and says what an attempt comes to (`answers`), and
+may look at each attempt that leaves (`left`) and each access that is over (`over`).
 """
 
 from __future__ import annotations
@@ -90,12 +90,12 @@
 
     # ---- what a scene says
 
-    def answers(self, h: int, access: Any, trip: Any) -> tuple[float, Outcome]:
-        """When a trip that leaves now ends, and how. One that ends past its time is overdue then."""
+    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+        """When an attempt that leaves now ends, and how. One that ends past its time is overdue then."""
         raise NotImplementedError
 
-    def left(self, h: int, access: Any, trip: Any) -> None:
-        """A trip has left."""
+    def left(self, h: int, access: Any, attempt: Any) -> None:
+        """An attempt has left."""
 
     def over(self, h: int, access: Any, honoured: bool, why: str) -> None:
         """An access has its answer: honoured, or the module's own."""
@@ -140,12 +140,12 @@
 
     def do(self, h: int, changes: Changes) -> None:
         for access in changes.handles:
-            trips, recalls, answer = access.drain()
-            for trip in trips:
-                self.left(h, access, trip)
-                when, outcome = self.answers(h, access, trip)
-                if when > trip.until_ms:
-                    when, outcome = trip.until_ms, Outcome.OVERDUE
+            attempts, recalls, answer = access.drain()
+            for attempt in attempts:
+                self.left(h, access, attempt)
+                when, outcome = self.answers(h, access, attempt)
+                if when > attempt.until_ms:
+                    when, outcome = attempt.until_ms, Outcome.OVERDUE
                 self.at(max(when, self.now), self._ends, h, access, access.sent - 1, outcome, self.now)
             if answer is not None:
                 self.over(h, access, False, answer.why if answer.final is Final.PUSHED_BACK else "terminated")
--- a/benchmarks/decisions_learning.py
+++ b/benchmarks/decisions_learning.py
@@ -1,9 +1,9 @@
 """Scene `learning`: what one head can learn of a shelf that it asks seldom, told by what it does.
 
 Cases: `slow` (each access takes the shelf SLOWER times as long; it serves in turn and has twice the capacity that is
-asked while well), `hang` (nothing is answered), `err` (each trip errs at once); at 0.58 accesses a second a pair, or,
-as `slow-10` and so on, at 10 for a third of the time. A head has learned with the first access for the shelf, after the
-fault began, that does not leave within the call that brought it; the shelf is used again with the first access that
+asked while well), `hang` (nothing is answered), `err` (each attempt errs at once); at 0.58 accesses a second a pair,
+or, as `slow-10` and so on, at 10 for a third of the time. A head has learned with the first access for the shelf, after
+the fault began, that does not leave within the call that brought it; the shelf is used again with the first access that
 came after it was well and was honoured (one comes after 1.7 s in the mean at 0.58). Beside it each head asks well
 shelfs, less than at the size (868 a second), as a run can bear it: the sick one weighs more in the head's means than it
 would there.
@@ -40,8 +40,8 @@
     def sick(self) -> bool:
         return self.fault_ms <= self.now < self.well_ms
 
-    def answers(self, h: int, access: Any, trip: Any) -> tuple[float, Outcome]:
-        if trip.shelf != "s0":
+    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+        if attempt.shelf != "s0":
             return self.now + SHELF_MS, Outcome.HONOURED
         if self.sick() and self.case != "slow":
             return (math.inf, Outcome.OVERDUE) if self.case == "hang" else (self.now + 2.0, Outcome.ERRED)
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -76,10 +76,10 @@
         self.asked = self.let = self.pushed = self.used = 0
         self.sends: list[float] = []
 
-    def answers(self, h: int, access: Any, trip: Any) -> tuple[float, Outcome]:
+    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
         return self.now + SHELF_MS, Outcome.HONOURED
 
-    def left(self, h: int, access: Any, trip: Any) -> None:
+    def left(self, h: int, access: Any, attempt: Any) -> None:
         if access.sent == 1:
             self.sends.append(self.now)
             self.used += self.counted_ms <= self.now < self.end_ms
--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -1,9 +1,10 @@
 """Scene `pools`: connections and descriptors for all pairs of head and shelf, reckoned from the pools' rules.
 
-In service (service/pool.py, shelfs.py) a trip takes the connection that was used last, or dials; one that idles for
+In service (service/pool.py, shelfs.py) an attempt takes the connection that was used last, or dials; one that idles for
 IDLE_PART of the shelf's own limit is closed, and at the cap the one that idled longest is. Framed (head/link.py) there
-is one connection a shelf that all trips share and that stays. Arrivals of a pair are taken as Poisson. For the k-th
-connection of a pair the arrivals that find exactly k-1 trips out reach it; `in flight` is Poisson, too (M/G/infinity).
+is one connection a shelf that all attempts share and that stays. Arrivals of a pair are taken as Poisson. For the k-th
+connection of a pair the arrivals that find exactly k-1 attempts out reach it; `in flight` is Poisson, too
+(M/G/infinity).
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 from pebblehinge.service.shelfs import IDLE_PART
 
 IDLE_S = (5.0, 30.0)  # after which a shelf may close an idle connection: short, and that of the settings in tests
-TRIP_S = 0.015
+ATTEMPT_S = 0.015
 SOCKETS = 1_024  # descriptors that a head is given, as an ordinary limit of a process
 CLIENTS = 4_200_000
 
 
-def pair(rate_s: float, kept_s: float, trip_s: float) -> tuple[float, float]:
+def pair(rate_s: float, kept_s: float, attempt_s: float) -> tuple[float, float]:
     """Of one pair: connections held in the mean, dials a second. The k-th connection is reached by arrivals that find
     k-1 or more out; it is dialled anew where none reached it for `kept_s`, and held meanwhile."""
     held = dials = 0.0
-    busy = rate_s * trip_s
+    busy = rate_s * attempt_s
     at_least = 1.0  # that so many are out or more
     term = math.exp(-busy)
     for k in range(1, 20):
@@ -53,7 +54,7 @@
     rates = [per_head * share for share in shares(shape, SHELFS)]
 
     def of(kept_s: float) -> tuple[float, float]:
-        rows = [pair(rate, kept_s, TRIP_S) for rate in rates]
+        rows = [pair(rate, kept_s, ATTEMPT_S) for rate in rates]
         return sum(held for held, _ in rows), sum(dials for _, dials in rows)
 
     kept_s = IDLE_PART * idle_s
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -1,7 +1,7 @@
 """Scene `sums`: what all heads together do to one shelf, and spend beyond the accesses that they were asked for.
 
-Cases: `dead` (careful trips to a shelf that can't be reached, a second), `cold` (what a cold shelf gets against the
-line of tests/cold_fleet.py, N + 2 sqrt(N) + 2), `budget` (further trips a second while a tenth of the shelfs err).
+Cases: `dead` (careful attempts to a shelf that can't be reached, a second), `cold` (what a cold shelf gets against the
+line of tests/cold_fleet.py, N + 2 sqrt(N) + 2), `budget` (retries a second while a tenth of the shelfs err).
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
     ) -> None:
         super().__init__(heads, 2, seed, replace(SETTINGS, **budget))
         self.weights, self.rate, self.beside, self.outcome = weights_of(shape, heads), rate, beside, outcome
-        self.trips = self.further = self.asked = 0
+        self.attempts = self.retries = self.asked = 0
 
-    def answers(self, h: int, access: Any, trip: Any) -> tuple[float, Outcome]:
-        if trip.shelf == "s0" and self.now >= DIES_MS:
+    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+        if attempt.shelf == "s0" and self.now >= DIES_MS:
             return self.now + 1.0, self.outcome
         return self.now + SHELF_MS, Outcome.HONOURED
 
-    def left(self, h: int, access: Any, trip: Any) -> None:
+    def left(self, h: int, access: Any, attempt: Any) -> None:
         if self.now >= SETTLED_MS:
-            self.trips += trip.shelf == "s0"
-            self.further += access.sent > 1
+            self.attempts += attempt.shelf == "s0"
+            self.retries += access.sent > 1
 
     def figures(self) -> dict[str, float]:
         heads = len(self.heads)
@@ -52,7 +52,7 @@
             self.arrivals(self.beside * heads, END_MS, lambda: self.come(1))
         self.play(END_MS)
         span_s = (END_MS - SETTLED_MS) / 1000.0
-        found = {"asked_s": self.asked / span_s, "trips_s": self.trips / span_s, "further_s": self.further / span_s}
+        found = {"asked_s": self.asked / span_s, "trips_s": self.attempts / span_s, "further_s": self.retries / span_s}
         return {k: round(v, 1) for k, v in found.items()}
 
     def come(self, slot: int) -> None:
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pebblehinge.head import HeadCore
-from pebblehinge.interface import Changes, Outcome, Trip
+from pebblehinge.interface import Attempt, Changes, Outcome
 from pebblehinge.net import Peer
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
@@ -61,13 +61,13 @@
     """In the decision module's place: every access goes to its shelf at once, and comes back once."""
 
     class Handle:
-        __slots__ = ("id", "trips", "answer", "over", "out", "module")
+        __slots__ = ("id", "attempts", "answer", "over", "out", "module")
 
-        def drain(self) -> tuple[list[Trip], list[int], None]:
-            trips, self.trips = self.trips, []
-            return trips, [], None
+        def drain(self) -> tuple[list[Attempt], list[int], None]:
+            attempts, self.attempts = self.attempts, []
+            return attempts, [], None
 
-        def ended(self, now: float, trip: int, outcome: Outcome, over: bool, took: float) -> Changes:
+        def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took: float) -> Changes:
             self.over, self.out = True, False
             return Changes()
 
@@ -107,7 +107,7 @@
     ) -> tuple[Any, Changes]:
         handle = self.Handle()
         handle.id, handle.over, handle.out = id_, False, True
-        handle.trips = [Trip(self.at_slot[slot], abandon)]
+        handle.attempts = [Attempt(self.at_slot[slot], abandon)]
         return handle, Changes([handle])
 
 
@@ -118,12 +118,12 @@
 
 
 class AtOnce(Peer):
-    """A shelf's connection that answers each trip at once."""
+    """A shelf's connection that answers each attempt at once."""
 
     FRAMES = frozenset({Kind.TRIP, Kind.RECALL})
     reply = b""
 
-    def on_trip(self, number: int, id_: str, trip: int, extent: str, op: int, *rest: Any) -> None:
+    def on_trip(self, number: int, id_: str, attempt: int, extent: str, op: int, *rest: Any) -> None:
         self.send(Kind.OUTCOME, number, 0, "", b"" if op else self.reply)
 
     def on_recall(self, number: int) -> None:
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -2,7 +2,7 @@
 
     python benchmarks/same_decisions.py --against ../other-checkout [--runs 2000]
 
-Each run's every trip, recall, answer, wake and call to the list, and at its end all that its heads would remember,
+Each run's every attempt, recall, answer, wake and call to the list, and at its end all that its heads would remember,
 go into a digest; runs are spread over the rules that they are drawn for. For changes that move code and no decision.
 """
 
@@ -33,7 +33,7 @@
 
         def _done(self, name: str, life: Any, changes: Any) -> None:
             self.calls += 1
-            rows = [(a.id, a.trips, a.recalls, a.answer) for a in changes.handles]
+            rows = [(a.id, a.attempts, a.recalls, a.answer) for a in changes.handles]
             self.said.update(repr((self.now, name, rows, changes.wake_ms, changes.list_calls)).encode())
             super()._done(name, life, changes)
 
--- a/benchmarks/scale/following.py
+++ b/benchmarks/scale/following.py
@@ -21,7 +21,7 @@
         self.now: dict[str, dict[str, Any]] = {}  # the last row of each head
         self.known: dict[str, tuple[int, int]] = {}  # by process, at the least: shelfs known, whole lists that came
         self.came: dict[str, list[tuple[int, float]]] = {}  # versions of each head with the time, both rising
-        self.trips: Counter[str] = Counter()
+        self.attempts: Counter[str] = Counter()
 
     def look(self) -> None:
         for path in sorted(self.folder.glob("*.rows")):
@@ -38,7 +38,7 @@
             self.known[process] = (row["known"], row["wholes"])
             return
         if "trips" in row:
-            self.trips.update(row["trips"])
+            self.attempts.update(row["trips"])
             return
         self.rows.append(row)
         head = row["head"]
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -22,7 +22,7 @@
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.settings import Config, load
-from scale.hollow_links import Trips
+from scale.hollow_links import Attempts
 
 LOOK_S = 0.1
 
@@ -37,7 +37,7 @@
         self.lives = self.wholes = 0
         self.feed: Any = None
         self.listing: ListingLink | None = None
-        self.trips: Trips | None = None
+        self.attempts: Attempts | None = None
 
     def begin(self) -> None:
         """Starts as a process would: on the last version that it kept, without a lease."""
@@ -59,7 +59,7 @@
             self.config.listing.mode == "ask",
         )
         spread, rate = self.given["spread"], self.given["trips"]
-        self.trips = Trips(self.loop, clock, self.name, self.config.limits, rng, spread, rate)
+        self.attempts = Attempts(self.loop, clock, self.name, self.config.limits, rng, spread, rate)
         self.feed.start()
         self.listing.start()
 
@@ -71,9 +71,9 @@
                 if link.wire is not None:
                     link.wire.abort()
                 link.close()
-        if self.trips is not None:
-            self.trips.close()
-        self.feed = self.listing = self.trips = None
+        if self.attempts is not None:
+            self.attempts.close()
+        self.feed = self.listing = self.attempts = None
         self.ready.clear()
 
     def _keep(self, data: bytes) -> None:
@@ -88,8 +88,8 @@
                 self.ready.add(sys.intern(entry.shelf))
             else:
                 self.ready.discard(entry.shelf)
-        if self.trips is not None:
-            self.trips.listed(addresses)
+        if self.attempts is not None:
+            self.attempts.listed(addresses)
 
 
 class HollowHeads:
@@ -126,11 +126,11 @@
             self.loop.call_later(self.rng.uniform(*said["down_s"]), self.heads[name].begin)
 
     def end(self) -> None:
-        """What came of the trips, at the end."""
+        """What came of the attempts, at the end."""
         ends: Counter[str] = Counter()
         for head in self.heads.values():
-            if head.trips is not None:
-                ends.update(head.trips.ends)
+            if head.attempts is not None:
+                ends.update(head.attempts.ends)
         self.counting.note(trips=dict(ends))
 
     def stop(self) -> None:
--- a/benchmarks/scale/hollow_links.py
+++ b/benchmarks/scale/hollow_links.py
@@ -1,6 +1,6 @@
-"""A hollow head's trips: the program's own link to each of a few shelfs, drawn once, at a steady rate.
+"""A hollow head's attempts: the program's own link to each of a few shelfs, drawn once, at a steady rate.
 
-Nobody decides here: each trip goes to the next shelf in turn, whatever came of the one before.
+Nobody decides here: each attempt goes to the next shelf in turn, whatever came of the one before.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 class Carried:
     """What a link needs to know of an access."""
 
-    __slots__ = ("trace", "volume", "extent", "op", "offset", "length", "units", "label", "data", "trip")
+    __slots__ = ("trace", "volume", "extent", "op", "offset", "length", "units", "label", "data", "attempt")
 
     def __init__(self, trace: str, extent: str) -> None:
         self.trace, self.volume, self.extent, self.op = trace, "hollow", extent, READ
         self.offset, self.length, self.units, self.label, self.data = 0, BYTES, 1.0, None, b""
-        self.trip: Any = None
+        self.attempt: Any = None
 
 
-class Trips:
-    """`rate` trips a second over links to `spread` shelfs, which are drawn from those that the list has told first."""
+class Attempts:
+    """`rate` attempts a second over links to `spread` shelfs, which are drawn from those that the list has told
+    first."""
 
     def __init__(
         self, loop: Any, clock: Any, head: str, limits: LimitsBlock, rng: random.Random, spread: int, rate: float
@@ -59,7 +60,7 @@
         self.sent += 1
         link.send(Carried(f"{self.head}.{self.sent}", f"e{self.sent % 64}"), 1, now + PATIENCE_MS, now)
 
-    def _ended(self, now: float, taken: Carried, trip: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def _ended(self, now: float, taken: Carried, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
         self.ends[outcome.value] += 1
 
     def close(self) -> None:
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -57,7 +57,7 @@
         regions: bool,
         counting: bool,
         spread: int = 0,
-        trips: float = 0.0,
+        attempts: float = 0.0,
     ) -> None:
         super().__init__(loop, config, path, "struck", seed, folder, loopback, said, [])
         self.heads, self.shelfs, self.events = heads, shelfs, events
@@ -66,7 +66,7 @@
         self.struck.close()
         self.struck = CountedGround(self, loop, names_of(config), seed, folder / "copies")
         self.struck.regions, self.struck.counting, self.struck.figures = regions, counting, self.figures
-        self.regions, self.spread, self.trips = regions, spread, trips
+        self.regions, self.spread, self.attempts = regions, spread, attempts
         self.holds: dict[str, list[str]] = {}  # hollow heads by process
 
     # ---- the fleet
@@ -100,7 +100,7 @@
         for n in range(count):
             self.holds[f"heads{n + 1}"] = names[n::count]
             given = {**self._given(), "names": names[n::count], "over_s": max(1.0, self.heads / 200.0)}
-            given |= {"spread": self.spread, "trips": self.trips}
+            given |= {"spread": self.spread, "trips": self.attempts}
             starting.append(self._spawn_hollow(f"heads{n + 1}", "hollow-heads", given))
         await asyncio.gather(*starting)
 
--- a/pebblehinge/account/books.py
+++ b/pebblehinge/account/books.py
@@ -1,10 +1,10 @@
 """Accounts of waiting. Each millisecond that an access was held, or out, belongs to exactly one cause.
 
-Held while trips of this head are out at its shelf, it waits for those, in equal parts; held while none is out, for the
-head itself (its plan's limit, the cold of the shelf, a slot that is kept). Out beside other trips of the head, the time
-at a shelf is shared among them: beyond what such a trip usually takes, the others' parts are waiting for those. What is
-left of its own part beyond the usual is the shelf's doing, and so is that part of what it kept others waiting; this is
-settled when it ends. Further trips after the first are their own cause.
+Held while attempts of this head are out at its shelf, it waits for those, in equal parts; held while none is out, for
+the head itself (its plan's limit, the cold of the shelf, a slot that is kept). Out beside other attempts of the head,
+the time at a shelf is shared among them: beyond what such an attempt usually takes, the others' parts are waiting for
+those. What is left of its own part beyond the usual is the shelf's doing, and so is that part of what it kept others
+waiting; this is settled when it ends. Retries after the first are their own cause.
 
 Bounded: so many pairs, the smallest of which go into one that is called the others'.
 """
@@ -15,20 +15,20 @@
 from dataclasses import dataclass, field
 
 MOST_PAIRS = 12_288  # five causes of 2,000 volumes and some: 1.5 MB
-FOLLOWS = 0.02  # by how much the usual time follows one trip
+FOLLOWS = 0.02  # by how much the usual time follows one attempt
 SHELF, HEAD, SELF, AGAIN, OTHERS = "shelf ", "head", "own work", "further trips", "others"
 
 
 @dataclass(slots=True)
-class Trip:
-    """One trip that is out: for which volume, since when, and how long it kept each volume's accesses waiting."""
+class Attempt:
+    """One attempt that is out: for which volume, since when, and how long it kept each volume's accesses waiting."""
 
     volume: str
     units: float
     since: float
     first: bool
     kept: dict[str, float] = field(default_factory=dict)
-    beside: dict[str, float] = field(default_factory=dict)  # parts of other trips in its own time
+    beside: dict[str, float] = field(default_factory=dict)  # parts of other attempts in its own time
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     """One shelf as this head uses it."""
 
     held: dict[str, int] = field(default_factory=dict)
-    out: dict[int, Trip] = field(default_factory=dict)
+    out: dict[int, Attempt] = field(default_factory=dict)
     at: float = 0.0
 
 
@@ -56,7 +56,7 @@
         self.most = most
         self.desks: dict[str, Desk] = {}
         self.where: dict[int, tuple[str, str, float]] = {}  # held accesses: shelf, volume, units
-        self.usual = 0.0  # ms of a unit's trip, over all shelfs
+        self.usual = 0.0  # ms of a unit's attempt, over all shelfs
         self.waits: dict[tuple[str, str], float] = {}
         self.count: dict[str, int] = {}
 
@@ -75,31 +75,31 @@
         shelf, volume, units = self.where[key]
         desk = self._pass(now, shelf)
         self._less(desk, volume)
-        desk.out[key] = Trip(volume, units, now, first)
+        desk.out[key] = Attempt(volume, units, now, first)
 
     def ended(self, now: float, key: int) -> None:
-        """Its trip is over."""
+        """Its attempt is over."""
         shelf, volume, _ = self.where[key]
         desk = self._pass(now, shelf)
-        trip = desk.out.pop(key)
-        took = now - trip.since
-        size = (1.0 + trip.units) / 2.0
-        others = sum(trip.beside.values())
+        attempt = desk.out.pop(key)
+        took = now - attempt.since
+        size = (1.0 + attempt.units) / 2.0
+        others = sum(attempt.beside.values())
         own = took - others
         usual = self.usual * size if self.usual else own
         # A shelf that serves several at once loses nobody time up to the usual: that much is its own work.
         mine = max(own, min(took, usual))
-        for volume_, ms in trip.beside.items():
+        for volume_, ms in attempt.beside.items():
             self._add(volume, volume_, ms * (took - mine) / others if others else 0.0)
         late = max(0.0, mine - usual)
         beyond = late / took if took > 0 else 0.0
-        for waiter, ms in trip.kept.items():
+        for waiter, ms in attempt.kept.items():
             self._add(waiter, volume, ms * (1.0 - beyond))
             self._add(waiter, SHELF + shelf, ms * beyond)
-        self._add(volume, SELF if trip.first else AGAIN, mine - late)
+        self._add(volume, SELF if attempt.first else AGAIN, mine - late)
         self._add(volume, SHELF + shelf, late)
         each = own / size
-        # The lower part of what trips take: one slow shelf of many must not become what is usual.
+        # The lower part of what attempts take: one slow shelf of many must not become what is usual.
         self.usual += FOLLOWS * self.usual * (0.5 if each > self.usual else -0.5) if self.usual else each
 
     def over(self, now: float, key: int) -> None:
@@ -116,7 +116,7 @@
         del self.where[key]
 
     def answered(self, key: int) -> None:
-        """Its trip ended and nothing more is to come."""
+        """Its attempt ended and nothing more is to come."""
         self.where.pop(key, None)
 
     def keep(self, shelfs: Container[str]) -> None:
@@ -138,17 +138,17 @@
         if passed <= 0:
             return desk
         parts = len(desk.out)
-        for trip in desk.out.values() if parts > 1 else ():
+        for attempt in desk.out.values() if parts > 1 else ():
             for other in desk.out.values():
-                if other is not trip:
-                    trip.beside[other.volume] = trip.beside.get(other.volume, 0.0) + passed / parts
+                if other is not attempt:
+                    attempt.beside[other.volume] = attempt.beside.get(other.volume, 0.0) + passed / parts
         for volume, count in desk.held.items():
             ms = passed * count
             if not desk.out:
                 self._add(volume, HEAD, ms)
                 continue
-            for trip in desk.out.values():
-                trip.kept[volume] = trip.kept.get(volume, 0.0) + ms / len(desk.out)
+            for attempt in desk.out.values():
+                attempt.kept[volume] = attempt.kept.get(volume, 0.0) + ms / len(desk.out)
         return desk
 
     def _add(self, volume: str, cause: str, ms: float) -> None:
@@ -166,7 +166,7 @@
     # ---- what is known
 
     def why(self, volume: str) -> list[Share]:
-        """Where a volume's time went, the largest part first. A trip that is still out is not in it yet."""
+        """Where a volume's time went, the largest part first. An attempt that is still out is not in it yet."""
         rows = [(cause, ms) for (v, cause), ms in self.waits.items() if v == volume]
         whole = sum(ms for _, ms in rows) or 1.0
         return [Share(cause, ms, ms / whole) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0]))]
--- a/pebblehinge/capture/files.py
+++ b/pebblehinge/capture/files.py
@@ -35,7 +35,7 @@
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
-    """One access that was over. Times in ms from the capture's start; `trip_ms` is its last trip's, or 0."""
+    """One access that was over. Times in ms from the capture's start; `trip_ms` is its last attempt's, or 0."""
 
     t: float
     volume: str
@@ -49,8 +49,8 @@
     bytes: int
     final: int  # index of FINALS
     took_ms: float
-    trip_ms: float
-    trips: int
+    attempt_ms: float
+    attempts: int
 
 
 class Heading(msgspec.Struct, array_like=True, frozen=True):
--- a/pebblehinge/core/books.py
+++ b/pebblehinge/core/books.py
@@ -1,6 +1,6 @@
 """Between sockets and the decision module: keeps what the module need not know, and decides nothing.
 
-No I/O and no clock: calls come in with the time, what is to be done goes out through `Doing`. A trip's outcome
+No I/O and no clock: calls come in with the time, what is to be done goes out through `Doing`. An attempt's outcome
 is told as it was; the final answer of an honoured access is sent here, every other one comes from the module.
 What may come in at all is the front's to say: it admits an access, then has it taken here.
 """
@@ -22,7 +22,7 @@
 
 
 class Taken:
-    """One access that this head took. A front adds what its trips need."""
+    """One access that this head took. A front adds what its attempts need."""
 
     __slots__ = (
         "key",
@@ -34,29 +34,29 @@
         "data",
         "came_ms",
         "answered",
-        "trip",
-        "trips",
+        "attempt",
+        "attempts",
         "shelf",
         "sent_ms",
         "begin_by_ms",
-        "trip_ms",
+        "attempt_ms",
     )
 
     def __init__(self) -> None:
         self.key, self.conn, self.volume, self.units, self.data, self.came_ms = 0, None, "", 0.0, b"", 0.0
         self.access: Access | None = None
         self.answered = False
-        self.trip: Any = None  # what the link keeps of the trip that is out
-        self.trips = 0
-        self.shelf, self.sent_ms, self.trip_ms = "", 0.0, 0.0
-        self.begin_by_ms = math.inf  # the trip that leaves may begin no later
+        self.attempt: Any = None  # what the link keeps of the attempt that is out
+        self.attempts = 0
+        self.shelf, self.sent_ms, self.attempt_ms = "", 0.0, 0.0
+        self.begin_by_ms = math.inf  # the attempt that leaves may begin no later
 
 
 class Doing(Protocol):
     """What the core has done for it."""
 
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None: ...
-    def drop_trip(self, taken: Taken) -> None: ...
+    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None: ...
+    def drop_attempt(self, taken: Taken) -> None: ...
     def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
     def wake_at(self, at_ms: float) -> None: ...
     def call_list(self, call: ListCall) -> None: ...
@@ -76,7 +76,7 @@
         self.counts = {"taken": 0, "honoured": 0, "pushed back": 0, "terminated": 0, "left": 0, "refused": 0}
         self.outcomes = {outcome: 0 for outcome in Outcome}
         self.reasons: dict[str, int] = {}  # why accesses were not honoured, by the module's own branches
-        self.further = self.wakes = 0
+        self.retries = self.wakes = 0
         self.now = now
 
     def start(self, now: float) -> None:
@@ -105,7 +105,7 @@
         taken.access, changes = self.module.take(
             now, taken.key, extent, profile, plan, taken.volume, set_size, slot, taken.units, abandon_ms, again
         )
-        # Before what the call changed is done: a trip that leaves at once was held for no time.
+        # Before what the call changed is done: an attempt that leaves at once was held for no time.
         if self.account is not None and taken.access.shelf >= 0:
             self.account.held(now, taken.key, taken.volume, self.module.shelfs.names[taken.access.shelf], taken.units)
         self._carry_out(changes, now)
@@ -125,17 +125,19 @@
 
     # ---- from shelfs, the listing and the clock
 
-    def ended(self, now: float, taken: Taken, trip: int, outcome: Outcome, took_ms: float, data: bytes = b"") -> None:
-        """A trip has its outcome, exactly one."""
+    def ended(
+        self, now: float, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
+    ) -> None:
+        """An attempt has its outcome, exactly one."""
         access = taken.access
         assert access is not None
         self.outcomes[outcome] += 1
-        taken.trip, taken.trip_ms, self.now = None, took_ms, now
+        taken.attempt, taken.attempt_ms, self.now = None, took_ms, now
         if outcome is Outcome.HONOURED and not taken.answered:
             self._answer(taken, HONOURED, 0.0, "", data)
         over = taken.answered
         self._account_end(taken, now)
-        changes = access.ended(now, trip, outcome, over, took_ms)
+        changes = access.ended(now, attempt, outcome, over, took_ms)
         self._carry_out(changes, now)
         self._forget(taken)
 
@@ -160,7 +162,7 @@
         """For fronts that keep records: an access is over, by its final answer or (None) since its client left."""
 
     def _account_end(self, taken: Taken, now: float) -> None:
-        """A trip is over. What follows it, if anything, is held anew."""
+        """An attempt is over. What follows it, if anything, is held anew."""
         if self.account is not None and taken.key in self.account.where:
             self.account.ended(now, taken.key)
             self.account.answered(taken.key)
@@ -177,20 +179,20 @@
             changes = todo.popleft()
             for access in changes.handles:
                 taken = self.taken[access.id]
-                trips, recalls, answer = access.drain()
-                for trip in trips:
-                    self.further += taken.trips > 0
+                attempts, recalls, answer = access.drain()
+                for attempt in attempts:
+                    self.retries += taken.attempts > 0
                     if self.account is not None:
                         if taken.key not in self.account.where:
-                            self.account.held(now, taken.key, taken.volume, trip.shelf, taken.units)
-                        self.account.sent(now, taken.key, taken.trips == 0)
-                    taken.shelf, taken.sent_ms, taken.begin_by_ms = trip.shelf, now, trip.begin_by_ms
-                    self.doing.send_trip(taken, trip.shelf, taken.trips, trip.until_ms)
-                    taken.trips += 1
+                            self.account.held(now, taken.key, taken.volume, attempt.shelf, taken.units)
+                        self.account.sent(now, taken.key, taken.attempts == 0)
+                    taken.shelf, taken.sent_ms, taken.begin_by_ms = attempt.shelf, now, attempt.begin_by_ms
+                    self.doing.send_attempt(taken, attempt.shelf, taken.attempts, attempt.until_ms)
+                    taken.attempts += 1
                 for number in recalls:
-                    if taken.trip is not None:
-                        self.doing.drop_trip(taken)
-                        taken.trip = None
+                    if taken.attempt is not None:
+                        self.doing.drop_attempt(taken)
+                        taken.attempt = None
                         self.outcomes[Outcome.RECALLED] += 1
                         took = now - taken.sent_ms
                         self._account_end(taken, now)
--- a/pebblehinge/decide/head.py
+++ b/pebblehinge/decide/head.py
@@ -81,7 +81,7 @@
             e.counts = {b: n * left for b, n in counts.items() if n * left >= 0.01}
         for volume, (limit, since) in state["limits"].items() if whole else ():
             path.worth.stores[volume] = Store(limit, now - age - since, self.given.cfg.most_units)
-        path.limits.further.extend(now - age - t for t in state["further"])
+        path.limits.retries.extend(now - age - t for t in state["further"])
 
     def adopt(self, now: float, settings: Settings) -> Changes:
         """New settings while accesses are held. Harm: a plan that is gone holds to its end."""
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -16,14 +16,14 @@
 
 
 class Limits:
-    """Rules 2 and 4 to 7 of one access's next trip."""
+    """Rules 2 and 4 to 7 of one access's next attempt."""
 
     def __init__(self, shelfs: Shelfs, worth: Worth, notes: Notes, now: float) -> None:
         self.given, self.shelfs, self.worth, self.notes, self.born = shelfs.given, shelfs, worth, notes, now
-        self.lines = Lines()  # order by key: accesses not over, or with a trip out
+        self.lines = Lines()  # order by key: accesses not over, or with an attempt out
         self.rest_ms: dict[str, float] = {}
-        self.takes, self.further = deque(), deque()  # trip budget: when accesses and further trips were
-        self.queued = 0  # accesses held for a further trip
+        self.takes, self.retries = deque(), deque()  # attempt budget: when accesses and retries were
+        self.queued = 0  # accesses held for a retry
 
     def may_go(self, a: Access, now: float) -> bool:
         s = a.shelf
@@ -60,38 +60,38 @@
         return max(at, min(since + cfg.warm_ms, since + (turn - cfg.cold_share) * warms))
 
     def may_repeat(self, a: Access, now: float, new: int, out: bool = False) -> bool:
-        """Rules 2 and 7 for a further trip: looked at when queued (new = 1) and when it leaves."""
+        """Rules 2 and 7 for a retry: looked at when queued (new = 1) and when it leaves."""
         until = self.repeat_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
-        return now <= until and self.spare_trips(now) >= 1 + new * self.queued
+        return now <= until and self.spare_attempts(now) >= 1 + new * self.queued
 
     def repeat_until(self, a: Access, risk: float | None) -> float:
-        """Until when a trip may begin, by the first that may have run."""
+        """Until when an attempt may begin, by the first that may have run."""
         if risk is None or a.profile.repeat is Repeat.REDOABLE:
             return math.inf
         window = -math.inf if a.profile.repeat is Repeat.IRREVERSIBLE else a.profile.window_ms
         return risk + window - 2 * self.given.cfg.step_ms
 
-    def spare_trips(self, now: float) -> float:
-        """Further trips still allowed: those made count a little longer than stated, accesses shorter."""
+    def spare_attempts(self, now: float) -> float:
+        """Retries still allowed: those made count a little longer than stated, accesses shorter."""
         cfg = self.given.cfg
         while self.takes and self.takes[0] <= now - cfg.budget_window_ms + 2 * cfg.step_ms:
             self.takes.popleft()
-        while self.further and self.further[0] < now - cfg.budget_window_ms - 2 * cfg.step_ms:
-            self.further.popleft()
-        left = cfg.budget_free + (cfg.budget_share or 0.0) * len(self.takes) - len(self.further)
+        while self.retries and self.retries[0] < now - cfg.budget_window_ms - 2 * cfg.step_ms:
+            self.retries.popleft()
+        left = cfg.budget_free + (cfg.budget_share or 0.0) * len(self.takes) - len(self.retries)
         return math.inf if cfg.budget_share is None else left
 
     # ---- what has come, gone and ended
 
     def came(self, a: Access, now: float) -> None:
         self.takes.append(now)
-        self.spare_trips(now)
+        self.spare_attempts(now)
         if a.profile.in_order and a.extent is not None:
             self.lines.join(a.extent, a)
 
     def sent(self, a: Access, now: float) -> None:
         if a.sent:
-            self.further.append(now)
+            self.retries.append(now)
             self.queued -= 1
         else:
             self.worth.store(a, now).limit -= a.units if a.plan.limit_rate else 0.0
@@ -103,7 +103,7 @@
             self.rest_ms[a.extent] = now + self.given.cfg.order_settle_ms
 
     def over(self, a: Access) -> None:
-        """Nothing is owed any more, and no trip out: the next of its line may go."""
+        """Nothing is owed any more, and no attempt out: the next of its line may go."""
         if a.profile.in_order and a.extent is not None and not a.out:
             following = self.lines.leave(a.extent, a)
             if following is not None and following.shelf >= 0:
--- a/pebblehinge/decide/path.py
+++ b/pebblehinge/decide/path.py
@@ -10,12 +10,12 @@
 from pebblehinge.decide.refusal import Refusal
 from pebblehinge.decide.shelfs import BOUND, LATENCIES, SILENT_MS, TRIAL_GAP_MS, Shelfs
 from pebblehinge.decide.worth import Worth
-from pebblehinge.interface import Changes, Outcome, Repeat, Trip
+from pebblehinge.interface import Attempt, Changes, Outcome, Repeat
 from pebblehinge.kept import Notes, Recent
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
 GOES_AGAIN = (Outcome.ERRED, Outcome.FULL, Outcome.UNREACHED, Outcome.BROKEN, Outcome.RECALLED)  # may be well
-OVERTAKEN = 3  # later trips answered first, after which a trip out for as many latencies counts as lost
+OVERTAKEN = 3  # later attempts answered first, after which an attempt out for as many latencies counts as lost
 
 
 class Path:
@@ -58,7 +58,7 @@
         came = abandon_ms - a.profile.patience_ms if again else now
         a.due_ms = min(came + a.profile.expected_ms, a.abandon_ms)
         self.seq += 1
-        a.seq, a.trips, a.recalls, a.answer = self.seq, [], [], None
+        a.seq, a.attempts, a.recalls, a.answer = self.seq, [], [], None
         self.limits.came(a, now)
         self.worth.price(a, now)
         if extent is not None:
@@ -87,7 +87,7 @@
             waits.clear()  # it waits only while others are queued (design)
             return
         waits[:] = [w for w in waits if w[1] > now]
-        if shelfs.down(s, now):  # one trip at a time; a redoable one first, since it may be lost
+        if shelfs.down(s, now):  # one attempt at a time; a redoable one first, since it may be lost
             free = [] if away or now < shelfs.trial_ms[s] else held
             trials = sorted(free, key=lambda a: a.profile.repeat is Repeat.IRREVERSIBLE)
             for a in [a for a in trials if may_go(a, now)][:1]:
@@ -144,16 +144,16 @@
             shelfs.heard_ms[s] = now
         shelfs.away[s].append(a)
         shelfs.last_extent[s] = a.extent
-        # With no mean known it runs until it is due: a shelf that swallows the first trips is soon seen.
+        # With no mean known it runs until it is due: a shelf that swallows the first attempts is soon seen.
         mean = shelfs.mean(s, now)
         past = math.inf if shelfs.dead[s] else mean * a.size
         until = min(a.abandon_ms, max(a.due_ms, now + past))
-        a.trips.append(Trip(shelfs.names[s], until, self.limits.repeat_until(a, a.risk_ms)))
+        a.attempts.append(Attempt(shelfs.names[s], until, self.limits.repeat_until(a, a.risk_ms)))
         self.notes.wake(now + SILENT_MS + LATENCIES * mean, s)
         self.notes.changed(a)
 
     def ended(self, a: Access, now: float, outcome: Outcome, over: bool, took: float) -> None:
-        """Its trip is over: answered already, or it goes again, or it is given up; the freed slot is used."""
+        """Its attempt is over: answered already, or it goes again, or it is given up; the freed slot is used."""
         s = a.shelf
         a.out = False
         self.shelfs.away[s].remove(a)
@@ -180,7 +180,7 @@
                 self.serve(a.shelf, now, None)
 
     def go_again(self, a: Access, s: int, now: float, outcome: Outcome) -> bool:
-        """Whether a failed access is queued again, for a further trip to the only shelf that has its data."""
+        """Whether a failed access is queued again, for a retry to the only shelf that has its data."""
         shelfs = self.shelfs
         vain = not shelfs.ready[s] or now + shelfs.mean(s, now) * a.size > a.abandon_ms
         vain = vain or 0 <= a.slot != shelfs.slots[s]  # its data is elsewhere by now
@@ -193,7 +193,7 @@
         return True
 
     def recall_overtaken(self, answered: Access, s: int, now: float) -> None:
-        """A shelf takes accesses in turn: a trip that later ones overtook long ago got lost on the way,
+        """A shelf takes accesses in turn: an attempt that later ones overtook long ago got lost on the way,
         so it is recalled and goes again. Harm: long work may be done twice; its units are allowed for."""
         cfg = self.given.cfg
         for a in self.shelfs.away[s]:
--- a/pebblehinge/decide/shelfs.py
+++ b/pebblehinge/decide/shelfs.py
@@ -1,4 +1,4 @@
-"""Shelfs and their health: what they take, how many trips they get at once, which are down or cold."""
+"""Shelfs and their health: what they take, how many attempts they get at once, which are down or cold."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.kept import Columns, Given, Past
 
-BOUND = 4  # trips out per shelf and head (design: to start)
-CROWDED = 0.4  # a trip that takes longer than this part of the shortest expected time narrows the bound
+BOUND = 4  # attempts out per shelf and head (design: to start)
+CROWDED = 0.4  # an attempt that takes longer than this part of the shortest expected time narrows the bound
 FORGET = 0.26  # weight of a new latency: 95% of the old is gone after ten (paper 3.3)
 STEADY = 0.2  # the same for the slower average that health and refusals go by
 FOLLOW = 0.03  # by how much what a head knows over all shelfs follows one answer or access
@@ -20,8 +20,8 @@
 SAME_MS = 1000.0  # starts that lie nearer are one process's: lists tell ages, and take their time
 LATENCIES = 4.0  # a shelf is silent when it has answered nothing for so many mean latencies ...
 SILENT_MS = 400.0  # ... and this on top, so that pauses and flushes pass
-LOST = 4  # trips overdue or broken in a row, with no answer between, that make a shelf down
-TRIAL_GAP_MS = 250.0  # between careful trips to a shelf that is down
+LOST = 4  # attempts overdue or broken in a row, with no answer between, that make a shelf down
+TRIAL_GAP_MS = 250.0  # between careful attempts to a shelf that is down
 
 
 class Shelfs(Columns):
@@ -111,22 +111,22 @@
     # ---- health
 
     def down(self, s: int, now: float) -> bool:
-        """A shelf is down when connections fail or break, or when it has trips out and answers nothing."""
+        """A shelf is down when connections fail or break, or when it has attempts out and answers nothing."""
         gone = self.dead[s] or self.lost[s] >= LOST
         if gone or not self.away[s]:
             return gone
         return now - self.heard_ms[s] - SILENT_MS >= LATENCIES * self.mean(s, now)
 
     def note(self, a: Access, s: int, now: float, outcome: Outcome, took: float) -> None:
-        """What a trip's outcome says of the shelf's health."""
+        """What an attempt's outcome says of the shelf's health."""
         if a.sent_ms < self.started[s]:  # to the process before this one: it says nothing of it
             return
         if outcome is Outcome.HONOURED:
             self.heard_ms[s] = now
-            if self.dead[s]:  # nobody knows since when it runs again: it may have been started for this trip
+            if self.dead[s]:  # nobody knows since when it runs again: it may have been started for this attempt
                 self.chill(s, a.sent_ms)
             self.dead[s], self.lost[s] = False, 0
-            # Crowding by other heads, slowness and thrashing all show as trips that take long: fewer go out,
+            # Crowding by other heads, slowness and thrashing all show as attempts that take long: fewer go out,
             # down to one, so that an access waits here, where it can still be chosen or refused.
             step = 0.1 if took < CROWDED * self.given.shortest_ms else -0.2
             self.width[s] = min(float(BOUND), max(1.0, self.width[s] + step))
@@ -151,7 +151,7 @@
             self.heard_ms[s], self.lost[s] = now, 0
 
     def chill(self, s: int, since: float) -> None:
-        """A shelf is cold from now on, and gets one trip at a time until its answers widen the bound."""
+        """A shelf is cold from now on, and gets one attempt at a time until its answers widen the bound."""
         self.cold_ms[s], self.width[s], self.bound[s] = since, 1.0, 1
 
     def mean(self, s: int, now: float) -> float:
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -15,7 +15,7 @@
 
 
 class FramedTaken(Taken):
-    """One access, with what its trips and its records need."""
+    """One access, with what its attempts and its records need."""
 
     __slots__ = ("trace", "extent", "slot", "label", "op", "offset", "length", "plan", "profile", "again")
 
@@ -134,6 +134,6 @@
                 max(taken.length, len(taken.data)),
                 LEFT if final is None else final,
                 round(now - taken.came_ms, 3),
-                round(taken.trip_ms, 3),
-                taken.trips,
+                round(taken.attempt_ms, 3),
+                taken.attempts,
             )
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -1,6 +1,6 @@
-"""The way to one shelf: one connection that many trips share, made when it is needed.
+"""The way to one shelf: one connection that many attempts share, made when it is needed.
 
-What an outcome may say is settled here by what was written: a trip of which no byte was handed to the socket
+What an outcome may say is settled here by what was written: an attempt of which no byte was handed to the socket
 never ran (`UNREACHED`); from the first byte on it may have run, however the connection ends (`BROKEN`).
 """
 
@@ -17,14 +17,14 @@
 from pebblehinge.wire import Kind, Session
 
 EXTRA = 3  # how often the time to connect is given again where this process was late itself
-LOOK = 0.001  # seconds between a trip's time and its end, for one more look at the sockets
+LOOK = 0.001  # seconds between an attempt's time and its end, for one more look at the sockets
 STATUS = (Outcome.HONOURED, Outcome.ERRED, Outcome.FULL)  # as OUTCOME numbers them
 
 
 class Out:
-    """One trip that has no outcome yet."""
+    """One attempt that has no outcome yet."""
 
-    __slots__ = ("number", "taken", "trip", "until_ms", "sent_ms", "timer", "link", "looked")
+    __slots__ = ("number", "taken", "attempt", "until_ms", "sent_ms", "timer", "link", "looked")
 
 
 class _Wire(Peer):
@@ -64,7 +64,8 @@
 
 
 class ShelfLink:
-    """`ended(now, taken, trip, outcome, took_ms, data)` is called once for each trip, never from within `send`."""
+    """`ended(now, taken, attempt, outcome, took_ms, data)` is called once for each attempt, never from within
+    `send`."""
 
     def __init__(
         self,
@@ -93,13 +94,13 @@
 
     # ---- calls
 
-    def send(self, taken: Taken, trip: int, until_ms: float, now: float) -> None:
+    def send(self, taken: Taken, attempt: int, until_ms: float, now: float) -> None:
         out = Out()
         self.numbers += 1
-        out.number, out.taken, out.trip, out.until_ms, out.sent_ms = self.numbers, taken, trip, until_ms, now
+        out.number, out.taken, out.attempt, out.until_ms, out.sent_ms = self.numbers, taken, attempt, until_ms, now
         out.link, out.looked = self, False
         out.timer = self.loop.call_at(until_ms / 1000.0, self._overdue, out)
-        taken.trip = out
+        taken.attempt = out
         if self.wire is not None and not self.wire.paused:
             self._write(out, now)
             return
@@ -108,8 +109,8 @@
             self._connect()
 
     def drop(self, taken: Taken) -> None:
-        """Nobody waits for this trip any more; its shelf is told, the caller knows the outcome."""
-        out = taken.trip
+        """Nobody waits for this attempt any more; its shelf is told, the caller knows the outcome."""
+        out = taken.attempt
         out.timer.cancel()
         if self.out.pop(out.number, None) is not None:
             if self.wire is not None:
@@ -211,7 +212,7 @@
             Kind.TRIP,
             out.number,
             taken.trace,
-            out.trip,
+            out.attempt,
             f"{taken.volume}/{taken.extent}",
             taken.op,
             taken.offset,
@@ -222,7 +223,7 @@
             taken.data,
         )
         if self.noted is not None:
-            self.noted(now, "trip", id=taken.trace, n=out.trip, shelf=self.shelf, until=round(out.until_ms, 3))
+            self.noted(now, "trip", id=taken.trace, n=out.attempt, shelf=self.shelf, until=round(out.until_ms, 3))
 
     def lost(self, wire: _Wire) -> None:
         now = self.clock()
@@ -271,7 +272,7 @@
             self._end(out, now, Outcome.UNREACHED)
 
     def _doubt(self, wire: _Wire) -> None:
-        """A trip got no answer: is it the shelf, or a connection that is cut in the middle and swallows all? A ping
+        """An attempt got no answer: is it the shelf, or a connection that is cut in the middle and swallows all? A ping
         is answered by any process that runs; where even that stays out, a new connection is made."""
         if wire.doubted_at is None:
             wire.doubted_at = wire.heard
@@ -287,6 +288,6 @@
     def _end(self, out: Out, now: float, outcome: Outcome, data: bytes = b"") -> None:
         out.timer.cancel()
         if self.noted is not None:
-            self.noted(now, "outcome", id=out.taken.trace, n=out.trip, shelf=self.shelf, what=outcome.value)
-        self.ended(now, out.taken, out.trip, outcome, now - out.sent_ms, data)
+            self.noted(now, "outcome", id=out.taken.trace, n=out.attempt, shelf=self.shelf, what=outcome.value)
+        self.ended(now, out.taken, out.attempt, outcome, now - out.sent_ms, data)
         self._rest()
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/head/metrics.py
@@ -28,11 +28,11 @@
         for reason, count in list(core.reasons.items()):
             why.add_metric([reason], count)
         yield why
-        trips = CounterMetricFamily("pebblehinge_trips", "Trips by outcome", labels=["outcome"])
+        attempts = CounterMetricFamily("pebblehinge_trips", "Trips by outcome", labels=["outcome"])
         for outcome, count in core.outcomes.items():
-            trips.add_metric([outcome.value], count)
-        yield trips
-        yield CounterMetricFamily("pebblehinge_further_trips", "Trips beyond an access's first", value=core.further)
+            attempts.add_metric([outcome.value], count)
+        yield attempts
+        yield CounterMetricFamily("pebblehinge_further_trips", "Trips beyond an access's first", value=core.retries)
         yield CounterMetricFamily("pebblehinge_wakes", "Wakes of the module", value=core.wakes)
         yield CounterMetricFamily("pebblehinge_client_faults", "Clients cut for what they sent", value=head.faults)
         yield GaugeMetricFamily("pebblehinge_open", "Accesses taken and not answered", value=core.open)
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -171,14 +171,14 @@
         if self.core.stopping and not self.core.open:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
+    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
         link = self.links[shelf]
         if self.config.log.accesses:
-            self.log.info("trip", id=taken.trace, n=trip, shelf=shelf)
-        link.send(taken, trip, until_ms, self.now)
+            self.log.info("trip", id=taken.trace, n=attempt, shelf=shelf)
+        link.send(taken, attempt, until_ms, self.now)
 
-    def drop_trip(self, taken: Taken) -> None:
-        taken.trip.link.drop(taken)
+    def drop_attempt(self, taken: Taken) -> None:
+        taken.attempt.link.drop(taken)
 
     def wake_at(self, at_ms: float) -> None:
         if at_ms < self.wake_ms:
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -1,9 +1,9 @@
 """Types that pass between the decision module and whatever feeds it and acts for it.
 
 How to call the module (`decide/`): Head(settings, seed, now), then head.start(now) once. head.take(...) gives the
-handle of an access and what changed; all that later happens to that access is a call on its handle: ended (a trip's
+handle of an access and what changed; all that later happens to that access is a call on its handle: ended (an attempt's
 outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs, head.woken
-says that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new trips,
+says that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new attempts,
 recalls and final answer, then the next wake and the calls to the list. head.adopt takes new settings in service: what
 is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what was learned,
 head.recall takes it up in a later life, before the first list.
@@ -36,7 +36,7 @@
 
 
 class Outcome(Enum):
-    """How a trip ended."""
+    """How an attempt ended."""
 
     HONOURED = "honoured"  # the shelf served it
     ERRED = "erred"  # the shelf answered with an error; it may have run
@@ -143,8 +143,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trip:
-    """A trip to send: where to, the clock time at which it is to be abandoned, and that by which all of it has to
+class Attempt:
+    """An attempt to send: where to, the clock time at which it is to be abandoned, and that by which all of it has to
     have left: past that it is not to begin any more."""
 
     shelf: str
@@ -167,18 +167,18 @@
     id: int
     seq: int
     shelf: int  # the place of its shelf, under 0 where it has none
-    out: bool  # a trip is out
+    out: bool  # an attempt is out
     over: bool  # nothing more is owed
 
-    def ended(self, now: float, trip: int, outcome: Outcome, over: bool, took_ms: float) -> Changes: ...
+    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes: ...
     def begun(self, now: float) -> Changes: ...
     def left(self, now: float) -> Changes: ...
-    def drain(self) -> tuple[list[Trip], list[int], Answer | None]: ...
+    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]: ...
 
 
 @dataclass(slots=True)
 class Changes:
-    """What a call changed: handles in order, each with its new trips, recalls and final answer."""
+    """What a call changed: handles in order, each with its new attempts, recalls and final answer."""
 
     handles: list[Handle] = field(default_factory=list)
     wake_ms: float | None = None
--- a/pebblehinge/kept/calls.py
+++ b/pebblehinge/kept/calls.py
@@ -4,22 +4,22 @@
 
 from typing import Any
 
-from pebblehinge.interface import Answer, Changes, Outcome, Trip
+from pebblehinge.interface import Answer, Attempt, Changes, Outcome
 
 
 class Calls:
-    """A handle: its calls go to the path that its access is on. What the last one changed is in trips, recalls and
+    """A handle: its calls go to the path that its access is on. What the last one changed is in attempts, recalls and
     answer."""
 
     path: Any  # decides what a call means: ended, left, and the notes of what changed
-    sent, out = 0, False  # trips so far; whether one is out
-    trips: list[Trip]
+    sent, out = 0, False  # attempts so far; whether one is out
+    attempts: list[Attempt]
     recalls: list[int]
     answer: Answer | None
 
-    def ended(self, now: float, trip: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
-        """A trip, counted from 0, has its outcome; one that is not out any longer is ignored."""
-        if self.out and trip == self.sent - 1:
+    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
+        """An attempt, counted from 0, has its outcome; one that is not out any longer is ignored."""
+        if self.out and attempt == self.sent - 1:
             self.path.ended(self, now, outcome, over, took_ms)
         return self.path.notes.finish(now)
 
@@ -32,8 +32,8 @@
         self.path.left(self, now)
         return self.path.notes.finish(now)
 
-    def drain(self) -> tuple[list[Trip], list[int], Answer | None]:
-        """What changed since the last look: new trips, trips to recall, the final answer."""
-        changed = self.trips, self.recalls, self.answer
-        self.trips, self.recalls, self.answer = [], [], None
+    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
+        """What changed since the last look: new attempts, attempts to recall, the final answer."""
+        changed = self.attempts, self.recalls, self.answer
+        self.attempts, self.recalls, self.answer = [], [], None
         return changed
--- a/pebblehinge/kept/columns.py
+++ b/pebblehinge/kept/columns.py
@@ -18,13 +18,13 @@
         column = self.column
         self.ready, self.slots, self.started = column(), column(), column()
         self.cold_ms = column()  # since when, or None
-        self.held, self.away = column(), column()  # held, earliest due first; with a trip out, oldest first
-        self.width, self.bound = column(), column()  # trips allowed: unrounded, rounded
+        self.held, self.away = column(), column()  # held, earliest due first; with an attempt out, oldest first
+        self.width, self.bound = column(), column()  # attempts allowed: unrounded, rounded
         self.waits, self.last_extent = column(), column()  # slots kept for an extent, until when; the last one sent
         self.plain_ms, self.run_ms, self.mean_ms = column(), column(), column()  # latency averages
-        self.seen_ms, self.heard_ms = column(), column()  # mean last fed; last answer, or first trip after a rest
-        self.lost = column()  # trips overdue or broken since
-        self.dead, self.trial_ms = column(), column()  # no connection; when the next careful trip may go
+        self.seen_ms, self.heard_ms = column(), column()  # mean last fed; last answer, or first attempt after a rest
+        self.lost = column()  # attempts overdue or broken since
+        self.dead, self.trial_ms = column(), column()  # no connection; when the next careful attempt may go
 
     def column(self) -> list[Any]:
         """A further column; it grows with the places."""
--- a/pebblehinge/kept/memory.py
+++ b/pebblehinge/kept/memory.py
@@ -52,5 +52,5 @@
         "every": [shelfs.all_ms, now - shelfs.fed_ms, shelfs.low_ms, path.worth.usual],
         "thinks": {x: e.counts for x, e in path.extents.items() if e.counts},
         "limits": {v: [st.limit, now - st.at_ms] for v, st in path.worth.stores.items()},
-        "further": [now - t for t in path.limits.further],
+        "further": [now - t for t in path.limits.retries],
     }
--- a/pebblehinge/lab/facts.py
+++ b/pebblehinge/lab/facts.py
@@ -26,7 +26,7 @@
         self.ops: dict[str, dict[str, Any]] = {}
         self.done: dict[str, dict[str, Any]] = {}
         self.extra: list[tuple[float, str]] = []
-        self.trips: dict[str, list[Got]] = defaultdict(list)
+        self.attempts: dict[str, list[Got]] = defaultdict(list)
         self.effects: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.lives: list[Life] = []
         self.told: dict[str, list[tuple[float, str, str, float]]] = defaultdict(list)  # head -> t, shelf, standing
@@ -157,7 +157,7 @@
                     row["x"],
                     row["label"],
                 )
-                self.trips[row["id"]].append(got)
+                self.attempts[row["id"]].append(got)
                 out[(row["id"], row["n"])] = got
                 if row["cold"]:
                     life.got.append((t, row["w"], row["head"]))
@@ -166,7 +166,7 @@
             elif event == "said" and (row["id"], row["n"]) in out:
                 out.pop((row["id"], row["n"])).said = t
             elif event == "reset":
-                self.trips[row["id"]].append(
+                self.attempts[row["id"]].append(
                     Got(
                         t,
                         name,
@@ -190,9 +190,9 @@
     # ---- helpers
 
     def settle_late(self) -> None:
-        """Marks trips that a stopped shelf read only when it went on, and those that stood on their way."""
-        for trips in self.trips.values():
-            for got in trips:
+        """Marks attempts that a stopped shelf read only when it went on, and those that stood on their way."""
+        for attempts in self.attempts.values():
+            for got in attempts:
                 name = got.shelf.partition(".")[0]
                 got.late = any(
                     kind == "frozen" and b <= got.t <= b + 2 * self.transit_ms for _, b, kind in self.away.get(name, ())
--- a/pebblehinge/lab/report.py
+++ b/pebblehinge/lab/report.py
@@ -60,8 +60,8 @@
     names = sorted(power, key=lambda n: (len(n), n))
     table = np.zeros((len(names), seconds))
     row = {n: i for i, n in enumerate(names)}
-    for trips in day.trips.values():
-        for got in trips:
+    for attempts in day.attempts.values():
+        for got in attempts:
             s = int((got.t - day.begin) / 1000.0)
             if 0 <= s < seconds and got.shelf in row:
                 table[row[got.shelf], s] += got.work / (power[got.shelf] * 1000.0)
--- a/pebblehinge/lab/rules_of_answers.py
+++ b/pebblehinge/lab/rules_of_answers.py
@@ -50,19 +50,20 @@
         profile = day.config.profile[a.op["profile"]]
         if profile.repeat == "redoable":
             continue
-        trips = sorted(day.trips.get(a.id, ()), key=lambda g: (g.n, g.t))
-        may = [g for g in trips if not g.full]  # may have run: taken, or the connection broke after it came
+        attempts = sorted(day.attempts.get(a.id, ()), key=lambda g: (g.n, g.t))
+        may = [g for g in attempts if not g.full]  # may have run: taken, or the connection broke after it came
         final = a.answers[0][1] if a.answers else "none"
         course = (
             f"{a.id} ({a.op['profile']}) by {a.op['head']}: "
             + "; ".join(
-                f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}" for g in trips
+                f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}"
+                for g in attempts
             )
             + f"; {final}, {len(day.effects.get(a.id, ()))} effects"
         )
         if profile.repeat == "irreversible":
             effects = len(day.effects.get(a.id, ()))
-            if effects > 1 or (may and any(g.n > may[0].n or g.t > may[0].t for g in trips)):
+            if effects > 1 or (may and any(g.n > may[0].n or g.t > may[0].t for g in attempts)):
                 v.look(2.0, course)
             elif final == "pushed back" and may:
                 v.look(2.0, course + ": told that trying again is harmless")
@@ -71,10 +72,10 @@
             continue
         part = 0.0
         if may:
-            part = 0.0 if trips[-1].late else (trips[-1].t - may[0].t) / profile.window
+            part = 0.0 if attempts[-1].late else (attempts[-1].t - may[0].t) / profile.window
             same = profile.group == "all" or all(
                 g.slot == may[0].slot if profile.group == "cell" else zones.get(g.slot) == zones.get(may[0].slot)
-                for g in trips
+                for g in attempts
                 if g.t > may[0].t
             )
             if not same or (final == "pushed back" and profile.group != "all"):
--- a/pebblehinge/lab/rules_of_pace.py
+++ b/pebblehinge/lab/rules_of_pace.py
@@ -1,4 +1,4 @@
-"""Rules 6 and 7 from a day's facts: order by key, and the budget of further trips."""
+"""Rules 6 and 7 from a day's facts: order by key, and the budget of retries."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
         line.sort(key=lambda a: a.sent)
         before: list[Got] = []
         for a in line:
-            trips = sorted((g for g in day.trips.get(a.id, ()) if not g.unseen and not g.late), key=lambda g: g.t)
-            for got in trips:
+            attempts = sorted((g for g in day.attempts.get(a.id, ()) if not g.unseen and not g.late), key=lambda g: g.t)
+            for got in attempts:
                 for b in before:
                     course = f"{key} by {head}: {a.id} reached {got.shelf} at {got.t - day.begin:.0f} ms, "
                     course += f"an earlier one's trip came at {b.t - day.begin:.0f} ms"
@@ -37,12 +37,12 @@
                         v.look(settle / max(1e-3, got.t - b.t + day.transit_ms) if settle else 2.0, course)
                     else:
                         v.look(0.0)
-            before = (before + trips)[-4:]
+            before = (before + attempts)[-4:]
     return v
 
 
 def budget(day: Facts) -> Verdict:
-    """Rule 7: further trips of one head within any window against its few and its share."""
+    """Rule 7: retries of one head within any window against its few and its share."""
     v = Verdict()
     rules = day.config.rules
     if rules.budget_share is None:
@@ -51,8 +51,8 @@
     further: dict[str, list[tuple[float, str]]] = defaultdict(list)
     for a in day.tries.values():
         takes[a.op["head"]].append(a.sent)
-    for id_, trips in day.trips.items():
-        for got in trips:
+    for id_, attempts in day.attempts.items():
+        for got in attempts:
             if got.n > 0 and not got.late:
                 further[got.head].append((got.t, id_))
     for head, rows in further.items():
--- a/pebblehinge/lab/rules_of_reach.py
+++ b/pebblehinge/lab/rules_of_reach.py
@@ -18,9 +18,9 @@
         for t, shelf, standing, _ in rows:
             stand[(head, shelf)].append((t, standing))
             if standing != "ready":
-                v.look(0.0)  # a telling, kept until a trip says otherwise
-    for id_, trips in day.trips.items():
-        for got in trips:
+                v.look(0.0)  # a telling, kept until an attempt says otherwise
+    for id_, attempts in day.attempts.items():
+        for got in attempts:
             rows = stand.get((got.head, got.shelf), [])
             i = bisect.bisect_right(rows, got.t, key=lambda r: r[0]) - 1
             if i < 0 or got.late:
@@ -85,11 +85,11 @@
     """Rule 5: the store of each volume with a limit, over all heads and shelfs."""
     v = Verdict()
     firsts: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
-    for id_, trips in day.trips.items():
+    for id_, attempts in day.attempts.items():
         op = day.ops.get(id_.rpartition(".")[0])
         if op is None or not day.config.plan[op["plan"]].limit:
             continue
-        first = min(trips, key=lambda g: g.t)
+        first = min(attempts, key=lambda g: g.t)
         if first.late:
             continue
         firsts[op["volume"]].append((first.t, op["u"], id_))
--- a/pebblehinge/lab/seen.py
+++ b/pebblehinge/lab/seen.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Got:
-    """One trip as a shelf saw it."""
+    """One attempt as a shelf saw it."""
 
     t: float
     shelf: str
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -76,7 +76,7 @@
 
 
 def as_fitted(config: Config, speeds: dict[int, float]) -> Config:
-    """Each shelf of a kind of its own, with the speed that its trips showed."""
+    """Each shelf of a kind of its own, with the speed that its attempts showed."""
     kinds, shelfs = dict(config.kind), dict(config.shelf)
     for name, shelf in config.shelf.items():
         speed = speeds.get(shelf.slot)
--- a/pebblehinge/lab/verdict.py
+++ b/pebblehinge/lab/verdict.py
@@ -56,7 +56,7 @@
         "service_by_plan": {k: round(v, 4) for k, v in by_plan.items()},
         "worst_second": round(min(line, default=0.0), 4),
         "latency_ms": {"p50": round(p50, 2), "p99": round(p99, 2), "p999": round(p999, 2)},
-        "trips": sum(len(t) for t in day.trips.values()),
+        "trips": sum(len(t) for t in day.attempts.values()),
         "effects": sum(len(e) for e in day.effects.values()),
         **({"transfers": judged(day.copies, day.saves)} if day.config.copies is not None else {}),
         "rules": {rule: rules[rule].told() for rule in RULES},
--- a/pebblehinge/plan/demand.py
+++ b/pebblehinge/plan/demand.py
@@ -10,7 +10,7 @@
 from pebblehinge.settings import Config
 
 FEWEST = 60  # accesses below which no answer is honest
-WAY_MS = 0.3  # of a trip, on the network of one site
+WAY_MS = 0.3  # of an attempt, on the network of one site
 REMEMBER_MS = 2_000.0  # a further access of an extent within this counts as one of a run
 
 
@@ -30,8 +30,8 @@
     units: np.ndarray
     write: np.ndarray
     run: np.ndarray  # an access of an extent that its shelf surely remembers
-    trip_ms: np.ndarray  # 0 where no trip was honoured
-    first: np.ndarray  # honoured at the first trip
+    attempt_ms: np.ndarray  # 0 where no attempt was honoured
+    first: np.ndarray  # honoured at the first attempt
     volumes: list[str]
     plans: list[str]
     profiles: list[str]
@@ -93,8 +93,8 @@
         units=np.array([r.units for _, _, r in rows]),
         write=np.array([r.write for _, _, r in rows]),
         run=run,
-        trip_ms=np.array([r.trip_ms if r.final == 0 else 0.0 for _, _, r in rows]),
-        first=np.array([r.final == 0 and r.trips == 1 for _, _, r in rows]),
+        attempt_ms=np.array([r.attempt_ms if r.final == 0 else 0.0 for _, _, r in rows]),
+        first=np.array([r.final == 0 and r.attempts == 1 for _, _, r in rows]),
         volumes=volumes,
         plans=plans,
         profiles=profiles,
@@ -119,25 +119,25 @@
 
 
 def fit_speed(demand: Demand, config: Config) -> dict[int, tuple[float, float]]:
-    """Speed of each slot's cores and its relative error, from trips that met an idle shelf.
+    """Speed of each slot's cores and its relative error, from attempts that met an idle shelf.
 
-    The quickest trips for their size met nobody and drew the least work that the noise allows. With noise of +-n the
-    work of a part q of undisturbed trips is under 1 - n + 2nq of its mean; a few per cent from the top that is the
-    same whether half of all trips had to wait or none. Trips on remembered extents are far quicker than any speed
-    explains, and are left out. A slot with few trips leans on what its kind states.
+    The quickest attempts for their size met nobody and drew the least work that the noise allows. With noise of +-n the
+    work of a part q of undisturbed attempts is under 1 - n + 2nq of its mean; a few per cent from the top that is the
+    same whether half of all attempts had to wait or none. Attempts on remembered extents are far quicker than any speed
+    explains, and are left out. A slot with few attempts leans on what its kind states.
     """
     found = {}
     for shelf in config.shelf.values():
         kind = config.kind[shelf.kind]
         low, high = kind.speed
         stated, doubt = (low + high) / 2, (high - low) / (low + high) / 2
-        mine = (demand.slot == shelf.slot) & demand.first & ~demand.run & ~demand.write & (demand.trip_ms > 0)
+        mine = (demand.slot == shelf.slot) & demand.first & ~demand.run & ~demand.write & (demand.attempt_ms > 0)
         count = int(mine.sum())
         if count < 8:
             found[shelf.slot] = (stated, max(doubt, 0.05))
             continue
         big = mine & (demand.units >= np.median(demand.units[mine]))  # the way there and back counts less
-        pace = demand.units[big] * kind.unit_work / np.maximum(0.1, demand.trip_ms[big] - WAY_MS)
+        pace = demand.units[big] * kind.unit_work / np.maximum(0.1, demand.attempt_ms[big] - WAY_MS)
         pace = pace[pace < 1.25 * high / (1.0 - kind.noise)]
         if len(pace) < 4:
             found[shelf.slot] = (stated, max(doubt, 0.05))
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -52,7 +52,7 @@
         self.ids: set[str] = set()  # of accesses that are open
         self.count = 0
         self.refused = self.spared = self.unserved = 0
-        self.gone = 0  # accesses of which no trip was begun, since their client had closed
+        self.gone = 0  # accesses of which no attempt was begun, since their client had closed
         self.leaving = False  # SIGTERM has come: none can come back that is sent away
         self.closes = False  # every answer ends its connection
 
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -1,7 +1,7 @@
-"""Connections to shelfs: one trip at a time on each, and which outcome each end of a trip is.
+"""Connections to shelfs: one attempt at a time on each, and which outcome each end of an attempt is.
 
-Each way a trip may end becomes the one outcome that the protocol names for it. The connection used last is used first,
-so that few stay warm; one on which anything came while nothing was asked is never used again.
+Each way an attempt may end becomes the one outcome that the protocol names for it. The connection used last is used
+first, so that few stay warm; one on which anything came while nothing was asked is never used again.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
     def note(self, what: str) -> None: ...
     def keep(self, conn: ShelfConn) -> None: ...
-    def over(self, trip: Trip, outcome: Outcome, data: bytes = b"") -> None: ...
+    def over(self, attempt: Attempt, outcome: Outcome, data: bytes = b"") -> None: ...
 
 
-class Trip:
-    """One trip that is out. `written` once its last byte is with the machine's network."""
+class Attempt:
+    """One attempt that is out. `written` once its last byte is with the machine's network."""
 
     __slots__ = ("taken", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms", "written")
 
@@ -47,24 +47,24 @@
 class Shelf:
     """One id of the list: where it is, and its idle connections, the one used last at the end."""
 
-    __slots__ = ("name", "address", "idle", "trips", "listed")
+    __slots__ = ("name", "address", "idle", "attempts", "listed")
 
     def __init__(self, name: str, address: tuple[str, int]) -> None:
         self.name, self.address = name, address
         self.idle: list[ShelfConn] = []
-        self.trips = 0  # out
+        self.attempts = 0  # out
         self.listed = True  # and wants new accesses
 
 
 class ShelfConn(asyncio.Protocol):
     """One connection to a shelf."""
 
-    __slots__ = ("pool", "shelf", "address", "transport", "answers", "trip", "idle_ms", "poll", "held")
+    __slots__ = ("pool", "shelf", "address", "transport", "answers", "attempt", "idle_ms", "poll", "held")
 
     def __init__(self, pool: Pool, shelf: Shelf, address: tuple[str, int]) -> None:
         self.pool, self.shelf, self.address = pool, shelf, address
         self.answers = Responses()
-        self.trip: Trip | None = None
+        self.attempt: Attempt | None = None
         self.idle_ms = 0.0
         self.held = 0  # bytes of an answer that is not whole yet
         self.transport: Any = None
@@ -85,20 +85,20 @@
         """Nothing has come on it and it is not at its end: looked at on the socket, not on what the loop has read."""
         return not self.transport.is_closing() and not self.poll.poll(0)
 
-    def send(self, trip: Trip) -> None:
-        self.trip, trip.conn = trip, self
-        wait = max(1, int(trip.until_ms - self.pool.clock()))
-        self.transport.write(trip.taken.head + b"X-Deadline-Ms: %d\r\n\r\n" % wait + trip.taken.data)
+    def send(self, attempt: Attempt) -> None:
+        self.attempt, attempt.conn = attempt, self
+        wait = max(1, int(attempt.until_ms - self.pool.clock()))
+        self.transport.write(attempt.taken.head + b"X-Deadline-Ms: %d\r\n\r\n" % wait + attempt.taken.data)
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
-            trip.written = True
+            attempt.written = True
 
     def resume_writing(self) -> None:
-        if self.trip is not None and not self.transport.is_closing():
-            self.trip.written = True
+        if self.attempt is not None and not self.transport.is_closing():
+            self.attempt.written = True
 
     def data_received(self, data: bytes) -> None:
-        trip = self.trip
-        if trip is None:
+        attempt = self.attempt
+        if attempt is None:
             self.transport.abort()
             return
         try:
@@ -107,19 +107,19 @@
             self.hold(self.answers.size)
         except HttpError:
             self.pool.note("unreadable")
-            self.trip = None
+            self.attempt = None
             self.transport.abort()
-            self.pool.over(trip, Outcome.ERRED)  # it has run, and what came is of no use
+            self.pool.over(attempt, Outcome.ERRED)  # it has run, and what came is of no use
             return
         if answer is None:
             return
-        self.trip = None
+        self.attempt = None
         self.pool.note(str(answer.status))
-        if answer.keep_alive and trip.written and not self.answers.buffer:
+        if answer.keep_alive and attempt.written and not self.answers.buffer:
             self.pool.keep(self)
         else:
             self.transport.abort()
-        self.pool.over(trip, outcome_of(answer), answer.body)
+        self.pool.over(attempt, outcome_of(answer), answer.body)
 
     def hold(self, size: int) -> None:
         """So much of an answer has come: all of them together are bounded, whatever each is said to bring."""
@@ -131,11 +131,11 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.connections -= 1
         self.pool.held -= self.held
-        trip, self.trip = self.trip, None
+        attempt, self.attempt = self.attempt, None
         if self in self.shelf.idle:
             self.shelf.idle.remove(self)
-        if trip is not None:
-            self.pool.over(trip, Outcome.BROKEN if trip.written else Outcome.UNREACHED)
+        if attempt is not None:
+            self.pool.over(attempt, Outcome.BROKEN if attempt.written else Outcome.UNREACHED)
 
 
 def outcome_of(answer: Response) -> Outcome:
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -42,7 +42,7 @@
 
 
 class ServiceTaken(Taken):
-    """One access, with the head of its trips up to the header that each trip has of its own."""
+    """One access, with the head of its attempts up to the header that each attempt has of its own."""
 
     __slots__ = ("head",)
 
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -195,14 +195,14 @@
 
     # ---- what the core has done
 
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
-        self.shelfs.send(taken, shelf, trip, until_ms)
+    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
+        self.shelfs.send(taken, shelf, attempt, until_ms)
 
     def wanted(self, taken: Taken) -> bool:
         return self.door.wanted(taken)
 
-    def drop_trip(self, taken: Taken) -> None:
-        self.shelfs.drop(taken.trip)
+    def drop_attempt(self, taken: Taken) -> None:
+        self.shelfs.drop(taken.attempt)
 
     def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.door.answer(taken, final, stay_ms, data)
@@ -224,8 +224,8 @@
 
     # ---- shelfs, discovery and the clock
 
-    def ended(self, taken: Taken, trip: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
-        self.core.ended(self.clock(), taken, trip, outcome, took_ms, data)
+    def ended(self, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+        self.core.ended(self.clock(), taken, attempt, outcome, took_ms, data)
 
     def _told(self, told: Told) -> None:
         self.told = True
--- a/pebblehinge/service/shelfs.py
+++ b/pebblehinge/service/shelfs.py
@@ -1,7 +1,7 @@
-"""Shelfs as this head reaches them: addresses, their pools of connections, dials, and the trips on them.
+"""Shelfs as this head reaches them: addresses, their pools of connections, dials, and the attempts on them.
 
-A trip's bytes go out in one place, `_begin`, and only while they may: its access has no answer yet and its client is
-there, its time to begin is not over, and the list still wants accesses at the address that the connection leads to.
+An attempt's bytes go out in one place, `_begin`, and only while they may: its access has no answer yet and its client
+is there, its time to begin is not over, and the list still wants accesses at the address that the connection leads to.
 What was settled by then is `MOOT`: nothing of it was sent.
 """
 
@@ -14,7 +14,7 @@
 
 from pebblehinge.core import Taken
 from pebblehinge.interface import Outcome
-from pebblehinge.service.pool import Shelf, ShelfConn, Trip
+from pebblehinge.service.pool import Attempt, Shelf, ShelfConn
 
 IDLE_PART = 0.8  # of the time after which a shelf may close an idle connection; then we do
 SECOND_LOOK_S = 0.003  # a timer that is due looks at the sockets once more
@@ -27,7 +27,7 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
-    def ended(self, taken: Taken, trip: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
+    def ended(self, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
     def wanted(self, taken: Taken) -> bool: ...
 
 
@@ -41,7 +41,7 @@
         self.table: dict[str, Shelf] = {}
         self.connections = self.dialling = self.held = 0
         self.answers: dict[str, int] = {}  # how many came, by status
-        self.out = 0  # trips
+        self.out = 0  # attempts
 
     def listed(self, ready: dict[str, bool], addresses: dict[str, tuple[str, int]], whole: bool) -> None:
         """What a list says: by id, whether it wants new accesses, and where it is."""
@@ -62,29 +62,29 @@
                 self._forget(shelf)
 
     def send(self, taken: Taken, name: str, number: int, until_ms: float) -> None:
-        """A trip leaves. Its outcome comes later, never out of this call."""
+        """An attempt leaves. Its outcome comes later, never out of this call."""
         now = self.clock()
         shelf = self.table[name]
-        trip = taken.trip = Trip(taken, number, shelf, until_ms, now)
-        shelf.trips += 1
+        attempt = taken.attempt = Attempt(taken, number, shelf, until_ms, now)
+        shelf.attempts += 1
         self.out += 1
-        trip.timer = self.loop.call_later(max(0.0, until_ms - now) / 1000.0, self._due, trip)
+        attempt.timer = self.loop.call_later(max(0.0, until_ms - now) / 1000.0, self._due, attempt)
         conn = self._pooled(shelf)
         if conn is None:
-            trip.task = self.loop.create_task(self._connect(trip))
-        elif not self._begin(trip, conn):
-            self.loop.call_soon(self.over, trip, Outcome.MOOT)
+            attempt.task = self.loop.create_task(self._connect(attempt))
+        elif not self._begin(attempt, conn):
+            self.loop.call_soon(self.over, attempt, Outcome.MOOT)
 
-    def drop(self, trip: Trip) -> None:
+    def drop(self, attempt: Attempt) -> None:
         """It is given up: its connection is closed, one that is still being made is kept for others."""
-        self._end(trip)
-        self._cut(trip)
+        self._end(attempt)
+        self._cut(attempt)
 
-    def over(self, trip: Trip, outcome: Outcome, data: bytes = b"") -> None:
-        if trip.taken.trip is trip:
-            took = self.clock() - trip.sent_ms
-            self._end(trip)
-            self.owner.ended(trip.taken, trip.number, outcome, took, data)
+    def over(self, attempt: Attempt, outcome: Outcome, data: bytes = b"") -> None:
+        if attempt.taken.attempt is attempt:
+            took = self.clock() - attempt.sent_ms
+            self._end(attempt)
+            self.owner.ended(attempt.taken, attempt.number, outcome, took, data)
 
     def keep(self, conn: ShelfConn) -> None:
         if conn.leads_on() and self.table.get(conn.shelf.name) is conn.shelf:
@@ -116,45 +116,45 @@
             conn.transport.abort()
         return None
 
-    def _begin(self, trip: Trip, conn: ShelfConn) -> bool:
-        """The trip goes out on a connection that is up, if it still may; else the connection is kept for others."""
+    def _begin(self, attempt: Attempt, conn: ShelfConn) -> bool:
+        """The attempt goes out on a connection that is up, if it still may; else the connection is kept for others."""
         now = self.clock()
-        if now <= trip.begin_by_ms and conn.leads_on() and self.owner.wanted(trip.taken):
-            conn.send(trip)
-            if not trip.written and trip.begin_by_ms < trip.until_ms:  # its last byte has to be gone by then
-                self.loop.call_later((trip.begin_by_ms - now) / 1000.0, self._unwritten, trip)
+        if now <= attempt.begin_by_ms and conn.leads_on() and self.owner.wanted(attempt.taken):
+            conn.send(attempt)
+            if not attempt.written and attempt.begin_by_ms < attempt.until_ms:  # its last byte has to be gone by then
+                self.loop.call_later((attempt.begin_by_ms - now) / 1000.0, self._unwritten, attempt)
             return True
         self.keep(conn)
         return False
 
-    async def _connect(self, trip: Trip) -> None:
-        """Dials for a trip, anew where the shelf is elsewhere by the time that its connection is up."""
+    async def _connect(self, attempt: Attempt) -> None:
+        """Dials for an attempt, anew where the shelf is elsewhere by the time that its connection is up."""
         try:
-            while trip.taken.trip is trip:
-                conn = await self._dial(trip.shelf, trip)
-                if trip.taken.trip is not trip:
+            while attempt.taken.attempt is attempt:
+                conn = await self._dial(attempt.shelf, attempt)
+                if attempt.taken.attempt is not attempt:
                     self.keep(conn)
                 elif conn.transport.is_closing():
-                    self.over(trip, Outcome.UNREACHED)
-                elif conn.address == trip.shelf.address:
-                    if not self._begin(trip, conn):
-                        self.over(trip, Outcome.MOOT)
+                    self.over(attempt, Outcome.UNREACHED)
+                elif conn.address == attempt.shelf.address:
+                    if not self._begin(attempt, conn):
+                        self.over(attempt, Outcome.MOOT)
                     return
                 else:
                     conn.transport.abort()
         except asyncio.CancelledError:
-            self.over(trip, Outcome.UNREACHED)
+            self.over(attempt, Outcome.UNREACHED)
         except OSError as error:
-            self.over(trip, Outcome.MOOT if error.errno in NO_ROOM else Outcome.UNREACHED)
+            self.over(attempt, Outcome.MOOT if error.errno in NO_ROOM else Outcome.UNREACHED)
         finally:
-            trip.task = None
+            attempt.task = None
 
-    async def _dial(self, shelf: Shelf, trip: Trip) -> ShelfConn:
+    async def _dial(self, shelf: Shelf, attempt: Attempt) -> ShelfConn:
         """A connection to where the shelf is now, within the descriptors that there are for them."""
         if self.connections + self.dialling >= self.most and not self._spare():
             raise OSError(errno.EMFILE, "all connections that shelfs may have are in use")
-        assert trip.task is not None
-        address, dial = shelf.address, [trip.task]  # emptied when it is over: the second look can't be called off
+        assert attempt.task is not None
+        address, dial = shelf.address, [attempt.task]  # emptied when it is over: the second look can't be called off
         due = self.loop.call_later(self.connect_ms / 1000.0, self.loop.call_later, SECOND_LOOK_S, self._late, dial)
         self.dialling += 1
         try:
@@ -176,33 +176,33 @@
             min(idle, key=lambda c: c.idle_ms).shelf.idle.pop(0).transport.abort()
         return bool(idle)
 
-    def _due(self, trip: Trip) -> None:
-        trip.timer = self.loop.call_later(SECOND_LOOK_S, self._overdue, trip)
+    def _due(self, attempt: Attempt) -> None:
+        attempt.timer = self.loop.call_later(SECOND_LOOK_S, self._overdue, attempt)
 
-    def _overdue(self, trip: Trip) -> None:
-        self._cut(trip)
+    def _overdue(self, attempt: Attempt) -> None:
+        self._cut(attempt)
         # One whose connection never came up has not been sent at all.
-        self.over(trip, Outcome.OVERDUE if trip.written else Outcome.MOOT)
+        self.over(attempt, Outcome.OVERDUE if attempt.written else Outcome.MOOT)
 
-    def _unwritten(self, trip: Trip) -> None:
+    def _unwritten(self, attempt: Attempt) -> None:
         """Its time to begin is over, and part of it is still here: without it, it never runs."""
-        if not trip.written and trip.taken.trip is trip:
-            self._cut(trip)
-            self.over(trip, Outcome.MOOT)
-
-    def _cut(self, trip: Trip) -> None:
-        if trip.conn is not None:
-            trip.conn.trip = None
-            trip.conn.transport.abort()
-
-    def _end(self, trip: Trip) -> None:
-        trip.taken.trip = None
-        if trip.timer is not None:
-            trip.timer.cancel()
-            trip.timer = None
-        trip.shelf.trips -= 1
+        if not attempt.written and attempt.taken.attempt is attempt:
+            self._cut(attempt)
+            self.over(attempt, Outcome.MOOT)
+
+    def _cut(self, attempt: Attempt) -> None:
+        if attempt.conn is not None:
+            attempt.conn.attempt = None
+            attempt.conn.transport.abort()
+
+    def _end(self, attempt: Attempt) -> None:
+        attempt.taken.attempt = None
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+            attempt.timer = None
+        attempt.shelf.attempts -= 1
         self.out -= 1
-        self._forget(trip.shelf)
+        self._forget(attempt.shelf)
 
     def _close_idle(self, shelf: Shelf) -> None:
         for conn in shelf.idle:
@@ -210,5 +210,5 @@
         shelf.idle.clear()
 
     def _forget(self, shelf: Shelf) -> None:
-        if not shelf.listed and not shelf.trips and self.table.get(shelf.name) is shelf:
+        if not shelf.listed and not shelf.attempts and self.table.get(shelf.name) is shelf:
             del self.table[shelf.name]
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -119,7 +119,7 @@
 
     form: Literal["json", "console"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    accesses: bool = False  # one line for each access and trip
+    accesses: bool = False  # one line for each access and attempt
 
 
 class HeadBlock(Block):
--- a/pebblehinge/shelf/contents.py
+++ b/pebblehinge/shelf/contents.py
@@ -22,7 +22,7 @@
     """A journal that can't be read on: where, and why."""
 
 
-Record = tuple[float, str, str, int, str | None, bytes, int]  # time, id, extent, offset, label, data, trip
+Record = tuple[float, str, str, int, str | None, bytes, int]  # time, id, extent, offset, label, data, attempt
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Record).decode
 
@@ -65,9 +65,11 @@
         """Bytes as far as the extent goes."""
         return bytes(self.extents.get(extent, b"")[offset : offset + length])
 
-    def write(self, now: float, id_: str, extent: str, offset: int, data: bytes, label: str | None, trip: int) -> None:
+    def write(
+        self, now: float, id_: str, extent: str, offset: int, data: bytes, label: str | None, attempt: int
+    ) -> None:
         """One effect: journalled, then applied."""
-        record = (now, id_, extent, offset, label, data, trip)
+        record = (now, id_, extent, offset, label, data, attempt)
         if self.fd >= 0:
             body = _encode(record)
             os.write(self.fd, HEAD.pack(len(body), xxhash.xxh32_intdigest(body)) + body)
--- a/pebblehinge/shelf/model.py
+++ b/pebblehinge/shelf/model.py
@@ -26,7 +26,7 @@
     units: float
     write: bool
     extent: str
-    trip: int
+    attempt: int
     until_ms: float  # an access whose time is up is not begun
     cheap: bool = False  # an ended repeat of a label costs next to nothing
     dropped: bool = False
@@ -97,11 +97,11 @@
     # ---- accesses
 
     def work_of(self, job: Job) -> float:
-        """Draws the work of a job; one on a remembered extent costs less at its first trip."""
+        """Draws the work of a job; one on a remembered extent costs less at its first attempt."""
         work = job.units * self.kind.unit_work * self.rng.uniform(1.0 - self.kind.noise, 1.0 + self.kind.noise)
         if job.cheap:
             return min(work, 0.1)
-        if job.extent in self.extents and job.trip == 0:
+        if job.extent in self.extents and job.attempt == 0:
             work *= 1.0 - self.kind.seek
         return work
 
@@ -224,7 +224,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Troubles of the way rather than of the machine; each is a probability for one trip or frame."""
+    """Troubles of the way rather than of the machine; each is a probability for one attempt or frame."""
 
     resets: float = 0.0
     garble: float = 0.0
--- a/pebblehinge/shelf/server.py
+++ b/pebblehinge/shelf/server.py
@@ -1,4 +1,4 @@
-"""The sockets of a stand-in shelf: trips in, outcomes out, troubles by control frames, its place in the list."""
+"""The sockets of a stand-in shelf: attempts in, outcomes out, troubles by control frames, its place in the list."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 LINKS = {"resets": "resets", "garble": "garble", "lost-answers": "lost_answers", "half-open": "deaf"}
 
 
-class _Trip:
-    __slots__ = ("conn", "number", "id", "trip", "extent", "op", "offset", "length", "label", "data", "job")
+class _Attempt:
+    __slots__ = ("conn", "number", "id", "attempt", "extent", "op", "offset", "length", "label", "data", "job")
 
 
 class ShelfConn(Peer):
@@ -40,7 +40,7 @@
         session = Session("shelf", shelf.name, limits.frame, limits.streams, greets=False)
         super().__init__(shelf.loop, session, limits.stall, limits.keepalive)
         self.shelf = shelf
-        self.trips: dict[int, _Trip] = {}
+        self.attempts: dict[int, _Attempt] = {}
         self.deaf = False
 
     def connection_made(self, transport: Any) -> None:
@@ -72,7 +72,7 @@
         self,
         number: int,
         id_: str,
-        trip: int,
+        attempt: int,
         extent: str,
         op: int,
         offset: int,
@@ -82,15 +82,15 @@
         left_ms: float,
         data: bytes,
     ) -> None:
-        if number in self.trips:
+        if number in self.attempts:
             raise WireError(f"TRIP: number {number} is out already")
-        t = _Trip()
-        t.conn, t.number, t.id, t.trip, t.extent, t.op = self, number, id_, trip, extent, op
+        t = _Attempt()
+        t.conn, t.number, t.id, t.attempt, t.extent, t.op = self, number, id_, attempt, extent, op
         t.offset, t.length, t.label, t.data = offset, length, label, data
         self.shelf.take(t, units, left_ms)
 
     def on_recall(self, number: int) -> None:
-        t = self.trips.get(number)
+        t = self.attempts.get(number)
         if t is not None:
             self.shelf.recall(t)
 
@@ -229,12 +229,12 @@
 
     # ---- accesses
 
-    def take(self, t: _Trip, units: float, left_ms: float) -> None:
+    def take(self, t: _Attempt, units: float, left_ms: float) -> None:
         now, faults = self.now, self.faults
         self._advance(now)
         before = faults.hits(faults.resets)
         if before and faults.rng.random() < 0.5:
-            self.records.note(now, "reset", id=t.id, n=t.trip, head=t.conn.session.peer_name, unseen=True)
+            self.records.note(now, "reset", id=t.id, n=t.attempt, head=t.conn.session.peer_name, unseen=True)
             t.conn.abort()
             return
         chance = self.machine.strike.errors or self.machine.kind.errors
@@ -244,7 +244,7 @@
                 now,
                 "got",
                 id=t.id,
-                n=t.trip,
+                n=t.attempt,
                 head=t.conn.session.peer_name,
                 x=t.extent,
                 u=units,
@@ -259,14 +259,14 @@
             self._answer(t, ERRED, "failed", b"")
             return
         cheap = t.label is not None and self.contents.done(t.label, now, self.window)
-        job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.trip, now + left_ms, cheap)
+        job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.attempt, now + left_ms, cheap)
         t.job = job
         taken = not self.draining and self.machine.take(now, job)
         self.records.note(
             now,
             "got",
             id=t.id,
-            n=t.trip,
+            n=t.attempt,
             head=t.conn.session.peer_name,
             x=t.extent,
             u=units,
@@ -282,7 +282,7 @@
         if not taken:
             t.conn.send(Kind.OUTCOME, t.number, FULL, "draining" if self.draining else "full", b"")
             return
-        t.conn.trips[t.number] = t
+        t.conn.attempts[t.number] = t
         if before:  # the other half of the resets: it is taken, and its answer will find no connection
             t.conn.abort()
         if not self.beginning:
@@ -290,25 +290,25 @@
             self.loop.call_soon(self._begin)
 
     def _begin(self) -> None:
-        """After all frames that came together: a trip whose recall stood right behind it, as in the socket of a
+        """After all frames that came together: an attempt whose recall stood right behind it, as in the socket of a
         process that was stopped for a while, must not run."""
         self.beginning = False
         if not self.closed:
             self.machine.begin(self.now)
             self._wake()
 
-    def recall(self, t: _Trip) -> None:
+    def recall(self, t: _Attempt) -> None:
         self.machine.drop(t.job)
         if not t.job.began:
-            t.conn.trips.pop(t.number, None)
-        self.records.note(self.now, "recalled", id=t.id, n=t.trip, began=t.job.began)
+            t.conn.attempts.pop(t.number, None)
+        self.records.note(self.now, "recalled", id=t.id, n=t.attempt, began=t.job.began)
 
     def _advance(self, now: float) -> None:
         for job in self.machine.advance(now):
             if job.owner is not None:
                 self._end(job.owner, now)
 
-    def _end(self, t: _Trip, now: float) -> None:
+    def _end(self, t: _Attempt, now: float) -> None:
         if t.op == WRITE:
             self._effect(t, now)
             self._answer(t, DONE, "", b"")
@@ -317,33 +317,33 @@
             self._answer(t, DONE, "", APPENDED.pack(landed, len(self.contents.extents.get(t.extent, b""))))
         else:
             data = self.contents.read(t.extent, t.offset, t.length)
-            self.records.note(now, "read", id=t.id, n=t.trip)
+            self.records.note(now, "read", id=t.id, n=t.attempt)
             self._answer(t, DONE, "", data)
 
-    def _effect(self, t: _Trip, now: float) -> bool:
+    def _effect(self, t: _Attempt, now: float) -> bool:
         """A write takes effect, but for a repeat whose label says that it was done; an append where the extent ends
         at the offset that it names, and nowhere else."""
         if t.op == APPEND and len(self.contents.extents.get(t.extent, b"")) != t.offset:
-            self.records.note(now, "beside", id=t.id, n=t.trip, x=t.extent, offset=t.offset)
+            self.records.note(now, "beside", id=t.id, n=t.attempt, x=t.extent, offset=t.offset)
             return False
         if t.op not in (WRITE, APPEND):
             return False
         if t.op == WRITE and t.label is not None and self.contents.done(t.label, now, self.window):
-            self.records.note(now, "repeat", id=t.id, n=t.trip, label=t.label)
+            self.records.note(now, "repeat", id=t.id, n=t.attempt, label=t.label)
             return False
         self.effects += 1
         if self.effects % 1024 == 0:
             self.contents.forget(now, self.window)
-        self.records.note(now, "effect", id=t.id, n=t.trip, label=t.label, x=t.extent, bytes=len(t.data))
-        self.contents.write(now, t.id, t.extent, t.offset, t.data, t.label, t.trip)
+        self.records.note(now, "effect", id=t.id, n=t.attempt, label=t.label, x=t.extent, bytes=len(t.data))
+        self.contents.write(now, t.id, t.extent, t.offset, t.data, t.label, t.attempt)
         return True
 
-    def _answer(self, t: _Trip, status: int, reason: str, data: bytes) -> None:
-        t.conn.trips.pop(t.number, None)
+    def _answer(self, t: _Attempt, status: int, reason: str, data: bytes) -> None:
+        t.conn.attempts.pop(t.number, None)
         if self.faults.hits(self.faults.lost_answers):
-            self.records.note(self.now, "lost", id=t.id, n=t.trip)
+            self.records.note(self.now, "lost", id=t.id, n=t.attempt)
             return
-        self.records.note(self.now, "said", id=t.id, n=t.trip, status=status)
+        self.records.note(self.now, "said", id=t.id, n=t.attempt, status=status)
         t.conn.send(Kind.OUTCOME, t.number, status, reason, data)
 
     def _fall(self, now: float) -> None:
--- a/pebblehinge/store/dirty.py
+++ b/pebblehinge/store/dirty.py
@@ -26,7 +26,7 @@
         self.out: dict[int, None] = {}
         self.came: dict[int, float] = {}
         self.bytes = 0
-        self.risky: dict[int, None] = {}  # a trip of theirs may have run, in this life or the one before
+        self.risky: dict[int, None] = {}  # an attempt of theirs may have run, in this life or the one before
 
     def __len__(self) -> int:
         return len(self.came)
--- a/pebblehinge/store/flushing.py
+++ b/pebblehinge/store/flushing.py
@@ -108,8 +108,8 @@
 def next_step(write: Write, risky: bool, read_back: bytes | None) -> str:
     """What to do for a write whose turn it is: `look` whether it stands already, `write` it, or it is `done`.
 
-    A trip of it may have run in an earlier life, so its bytes may stand; then nothing is written again. Where something
-    else stands it is written under its label, which a shelf that did it lately knows.
+    An attempt of it may have run in an earlier life, so its bytes may stand; then nothing is written again. Where
+    something else stands it is written under its label, which a shelf that did it lately knows.
     """
     if not risky:
         return "write"
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -101,8 +101,8 @@
         if access is None:
             return None  # over already, and nothing of it is out
         if word == "VERDICT":
-            _, trip, _, outcome, over, _, _, took, _ = values
-            changes = access.ended(now, trip, outcome, over, took)
+            _, attempt, _, outcome, over, _, _, took, _ = values
+            changes = access.ended(now, attempt, outcome, over, took)
         else:
             changes = access.begun(now) if word == "HEADERS" else access.left(now)
         if access.over and not access.out and access not in changes.handles:
@@ -112,9 +112,9 @@
     def _encode(self, instance: Instance, changes: Changes) -> None:
         lines = []
         for access in changes.handles:
-            trips, recalls, answer = access.drain()
-            lines += [f"SUBMIT_TO {access.id} {t.shelf} {codec.seconds(t.until_ms)}" for t in trips]
-            lines += [f"ABORT_ATTEMPT {access.id} {trip}" for trip in recalls]
+            attempts, recalls, answer = access.drain()
+            lines += [f"SUBMIT_TO {access.id} {t.shelf} {codec.seconds(t.until_ms)}" for t in attempts]
+            lines += [f"ABORT_ATTEMPT {access.id} {attempt}" for attempt in recalls]
             if answer is not None:
                 lines.append(codec.write_answer(access.id, answer.final, answer.stay_away_ms))
             if access.over and not access.out:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -106,9 +106,9 @@
 
     def do(self, h: int, changes: Changes) -> None:
         for access in changes.handles:
-            trips, recalls, answer = access.drain()
-            for trip in trips:
-                self.send(h, access, trip)
+            attempts, recalls, answer = access.drain()
+            for attempt in attempts:
+                self.send(h, access, attempt)
             if answer is not None:
                 _, extent, leaves, again = access.story
                 back = self.now + answer.stay_away_ms
@@ -127,15 +127,15 @@
         self.wakes[h] = math.inf
         self.do(h, self.heads[h].woken(self.now))
 
-    def send(self, h: int, access: Any, trip: Any) -> None:
+    def send(self, h: int, access: Any, attempt: Any) -> None:
         number, left = access.sent - 1, self.now
-        up = self.up.get(trip.shelf, True)
+        up = self.up.get(attempt.shelf, True)
         shelfs = self.heads[h].shelfs
         knows = shelfs.cold_ms[access.shelf] is not None  # told, or suspected: no other head can hold back
         if up and self.now >= START_MS and knows:
             self.sends.append((self.now, access.units / self.cfg.mean_units))
         if not up and self.scene == "queue released":
-            when, outcome = trip.until_ms, Outcome.OVERDUE
+            when, outcome = attempt.until_ms, Outcome.OVERDUE
         elif not up:
             when, outcome = self.now + (1.0 if self.scene == "suspected" else 250.0), Outcome.UNREACHED
         else:
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -66,7 +66,7 @@
 
 
 def end_of(seed: int, rule: str, trace: str, n: int) -> tuple[random.Random, Outcome, float]:
-    """How a trip ends and after how many ms, by what it is, so that a run that is cut down keeps it."""
+    """How an attempt ends and after how many ms, by what it is, so that a run that is cut down keeps it."""
     rng = random.Random(f"{seed}/{trace}/{n}")
     drawn = OUTCOMES["well" if rule in ("limits", "cold") else "usual"]
     outcome = rng.choices(list(drawn), list(drawn.values()))[0]
--- a/tests/drawn_world.py
+++ b/tests/drawn_world.py
@@ -31,8 +31,8 @@
         self.finals: dict[str, float] = {}
         self.free_at: dict[str, float] = {}
         self.out: dict[str, list[tuple[str, Life, Access, int]]] = {}
-        self.after: list[str] = []  # trips that left after the final answer
-        self.astray: list[str] = []  # trips to a shelf that by the list holds other data
+        self.after: list[str] = []  # attempts that left after the final answer
+        self.astray: list[str] = []  # attempts to a shelf that by the list holds other data
         self.seen: Counter[str] = Counter()
         for name in self.truth:
             self._up(name, False)
@@ -108,9 +108,9 @@
 
     def _done(self, name: str, life: Life, changes: Changes) -> None:
         for access in changes.handles:
-            trips, recalls, answer = access.drain()
-            for trip in trips:
-                self._trip(name, life, access, trip)
+            attempts, recalls, answer = access.drain()
+            for attempt in attempts:
+                self._attempt(name, life, access, attempt)
             for number in recalls:
                 self.seen["recalled"] += 1
                 self.at(self.now, lambda a=access, n=number: self._end(name, life, a, n, Outcome.RECALLED))
@@ -124,24 +124,24 @@
         self.finals[a.trace] = self.now
         self.seen[final] += 1
 
-    def _trip(self, name: str, life: Life, a: Access, trip: Any) -> None:
+    def _attempt(self, name: str, life: Life, a: Access, attempt: Any) -> None:
         n = a.sent - 1
         if a.trace in self.finals:
-            self.after.append(f"{a.trace}: trip {n} to {trip.shelf} after its final answer")
-        if a.slot >= 0 and life.slots[trip.shelf] != a.slot:
-            self.astray.append(f"{a.trace}, for slot {a.slot}: trip {n} to {trip.shelf} at {self.now:.0f} ms")
+            self.after.append(f"{a.trace}: trip {n} to {attempt.shelf} after its final answer")
+        if a.slot >= 0 and life.slots[attempt.shelf] != a.slot:
+            self.astray.append(f"{a.trace}, for slot {a.slot}: trip {n} to {attempt.shelf} at {self.now:.0f} ms")
         rng, outcome, takes = end_of(self.seed, self.rule, a.trace, n)
         if self.rule == "cold":  # in turn, as fast as it is warm
-            rules, age = self.config.rules, self.now - self.truth[trip.shelf].started_ms
+            rules, age = self.config.rules, self.now - self.truth[attempt.shelf].started_ms
             warmth = min(1.0, rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm)
-            begins = max(self.now, self.free_at.get(trip.shelf, 0.0))
+            begins = max(self.now, self.free_at.get(attempt.shelf, 0.0))
             takes = begins + a.units * 14.0 / 2.0 / warmth - self.now
-            self.free_at[trip.shelf] = self.now + takes
-        if outcome is Outcome.OVERDUE or self.now + takes >= trip.until_ms:
-            outcome, takes = Outcome.OVERDUE, max(0.0, trip.until_ms - self.now)
+            self.free_at[attempt.shelf] = self.now + takes
+        if outcome is Outcome.OVERDUE or self.now + takes >= attempt.until_ms:
+            outcome, takes = Outcome.OVERDUE, max(0.0, attempt.until_ms - self.now)
         if outcome not in (Outcome.UNREACHED, Outcome.MOOT):
-            age = self.now - self.truth[trip.shelf].started_ms
-            self.shelfs[trip.shelf].append(
+            age = self.now - self.truth[attempt.shelf].started_ms
+            self.shelfs[attempt.shelf].append(
                 {
                     "e": "got",
                     "t": self.now,
@@ -159,17 +159,19 @@
             )
             self.seen["to a cold shelf"] += age < self.config.rules.warm
         if outcome in RUNNING and rng.random() < 0.8:
-            self.shelfs[trip.shelf].append({"e": "effect", "t": self.now + takes, "id": a.trace})
+            self.shelfs[attempt.shelf].append({"e": "effect", "t": self.now + takes, "id": a.trace})
         self.seen[outcome.value] += 1
         self.seen["further"] += n > 0
-        self.out[trip.shelf] = [row for row in self.out.get(trip.shelf, []) if row[3] not in row[2].ended_trips]
-        self.out[trip.shelf].append((name, life, a, n))
-        self.at(self.now + takes, lambda: self._end(name, life, a, n, outcome, trip.shelf))
+        self.out[attempt.shelf] = [
+            row for row in self.out.get(attempt.shelf, []) if row[3] not in row[2].ended_attempts
+        ]
+        self.out[attempt.shelf].append((name, life, a, n))
+        self.at(self.now + takes, lambda: self._end(name, life, a, n, outcome, attempt.shelf))
 
     def _end(self, name: str, life: Life, a: Access, n: int, outcome: Outcome, shelf: str = "") -> None:
-        if self.lives.get(name) is not life or n in a.ended_trips:
+        if self.lives.get(name) is not life or n in a.ended_attempts:
             return
-        a.ended_trips.add(n)
+        a.ended_attempts.add(n)
         if shelf and outcome is not Outcome.OVERDUE:
             self.shelfs[shelf].append({"e": "said", "t": self.now, "id": a.trace, "n": n})
         if outcome is Outcome.HONOURED and a.trace not in self.finals:
@@ -190,7 +192,7 @@
         a, changes = life.head.take(
             self.now, id_, extent, profile, volume, number, len(HEADS), slot, units, self.now + left, None
         )
-        a.trace, a.ended_trips = trace, set()
+        a.trace, a.ended_attempts = trace, set()
         life.open[id_] = a
         self.seen["nearly over"] += left < 50.0
         self._done(name, life, changes)
@@ -262,9 +264,9 @@
         self.seen["deaf"] += 1
 
     def _twice(self, name: str, r: float, _: bool) -> None:
-        """An outcome that was told before, or of a trip that never was."""
+        """An outcome that was told before, or of an attempt that never was."""
         life = self.lives[name]
-        ended = [(a, n) for a in life.open.values() for n in sorted(a.ended_trips)][-40:]
+        ended = [(a, n) for a in life.open.values() for n in sorted(a.ended_attempts)][-40:]
         if ended:
             a, n = ended[int(r * len(ended))]
             self.seen["told twice"] += 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -127,12 +127,12 @@
         await asyncio.sleep(0.005)
 
 
-class Trip:
-    """One trip as a scripted shelf got it."""
+class Attempt:
+    """One attempt as a scripted shelf got it."""
 
     def __init__(self, conn: ScriptConn, values: tuple[Any, ...]) -> None:
         self.conn = conn
-        self.number, self.id, self.trip, self.extent, self.op = values[:5]
+        self.number, self.id, self.attempt, self.extent, self.op = values[:5]
         self.label, self.left_ms, self.data = values[8], values[9], values[10]
 
     def answer(self, status: int = 0, data: bytes = b"") -> None:
@@ -151,23 +151,23 @@
         self.shelf.conns.append(self)
 
     def on_trip(self, *values: Any) -> None:
-        trip = Trip(self, values)
-        self.shelf.trips.append(trip)
-        self.shelf.does(trip)
+        attempt = Attempt(self, values)
+        self.shelf.attempts.append(attempt)
+        self.shelf.does(attempt)
 
     def on_recall(self, number: int) -> None:
         self.shelf.recalled.append(number)
 
 
 class ScriptShelf:
-    """A shelf that does with each trip what the test says; it answers at once if nothing else is said."""
+    """A shelf that does with each attempt what the test says; it answers at once if nothing else is said."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, slot: int, address: str) -> None:
         self.loop, self.name, self.slot, self.address = loop, name, slot, address
-        self.trips: list[Trip] = []
+        self.attempts: list[Attempt] = []
         self.recalled: list[int] = []
         self.conns: list[ScriptConn] = []
-        self.does: Callable[[Trip], None] = Trip.answer
+        self.does: Callable[[Attempt], None] = Attempt.answer
         self.server: Any = None
 
     async def start(self) -> None:
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -109,7 +109,7 @@
         self.wires: list[Wire] = []
         self.queue: list[Wire] = []
         self.loop, self.late_ms, self.config = self, 0.0, read_config(json.dumps({**CONFIG, "settings": SLOW}).encode())
-        self.never = 0  # trips that were not begun, since their client had gone
+        self.never = 0  # attempts that were not begun, since their client had gone
         self.risky: set[str] = set()  # ids of what may have run
         self.door, self.life, self.done = Door(self), Life(self), False  # type: ignore[arg-type]
         self.core = Core(self.config.settings, seed, self.now, self)  # type: ignore[arg-type]
@@ -126,30 +126,33 @@
         self.at(self.now, lambda: what(*args))
 
     # what the core has done
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
-        taken.trip = token = object()
+    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
+        taken.attempt = token = object()
         if not self.door.wanted(taken):
             self.never += 1
-            self.at(self.now, lambda: taken.trip is token and self.core.ended(self.now, taken, trip, Outcome.MOOT, 0.0))
+            self.at(
+                self.now,
+                lambda: taken.attempt is token and self.core.ended(self.now, taken, attempt, Outcome.MOOT, 0.0),
+            )
             return
         assert not taken.conn.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
         outcome = self.rng.choices(*zip(*ENDS, strict=True))[0]
         when = until_ms if outcome is Outcome.OVERDUE else min(until_ms, self.now + self.rng.expovariate(0.004))
 
         def ends() -> None:
-            if taken.trip is token:
+            if taken.attempt is token:
                 self.risky.add(taken.id) if outcome not in NEVER_RAN else None
-                self.core.ended(self.now, taken, trip, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
+                self.core.ended(self.now, taken, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
 
         self.at(when, ends)
 
-    def drop_trip(self, taken: Taken) -> None:
+    def drop_attempt(self, taken: Taken) -> None:
         self.risky.add(taken.id)
 
     def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         assert self.now <= taken.access.abandon_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
         if final == PUSHED_BACK and taken.access.profile.name == "save":  # type: ignore[union-attr]
-            assert taken.trip is None and taken.id not in self.risky, "rule 2"
+            assert taken.attempt is None and taken.id not in self.risky, "rule 2"
         self.door.answer(taken, final, stay_ms, data)
 
     def wake_at(self, at_ms: float) -> None:
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -33,8 +33,8 @@
 
 
 def went(a: Access) -> bool:
-    trips, _, _ = a.drain()
-    return bool(trips)
+    attempts, _, _ = a.drain()
+    return bool(attempts)
 
 
 def served(head: Head, now: float, slot: int, took: float) -> None:
--- a/tests/raw_frames.py
+++ b/tests/raw_frames.py
@@ -8,7 +8,7 @@
 
 from pebblehinge.wire import Frames, Kind, encode
 
-SILENT = lambda trip: None  # noqa: E731
+SILENT = lambda attempt: None  # noqa: E731
 LOOK = dict(profile="look", slot=0, units=2.0, patience_ms=2000.0)
 SAVE = dict(profile="save", slot=0, units=2.0, patience_ms=1200.0)
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -56,7 +56,7 @@
     served(head, now, 3, 5.0)
 
 
-def test_a_place_is_not_given_away_while_a_trip_is_out_or_the_name_is_still_listed() -> None:
+def test_a_place_is_not_given_away_while_an_attempt_is_out_or_the_name_is_still_listed() -> None:
     head = Head(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     a = take(head, 0.0, profile="save")
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -83,8 +83,8 @@
     on_rig(script)
 
 
-def test_further_trips_end_with_their_client() -> None:
-    """Between a trip that failed and the next one the client goes, in the same turn as the failure is read."""
+def test_further_attempts_end_with_their_client() -> None:
+    """Between an attempt that failed and the next one the client goes, in the same turn as the failure is read."""
 
     async def script(rig: Rig) -> None:
         raw = connect(rig)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -27,14 +27,14 @@
         self.wake = float("inf")
         self.faults: list[str] = []
 
-    def send_trip(self, taken: Any, shelf: str, trip: int, until_ms: float) -> None:
-        if self.finals[taken.id] or taken.trip is not None:
-            self.faults.append(f"trip {trip} of {taken.id}: answered, or out already")
-        taken.trip = (taken, trip, until_ms)
-        self.out.append(taken.trip)
-
-    def drop_trip(self, taken: Any) -> None:
-        self.out.remove(taken.trip)
+    def send_attempt(self, taken: Any, shelf: str, attempt: int, until_ms: float) -> None:
+        if self.finals[taken.id] or taken.attempt is not None:
+            self.faults.append(f"trip {attempt} of {taken.id}: answered, or out already")
+        taken.attempt = (taken, attempt, until_ms)
+        self.out.append(taken.attempt)
+
+    def drop_attempt(self, taken: Any) -> None:
+        self.out.remove(taken.attempt)
 
     def answer(self, taken: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.finals[taken.id] += 1
--- a/tests/test_decisions_at_size.py
+++ b/tests/test_decisions_at_size.py
@@ -75,7 +75,7 @@
 
 
 def test_pools_by_hand() -> None:
-    """Of trips that take no time one connection does: held unless none came within what is kept, then dialled."""
+    """Of attempts that take no time one connection does: held unless none came within what is kept, then dialled."""
     held, dials = decisions_pools.pair(2.0, 0.5, 0.0)
     assert math.isclose(held, 1 - math.exp(-1.0)) and math.isclose(dials, 2.0 * math.exp(-1.0))
     assert decisions_pools.pair(2.0, 0.5, 0.1)[0] > held
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("recalls", [True, False])
 @pytest.mark.parametrize("how", ["a reset", "an end"])
 def test_a_client_that_leaves_meanwhile_has_nothing_sent(recalls: bool, how: str) -> None:
-    """Where trips may not be recalled, one that waited for its connection was sent for a client long gone."""
+    """Where attempts may not be recalled, one that waited for its connection was sent for a client long gone."""
 
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask())
@@ -60,7 +60,7 @@
         rig.head.shelfs.connect_ms = 5000.0
         rig.head.core.leaves(rig.head.clock(), rig.head.clock() + 20.0)
         answer = await client.answer()
-        assert answer.status == 502  # the module does not know that its trip only waits
+        assert answer.status == 502  # the module does not know that its attempt only waits
         await nothing_is_sent(rig, gate)
 
     on_rig(script)
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("state", ["Terminating", "Gone"])
 def test_a_shelf_that_drains_or_goes_meanwhile_gets_nothing(state: str) -> None:
-    """With a connection that took longer than the grace the trip went to a draining shelf."""
+    """With a connection that took longer than the grace the attempt went to a draining shelf."""
 
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask())
@@ -113,7 +113,7 @@
     on_rig(script)
 
 
-def test_a_trip_that_is_over_by_then_is_not_sent_and_its_connection_is_kept() -> None:
+def test_an_attempt_that_is_over_by_then_is_not_sent_and_its_connection_is_kept() -> None:
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask(X_Deadline_Ms="100"))
         assert (await client.answer()).status == 503 and rig.head.core.outcomes[Outcome.MOOT] == 1
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_repeat_reaches_its_shelf_within_its_window_or_not_at_all(late: bool) -> None:
-    """The window was looked at as the trip was decided, not as its connection had come up."""
+    """The window was looked at as the attempt was decided, not as its connection had come up."""
 
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = lambda conn, request: None
@@ -180,11 +180,11 @@
         shelfs, sent = rig.head.shelfs, []
         begin: Callable[..., bool] = shelfs._begin
 
-        def blocked(trip: Any, conn: Any) -> bool:
-            if trip.number == 1:  # as a socket that takes no more: what is written stays with the transport
+        def blocked(attempt: Any, conn: Any) -> bool:
+            if attempt.number == 1:  # as a socket that takes no more: what is written stays with the transport
                 conn.transport.write(b"x" * 64_000_000)
-                sent.append(trip)
-            return begin(trip, conn)
+                sent.append(attempt)
+            return begin(attempt, conn)
 
         shelfs._begin = blocked  # type: ignore[method-assign]
         loop, raw = rig.head.loop, socket.create_server(rig.address(0)[:1] + (0,))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -60,7 +60,7 @@
         (taken,) = rig.head.core.taken.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.shelfs._overdue(taken.trip)
+            rig.head.shelfs._overdue(taken.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.taken)
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -59,8 +59,10 @@
     everyone = "h1 h2 h3 h4 h5"
     village, known = day(f"at 3s cut {everyone} from s1 for 4s\n")
     facts = village.facts()
-    said = [g.said - facts.begin for trips in facts.trips.values() for g in trips if g.shelf == "s1" and g.said]
-    got = [g.t - facts.begin for trips in facts.trips.values() for g in trips if g.shelf == "s1"]
+    said = [
+        g.said - facts.begin for attempts in facts.attempts.values() for g in attempts if g.shelf == "s1" and g.said
+    ]
+    got = [g.t - facts.begin for attempts in facts.attempts.values() for g in attempts if g.shelf == "s1"]
     assert not any(3_010 < t < 7_000 for t in got) and any(7_000 < t < 9_000 for t in got)
     assert min(said) < 3_000 and known["script"]["idle"] == []
     assert facts.ways.held("h1", "s1", 5_000 + facts.begin, 5_000 + facts.begin)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -34,7 +34,7 @@
 
 
 def slow(head: Head, now: float) -> None:
-    """B is quick for a while, A took two seconds and lost three trips."""
+    """B is quick for a while, A took two seconds and lost three attempts."""
     for n in range(40):
         served(head, now + n, 1, 20.0)
     for a in [take(head, now + 50, 0, left=2500.0) for _ in range(3)]:
@@ -66,12 +66,12 @@
     assert head.shelfs.mean_ms[head.shelfs.index["A"]] == before > 0
 
 
-def test_trips_of_a_former_process_say_nothing_of_the_new_one() -> None:
+def test_attempts_of_a_former_process_say_nothing_of_the_new_one() -> None:
     head = Head(replace(SAFE, warm_ms=10_000.0), 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 0.0))
-    trips = [take(head, 10_000.0, profile="save") for _ in range(BOUND)]
+    attempts = [take(head, 10_000.0, profile="save") for _ in range(BOUND)]
     listed(head, 10_500.0, ("A", 0, 10_400.0))
-    for a in trips:
+    for a in attempts:
         a.ended(10_600.0, 0, Outcome.BROKEN, False, 600.0)
     s = head.shelfs.index["A"]
     assert (head.shelfs.lost[s], head.shelfs.dead[s], head.shelfs.cold_ms[s]) == (0, False, 10_400.0)
@@ -97,7 +97,7 @@
 
 
 def test_of_many_heads_that_could_not_reach_a_shelf_few_try_it_together() -> None:
-    """Each sends one trip at a time to a dead shelf; a hundred would still push over one just started."""
+    """Each sends one attempt at a time to a dead shelf; a hundred would still push over one just started."""
     tried = 0
     for seed in range(100):
         head = Head(replace(SAFE, warm_ms=10_000.0, cold_share=0.02, fall_multiple=1.0), seed, 0.0)
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -122,7 +122,7 @@
 
 def test_a_client_that_does_not_read_is_not_read_from_and_cut_in_the_end() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = lambda trip: trip.answer(data=b"z" * 900_000)
+        rig.shelfs[0].does = lambda attempt: attempt.answer(data=b"z" * 900_000)
         reader, writer = await raw(rig)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(hello())
@@ -161,7 +161,7 @@
         asked = {"volume": "v", "extent": "x", "op": 0, "length": 1, **LOOK, **more}
         got = await client.access(**asked)
         assert got.final == "pushed back" and reason in got.reason and 200.0 <= got.stay_ms <= 400.0
-        assert not rig.shelfs[0].trips
+        assert not rig.shelfs[0].attempts
 
     on_rig(script)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -25,9 +25,9 @@
         for slot in (0, 1):
             at = 100.0 * n + slot
             access, _ = head.take(at, n * 2 + slot, f"x{slot}", "look", "gold", "v", 1, slot, 2.0, at + 2000.0)
-            for number, trip in enumerate(access.drain()[0]):
+            for number, attempt in enumerate(access.drain()[0]):
                 access.ended(at + 20.0 + 60 * slot, number, Outcome.HONOURED, True, 20.0 + 60 * slot)
-                assert trip.shelf in ("A", "B")
+                assert attempt.shelf in ("A", "B")
     return head
 
 
@@ -119,7 +119,7 @@
         rig.kill_head()
         await asyncio.sleep(0.02)
         head = await start()
-        rig.shelfs[1].does = lambda trip: rig.loop.call_later(0.05, trip.answer) and None
+        rig.shelfs[1].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
         client = await rig.client()
         for n in range(12):
             await client.write("v", f"x{n}", b"1", profile="look", slot=n % 2, units=1.0, patience_ms=1000.0)
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -41,8 +41,8 @@
         bytes=100,
         final=0,
         took_ms=30.0,
-        trip_ms=28.0,
-        trips=1,
+        attempt_ms=28.0,
+        attempts=1,
     )
     return Row(**{**usual, **more})
 
@@ -145,8 +145,8 @@
 
 
 def test_refused_load_counts_and_the_busiest_window_is_the_case() -> None:
-    rows = rows_of(500, 60.0, final=1, trips=0, trip_ms=0.0)
-    rows += [(30_000.0 + i, "h1", row(0.0, final=1, trips=0, trip_ms=0.0)) for i in range(900)]
+    rows = rows_of(500, 60.0, final=1, attempts=0, attempt_ms=0.0)
+    rows += [(30_000.0 + i, "h1", row(0.0, final=1, attempts=0, attempt_ms=0.0)) for i in range(900)]
     rows.sort(key=lambda r: r[0])
     demand = demand_of(rows, CONFIG)
     begin, end = demand.busiest(10)
@@ -155,7 +155,7 @@
     assert "the mean" in notes[0] and any("spike" in n or "few" in n for n in notes)
 
 
-def test_speeds_come_from_quick_trips_and_lean_on_the_kind_where_they_are_few() -> None:
+def test_speeds_come_from_quick_attempts_and_lean_on_the_kind_where_they_are_few() -> None:
     rng = np.random.default_rng(3)
     kind = CONFIG.kind["fast"]
     rows = rows_of(2000)
@@ -163,7 +163,7 @@
     for at, head, r in rows:
         work = r.units * kind.unit_work * rng.uniform(0.8, 1.2)
         waits = rng.exponential(20.0) if rng.random() < 0.5 else 0.0
-        made.append((at, head, msgspec.structs.replace(r, trip_ms=work / 1.5 + waits + 0.3)))
+        made.append((at, head, msgspec.structs.replace(r, attempt_ms=work / 1.5 + waits + 0.3)))
     speed, doubt = fit_speed(demand_of(made, CONFIG), CONFIG)[0]
     assert speed == pytest.approx(1.5, rel=0.04) and doubt < 0.05
     few, wide = fit_speed(demand_of(rows_of(62, final=1), CONFIG), CONFIG)[0]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -74,7 +74,7 @@
 class Spends(Head):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.path.limits.spare_trips = lambda now: 99.0  # type: ignore[method-assign]
+        self.path.limits.spare_attempts = lambda now: 99.0  # type: ignore[method-assign]
 
 
 class Strays(Head):
@@ -113,7 +113,7 @@
     world = World(COLD if rule == "cold" else CONFIG, seed, rule, kind)
     day = world.play(events)
     if rule == "data":
-        return "; ".join(world.astray[:1]), world, sum(len(trips) for trips in day.trips.values())
+        return "; ".join(world.astray[:1]), world, sum(len(attempts) for attempts in day.attempts.values())
     verdict = getattr(day, rule)()
     return verdict.offence, world, verdict.cases
 
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -142,10 +142,10 @@
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         super().listed(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
 
-    def ended(self, now: float, taken: Any, trip: int, outcome: Outcome, took_ms: float, data: bytes = b"") -> None:
+    def ended(self, now: float, taken: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b"") -> None:
         if outcome in (Outcome.UNREACHED, Outcome.BROKEN):
             outcome = Outcome.FULL
-        super().ended(now, taken, trip, outcome, took_ms, data)
+        super().ended(now, taken, attempt, outcome, took_ms, data)
 
 
 def altered(**changes: Any) -> Any:
@@ -206,15 +206,15 @@
     assert set(sound) == set(RULES)
 
 
-def test_the_handle_of_an_access_has_no_second_trip_out() -> None:
-    """What the core relies on: the module never has two trips of one access out at once."""
+def test_the_handle_of_an_access_has_no_second_attempt_out() -> None:
+    """What the core relies on: the module never has two attempts of one access out at once."""
     seen: list[Access] = []
 
     class Watches(HeadCore):
         def _carry_out(self, first: Any, now: float) -> None:
             super()._carry_out(first, now)
             for taken in self.taken.values():
-                assert (taken.trip is not None) == taken.access.out
+                assert (taken.attempt is not None) == taken.access.out
                 seen.append(taken.access)
 
     judge(RESETS, Watches, None, length="3s")
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from helpers import Rig, Trip, on_rig, until
+from helpers import Attempt, Rig, on_rig, until
 from raw_frames import LOOK, SAVE, SILENT
 
 from pebblehinge.client import connect
@@ -15,12 +15,14 @@
 
 def test_reads_and_writes_reach_the_shelf_and_come_back() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = lambda trip: trip.answer(data=b"" if trip.op else b"bytes of " + trip.extent.encode())
+        rig.shelfs[0].does = lambda attempt: attempt.answer(
+            data=b"" if attempt.op else b"bytes of " + attempt.extent.encode()
+        )
         client = await rig.client()
         got = await client.read("v", "x", 100, **LOOK)
         assert (got.final, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
         assert (await client.write("v", "y", b"abc", **SAVE)).honoured
-        assert [t.data for t in rig.shelfs[0].trips] == [b"", b"abc"]
+        assert [t.data for t in rig.shelfs[0].attempts] == [b"", b"abc"]
 
     on_rig(script)
 
@@ -30,16 +32,16 @@
         rig.shelfs[0].does = SILENT
         client = await rig.client()
         client.write("v", "x", b"1", **SAVE)
-        await until(lambda: rig.shelfs[0].trips)
+        await until(lambda: rig.shelfs[0].attempts)
         client.abort()
         await until(lambda: not rig.head.core.taken)
         assert rig.head.core.counts["left"] == 1 and rig.head.core.open == 0 and rig.head.core.bytes == 0
-        assert rig.shelfs[0].recalled == [rig.shelfs[0].trips[0].number]
-        rig.shelfs[0].trips[0].answer()  # an answer to nobody
+        assert rig.shelfs[0].recalled == [rig.shelfs[0].attempts[0].number]
+        rig.shelfs[0].attempts[0].answer()  # an answer to nobody
         other = await rig.client()
-        rig.shelfs[0].does = Trip.answer
+        rig.shelfs[0].does = Attempt.answer
         assert (await other.read("v", "x", 1, **LOOK)).honoured
-        assert len(rig.shelfs[0].trips) == 2 and rig.head.links["s1"].late == 1
+        assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late == 1
 
     on_rig(script)
 
@@ -50,7 +52,7 @@
         client = await rig.client()
         got = await client.write("v", "x", b"1", **SAVE)
         assert got.final == "terminated" and got.took_ms < 1200.0
-        assert len(rig.shelfs[0].trips) == 1
+        assert len(rig.shelfs[0].attempts) == 1
 
     on_rig(script)
 
@@ -61,7 +63,7 @@
         extra: list[str] = []
         client = await rig.client(noted=lambda event, **_: extra.append(event))
         got = await client.write("v", "x", b"1", **SAVE)
-        rig.shelfs[0].trips[0].answer()
+        rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.links["s1"].late == 1)
         await asyncio.sleep(0.05)
         assert got.final == "terminated" and "extra" not in extra
@@ -69,12 +71,12 @@
     on_rig(script)
 
 
-def test_reset_after_half_a_frame_may_have_run_and_an_unwritten_trip_never_did() -> None:
+def test_reset_after_half_a_frame_may_have_run_and_an_unwritten_attempt_never_did() -> None:
     async def script(rig: Rig) -> None:
-        def half(trip: Trip) -> None:
-            frame = encode(Kind.OUTCOME, trip.number, 0, "", b"x" * 100)
-            trip.conn.transport.write(frame[:50])
-            trip.conn.loop.call_later(0.02, trip.conn.abort)
+        def half(attempt: Attempt) -> None:
+            frame = encode(Kind.OUTCOME, attempt.number, 0, "", b"x" * 100)
+            attempt.conn.transport.write(frame[:50])
+            attempt.conn.loop.call_later(0.02, attempt.conn.abort)
 
         rig.shelfs[0].does = half
         client = await rig.client()
@@ -83,7 +85,7 @@
         rig.shelfs[0].crash()
         got = await client.write("v", "x", b"2", **SAVE)
         assert got.final == "pushed back" and 200.0 <= got.stay_ms <= 400.0  # no connection: it never ran
-        assert len(rig.shelfs[0].trips) == 1
+        assert len(rig.shelfs[0].attempts) == 1
 
     on_rig(script)
 
@@ -104,7 +106,7 @@
     on_rig(script)
 
 
-def test_shelf_restarted_untold_between_two_trips() -> None:
+def test_shelf_restarted_untold_between_two_attempts() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
         assert (await client.read("v", "x", 1, **LOOK)).honoured
@@ -112,7 +114,7 @@
         await rig.shelfs[0].start()
         await until(lambda: rig.head.links["s1"].wire is None)
         assert (await client.read("v", "x", 1, **LOOK)).honoured
-        assert len(rig.shelfs[0].trips) == 2
+        assert len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
 
@@ -122,15 +124,15 @@
         rig.shelfs[0].does = SILENT
         client = await rig.client()
         lost = client.write("v", "x", b"1", **SAVE)
-        await until(lambda: rig.shelfs[0].trips)
+        await until(lambda: rig.shelfs[0].attempts)
         rig.kill_head()
         assert (await lost).final == "lost"
         await rig.start_head()  # nothing of before is assumed: the access is not known here
         assert rig.head.core.open == 0
-        rig.shelfs[0].does = Trip.answer
+        rig.shelfs[0].does = Attempt.answer
         again = await rig.client()
         got = await again.write("v", "x", b"1", again=True, **SAVE)
-        assert got.honoured and len(rig.shelfs[0].trips) == 2
+        assert got.honoured and len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
 
@@ -141,7 +143,7 @@
         client = await rig.client()
         pending = [client.write("v", f"x{i}", b"1", **SAVE) for i in range(6)]
         pending.append(client.read("v", "y", 1, **LOOK))
-        await until(lambda: rig.shelfs[0].trips)
+        await until(lambda: rig.shelfs[0].attempts)
         rig.head.stop("SIGTERM")
         await until(lambda: client.stopping)
         with pytest.raises(OSError):
@@ -175,7 +177,7 @@
         rig.listing.control("list-wrong", {"shelf": "s1"})
         await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
         got = await client.read("v", "x", 1, **LOOK)
-        assert got.final == "pushed back" and not rig.shelfs[0].trips
+        assert got.final == "pushed back" and not rig.shelfs[0].attempts
         rig.listing.control("list-wrong", {"shelf": "s1", "off": 1})
         await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
         assert (await client.read("v", "x", 1, **LOOK)).honoured
@@ -191,8 +193,8 @@
         rig.shelfs[0].does = SILENT
         client = await rig.client(noted=lambda event, **_: noted.append(event))
         future = client.read("v", "x", 1, **LOOK)
-        await until(lambda: rig.shelfs[0].trips)
-        rig.shelfs[0].trips[0].answer()
+        await until(lambda: rig.shelfs[0].attempts)
+        rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.core.counts["honoured"] == 1)
         future.cancel()
         await asyncio.sleep(0.05)
@@ -202,7 +204,7 @@
 
 
 def test_a_connection_that_swallows_all_is_made_anew_at_the_first_silence() -> None:
-    """Found by search: half-open connections stood until the keep-alive, 15 s, and every trip on them was lost."""
+    """Found by search: half-open connections stood until the keep-alive, 15 s, and every attempt on them was lost."""
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
@@ -223,7 +225,7 @@
     async def script(rig: Rig) -> None:
         wall = time.time()
         monkeypatch.setattr(time, "time", lambda: wall - 86_400.0)
-        rig.shelfs[0].does = lambda trip: rig.loop.call_later(0.05, trip.answer)
+        rig.shelfs[0].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer)
         client = await rig.client()
         first = client.read("v", "x", 1, **LOOK)
         monkeypatch.setattr(time, "time", lambda: wall + 86_400.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -168,7 +168,7 @@
     on_rig(script)
 
 
-def test_a_client_that_goes_away_is_told_to_the_module_and_its_trip_is_given_up() -> None:
+def test_a_client_that_goes_away_is_told_to_the_module_and_its_attempt_is_given_up() -> None:
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = lambda conn, r: None
         client = await rig.client()
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -87,7 +87,7 @@
 
 def test_what_waits_or_is_out_longer_than_the_life_is_answered_before_it_ends() -> None:
     """Seen: 'END open 821f40cde254c25f', taken 4 s before, held for its plan's limit with 20 s of its time left; the
-    head ended over it. One out is given up by what its trip may have done."""
+    head ended over it. One out is given up by what its attempt may have done."""
 
     async def script(rig: Rig) -> None:
         for shelf in rig.shelfs:
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -28,7 +28,7 @@
     async def script(rig: Rig) -> None:
         def does(conn: ShelfPeer, request: Request) -> None:
             conn.write(OK)
-            time.sleep(0.4)  # the head's loop, too: the trip's time is up before the answer is read
+            time.sleep(0.4)  # the head's loop, too: the attempt's time is up before the answer is read
 
         rig.shelfs[0].does = does
         await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="200"))
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -1,4 +1,4 @@
-"""The head in service towards shelfs: each way a trip ends, connections kept and given up."""
+"""The head in service towards shelfs: each way an attempt ends, connections kept and given up."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from pebblehinge.stated import read_settings
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
-ENDS = {  # what a shelf does: the outcome, the trips it takes, and what the client of an irreversible access is told
+ENDS = {  # what a shelf does: the outcome, the attempts it takes, and what the client of an irreversible access is told
     "an error": (answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome.ERRED, 1, 502),
     "full": (answers(b"HTTP/1.1 503 Full\r\n" + NOT_RUN), Outcome.FULL, 3, 503),
     "over already": (answers(b"HTTP/1.1 504 Over\r\n" + NOT_RUN), Outcome.FULL, 3, 503),
@@ -78,13 +78,13 @@
 
 
 @pytest.mark.parametrize("what", ENDS)
-def test_each_way_a_trip_ends_is_the_outcome_that_the_protocol_names(what: str) -> None:
+def test_each_way_an_attempt_ends_is_the_outcome_that_the_protocol_names(what: str) -> None:
     async def script(rig: Rig) -> None:
-        does, outcome, trips, status = ENDS[what]
+        does, outcome, attempts, status = ENDS[what]
         rig.shelfs[0].does = does
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="300"))
-        assert answer.status == status and len(rig.shelfs[0].asked) == trips
-        assert {o: n for o, n in rig.head.core.outcomes.items() if n} == {outcome: trips}
+        assert answer.status == status and len(rig.shelfs[0].asked) == attempts
+        assert {o: n for o, n in rig.head.core.outcomes.items() if n} == {outcome: attempts}
         assert bool(answer.all(b"retry-after")) == (status == 503)
         if what not in KEEPS:  # its connection is of no further use
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
@@ -130,7 +130,7 @@
 
 
 def test_what_the_head_believes_is_what_passes_on_the_sockets() -> None:
-    """The time a trip took, trips out and connections, against the shelf's own record."""
+    """The time an attempt took, attempts out and connections, against the shelf's own record."""
 
     async def script(rig: Rig) -> None:
         loop, took, peer = asyncio.get_running_loop(), [], []
@@ -145,9 +145,9 @@
 
             loop.call_later(0.1, answer)
 
-        def seen(taken: Any, trip: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+        def seen(taken: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
             took.append(took_ms)
-            ended(taken, trip, outcome, took_ms, data)
+            ended(taken, attempt, outcome, took_ms, data)
 
         rig.head.ended = seen  # type: ignore[method-assign]
         rig.shelfs[0].does = does
@@ -203,8 +203,8 @@
 
     take(0.0).ended(30.0, 0, Outcome.HONOURED, True, 30.0)
     access = take(40.0)
-    for trip in range(2):
-        access.ended(41.0 + trip, trip, Outcome.UNREACHED, False, 1.0)
+    for attempt in range(2):
+        access.ended(41.0 + attempt, attempt, Outcome.UNREACHED, False, 1.0)
     assert access.sent == 3 and not access.over and head.shelfs.cold_ms[0] is None and not head.shelfs.dead[0]
     access.ended(70.0, 2, Outcome.HONOURED, True, 28.0)
     access = take(900.0)
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -94,7 +94,7 @@
         books.held(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
         now += 10.0 + n % 3
         books.ended(now, first)
-        books.sent(now, second, False)  # a further trip
+        books.sent(now, second, False)  # a retry
         now += 10.0 + n % 5
         books.ended(now, second)
     kept = [{share.cause for share in books.why(f"vol-{n}")} for n in range(2000)]
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -20,8 +20,8 @@
     return Machine(kind, RulesBlock(fall_multiple=2.0, fall_window=1000.0, most_units=4.0), random.Random(1), 0.0, warm)
 
 
-def job(units: float = 1.0, extent: str = "x", write: bool = False, until: float = INF, trip: int = 0) -> Job:
-    return Job(object(), units, write, extent, trip, until)
+def job(units: float = 1.0, extent: str = "x", write: bool = False, until: float = INF, attempt: int = 0) -> Job:
+    return Job(object(), units, write, extent, attempt, until)
 
 
 def run(m: Machine, until: float) -> list[tuple[float, Job]]:
@@ -40,10 +40,10 @@
     assert [(round(t), j) for t, j in run(m, 100.0)] == [(10, jobs[0]), (20, jobs[1]), (30, jobs[2])]
 
 
-def test_a_remembered_extent_costs_less_at_its_first_trip_only() -> None:
+def test_a_remembered_extent_costs_less_at_its_first_attempt_only() -> None:
     m = machine(seek=0.5, remembers=1)
     works = []
-    for j in (job(), job(), job(trip=1), job(extent="y"), job()):
+    for j in (job(), job(), job(attempt=1), job(extent="y"), job()):
         m.take(0.0, j)
         works.append(j.work)
     assert works == [10.0, 5.0, 10.0, 10.0, 10.0]
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -97,7 +97,7 @@
     async def script(rig: Rig) -> None:
         disk = OnDisk()
         back = await buffered(rig, disk)
-        rig.shelfs[0].does = lambda trip: None  # takes, never answers
+        rig.shelfs[0].does = lambda attempt: None  # takes, never answers
         client = await rig.client()
         got = await client.write("b", "x", b"hello", **WHERE)
         assert got.honoured
@@ -105,10 +105,10 @@
         assert (await client.barrier("b", profile="save", patience_ms=500.0)).honoured
         got = await client.flush_volume("b", profile="save", patience_ms=300.0)
         assert got.final == "terminated"  # it does not stand there, and is not said to
-        rig.shelfs[0].does = lambda trip: trip.answer(0, b"" if trip.op else b"other")
+        rig.shelfs[0].does = lambda attempt: attempt.answer(0, b"" if attempt.op else b"other")
         await until(lambda: not len(back.dirty), 8.0)
         assert (await client.flush_volume("b", profile="save", patience_ms=300.0)).honoured
-        landed = [t for t in rig.shelfs[0].trips if t.op == 1]
+        landed = [t for t in rig.shelfs[0].attempts if t.op == 1]
         assert landed[-1].data == b"hello" and landed[-1].label.startswith("wb.")
 
     on_rig(script, BUFFERED)
@@ -150,15 +150,15 @@
 def test_a_full_buffer_refuses_and_a_stop_brings_all_to_the_shelfs() -> None:
     async def script(rig: Rig) -> None:
         back = await buffered(rig, OnDisk())
-        rig.shelfs[0].does = lambda trip: None
+        rig.shelfs[0].does = lambda attempt: None
         client = await rig.client()
         ends = [await client.write("b", f"x{n}", b"z" * 20_000, **WHERE) for n in range(5)]
         assert [e.final for e in ends] == ["honoured"] * 3 + ["pushed back"] * 2
         assert "wait for their shelfs" in ends[-1].reason
         assert len(back.dirty) == 3
         rig.head.stop("the test says so")
-        rig.loop.call_later(0.2, lambda: [trip.answer() for trip in rig.shelfs[0].trips])
-        rig.shelfs[0].does = lambda trip: trip.answer()
+        rig.loop.call_later(0.2, lambda: [attempt.answer() for attempt in rig.shelfs[0].attempts])
+        rig.shelfs[0].does = lambda attempt: attempt.answer()
         began = rig.clock()
         await asyncio.wait_for(rig.head.stopped, 8.0)
         assert not len(back.dirty) and not back.landing.landed
@@ -170,21 +170,21 @@
 def test_a_write_that_was_buffered_before_its_plan_changed_lands_by_the_new_one() -> None:
     async def script(rig: Rig) -> None:
         back = await buffered(rig, OnDisk())
-        rig.shelfs[0].does = lambda trip: None
+        rig.shelfs[0].does = lambda attempt: None
         client = await rig.client()
         assert (await client.write("b", "x", b"1", **WHERE)).honoured
         new = config(BUFFERED.replace("volume b {\n    plan gold", "volume b {\n    plan capped"), FLEET)
         rig.head.adopt(new)
-        for trip in rig.shelfs[0].trips:
-            trip.answer()
-        rig.shelfs[0].does = lambda trip: trip.answer()
+        for attempt in rig.shelfs[0].attempts:
+            attempt.answer()
+        rig.shelfs[0].does = lambda attempt: attempt.answer()
         ends = [await client.write("b", f"y{n}", b"2", **WHERE) for n in range(30)]
         assert all(e.honoured for e in ends)  # confirming costs no units
         began = rig.clock()
         await until(lambda: not len(back.dirty), 10.0)
         # Ten units a second and a store that began empty: each write-back was counted there, once.
         assert rig.clock() - began > 1500.0
-        assert len([t for t in rig.shelfs[0].trips if t.op == 1]) == 31
+        assert len([t for t in rig.shelfs[0].attempts if t.op == 1]) == 31
 
     on_rig(script, BUFFERED)
 
