--- a/pebblehinge/rsync/stream.py
+++ b/pebblehinge/rsync/stream.py
@@ -19,8 +19,18 @@
 
 # Exit codes that such tools know.
 SYNTAX, PROTOCOL, SELECT, UNSUPPORTED, START, SOCKET, FILE, STREAM, PARTIAL, DELETE_LIMIT, TIMEOUT = (
-    1, 2, 3, 4, 5, 10, 11, 12, 23, 25, 30,
-)  # fmt: skip
+    1,
+    2,
+    3,
+    4,
+    5,
+    10,
+    11,
+    12,
+    23,
+    25,
+    30,
+)
 
 
 class RsyncError(Exception):
--- a/pebblehinge/rsync/tokens.py
+++ b/pebblehinge/rsync/tokens.py
@@ -24,8 +24,7 @@
 
     def literal(self, data: bytes) -> bytes:
         return b"".join(
-            int32(len(piece)) + piece
-            for piece in (data[at : at + LITERAL] for at in range(0, len(data), LITERAL))
+            int32(len(piece)) + piece for piece in (data[at : at + LITERAL] for at in range(0, len(data), LITERAL))
         )
 
     def match(self, index: int) -> bytes:
