--- a/pebblehinge/lab/caller.py
+++ b/pebblehinge/lab/caller.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import packed_filters
 from pebblehinge.rsync.flist import ListIn, ListOut, Named, arranged
@@ -45,7 +46,7 @@
     RsyncError,
     Stream,
 )  # fmt: skip
-from pebblehinge.rsync.sums import Search, Summing, Sums, read_sums
+from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
 
 ABLE = "LsfxCIvu"
--- a/pebblehinge/rsync/serve.py
+++ b/pebblehinge/rsync/serve.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import login, login_digest
 from pebblehinge.rsync.filters import Filters, read_filters
 from pebblehinge.rsync.flist import ListIn, ListOut, Named, arranging
@@ -43,7 +44,7 @@
     RsyncError,
     Stream,
 )  # fmt: skip
-from pebblehinge.rsync.sums import Search, Summing, Sums, read_sums
+from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
 from pebblehinge.rsync.tree import Entry, Folder, clean
 from pebblehinge.settings.schema import ModuleBlock
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from pebblehinge.lab.virtual import VirtualLoop
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
 from pebblehinge.rsync.filters import Filters, read_filters
 from pebblehinge.rsync.flist import ListIn, Shape, arranged
@@ -20,7 +21,7 @@
 from pebblehinge.rsync.serve import Told, serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
 from pebblehinge.rsync.stream import RsyncError, Stream
-from pebblehinge.rsync.sums import Search, read_sums
+from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
 from pebblehinge.rsync.tree import Folder, block_extent
 from pebblehinge.settings.schema import ModuleBlock
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -18,6 +18,7 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, one, stream_of
 
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
 from pebblehinge.rsync.flist import ListIn, ListOut, Named, Shape, arranged
@@ -36,8 +37,9 @@
     vstring,
 )
 from pebblehinge.rsync.options import parse
+from pebblehinge.rsync.rolling_checksum import weak, weak_everywhere
 from pebblehinge.rsync.stream import ERROR_XFER, RsyncError, Stream
-from pebblehinge.rsync.sums import Search, Summing, block_length, read_sums, strong_length, weak, weak_everywhere
+from pebblehinge.rsync.sums import Summing, block_length, read_sums, strong_length
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
 from pebblehinge.rsync.tree import Entry, Folder, clean, packed
 
