--- a/pebblehinge/lab/caller.py
+++ b/pebblehinge/lab/caller.py
@@ -13,7 +13,9 @@
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import ListIn, ListOut, Named, arranged
+from pebblehinge.rsync.flist import Named, arranged
+from pebblehinge.rsync.flist_reader import ListIn
+from pebblehinge.rsync.flist_writer import ListOut
 from pebblehinge.rsync.greeting import Agreed, hello, read_hello, settle
 from pebblehinge.rsync.numbers import (
     DONE,
--- a/pebblehinge/rsync/serve.py
+++ b/pebblehinge/rsync/serve.py
@@ -11,7 +11,9 @@
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import login, login_digest
 from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import ListIn, ListOut, Named, arranging
+from pebblehinge.rsync.flist import Named, arranging
+from pebblehinge.rsync.flist_reader import ListIn
+from pebblehinge.rsync.flist_writer import ListOut
 from pebblehinge.rsync.greeting import Agreed, hello, read_hello, settle
 from pebblehinge.rsync.numbers import (
     DONE,
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -13,7 +13,8 @@
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
 from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import ListIn, Shape, arranged
+from pebblehinge.rsync.flist import Shape, arranged
+from pebblehinge.rsync.flist_reader import ListIn
 from pebblehinge.rsync.greeting import read_hello
 from pebblehinge.rsync.numbers import IndexIn, read_longint, read_varint, read_varlong, read_vstring
 from pebblehinge.rsync.options import parse
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -21,7 +21,9 @@
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
-from pebblehinge.rsync.flist import ListIn, ListOut, Named, Shape, arranged
+from pebblehinge.rsync.flist import Named, Shape, arranged
+from pebblehinge.rsync.flist_reader import ListIn
+from pebblehinge.rsync.flist_writer import ListOut
 from pebblehinge.rsync.greeting import chosen, hello, read_hello
 from pebblehinge.rsync.numbers import (
     DONE,
