--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -92,8 +92,19 @@
     """A house with one open module, whose blocks are in a dictionary."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.modules = {"m": ModuleBlock(volume="v", read="r", write="w", commit="c", read_only=False, block=4096,
-                                         ahead=8192, max_files=100, max_size=1 << 20)}  # fmt: skip
+        self.modules = {
+            "m": ModuleBlock(
+                volume="v",
+                read="r",
+                write="w",
+                commit="c",
+                read_only=False,
+                block=4096,
+                ahead=8192,
+                max_files=100,
+                max_size=1 << 20,
+            )
+        }
         self.motd = ""
         self.held: dict[str, bytearray] = {}
         turns = Turns(loop, loop.time, Sharing(8, 4))
@@ -189,8 +200,15 @@
         elif kind in (9, 10) and rest:
             bits, version = rest[0], 27 + rest[0] % 5
             varint = version >= 30 and bool(bits & 64)
-            shape = Shape(version, bool(bits & 8), bool(bits & 16), bool(bits & 32), checksum=16 if bits & 128 else 0,
-                          varint_flags=varint, io_error_end=version >= 30)  # fmt: skip
+            shape = Shape(
+                version,
+                bool(bits & 8),
+                bool(bits & 16),
+                bool(bits & 32),
+                checksum=16 if bits & 128 else 0,
+                varint_flags=varint,
+                io_error_end=version >= 30,
+            )
             drive(_list(stream_of(rest[1:], kind == 10), shape))
         elif kind == 11:
             whole(rest)
