--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -135,8 +135,11 @@
             await self.start_shelf(name)
         for name in self.config.head:
             await self.start_head(name)
-        await self.until(lambda: all(len(self.servers[h].core.module.shelfs.at_slot) == len(self.config.shelf)
-                                     for h in self.config.head))  # fmt: skip
+        await self.until(
+            lambda: all(
+                len(self.servers[h].core.module.shelfs.at_slot) == len(self.config.shelf) for h in self.config.head
+            )
+        )
 
     async def start_shelf(self, name: str, warm: bool = True) -> None:
         node = self.nodes[name] = self.loop.node(name)
