--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -13,10 +13,12 @@
 from pebblehinge.head.inside import Inside
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
-from pebblehinge.rsync.place import Place, Transfer, Turns
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.serve import Told, serve
 from pebblehinge.rsync.sharing import Keeping, Sharing, admits
 from pebblehinge.rsync.stream import ERROR, RsyncError
+from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import Config, ModuleBlock
 
 LINGER_S = 3.0  # for what a client sent before it went
--- a/pebblehinge/rsync/serve.py
+++ b/pebblehinge/rsync/serve.py
@@ -10,6 +10,8 @@
 
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import login, login_digest
+from pebblehinge.rsync.file_content import FileContent
+from pebblehinge.rsync.file_writer import Writer
 from pebblehinge.rsync.filters import Filters, read_filters
 from pebblehinge.rsync.flist import Named, arranging
 from pebblehinge.rsync.flist_reader import ListIn
@@ -27,9 +29,8 @@
     short,
     varlong,
     vstring,
-)  # fmt: skip
+)
 from pebblehinge.rsync.options import Options, parse, receiver_wants_filters
-from pebblehinge.rsync.place import Transfer, Writer
 from pebblehinge.rsync.stream import (
     ERROR,
     ERROR_EXIT,
@@ -45,9 +46,10 @@
     Gone,
     RsyncError,
     Stream,
-)  # fmt: skip
+)
 from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
+from pebblehinge.rsync.transfer import Transfer
 from pebblehinge.rsync.tree import Entry, Folder, clean
 from pebblehinge.settings.schema import ModuleBlock
 
@@ -223,6 +225,7 @@
         self.phases = 2 if self.version >= 29 else 1
         self.block = transfer.block
         self.folders: dict[bytes, Folder] = {}
+        self.content = FileContent(transfer)
 
     async def folder(self, path: bytes) -> Folder:
         """A directory as it stood when this transfer first looked."""
@@ -253,7 +256,7 @@
     async def digest_of(self, entry: Entry) -> bytes:
         """A file's sum as this transfer takes them: the file is read for it."""
         whole = self.agreed.digest.whole()
-        async for data in self.transfer.content(entry):
+        async for data in self.content.content(entry):
             whole.update(data)
         return whole.digest()
 
@@ -424,7 +427,7 @@
         entry = self.kept[named.name]
         start = None
         if entry.size and not entry.data:
-            start = self.transfer.spawn(_begun(self.transfer.content(entry)))
+            start = self.transfer.spawn(_begun(self.content.content(entry)))
         return index, flags, extra, sums, start
 
     async def _send(self, index: int, flags: int, extra: bytes, sums: Sums, start: Any) -> None:
@@ -594,7 +597,7 @@
         basis = None if redo or o.whole else await self._basis(named, path, known)
         if basis is not None:
             summing = Summing(basis.size, self.agreed.digest, redo, o.block)
-            async for data in self.transfer.content(basis):
+            async for data in self.content.content(basis):
                 summing.feed(data)
             sums = summing.done()
         self.put_item(named.index, TRANSFER | (NEW if known is None else 0))
@@ -655,7 +658,7 @@
         head = await read_sums(self.stream, self.agreed.digest, whole=False)
         if (head.count, head.block, head.rest) != (sums.count, sums.block, sums.rest):
             raise RsyncError("the sender answers other sums than were sent")
-        known = await self.transfer.sums(basis) if basis is not None and not basis.data else None
+        known = await self.content.sums(basis) if basis is not None and not basis.data else None
         writer, whole = Writer(self.transfer, known), self.agreed.digest.whole()
         tokens = DeflatedIn() if self.agreed.compress else PlainIn()
         failed: RsyncError | None = None
@@ -774,6 +777,7 @@
 
     def __init__(self, transfer: Transfer, basis: Entry | None, sums: Sums, known: list[bytes] | None) -> None:
         self.transfer, self.basis, self.sums, self.known = transfer, basis, sums, known
+        self.content = FileContent(transfer)
         self.ahead: dict[int, Any] = {}  # the module's blocks that are at hand, or on their way
         self.most = max(1, transfer.block.ahead // basis.block) if basis is not None and basis.block else 1
 
@@ -785,7 +789,7 @@
         for m in range(n, min(n + self.most, len(self.known))):
             if m not in self.ahead:
                 size = min(self.basis.block, self.basis.size - m * self.basis.block)
-                self.ahead[m] = self.transfer.spawn(self.transfer.block_of(self.known[m], size))
+                self.ahead[m] = self.transfer.spawn(self.content.block_of(self.known[m], size))
         return await self.ahead[n]
 
     def drop(self) -> None:
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -16,16 +16,19 @@
 from pebblehinge.rsync.flist import Shape, arranged
 from pebblehinge.rsync.flist_reader import ListIn
 from pebblehinge.rsync.greeting import read_hello
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.numbers import IndexIn, read_longint, read_varint, read_varlong, read_vstring
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.place import APPENDED, Place, Transfer, Turns
 from pebblehinge.rsync.serve import Told, serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
 from pebblehinge.rsync.stream import RsyncError, Stream
 from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
+from pebblehinge.rsync.transfer import Transfer
 from pebblehinge.rsync.tree import Folder, block_extent
+from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import ModuleBlock
+from pebblehinge.wire.frames import APPENDED
 
 BOUND = 8 << 20  # bytes that one input may make a decoder give
 
--- a/tests/test_rsync.py
+++ b/tests/test_rsync.py
@@ -13,8 +13,9 @@
 from rsync_trees import BIG, TREE, held, stands
 
 from pebblehinge.lab.caller import Call, Local, folder
-from pebblehinge.rsync.place import Place, Transfer
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.stream import DELETE_LIMIT, PARTIAL, START, SYNTAX
+from pebblehinge.rsync.transfer import Transfer
 from pebblehinge.rsync.tree import Entry
 from pebblehinge.settings import SettingsError
 from pebblehinge.settings.load import loads
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -13,8 +13,8 @@
 from rsync_trees import BIG, held, stands
 
 from pebblehinge.lab.caller import Local
-from pebblehinge.rsync.place import Transfer
 from pebblehinge.rsync.stream import PARTIAL, STREAM
+from pebblehinge.rsync.transfer import Transfer
 
 
 def test_a_save_whose_answer_is_lost_is_looked_for_and_made_once() -> None:
