--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -14,10 +14,11 @@
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 from pebblehinge.rsync.module_store import Place
-from pebblehinge.rsync.serve import Told, serve
+from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing, admits
 from pebblehinge.rsync.stream import ERROR, RsyncError
 from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.transfer_report import Told
 from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import Config, ModuleBlock
 
--- a/pebblehinge/lab/caller.py
+++ b/pebblehinge/lab/caller.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from pebblehinge.rsync.deletion import STOPPED_DELETING
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import packed_filters
@@ -30,7 +31,6 @@
     short,
 )  # fmt: skip
 from pebblehinge.rsync.options import Options, parse, receiver_wants_filters
-from pebblehinge.rsync.serve import BASIS, STOPPED_DELETING, TRANSFER, XNAME
 from pebblehinge.rsync.stream import (
     DELETE_LIMIT,
     DELETED,
@@ -50,6 +50,7 @@
 )  # fmt: skip
 from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
+from pebblehinge.rsync.transfer_session import BASIS, TRANSFER, XNAME
 
 ABLE = "LsfxCIvu"
 WINDOW = 16  # files asked for ahead
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -19,12 +19,13 @@
 from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.numbers import IndexIn, read_longint, read_varint, read_varlong, read_vstring
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.serve import Told, serve
+from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
 from pebblehinge.rsync.stream import RsyncError, Stream
 from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
 from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.transfer_report import Told
 from pebblehinge.rsync.tree import Folder, block_extent
 from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import ModuleBlock
