--- a/pebblehinge/lab/caller.py
+++ b/pebblehinge/lab/caller.py
@@ -10,9 +10,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from pebblehinge.rsync.deletion import STOPPED_DELETING
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest, login, login_digest
 from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import ListIn, ListOut, Named, arranged
+from pebblehinge.rsync.flist import Named, arranged
+from pebblehinge.rsync.flist_reader import ListIn
+from pebblehinge.rsync.flist_writer import ListOut
 from pebblehinge.rsync.greeting import Agreed, hello, read_hello, settle
 from pebblehinge.rsync.numbers import (
     DONE,
@@ -27,7 +31,6 @@
     short,
 )
 from pebblehinge.rsync.options import Options, parse, receiver_wants_filters
-from pebblehinge.rsync.serve import BASIS, STOPPED_DELETING, TRANSFER, XNAME
 from pebblehinge.rsync.stream import (
     DELETE_LIMIT,
     DELETED,
@@ -44,9 +47,10 @@
     Gone,
     RsyncError,
     Stream,
-)
-from pebblehinge.rsync.sums import Search, Summing, Sums, read_sums
+)  # fmt: skip
+from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
+from pebblehinge.rsync.transfer_session import BASIS, TRANSFER, XNAME
 
 ABLE = "LsfxCIvu"
 WINDOW = 16  # files asked for ahead
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -10,20 +10,26 @@
 from typing import Any
 
 from pebblehinge.lab.virtual import VirtualLoop
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
 from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import ListIn, Shape, arranged
+from pebblehinge.rsync.flist import Shape, arranged
+from pebblehinge.rsync.flist_reader import ListIn
 from pebblehinge.rsync.greeting import read_hello
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.numbers import IndexIn, read_longint, read_varint, read_varlong, read_vstring
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.place import APPENDED, Place, Transfer, Turns
-from pebblehinge.rsync.serve import Told, serve
+from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
 from pebblehinge.rsync.stream import RsyncError, Stream
-from pebblehinge.rsync.sums import Search, read_sums
+from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
+from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.transfer_report import Told
 from pebblehinge.rsync.tree import Folder, block_extent
+from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import ModuleBlock
+from pebblehinge.wire.frames import APPENDED
 
 BOUND = 8 << 20  # bytes that one input may make a decoder give
 
