--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -23,7 +23,8 @@
 from pebblehinge.lab.crash import SETTINGS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.disk import RealDisk
-from pebblehinge.store.journal import Batch, Journal, Write
+from pebblehinge.store.journal import Batch, Journal
+from pebblehinge.store.records import Write
 
 MORE = """
 volume direct {
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -23,7 +23,7 @@
 
 def journal_of(folder: str) -> tuple[Any, dict[str, Any]]:
     from pebblehinge.store import RealDisk
-    from pebblehinge.store.journal import look
+    from pebblehinge.store.inspection import look
 
     disk = RealDisk(folder)
     return disk, look(disk)
@@ -40,8 +40,10 @@
     if as_json:
         click.echo(json.dumps(told))
         return
-    click.echo(f"{told['segments']} segments, {told['bytes']} bytes; {told['live']} writes not yet at their shelfs "
-               f"({told['live_bytes']} bytes), {told['done']} done, {told['barriers']} barriers")  # fmt: skip
+    click.echo(
+        f"{told['segments']} segments, {told['bytes']} bytes; {told['live']} writes not yet at their shelfs "
+        f"({told['live_bytes']} bytes), {told['done']} done, {told['barriers']} barriers"
+    )
     for write in writes[:20]:
         click.echo(f"  {write.number}: {write.volume}/{write.extent} at {write.offset}, {len(write.data)} bytes")
     for line in told["damage"]:
@@ -55,7 +57,7 @@
 def store_verify(folder: str) -> None:
     """Exit 0 where all that was promised can be read, 1 and the places where not."""
     from pebblehinge.store import StorageError
-    from pebblehinge.store.journal import read_segment
+    from pebblehinge.store.segment import read_segment
 
     disk, told = journal_of(folder)
     names = sorted(n for n in disk.names() if n.startswith("journal-"))
@@ -115,8 +117,9 @@
                     break
                 label = f"wb.{write.label}.{write.number}"
                 if got.honoured:
-                    got = await client.write(write.volume, write.extent, write.data, offset=write.offset, label=label,
-                                             **where)  # fmt: skip
+                    got = await client.write(
+                        write.volume, write.extent, write.data, offset=write.offset, label=label, **where
+                    )
                     if got.honoured:
                         brought += 1
                         break
--- a/pebblehinge/head/landing.py
+++ b/pebblehinge/head/landing.py
@@ -12,7 +12,8 @@
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.flushing import Flushing, next_step
-from pebblehinge.store.journal import Done, Journal, Write
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Done, Write
 from pebblehinge.wire.frames import READ, WRITE
 
 
@@ -20,9 +21,15 @@
     """The way of dirty writes to their shelfs. Tells through `moved` whenever something is no longer under way."""
 
     def __init__(
-        self, house: House, journal: Journal, committer: Committer, dirty: Dirty, flushing: Flushing,
-        counts: dict[str, int], moved: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        house: House,
+        journal: Journal,
+        committer: Committer,
+        dirty: Dirty,
+        flushing: Flushing,
+        counts: dict[str, int],
+        moved: Callable[[], None],
+    ) -> None:
         self.house, self.loop, self.clock, self.moved = house, house.loop, house.clock, moved
         self.block = house.config.buffer
         self.journal, self.committer, self.dirty, self.flushing = journal, committer, dirty, flushing
@@ -76,10 +83,20 @@
         back = volume.back if volume is not None and volume.back else write.profile
         number = self.inside.ids + 1
         return await self.inside.access(
-            write.volume, op=op, extent=write.extent, slot=write.slot, profile=back, units=write.units,
-            patience_ms=self.block.patience, trace=f"{self.house.name}.w{write.number}.{number}", again=False,
-            offset=write.offset, length=len(write.data), data=data, label=f"wb.{write.label}.{write.number}",
-        )  # fmt: skip
+            write.volume,
+            op=op,
+            extent=write.extent,
+            slot=write.slot,
+            profile=back,
+            units=write.units,
+            patience_ms=self.block.patience,
+            trace=f"{self.house.name}.w{write.number}.{number}",
+            again=False,
+            offset=write.offset,
+            length=len(write.data),
+            data=data,
+            label=f"wb.{write.label}.{write.number}",
+        )
 
     def _note_soon(self) -> None:
         if self.noting is None and not self.closed:
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -18,7 +18,8 @@
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.flushing import Flushing
-from pebblehinge.store.journal import Barrier, Batch, Journal, Write
+from pebblehinge.store.journal import Batch, Journal
+from pebblehinge.store.records import Barrier, Write
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 
@@ -73,9 +74,22 @@
     # ---- from clients
 
     def take(
-        self, conn: Any, id_: int, trace: str, volume: str, profile: str, extent: str, slot: int, units: float,
-        left_ms: float, label: str | None, op: int, offset: int, length: int, data: bytes,
-    ) -> bool:  # fmt: skip
+        self,
+        conn: Any,
+        id_: int,
+        trace: str,
+        volume: str,
+        profile: str,
+        extent: str,
+        slot: int,
+        units: float,
+        left_ms: float,
+        label: str | None,
+        op: int,
+        offset: int,
+        length: int,
+        data: bytes,
+    ) -> bool:
         """True where the access is this one's: a write, a barrier or a flush; a read that dirty writes cover whole."""
         now = self.server.now
         if op == READ:
@@ -156,8 +170,7 @@
             asked.timer.cancel()
             self.open -= 1
         asked.conn.tell(asked.id, final, stay_ms, reason, asked.slot, data)
-        self.server.note(self.clock(), "answer", id=asked.trace, final=FINALS[final],
-                         stay=stay_ms)  # fmt: skip
+        self.server.note(self.clock(), "answer", id=asked.trace, final=FINALS[final], stay=stay_ms)
         if self.stopping and not self.open:
             self.loop.call_soon(self.server.stop_if_done)
 
@@ -189,8 +202,11 @@
     def _look_at_flushes(self) -> None:
         left = []
         for asked in self.flushes:
-            waits = any(r.volume == asked.volume and r.number <= asked.up_to for r, _ in self.committer.waiting
-                        if isinstance(r, Write))  # fmt: skip
+            waits = any(
+                r.volume == asked.volume and r.number <= asked.up_to
+                for r, _ in self.committer.waiting
+                if isinstance(r, Write)
+            )
             waits = waits or self.committer.running or not self.dirty.clean(asked.volume, asked.up_to)
             if waits and not asked.answered:
                 left.append(asked)
--- a/pebblehinge/store/committer.py
+++ b/pebblehinge/store/committer.py
@@ -5,7 +5,8 @@
 from collections.abc import Awaitable, Callable
 
 from pebblehinge.store.disk import StorageError
-from pebblehinge.store.journal import Barrier, Batch, Done, Journal, Record, Write
+from pebblehinge.store.journal import Batch, Journal
+from pebblehinge.store.records import Barrier, Done, Record, Write
 
 MOST = 4 << 20  # bytes of writes in one batch
 
--- a/pebblehinge/store/dirty.py
+++ b/pebblehinge/store/dirty.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Iterator
 
-from pebblehinge.store.journal import Barrier, Write
+from pebblehinge.store.records import Barrier, Write
 
 
 class Volume:
--- a/pebblehinge/store/flushing.py
+++ b/pebblehinge/store/flushing.py
@@ -13,7 +13,7 @@
 from itertools import islice
 
 from pebblehinge.store.dirty import Dirty
-from pebblehinge.store.journal import Write
+from pebblehinge.store.records import Write
 
 LEAST, RESTART = 2.0, 2.0
 SHRINK = 0.6
--- a/pebblehinge/store/journal.py
+++ b/pebblehinge/store/journal.py
@@ -1,67 +1,21 @@
-"""The journal of a head: confirmed writes, barriers, and which of them are done. Bytes to records and back.
+"""The journal of a head: which writes are confirmed, which of them are done, and in which segments they stand.
 
-    journal-NUMBER.seg   `header`, then batches
-
-A header is `magic 8 | version u16 | segment u32 | number u64`, the highest number given out before it; a batch is
-`mark 4 | length u32 | XXH64 u64 | body`, big-endian; the body is one msgpack array of records. A batch is written and
-synced before the next is begun. So a damaged batch with nothing after it was never promised and is cut; one with a
-sound batch after it had been, and the journal is refused with the place.
-
-Nothing here reads a clock or waits; `committer` does what `Batch` says.
+`records` has the kinds of records, `segment` the format on disk. Nothing here reads a clock or waits; `committer` does
+what `Batch` says.
 """
 
 from __future__ import annotations
 
-import struct
 from dataclasses import dataclass, field
-from typing import Any
-
-import msgspec
-import xxhash
 
 from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.store.records import Barrier, Done, Record, Write
+from pebblehinge.store.segment import HEADER, MAGIC, VERSION, frame, name_of, read_segment
 
-MAGIC, VERSION = b"pbhjrnl\n", 1
-HEADER = struct.Struct(">8sHIQ")
-MARK = b"\xc5PB\x9e"
-BATCH = struct.Struct(">4sIQ")
 SEGMENT = 8 << 20  # bytes after which a new segment begins
-LARGEST = 128 << 20
 FENCE = "fence"
 
 
-class Write(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """One confirmed write; `number` grows by one a record, over all volumes."""
-
-    number: int
-    volume: str
-    extent: str
-    slot: int
-    offset: int
-    data: bytes
-    label: str
-    profile: str
-    units: float
-
-
-class Barrier(msgspec.Struct, array_like=True, tag="b", frozen=True):
-    """What was written to a volume before lands before what is written to it after."""
-
-    number: int
-    volume: str
-
-
-class Done(msgspec.Struct, array_like=True, tag="d", frozen=True):
-    """These writes stand at their shelfs."""
-
-    numbers: list[int]
-
-
-Record = Write | Barrier | Done
-_encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(list[Record]).decode
-
-
 @dataclass(slots=True)
 class Batch:
     """Bytes that are to be appended to a file and synced, before any of its records counts."""
@@ -80,67 +34,6 @@
     live: dict[int, None] = field(default_factory=dict)
 
 
-def name_of(number: int) -> str:
-    return f"journal-{number:08d}.seg"
-
-
-def frame(records: list[Record]) -> bytes:
-    body = _encode(records)
-    return BATCH.pack(MARK, len(body), xxhash.xxh64_intdigest(body)) + body
-
-
-def read_segment(name: str, data: bytes, last: bool) -> tuple[list[list[Record]], int]:
-    """The batches, and how many bytes of the file are sound. Raises StorageError with the place and what is safe."""
-    if len(data) < HEADER.size:
-        if last:
-            return [], 0  # cut off while it was made
-        raise StorageError(f"{name}: its header is cut off though later segments are there; nothing of it can be read")
-    magic, version, _, _ = HEADER.unpack_from(data)
-    if magic != MAGIC:
-        if last and _later(data, 0) < 0:
-            return [], 0  # its first sector was not written before the power went, and nothing after it was promised
-        raise StorageError(f"{name}: no journal of this program")
-    if version > VERSION:
-        raise StorageError(f"{name}: written by a newer version ({version}); this one reads up to {VERSION}")
-    at, batches = HEADER.size, []
-    while at < len(data):
-        records = _batch_at(data, at)
-        if records is None:
-            later = _later(data, at + 1)
-            if last and later < 0:
-                return batches, at
-            where = f"a sound one follows at byte {later}" if later >= 0 else "later segments are there"
-            raise StorageError(
-                f"{name}: the batch at byte {at} is damaged and had been promised ({where}); the {len(batches)} "
-                "batches before it are sound. `pebblehinge store export` writes out what can be read"
-            )
-        batches.append(records)
-        at += BATCH.size + BATCH.unpack_from(data, at)[1]
-    return batches, at
-
-
-def _batch_at(data: bytes, at: int) -> list[Record] | None:
-    if at + BATCH.size > len(data):
-        return None
-    mark, length, wanted = BATCH.unpack_from(data, at)
-    body = data[at + BATCH.size : at + BATCH.size + length]
-    if mark != MARK or length > LARGEST or len(body) != length or xxhash.xxh64_intdigest(body) != wanted:
-        return None
-    try:
-        return _decode(body)
-    except msgspec.MsgspecError:
-        return None
-
-
-def _later(data: bytes, at: int) -> int:
-    """Where a sound batch stands from here on, or -1."""
-    while (at := data.find(MARK, at)) >= 0:
-        if _batch_at(data, at) is not None:
-            return at
-        at += 1
-    return -1
-
-
 class Journal:
     """The books of one folder: what is live, and where. `begin` reads it; then `add` gives batches to be synced."""
 
@@ -269,43 +162,3 @@
 def fence(disk: Disk, by: str) -> None:
     """From now on the head that this journal belonged to may not write by it."""
     disk.replace(FENCE, by.encode())
-
-
-def look(disk: Disk) -> dict[str, Any]:
-    """What a folder holds, whether it is sound or not; nothing is changed."""
-    names = sorted(n for n in disk.names() if n.startswith("journal-") and n.endswith(".seg"))
-    told: dict[str, Any] = {"segments": len(names), "bytes": 0, "fenced": disk.exists(FENCE), "damage": []}
-    writes: dict[int, Write] = {}
-    done: dict[int, None] = {}
-    barriers = 0
-    for i, name in enumerate(names):
-        data = disk.read(name)
-        told["bytes"] += len(data)
-        try:
-            batches, sound = read_segment(name, data, i == len(names) - 1)
-            if sound < len(data):
-                told["damage"].append(f"{name}: {len(data) - sound} bytes at its end are cut off (never promised)")
-        except StorageError as error:
-            told["damage"].append(str(error))
-            batches = _all_sound(data)
-        for record in (r for batch in batches for r in batch):
-            if isinstance(record, Done):
-                done.update(dict.fromkeys(record.numbers))
-            elif isinstance(record, Write):
-                writes[record.number] = record
-            else:
-                barriers += 1
-    told["writes"] = [writes[n] for n in sorted(writes) if n not in done]
-    told["done"], told["barriers"] = len([n for n in writes if n in done]), barriers
-    return told
-
-
-def _all_sound(data: bytes) -> list[list[Record]]:
-    """All batches that can be read, wherever they stand."""
-    found, at = [], 0
-    while (at := _later(data, at)) >= 0:
-        records = _batch_at(data, at)
-        assert records is not None
-        found.append(records)
-        at += BATCH.size + BATCH.unpack_from(data, at)[1]
-    return found
--- a/tests/journal_disk.py
+++ b/tests/journal_disk.py
@@ -6,10 +6,8 @@
 from typing import Any
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.store.journal import (
-    Journal,
-    Write,
-)  # fmt: skip
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Write
 
 
 def write(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,17 +16,10 @@
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.disk import RealDisk, StorageError
 from pebblehinge.store.flushing import Flushing, next_step
-from pebblehinge.store.journal import (
-    HEADER,
-    Barrier,
-    Batch,
-    Done,
-    Journal,
-    fence,
-    look,
-    name_of,
-    read_segment,
-)  # fmt: skip
+from pebblehinge.store.inspection import look
+from pebblehinge.store.journal import Batch, Journal, fence
+from pebblehinge.store.records import Barrier, Done
+from pebblehinge.store.segment import HEADER, name_of, read_segment
 
 
 def test_what_was_synced_is_read_back_without_what_is_done() -> None:
