--- a/pebblehinge/lab/days.py
+++ b/pebblehinge/lab/days.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pebblehinge.settings import Config, Trouble
-from pebblehinge.settings.load import TROUBLES
+from pebblehinge.settings.troubles import TROUBLES
 
 CONTROLS = {  # troubles that a shelf brings upon itself when it is told, with the names of their figures
     "slow": ("slow",),
--- a/pebblehinge/lab/search.py
+++ b/pebblehinge/lab/search.py
@@ -14,8 +14,8 @@
 from pebblehinge.lab.verdict import summary
 from pebblehinge.lab.village import VillageError, play
 from pebblehinge.settings import Config, Trouble, show
-from pebblehinge.settings.load import TROUBLES
 from pebblehinge.settings.schema import DayBlock
+from pebblehinge.settings.troubles import TROUBLES
 
 # What a drawn trouble may be: figures from mild to strong, and how long. Shelfs are struck by shares or racks.
 BY: dict[str, tuple[float, float]] = {
