--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -13,7 +13,8 @@
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.settings import Config, show
 from pebblehinge.settings.load import loads
-from pebblehinge.settings.schema import HeadBlock, ShelfBlock, VolumeBlock
+from pebblehinge.settings.policy import VolumeBlock
+from pebblehinge.settings.schema import HeadBlock, ShelfBlock
 from pebblehinge.store import memory
 from pebblehinge.wire import Kind, encode
 from pebblehinge.wire.frames import PREFIX
--- a/pebblehinge/agreed/activation.py
+++ b/pebblehinge/agreed/activation.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from pebblehinge.settings import Config
-from pebblehinge.settings.schema import PlanBlock, VolumeBlock
+from pebblehinge.settings.policy import PlanBlock, VolumeBlock
 
 Parts = dict[str, tuple[float, float]]  # volume -> rate and burst of one head
 
--- a/pebblehinge/settings/load.py
+++ b/pebblehinge/settings/load.py
@@ -11,7 +11,8 @@
 
 from pebblehinge.settings.checks import CrossChecks
 from pebblehinge.settings.lines import Place, Problem, Reading, Statement, read_file, read_text
-from pebblehinge.settings.schema import Config, HeadBlock, ShelfBlock, Trouble, VolumeBlock
+from pebblehinge.settings.policy import VolumeBlock
+from pebblehinge.settings.schema import Config, HeadBlock, ShelfBlock, Trouble
 from pebblehinge.settings.troubles import trouble_of
 from pebblehinge.settings.values import BadValue, parse_value, shape_of, unwrap
 
--- a/pebblehinge/shelf/model.py
+++ b/pebblehinge/shelf/model.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pebblehinge.settings.schema import KindBlock, RulesBlock
+from pebblehinge.settings.policy import RulesBlock
+from pebblehinge.settings.schema import KindBlock
 
 GRID_MS = 20.0  # how finely a changing rate is followed
 
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -16,7 +16,8 @@
 
 from pebblehinge.settings import Config, show  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
-from pebblehinge.settings.schema import HeadBlock, ShelfBlock, VolumeBlock  # noqa: E402
+from pebblehinge.settings.policy import VolumeBlock  # noqa: E402
+from pebblehinge.settings.schema import HeadBlock, ShelfBlock  # noqa: E402
 
 # Too low at 1,024 heads and 2,048 shelfs, told in docs/CAPACITY.md and not raised yet.
 NOT_YET = {
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -8,7 +8,8 @@
 import pytest
 
 from pebblehinge.listing import Registry
-from pebblehinge.settings.schema import KindBlock, ListingBlock, RulesBlock
+from pebblehinge.settings.policy import RulesBlock
+from pebblehinge.settings.schema import KindBlock, ListingBlock
 from pebblehinge.shelf.contents import Contents, JournalError
 from pebblehinge.shelf.model import Job, Machine
 
