--- a/pebblehinge/shelf/__init__.py
+++ b/pebblehinge/shelf/__init__.py
@@ -1,4 +1,5 @@
-"""The stand-in shelf: `model` is the machine without sockets, `contents` what it stores, `server` its sockets."""
+"""The stand-in shelf: `model` is the machine without sockets, `contents` what it stores, `accesses` what it does with
+both, `connection` and `registration` its connections, `server` the process."""
 
 from pebblehinge.shelf.contents import Contents
 from pebblehinge.shelf.model import Job, Machine
