--- /dev/null
+++ b/pebblehinge/head/effects.py
@@ -0,0 +1,133 @@
+"""What the core of a head does becomes answers, trips, timers and calls to the list; what comes of them goes back."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Any
+
+from hdrh.histogram import HdrHistogram
+
+from pebblehinge.core import HONOURED, Taken
+from pebblehinge.head.admission import HeadCore
+from pebblehinge.head.inside import FINALS
+from pebblehinge.head.link import ShelfLink
+from pebblehinge.head.listing import ListingLink
+from pebblehinge.interface import Entry, ListCall, ListKind
+from pebblehinge.records import NoRecords, Records
+from pebblehinge.settings.schema import Config, HeadBlock
+
+
+class Effects:
+    """The core of a head with its timer, its links to shelfs and its link to the list."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], float],
+        config: Config,
+        name: str,
+        log: Any,
+        records: Records | NoRecords | None,
+        core: type[HeadCore],
+    ) -> None:
+        self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
+        self.block: HeadBlock = config.head[name]
+        self.records = records or NoRecords()
+        self.note = self.records.note if self.records.on else _nothing
+        self.links: dict[str, ShelfLink] = {}
+        self.retired: list[ShelfLink] = []
+        self.now = clock()
+        self.core = core(config, self.block, self.now, self)
+        self.timer: asyncio.TimerHandle | None = None
+        self.wake_ms = float("inf")
+        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of honoured accesses
+        self.listing = ListingLink(
+            loop,
+            clock,
+            name,
+            config.listing.listen,
+            config.limits,
+            random.Random(self.block.seed),
+            self._listed,
+            config.listing.mode == "ask",
+        )
+
+    def stop_if_done(self) -> None:
+        """Called where the last answer that was owed is given."""
+        raise NotImplementedError
+
+    # ---- what the core has done
+
+    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        taken.conn.answered(taken, final, stay_ms, reason, data)
+        now = self.now
+        if final == HONOURED:
+            self.latency.record_value(max(1, int((now - taken.came_ms) * 1000.0)))
+        self.note(now, "answer", id=taken.trace, final=FINALS[final], stay=stay_ms)
+        if self.config.log.accesses:
+            took = round(now - taken.came_ms, 3)
+            self.log.info("answer", id=taken.trace, final=FINALS[final], ms=took, reason=reason)
+        if self.core.stopping and not self.core.open:
+            self.loop.call_soon(self.stop_if_done)
+
+    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
+        link = self.links[shelf]
+        if self.config.log.accesses:
+            self.log.info("trip", id=taken.trace, n=trip, shelf=shelf)
+        link.send(taken, trip, until_ms, self.now)
+
+    def drop_trip(self, taken: Taken) -> None:
+        taken.trip.link.drop(taken)
+
+    def wake_at(self, at_ms: float) -> None:
+        if at_ms < self.wake_ms:
+            if self.timer is not None:
+                self.timer.cancel()
+            self.wake_ms = at_ms
+            # The loop rounds to its grid: half a millisecond more, or it would call just before the time.
+            self.timer = self.loop.call_at(at_ms / 1000.0 + 0.0005, self._woken)
+
+    def _woken(self) -> None:
+        self.timer, self.wake_ms = None, float("inf")
+        self.now = self.clock()
+        self.core.woken(self.now)
+
+    def call_list(self, call: ListCall) -> None:
+        self.listing.call(call)
+
+    # ---- from shelfs and list
+
+    def _ended(self, now: float, *rest: Any) -> None:
+        self.now = now
+        self.core.ended(now, *rest)
+
+    def _listed(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
+        self.now = now
+        for shelf, address in addresses.items():
+            link = self.links.get(shelf)
+            if link is None or link.address != address:
+                if link is not None:
+                    self.retired = [r for r in self.retired if r.out or r.waiting]
+                    self.retired.append(link)
+                    link.retire()
+                self.links[shelf] = ShelfLink(
+                    self.loop,
+                    self.clock,
+                    self.name,
+                    shelf,
+                    address,
+                    self.config.limits,
+                    self._ended,
+                    self.note if self.records.on else None,
+                )
+        self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
+        self.log.debug("listed", kind=kind.value, shelfs=len(entries))
+        self.core.listed(now, kind, entries)
+        for shelf in [n for n in self.links if n not in self.core.module.shelfs.index]:
+            self.links.pop(shelf).retire()  # the module has given its place to another name: nothing of it is out
+
+
+def _nothing(*_: Any, **__: Any) -> None:
+    pass
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -1,33 +1,26 @@
-"""The running head: joins its clients, its links to shelfs and list, its timer, its stop."""
+"""The running head: its clients, its start, its settings and its stop."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Callable
 from typing import Any
 
-from hdrh.histogram import HdrHistogram
-
-from pebblehinge.core import HONOURED, Taken
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.clients import ClientConn
 from pebblehinge.head.door import Door
-from pebblehinge.head.inside import FINALS
-from pebblehinge.head.link import ShelfLink
-from pebblehinge.head.listing import ListingLink
+from pebblehinge.head.effects import Effects
 from pebblehinge.head.remembering import Remembering
 from pebblehinge.head.writeback import Back
-from pebblehinge.interface import Entry, ListCall, ListKind
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
-from pebblehinge.settings.schema import Config, HeadBlock
+from pebblehinge.settings.schema import Config
 from pebblehinge.store.beside import Beside, inline
 
 BACKLOG = 8192  # connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)
 
 
-class HeadServer:
+class HeadServer(Effects):
     """A running head. Loop, clock (milliseconds) and records are handed in; nothing here reads others."""
 
     def __init__(
@@ -40,29 +33,15 @@
         records: Records | NoRecords | None = None,
         core: type[HeadCore] = HeadCore,
     ) -> None:
-        self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
-        self.block: HeadBlock = config.head[name]
-        self.records = records or NoRecords()
-        self.note = self.records.note if self.records.on else _nothing
+        super().__init__(loop, clock, config, name, log, records, core)
         self.conns: dict[ClientConn, None] = {}  # in the order in which they came
-        self.links: dict[str, ShelfLink] = {}
-        self.retired: list[ShelfLink] = []
-        self.now = clock()
-        self.core = core(config, self.block, self.now, self)
-        self.timer: asyncio.TimerHandle | None = None
-        self.wake_ms = float("inf")
         self.server: Any = None
-        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of honoured accesses
         self.faults = 0
         self.door: Door | None = None
         self.memory: Remembering | None = None
         self.version_shown: dict[str, Any] = {}  # of the group's configuration, where there is one
         self.back: Back | None = None
         self.stopped: asyncio.Future[None] = loop.create_future()
-        self.listing = ListingLink(
-            loop, clock, name, config.listing.listen, config.limits, random.Random(self.block.seed), self._listed,
-            config.listing.mode == "ask",
-        )  # fmt: skip
 
     async def start(self) -> None:
         host, port = parse_address(self.block.listen)
@@ -84,9 +63,7 @@
         """Before `start`: buffered volumes are confirmed from a journal on this disk."""
         self.back = Back(self, disk, lasts)
 
-    def remember(
-        self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
-    ) -> None:
+    def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline) -> None:
         """Before `start`: takes up what an earlier life learned, and keeps what this one learns, beside the loop.
         `times` gives the wall clock and the machine's time since its start, in ms, and which start that was."""
         self.memory = Remembering(self, disk, times, beside)
@@ -153,70 +130,6 @@
         conn.open.clear()
         self.stop_if_done()
 
-    # ---- what the core has done
-
-    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        taken.conn.answered(taken, final, stay_ms, reason, data)
-        now = self.now
-        if final == HONOURED:
-            self.latency.record_value(max(1, int((now - taken.came_ms) * 1000.0)))
-        self.note(now, "answer", id=taken.trace, final=FINALS[final], stay=stay_ms)
-        if self.config.log.accesses:
-            took = round(now - taken.came_ms, 3)
-            self.log.info("answer", id=taken.trace, final=FINALS[final], ms=took, reason=reason)
-        if self.core.stopping and not self.core.open:
-            self.loop.call_soon(self.stop_if_done)
-
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
-        link = self.links[shelf]
-        if self.config.log.accesses:
-            self.log.info("trip", id=taken.trace, n=trip, shelf=shelf)
-        link.send(taken, trip, until_ms, self.now)
-
-    def drop_trip(self, taken: Taken) -> None:
-        taken.trip.link.drop(taken)
-
-    def wake_at(self, at_ms: float) -> None:
-        if at_ms < self.wake_ms:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.wake_ms = at_ms
-            # The loop rounds to its grid: half a millisecond more, or it would call just before the time.
-            self.timer = self.loop.call_at(at_ms / 1000.0 + 0.0005, self._woken)
-
-    def _woken(self) -> None:
-        self.timer, self.wake_ms = None, float("inf")
-        self.now = self.clock()
-        self.core.woken(self.now)
-
-    def call_list(self, call: ListCall) -> None:
-        self.listing.call(call)
-
-    # ---- from shelfs and list
-
-    def _ended(self, now: float, *rest: Any) -> None:
-        self.now = now
-        self.core.ended(now, *rest)
-
-    def _listed(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
-        self.now = now
-        for shelf, address in addresses.items():
-            link = self.links.get(shelf)
-            if link is None or link.address != address:
-                if link is not None:
-                    self.retired = [r for r in self.retired if r.out or r.waiting]
-                    self.retired.append(link)
-                    link.retire()
-                self.links[shelf] = ShelfLink(
-                    self.loop, self.clock, self.name, shelf, address, self.config.limits, self._ended,
-                    self.note if self.records.on else None,
-                )  # fmt: skip
-        self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
-        self.log.debug("listed", kind=kind.value, shelfs=len(entries))
-        self.core.listed(now, kind, entries)
-        for shelf in [n for n in self.links if n not in self.core.module.shelfs.index]:
-            self.links.pop(shelf).retire()  # the module has given its place to another name: nothing of it is out
-
     def capture(self, writer: Any) -> None:
         """Keeps what is taken from now on; what stands is written every second."""
         self.core.capture = writer
@@ -234,7 +147,3 @@
         self.core.take_up(self.now, config)
         if self.door is not None:
             self.door.adopt(config)
-
-
-def _nothing(*_: Any, **__: Any) -> None:
-    pass
