--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -5,12 +5,12 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 from pebblehinge.core import HONOURED, PUSHED_BACK, TERMINATED, Taken
 from pebblehinge.head.admission import odd_time
+from pebblehinge.head.buffered_request import Asked
 from pebblehinge.head.house import House
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.landing import Landing
@@ -23,18 +23,6 @@
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 
-class Asked:
-    """One client's buffered write, barrier or flush, until it is answered."""
-
-    __slots__ = ("conn", "id", "slot", "trace", "timer", "answered", "volume", "up_to")
-
-    def __init__(self, conn: Any, id_: int, slot: int, trace: str) -> None:
-        self.conn, self.id, self.slot, self.trace = conn, id_, slot, trace
-        self.timer: asyncio.TimerHandle | None = None
-        self.answered = False
-        self.volume, self.up_to = "", 0
-
-
 class Back:
     """The write-back of one head. `lasts(batch)` appends and syncs."""
 
