--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -7,7 +7,6 @@
 import gc
 import os
 import signal
-import sys
 import time
 from pathlib import Path
 from typing import Any
@@ -31,6 +30,7 @@
     run,
     until_told,
 )
+from pebblehinge.cli.head_storage import buffer_of
 from pebblehinge.records import RecordsError
 from pebblehinge.settings import Config, SettingsError, load
 
@@ -46,9 +46,16 @@
 @click.option("--store", type=click.Path(file_okay=False), help="Folder of its journal; else the block's.")
 @click.option("--pid", "pid_path", type=click.Path(dir_okay=False), help="Holds its process id, and is held by it.")
 def head(
-    file: str, name: str | None, loopback: str | None, records: str | None, seed: int | None, capture: str | None,
-    agreed: str | None, store: str | None, pid_path: str | None,
-) -> None:  # fmt: skip
+    file: str,
+    name: str | None,
+    loopback: str | None,
+    records: str | None,
+    seed: int | None,
+    capture: str | None,
+    agreed: str | None,
+    store: str | None,
+    pid_path: str | None,
+) -> None:
     """Run a head. SIGTERM: nothing new, every accepted access its answer, then exit 0. SIGHUP: settings again."""
     config = read_settings(file, loopback)
     name = pick(config, "head", name)
@@ -69,9 +76,16 @@
 
 
 async def _head(
-    loop: asyncio.AbstractEventLoop, config: Config, file: str, name: str, loopback: str | None, folder: str | None,
-    capture: str | None, agreed: str | None, log: Any,
-) -> int:  # fmt: skip
+    loop: asyncio.AbstractEventLoop,
+    config: Config,
+    file: str,
+    name: str,
+    loopback: str | None,
+    folder: str | None,
+    capture: str | None,
+    agreed: str | None,
+    log: Any,
+) -> int:
     from pebblehinge.capture.files import CaptureWriter, file_sink
     from pebblehinge.console import Console
     from pebblehinge.daemon import Notifier
@@ -113,10 +127,15 @@
             sink = file_sink(capture)
         except OSError as error:
             give_up(f"head {name}: {capture}: {describe(error)}")
-        server.capture(CaptureWriter(
-            sink, name, time.time() * 1000.0, clock_of(loop)(),
-            lambda error: log.error("the capture has ended", why=describe(error)),
-        ))  # fmt: skip
+        server.capture(
+            CaptureWriter(
+                sink,
+                name,
+                time.time() * 1000.0,
+                clock_of(loop)(),
+                lambda error: log.error("the capture has ended", why=describe(error)),
+            )
+        )
     try:
         buffer_of(loop, config, name, server)
         await server.start()
@@ -126,6 +145,7 @@
         give_up(f"head {name}: {server.block.listen}: {describe(error)}")
     except StorageError as error:
         give_up(f"head {name}: {error}")
+
     def stop(why: str) -> None:
         notifier.stopping(f"{server.core.open} accesses are owed an answer")
         server.stop(why)
@@ -161,51 +181,7 @@
     return 0
 
 
-def times_of_machine() -> tuple[float, float, str]:
-    """Wall clock and time since the machine started, in ms, and the name of that start."""
-    try:
-        boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
-    except OSError:
-        boot = ""
-    return time.time() * 1000.0, time.monotonic() * 1000.0, boot
-
-
-def buffer_of(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any) -> None:
-    """Gives a head its journal, where it has buffered volumes; syncs go to a thread, so that the loop goes on."""
-    from pebblehinge.store import RealDisk, StorageError
-    from pebblehinge.store.beside import in_thread
-    from pebblehinge.store.journal import Batch
-
-    buffered = any(v.save == "buffered" for v in config.volume.values())
-    if config.head[name].store is None:
-        if buffered:
-            raise StorageError("buffered volumes need a folder for their journal: store PATH in the head's block")
-        return
-    disk = RealDisk(config.head[name].store)
-    disk.own()
-    server.remember(disk, times_of_machine, in_thread(loop))
-    if not buffered:
-        return
-    # A sync's thread asks for its turn when the disk is done: with the usual 5 ms each batch would wait that long.
-    sys.setswitchinterval(0.0005)
-
-    def write(batch: Batch) -> None:
-        disk.append(batch.name, batch.data)
-        disk.sync(batch.name)
-        if batch.fresh:
-            disk.sync_folder()
-
-    async def lasts(batch: Batch) -> None:
-        if disk.exists("fence"):
-            raise StorageError("another has taken this journal over")
-        await loop.run_in_executor(None, write, batch)
-
-    server.buffer(disk, lasts)
-
-
-def feed_of(
-    loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any, kept: str | None, log: Any
-) -> Any:
+def feed_of(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any, kept: str | None, log: Any) -> Any:
     """A head's way to the group. Until the group has told it a version, the file's own settings are in force, under
     the floor that holds for a head without a lease."""
     from pebblehinge.agreed import Taking
