--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -59,9 +59,18 @@
 @click.option("--filter", "filters", multiple=True, help="A rule such as '- *.tmp'.")
 @AS_JSON
 def rsync_client(
-    verb: str, where: str, local: str | None, version: int, user: str, secret_file: str | None, compress: bool,
-    checksum: bool, delete: bool, filters: tuple[str, ...], as_json: bool,
-) -> None:  # fmt: skip
+    verb: str,
+    where: str,
+    local: str | None,
+    version: int,
+    user: str,
+    secret_file: str | None,
+    compress: bool,
+    checksum: bool,
+    delete: bool,
+    filters: tuple[str, ...],
+    as_json: bool,
+) -> None:
     """The stand-in rsync client: list modules or files, pull to LOCAL or push LOCAL. Exits as such tools do."""
     from pebblehinge.lab.caller import Call, call
     from pebblehinge.lab.local import LocalError, read_tree, write_tree
@@ -126,9 +135,18 @@
 @AS_JSON
 @QUIET
 def plan_command(
-    captures: tuple[str, ...], fleet: str, goal: float, growth: float, zones: tuple[str, ...], head_cost: float,
-    formulas: bool, page_file: str | None, jobs: int | None, as_json: bool, quiet: bool,
-) -> None:  # fmt: skip
+    captures: tuple[str, ...],
+    fleet: str,
+    goal: float,
+    growth: float,
+    zones: tuple[str, ...],
+    head_cost: float,
+    formulas: bool,
+    page_file: str | None,
+    jobs: int | None,
+    as_json: bool,
+    quiet: bool,
+) -> None:
     """From CAPTURES of heads and a fleet: the first limit, shelfs and heads needed, what a loss would do."""
     from pebblehinge.capture import CaptureError, read_capture
     from pebblehinge.lab.replay import merge
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -93,9 +93,15 @@
 @click.option("--faults", type=click.Path(dir_okay=False), help="A script of faults between and in processes.")
 @click.option("--draw-faults", type=click.IntRange(1, 100), help="Draw so many faults by the seed instead.")
 def day(
-    name: str, seed: int, as_json: bool, records: str | None, quiet: bool, virtual: bool, faults: str | None,
+    name: str,
+    seed: int,
+    as_json: bool,
+    records: str | None,
+    quiet: bool,
+    virtual: bool,
+    faults: str | None,
     draw_faults: int | None,
-) -> None:  # fmt: skip
+) -> None:
     """Play a day, NAME or FILE, with a fleet of processes, and judge the rules from what crossed the sockets."""
     from pebblehinge.lab import village
     from pebblehinge.lab.check import Day
@@ -133,8 +139,12 @@
                 facts = Day.read(folder, config)
         except (DayError, RecordsError, OSError) as error:
             give_up(describe(error))
-        told = summary(facts, day_name, seed, {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1),
-                                               **more.get("script", {})})  # fmt: skip
+        told = summary(
+            facts,
+            day_name,
+            seed,
+            {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})},
+        )
     goal = config.day[day_name].goal
     missed = told["service"] < goal
     click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
@@ -156,9 +166,18 @@
 @RECORDS
 @SEED
 def load_command(
-    file: str, day_name: str, part: int, parts: int, start: float | None, replay: tuple[str, ...], speed: float,
-    multiple: float, loopback: str | None, records: str | None, seed: int,
-) -> None:  # fmt: skip
+    file: str,
+    day_name: str,
+    part: int,
+    parts: int,
+    start: float | None,
+    replay: tuple[str, ...],
+    speed: float,
+    multiple: float,
+    loopback: str | None,
+    records: str | None,
+    seed: int,
+) -> None:
     """Ask as a day's clients do, or as captures say; prints what became of the accesses."""
     from pebblehinge.capture import CaptureError, read_capture
     from pebblehinge.lab.clients import Crowd
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -38,9 +38,15 @@
 @click.option("--cold", is_flag=True, help="It comes back from a crash.")
 @click.option("--release", type=click.IntRange(1, 30), help="It replaces the named shelf, under a further name.")
 def shelf(
-    file: str, name: str | None, loopback: str | None, records: str | None, seed: int, store: str | None, cold: bool,
+    file: str,
+    name: str | None,
+    loopback: str | None,
+    records: str | None,
+    seed: int,
+    store: str | None,
+    cold: bool,
     release: int | None,
-) -> None:  # fmt: skip
+) -> None:
     """Run a stand-in shelf."""
     config = read_settings(file, loopback)
     name = pick(config, "shelf", name)
@@ -53,9 +59,15 @@
 
 
 async def _shelf(
-    loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str | None, seed: int, store: str | None,
-    cold: bool, log: Any,
-) -> int:  # fmt: skip
+    loop: asyncio.AbstractEventLoop,
+    config: Config,
+    name: str,
+    folder: str | None,
+    seed: int,
+    store: str | None,
+    cold: bool,
+    log: Any,
+) -> int:
     from pebblehinge.daemon.files import allow_files, files_of
     from pebblehinge.shelf import Contents, ShelfServer
     from pebblehinge.shelf.contents import JournalError
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -47,8 +47,10 @@
     if as_json:
         click.echo(json.dumps(told))
     else:
-        click.echo(f"{told['days']} days, {told['broken']} with a broken rule, {told['faults']} with a fault; "
-                   f"service {told['service']['mean']:.3f} in the mean, {told['service']['worst']:.3f} at worst")
+        click.echo(
+            f"{told['days']} days, {told['broken']} with a broken rule, {told['faults']} with a fault; "
+            f"service {told['service']['mean']:.3f} in the mean, {told['service']['worst']:.3f} at worst"
+        )
         for row in told["worst"]:
             what = ", ".join(row["broken"]) or "no rule broken"
             click.echo(f"  seed {row['seed']}: {row['service']:.3f}, {what}; {', '.join(row['troubles'])}")
@@ -176,8 +178,10 @@
         return
     for name in ("service", "p99_ms", "pushed_back"):
         row = told[name]
-        click.echo(f"{name:12} A {row['a']:.3f}  B {row['b']:.3f}  B-A {row['difference']:+.4f} "
-                   f"[{row['low']:+.4f}, {row['high']:+.4f}] {'clear' if row['clear'] else 'may be chance'}")
+        click.echo(
+            f"{name:12} A {row['a']:.3f}  B {row['b']:.3f}  B-A {row['difference']:+.4f} "
+            f"[{row['low']:+.4f}, {row['high']:+.4f}] {'clear' if row['clear'] else 'may be chance'}"
+        )
     for side, rules in told["broken"].items():
         if rules:
             click.echo(f"{side.upper()} breaks {', '.join(rules)}")
--- a/pebblehinge/client/conn.py
+++ b/pebblehinge/client/conn.py
@@ -134,9 +134,23 @@
         if self.noted is not None:
             self.noted("sent", id=trace)
         self.send(
-            Kind.TAKE, id_, trace, volume, plan, profile, extent, slot, units, patience_ms, again, label, op, offset,
-            length, data,
-        )  # fmt: skip
+            Kind.TAKE,
+            id_,
+            trace,
+            volume,
+            plan,
+            profile,
+            extent,
+            slot,
+            units,
+            patience_ms,
+            again,
+            label,
+            op,
+            offset,
+            length,
+            data,
+        )
         return future
 
     def read(self, volume: str, extent: str, length: int, **more: Any) -> asyncio.Future[Result]:
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -93,10 +93,14 @@
 
     async def page(self, request: web.Request) -> web.StreamResponse:
         self._allowed(request)
-        return web.FileResponse(STATIC / "console.html", headers={
-            "Content-Security-Policy": "default-src 'self'; style-src 'self'; script-src 'self'",
-            "X-Content-Type-Options": "nosniff", "Cache-Control": "no-cache",
-        })  # fmt: skip
+        return web.FileResponse(
+            STATIC / "console.html",
+            headers={
+                "Content-Security-Policy": "default-src 'self'; style-src 'self'; script-src 'self'",
+                "X-Content-Type-Options": "nosniff",
+                "Cache-Control": "no-cache",
+            },
+        )
 
     async def state(self, request: web.Request) -> web.Response:
         self._allowed(request)
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -51,10 +51,17 @@
                 health, why = "slow", f"trips take long: {module.bound[s]} at a time"
             else:
                 health, why = "well", ""
-            found.append({
-                "name": name, "slot": module.slots[s], "health": health, "why": why, "held": len(module.held[s]),
-                "out": len(module.away[s]), "mean_ms": round(module.mean(s, now), 1),
-            })  # fmt: skip
+            found.append(
+                {
+                    "name": name,
+                    "slot": module.slots[s],
+                    "health": health,
+                    "why": why,
+                    "held": len(module.held[s]),
+                    "out": len(module.away[s]),
+                    "mean_ms": round(module.mean(s, now), 1),
+                }
+            )
         return sorted(found, key=lambda row: row["slot"])
 
     def volumes(self) -> list[dict[str, Any]]:
@@ -64,11 +71,16 @@
         for name in list(stores)[-MOST_VOLUMES:][::-1]:
             store, block = stores[name], config.volume.get(name)
             plan = config.plan.get(block.plan) if block is not None else None
-            found.append({
-                "name": name, "plan": block.plan if block is not None else "", "limit": plan.limit if plan else 0.0,
-                "units": round(store.limit, 1) if plan and plan.limit else None, "reserve": round(store.reserve, 1),
-                "share": round(store.share, 1),
-            })  # fmt: skip
+            found.append(
+                {
+                    "name": name,
+                    "plan": block.plan if block is not None else "",
+                    "limit": plan.limit if plan else 0.0,
+                    "units": round(store.limit, 1) if plan and plan.limit else None,
+                    "reserve": round(store.reserve, 1),
+                    "share": round(store.share, 1),
+                }
+            )
         return found
 
     def snapshot(self) -> dict[str, Any]:
@@ -87,23 +99,44 @@
         self.standing = {row["name"]: row["health"] for row in shelfs}
         latency = head.latency
         told: dict[str, Any] = {
-            "head": head.name, "version": __version__, "now_ms": round(now, 1), "stopping": core.stopping,
-            "open": core.open, "held_bytes": core.bytes, "connections": len(head.conns), "counts": dict(core.counts),
-            "a_second": {k: round(v, 1) for k, v in rates.items()}, "further_trips": core.further,
-            "outcomes": {o.value: n for o, n in core.outcomes.items()}, "refused_because": dict(core.reasons),
-            "latency_ms": {q: round(latency.get_value_at_percentile(p) / 1000.0, 1)
-                           for q, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))},
-            "waits": sum(len(w) for w in core.module.shelfs.waits), "shelfs": shelfs, "volumes": self.volumes(),
+            "head": head.name,
+            "version": __version__,
+            "now_ms": round(now, 1),
+            "stopping": core.stopping,
+            "open": core.open,
+            "held_bytes": core.bytes,
+            "connections": len(head.conns),
+            "counts": dict(core.counts),
+            "a_second": {k: round(v, 1) for k, v in rates.items()},
+            "further_trips": core.further,
+            "outcomes": {o.value: n for o, n in core.outcomes.items()},
+            "refused_because": dict(core.reasons),
+            "latency_ms": {
+                q: round(latency.get_value_at_percentile(p) / 1000.0, 1)
+                for q, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))
+            },
+            "waits": sum(len(w) for w in core.module.shelfs.waits),
+            "shelfs": shelfs,
+            "volumes": self.volumes(),
             "events": list(self.events.rows)[-40:],
-        }  # fmt: skip
+        }
         if head.door is not None:
             door = head.door
-            told["transfers"] = {"open": door.transfers, **door.counts, "window": round(door.sharing.window, 1),
-                                 "late_ms": round(door.late_ms, 1)}  # fmt: skip
+            told["transfers"] = {
+                "open": door.transfers,
+                **door.counts,
+                "window": round(door.sharing.window, 1),
+                "late_ms": round(door.late_ms, 1),
+            }
         if head.back is not None:
             back = head.back
-            told["journal"] = {"dirty": len(back.dirty), "dirty_bytes": back.dirty.bytes, **back.counts,
-                               "bytes": back.journal.size(), "failed": back.committer.failed}  # fmt: skip
+            told["journal"] = {
+                "dirty": len(back.dirty),
+                "dirty_bytes": back.dirty.bytes,
+                **back.counts,
+                "bytes": back.journal.size(),
+                "failed": back.committer.failed,
+            }
         if head.version_shown:
             told["configuration"] = head.version_shown
         return told
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -40,10 +40,25 @@
         self.capture: Any = None  # a CaptureWriter, where what is taken is kept
 
     def take(
-        self, now: float, conn: Any, id_: int, trace: str, volume: str, plan: str | None, profile: str,
-        extent: str, slot: int, units: float, left_ms: float, again: bool | None, label: str | None,
-        op: int, offset: int, length: int, data: bytes,
-    ) -> FramedTaken | None:  # fmt: skip
+        self,
+        now: float,
+        conn: Any,
+        id_: int,
+        trace: str,
+        volume: str,
+        plan: str | None,
+        profile: str,
+        extent: str,
+        slot: int,
+        units: float,
+        left_ms: float,
+        again: bool | None,
+        label: str | None,
+        op: int,
+        offset: int,
+        length: int,
+        data: bytes,
+    ) -> FramedTaken | None:
         """An access has come. None where it was refused at the door, and answered."""
         taken = FramedTaken()
         taken.conn, taken.id, taken.trace = conn, id_, trace
@@ -61,9 +76,16 @@
             return None
         taken.plan = known_plan
         self.accept(
-            now, taken, f"{volume}/{extent}", profile, known_plan, set_size, slot,
-            now + left_ms - self.block.answer_margin, again if self.config.rules.marks_repeats else None,
-        )  # fmt: skip
+            now,
+            taken,
+            f"{volume}/{extent}",
+            profile,
+            known_plan,
+            set_size,
+            slot,
+            now + left_ms - self.block.answer_margin,
+            again if self.config.rules.marks_repeats else None,
+        )
         return taken
 
     def _admit(self, taken: FramedTaken, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
@@ -100,7 +122,18 @@
     def noted(self, taken: FramedTaken, final: int | None, now: float) -> None:
         if self.capture is not None:
             self.capture.add(
-                taken.came_ms, taken.volume, taken.plan.partition("~")[0], taken.profile, taken.extent, taken.slot,
-                taken.units, taken.op != READ, taken.again, max(taken.length, len(taken.data)),
-                LEFT if final is None else final, round(now - taken.came_ms, 3), round(taken.trip_ms, 3), taken.trips,
-            )  # fmt: skip
+                taken.came_ms,
+                taken.volume,
+                taken.plan.partition("~")[0],
+                taken.profile,
+                taken.extent,
+                taken.slot,
+                taken.units,
+                taken.op != READ,
+                taken.again,
+                max(taken.length, len(taken.data)),
+                LEFT if final is None else final,
+                round(now - taken.came_ms, 3),
+                round(taken.trip_ms, 3),
+                taken.trips,
+            )
--- a/pebblehinge/head/inside.py
+++ b/pebblehinge/head/inside.py
@@ -31,9 +31,22 @@
         self.waiting: dict[int, asyncio.Future[Answered]] = {}
 
     async def access(
-        self, volume: str, *, op: int, extent: str, slot: int, profile: str, units: float, patience_ms: float,
-        trace: str, again: bool, offset: int, length: int, data: bytes, label: str | None,
-    ) -> Answered:  # fmt: skip
+        self,
+        volume: str,
+        *,
+        op: int,
+        extent: str,
+        slot: int,
+        profile: str,
+        units: float,
+        patience_ms: float,
+        trace: str,
+        again: bool,
+        offset: int,
+        length: int,
+        data: bytes,
+        label: str | None,
+    ) -> Answered:
         """One access by the head's own core, like any client's. Called off, it is left."""
         server, future = self.server, self.server.loop.create_future()
         self.ids += 1
@@ -42,9 +55,24 @@
         now = server.now = server.clock()
         server.note(now, "take", id=trace, client=self.client)
         taken = server.core.take(
-            now, self, id_, trace, volume, None, profile, extent, slot, units, patience_ms, again, label, op, offset,
-            length, data,
-        )  # fmt: skip
+            now,
+            self,
+            id_,
+            trace,
+            volume,
+            None,
+            profile,
+            extent,
+            slot,
+            units,
+            patience_ms,
+            again,
+            label,
+            op,
+            offset,
+            length,
+            data,
+        )
         try:
             return await future
         except asyncio.CancelledError:
--- a/pebblehinge/listing/server.py
+++ b/pebblehinge/listing/server.py
@@ -131,8 +131,7 @@
 
     def _tell(self, conn: ListingConn, now: float, kind: str, rows: list[Row]) -> None:
         entries = [
-            (r.shelf, r.address, r.standing, r.slot, now - r.started_ms if r.started_ms >= 0 else -1.0)
-            for r in rows
+            (r.shelf, r.address, r.standing, r.slot, now - r.started_ms if r.started_ms >= 0 else -1.0) for r in rows
         ]
         conn.send(Kind.LIST, 0, kind, entries)
         told = [(r.shelf, r.standing, round(r.started_ms, 3)) for r in rows]
--- a/pebblehinge/wire/session.py
+++ b/pebblehinge/wire/session.py
@@ -24,9 +24,7 @@
 
     def opening(self) -> bytes:
         """What the connecting side says first."""
-        return encode(
-            Kind.HELLO, MAGIC, OLDEST, NEWEST, self.role, self.name[:200], self.limit, self.streams
-        )
+        return encode(Kind.HELLO, MAGIC, OLDEST, NEWEST, self.role, self.name[:200], self.limit, self.streams)
 
     def feed(self, data: bytes) -> None:
         self.frames.feed(data)
