--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -23,7 +23,7 @@
 
 def journal_of(folder: str) -> tuple[Any, dict[str, Any]]:
     from pebblehinge.store import RealDisk
-    from pebblehinge.store.journal import look
+    from pebblehinge.store.inspection import look
 
     disk = RealDisk(folder)
     return disk, look(disk)
@@ -57,7 +57,7 @@
 def store_verify(folder: str) -> None:
     """Exit 0 where all that was promised can be read, 1 and the places where not."""
     from pebblehinge.store import StorageError
-    from pebblehinge.store.journal import read_segment
+    from pebblehinge.store.segment import read_segment
 
     disk, told = journal_of(folder)
     names = sorted(n for n in disk.names() if n.startswith("journal-"))
--- a/pebblehinge/head/landing.py
+++ b/pebblehinge/head/landing.py
@@ -12,7 +12,8 @@
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.flushing import Flushing, next_step
-from pebblehinge.store.journal import Done, Journal, Write
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Done, Write
 from pebblehinge.wire.frames import READ, WRITE
 
 
