--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from pebblehinge.client import connect
-from pebblehinge.lab.crash import SETTINGS
+from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.disk import RealDisk
 from pebblehinge.store.journal import Batch, Journal, Write
@@ -47,8 +47,9 @@
         while loop.time() < end:
             k += 1
             began = time.perf_counter()
-            got = await client.write(volume, f"{n}-{k}", b"x" * 1024, profile="save", slot=(n + k) % 3, units=1.0,
-                                     patience_ms=3000.0)  # fmt: skip
+            got = await client.write(
+                volume, f"{n}-{k}", b"x" * 1024, profile="save", slot=(n + k) % 3, units=1.0, patience_ms=3000.0
+            )
             if got.honoured:
                 took.append(time.perf_counter() - began)
             else:
@@ -57,8 +58,12 @@
 
     await asyncio.gather(*(one(n) for n in range(count)))
     client.close()
-    return {"a_second": len(took) / FOR_S, "p50_ms": float(np.percentile(took, 50)) * 1e3,
-            "p99_ms": float(np.percentile(took, 99)) * 1e3, "refused": refused}  # fmt: skip
+    return {
+        "a_second": len(took) / FOR_S,
+        "p50_ms": float(np.percentile(took, 50)) * 1e3,
+        "p99_ms": float(np.percentile(took, 99)) * 1e3,
+        "refused": refused,
+    }
 
 
 def through_a_head(folder: Path) -> dict[str, Any]:
@@ -79,8 +84,12 @@
         for count in (1, 16, 256):
             both = {v: loop.run_until_complete(writers(f"{loopback}:7001", v, count)) for v in ("direct", "bids")}
             b, d = both["bids"], both["direct"]
-            told[f"{count} writers"] = {"buffered": b, "through": d, "rate ratio": b["a_second"] / d["a_second"],
-                                        "p50 ratio": b["p50_ms"] / d["p50_ms"]}  # fmt: skip
+            told[f"{count} writers"] = {
+                "buffered": b,
+                "through": d,
+                "rate ratio": b["a_second"] / d["a_second"],
+                "p50 ratio": b["p50_ms"] / d["p50_ms"],
+            }
     finally:
         for process in reversed(processes):
             process.kill()
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -90,26 +90,28 @@
     """Kill a head at random moments under buffered writes; every confirmed one must stand exactly once."""
     from concurrent.futures import ProcessPoolExecutor
 
-    from pebblehinge.lab import crash
+    from pebblehinge.lab.crash import verdict
+    from pebblehinge.lab.crash.processes import Sockets
+    from pebblehinge.lab.crash.virtual import one as one_round
     from pebblehinge.lab.processes import own_loopback
 
     said = say_progress(quiet)
     if virtual:
         told = []
         with ProcessPoolExecutor(jobs_of(None)) as executor:
-            for n, one in enumerate(executor.map(crash.one, range(seed, seed + rounds), chunksize=5)):
+            for n, one in enumerate(executor.map(one_round, range(seed, seed + rounds), chunksize=5)):
                 told.append(one)
                 if n % 100 == 99:
                     said(f"{n + 1} of {rounds}")
-        total = crash.summed(told)
+        total = verdict.summed(told)
     else:
         with tempfile.TemporaryDirectory(prefix="pebblehinge-") as folder:
-            total = asyncio.run(crash.Sockets(Path(folder), own_loopback(), seed).play(rounds, said))
+            total = asyncio.run(Sockets(Path(folder), own_loopback(), seed).play(rounds, said))
     if as_json:
         click.echo(json.dumps(total))
     else:
         click.echo(", ".join(f"{k.replace('_', ' ')} {v}" for k, v in total.items() if v != ""))
-    sys.exit(0 if crash.sound(total) else 1)
+    sys.exit(0 if verdict.sound(total) else 1)
 
 
 @lab.command(name="blame")
--- /dev/null
+++ b/pebblehinge/lab/crash/verdict.py
@@ -0,0 +1,66 @@
+"""The verdict of crash rounds: what was confirmed against what the storage nodes hold."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+from pebblehinge.lab.crash.writers import Books
+
+
+def judge(books: Books, extents: dict[str, bytearray], effects: list[tuple[str, int]]) -> dict[str, Any]:
+    """`effects`: label and order of each effect at the shelfs."""
+    missing = [
+        label
+        for label in books.confirmed
+        if bytes(extents.get(books.sent[label][0], b"")[books.sent[label][2] :][: len(books.sent[label][3])])
+        != books.sent[label][3]
+    ]
+    times = Counter(label for label, _ in effects)
+    doubled = [label for label, n in times.items() if n > 1]
+    first = {label: n for label, n in reversed(effects)}
+    broken = 0
+    for asked, honoured in books.barriers:
+        # What was confirmed before it was asked lands before what was sent after it was honoured.
+        before = [first[x] for x, at in books.confirmed.items() if at < asked and x in first]
+        after = [first[x] for x, at in books.asked.items() if at > honoured and x in first]
+        broken += bool(before and after and max(before) > min(after))
+    return {
+        "confirmed": len(books.confirmed),
+        "missing": len(missing),
+        "doubled": len(doubled),
+        "claimed_wrongly": len(books.claimed_wrongly),
+        "order_broken": broken,
+        "unknown": len(books.unknown),
+        "flushes": books.flushes,
+        "barriers": len(books.barriers),
+        "first": (missing or doubled or books.claimed_wrongly or [""])[0],
+    }
+
+
+def summed(rounds: list[dict[str, Any]]) -> dict[str, Any]:
+    """All rounds together, and the first find."""
+    total: Counter[str] = Counter()
+    first = ""
+    for n, told in enumerate(rounds):
+        for key, value in told.items():
+            if key != "first":
+                total[key] += value
+        if told["first"] and not first:
+            first = f"round {n}: {told['first']}"
+    keys = (
+        "confirmed",
+        "missing",
+        "doubled",
+        "claimed_wrongly",
+        "order_broken",
+        "unknown",
+        "flushes",
+        "barriers",
+        "fault",
+    )
+    return {"rounds": len(rounds), **{k: total[k] for k in keys}, "first": first}
+
+
+def sound(told: dict[str, Any]) -> bool:
+    return not any(told.get(k) for k in ("missing", "doubled", "claimed_wrongly", "order_broken", "fault"))
--- /dev/null
+++ b/pebblehinge/lab/crash/writers.py
@@ -0,0 +1,82 @@
+"""Writers of the crash rounds, and the record of what they sent and which answers they got."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from pebblehinge.client import Client
+
+
+class Books:
+    """What writers asked and heard."""
+
+    def __init__(self) -> None:
+        self.sent: dict[str, tuple[str, int, int, bytes]] = {}  # label -> extent, slot, offset, data
+        self.confirmed: dict[str, int] = {}  # label -> which of all events that was
+        self.unknown: dict[str, None] = {}
+        self.asked: dict[str, int] = {}  # label -> when it was sent
+        self.barriers: list[tuple[int, int]] = []  # when one was asked, and when it was honoured
+        self.flushes = 0
+        self.claimed_wrongly: list[str] = []
+        self.events = 0
+
+    def event(self) -> int:
+        self.events += 1
+        return self.events
+
+
+class Writer:
+    """Sends writes, each to a place of its own; some overlap an earlier one of its own whose answer it has."""
+
+    def __init__(self, name: str, rng: random.Random, books: Books) -> None:
+        self.name, self.rng, self.books = name, rng, books
+        self.count = 0
+        self.at: dict[str, int] = {}  # extent -> its end
+
+    def draw(self) -> tuple[str, str, int, int, bytes]:
+        self.count += 1
+        slot = self.rng.randrange(3)
+        extent = f"{self.name}-{slot}-{self.rng.randrange(3)}"
+        offset = self.at.get(extent, 0)
+        data = self.rng.randbytes(self.rng.choice([40, 400, 3000]))
+        self.at[extent] = offset + len(data)
+        return f"{self.name}.{self.count}", extent, slot, offset, data
+
+    async def one(self, client: Client, held: Callable[[], dict[str, bytearray]] | None) -> None:
+        """One write, barrier or flush, and what became of it. `held` tells what stands at the shelfs now."""
+        books, what = self.books, self.rng.random()
+        if what < 0.04:
+            began = books.event()
+            got = await client.barrier("bids", profile="save", patience_ms=2000.0)
+            if got.honoured:
+                books.barriers.append((began, books.event()))
+        elif what < 0.08:
+            before = [label for label in books.confirmed]
+            got = await client.flush_volume("bids", profile="save", patience_ms=2500.0)
+            if got.honoured:
+                books.flushes += 1
+                stands = held() if held is not None else {}
+                for label in before if held is not None else ():
+                    extent, _, offset, data = books.sent[label]
+                    if bytes(stands.get(extent, b"")[offset : offset + len(data)]) != data:
+                        books.claimed_wrongly.append(f"a flush was honoured and {label} does not stand")
+        else:
+            label, extent, slot, offset, data = self.draw()
+            books.sent[label] = (extent, slot, offset, data)
+            books.asked[label] = books.event()
+            got = await client.write(
+                "bids",
+                extent,
+                data,
+                offset=offset,
+                slot=slot,
+                label=label,
+                profile="save",
+                units=1.0,
+                patience_ms=2000.0,
+            )
+            if got.honoured:
+                books.confirmed[label] = books.event()
+            elif got.final != "pushed back":
+                books.unknown[label] = None
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -10,7 +10,7 @@
 import pytest
 from journal_disk import write
 
-from pebblehinge.lab import crash
+from pebblehinge.lab.crash import verdict, virtual
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
@@ -26,8 +26,8 @@
 
 @pytest.mark.parametrize("block", range(4))
 def test_confirmed_writes_stand_once_whenever_the_head_dies(block: int) -> None:
-    told = crash.summed([crash.one(seed, 2) for seed in range(3 * block, 3 * block + 3)])
-    assert crash.sound(told) and told["confirmed"] > 500, told
+    told = verdict.summed([virtual.one(seed, 2) for seed in range(3 * block, 3 * block + 3)])
+    assert verdict.sound(told) and told["confirmed"] > 500, told
 
 
 class NoSync(FaultyDisk):
@@ -41,12 +41,12 @@
     rounds = []
     for seed in seeds:
         try:
-            rounds.append(crash.Virtual(seed, disk).play(2))
+            rounds.append(virtual.Virtual(seed, disk).play(2))
         except (RuntimeError, StorageError) as error:
             rounds.append({"first": str(error), "fault": 1})
-        if not crash.sound(rounds[-1]):
+        if not verdict.sound(rounds[-1]):
             break
-    return crash.summed(rounds)
+    return verdict.summed(rounds)
 
 
 def test_without_fsync_confirmed_writes_are_lost_and_that_is_seen() -> None:
