--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -23,7 +23,8 @@
 import uvloop
 
 from pebblehinge.client import connect
-from pebblehinge.lab.caller import Call, Local, call
+from pebblehinge.lab.rsync_call import Call, Local
+from pebblehinge.lab.rsync_client import call
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 
@@ -183,8 +184,9 @@
     async def saves(count: int) -> list[float]:
         took = []
         for n in range(count):
-            got = await client.write("plain", f"s{n}", b"x" * 1000, profile="save", slot=n % 4, units=1.0,
-                                     patience_ms=5000.0)  # fmt: skip
+            got = await client.write(
+                "plain", f"s{n}", b"x" * 1000, profile="save", slot=n % 4, units=1.0, patience_ms=5000.0
+            )
             assert got.honoured
             took.append(got.took_ms)
             await asyncio.sleep(0.01)
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -63,8 +63,9 @@
     checksum: bool, delete: bool, filters: tuple[str, ...], as_json: bool,
 ) -> None:  # fmt: skip
     """The stand-in rsync client: list modules or files, pull to LOCAL or push LOCAL. Exits as such tools do."""
-    from pebblehinge.lab.caller import Call, call
     from pebblehinge.lab.local import LocalError, read_tree, write_tree
+    from pebblehinge.lab.rsync_call import Call
+    from pebblehinge.lab.rsync_client import call
     from pebblehinge.rsync.line import Line
 
     address, _, path = where.partition("/")
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -162,8 +162,8 @@
     """Ask as a day's clients do, or as captures say; prints what became of the accesses."""
     from pebblehinge.capture import CaptureError, read_capture
     from pebblehinge.lab.clients import Crowd
-    from pebblehinge.lab.copies import Copies
     from pebblehinge.lab.replay import Replay, merge
+    from pebblehinge.lab.rsync_load import Copies
 
     config = read_settings(file, loopback)
     pick(config, "day", day_name)
--- /dev/null
+++ b/pebblehinge/lab/connection_cut.py
@@ -0,0 +1,22 @@
+"""A connection that ends after a given number of sent bytes."""
+
+from __future__ import annotations
+
+from pebblehinge.rsync.line import Line
+
+
+class Cut:
+    """Ends a connection after so many bytes that its client has sent; what was sent arrives, unless it is reset."""
+
+    def __init__(self, line: Line, after: int, reset: bool = False) -> None:
+        self.line, self.left, self.write, self.reset = line, after, line.stream._write, reset
+        line.stream._write = self
+
+    def __call__(self, data: bytes) -> None:
+        if self.left >= len(data):
+            self.left -= len(data)
+            self.write(data)
+        elif self.left >= 0:
+            self.write(data[: self.left])
+            self.left = -1
+            self.line.abort() if self.reset else self.line.close()
--- a/pebblehinge/lab/local.py
+++ b/pebblehinge/lab/local.py
@@ -6,7 +6,7 @@
 import stat
 from pathlib import Path
 
-from pebblehinge.lab.caller import Local
+from pebblehinge.lab.rsync_call import Local
 
 MOST = 1 << 30  # bytes that are held
 
--- a/pebblehinge/lab/copies.py
+++ b/pebblehinge/lab/rsync_load.py
@@ -10,72 +10,21 @@
 
 import asyncio
 import random
-from collections import Counter, defaultdict
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.lab.caller import Call, Local, call, folder
+from pebblehinge.lab.connection_cut import Cut
+from pebblehinge.lab.rsync_call import Call, Local
+from pebblehinge.lab.rsync_client import call
+from pebblehinge.lab.rsync_member import Member
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.rsync.line import Line
 from pebblehinge.settings import Config
-from pebblehinge.wire.frames import APPEND
 
-EPOCH = 1_700_000_000
 LAST_TRIES = 40  # for the look at the end of the day, when all is well again
 
 
-class Member:
-    """One folder, and what may stand in it."""
-
-    def __init__(self, name: str, rng: random.Random) -> None:
-        self.name, self.rng = name, rng
-        self.files: dict[bytes, Local] = {}
-        self.versions = 0
-        self.may: dict[bytes, list[bytes | None]] = {}  # by file: the contents that may stand there; None: nothing
-        self.busy = False
-
-    def change(self, files: tuple[float, float], sizes: tuple[int, int]) -> None:
-        """A new version: some files altered in places, some new, some whole."""
-        self.versions += 1
-        rng, mtime = self.rng, EPOCH + self.versions
-        for _ in range(rng.randint(int(files[0]), int(files[1]))):
-            name = b"d%d/f%d" % (rng.randrange(2), rng.randrange(6))
-            old = self.files.get(name)
-            if old is None or not old.data or rng.random() < 0.4:
-                low, high = sizes
-                data = rng.randbytes(int(low * (high / low) ** rng.random()))
-            else:
-                at = rng.randrange(len(old.data) + 1)
-                data = old.data[:at] + rng.randbytes(rng.randint(0, 200)) + old.data[at + rng.randint(0, 100) :]
-            self.files[name] = Local(data, mtime)
-        for n in range(2):
-            self.files.setdefault(b"d%d" % n, folder(EPOCH))
-        self.files[b"."] = folder(EPOCH)
-
-    def tried(self) -> None:
-        """A push of this version has begun: from now on it may be what stands."""
-        for name, f in self.files.items():
-            if f.mode & 0o100000:
-                known = self.may.setdefault(name, [None])
-                if f.data not in known:
-                    known.append(f.data)
-
-    def landed(self) -> None:
-        """The push ended well: nothing older may stand any more."""
-        for name, f in self.files.items():
-            if f.mode & 0o100000:
-                self.may[name] = [f.data]
-
-    def wrong(self, found: dict[bytes, Local]) -> list[str]:
-        """What stands and may not."""
-        return [
-            name.decode()
-            for name, may in sorted(self.may.items())
-            if (found[name].data if name in found else None) not in may
-        ]
-
-
 class Copies:
     """All members of one load process."""
 
@@ -86,9 +35,7 @@
         self.loop, self.clock, self.config, self.block, self.records = loop, clock, config, config.copies, records
         self.length = config.day[day].length
         self.rng = random.Random(f"{seed}/copies")
-        self.members = [
-            Member(f"m{n + 1}", random.Random(f"{seed}/copies/{n}")) for n in range(self.block.members)
-        ]
+        self.members = [Member(f"m{n + 1}", random.Random(f"{seed}/copies/{n}")) for n in range(self.block.members)]
         self.heads = [name for name, block in config.head.items() if block.rsync is not None]
         self.numbers = 0
         self.out = 0
@@ -150,10 +97,13 @@
             head = self.heads[(hash_of(id_) + tried) % len(self.heads)]
             version = rng.choice([27, 28, 29, 30, 31, 31, 31])
             wanted = Call(
-                self.block.module, version, compress=rng.random() < 0.3, checksum=rng.random() < 0.1,
+                self.block.module,
+                version,
+                compress=rng.random() < 0.3,
+                checksum=rng.random() < 0.1,
                 able=rng.choice(["LsfxCIvu", "LsfxC", ""]),
                 files=dict(member.files) if verb == "push" else dict(have),
-            )  # fmt: skip
+            )
             cut = rng.random() < self.block.cuts and not last
             code = await self._try(wanted, verb, head, member, int(rng.expovariate(1 / 20_000)) if cut else -1)
             self.records.note(self.clock(), "tried", id=id_, n=tried, head=head, code=code, why=wanted.error, cut=cut)
@@ -193,70 +143,6 @@
         return wanted.code
 
 
-class Cut:
-    """Ends a connection after so many bytes that its client has sent; what was sent arrives, unless it is reset."""
-
-    def __init__(self, line: Line, after: int, reset: bool = False) -> None:
-        self.line, self.left, self.write, self.reset = line, after, line.stream._write, reset
-        line.stream._write = self
-
-    def __call__(self, data: bytes) -> None:
-        if self.left >= len(data):
-            self.left -= len(data)
-            self.write(data)
-        elif self.left >= 0:
-            self.write(data[: self.left])
-            self.left = -1
-            self.line.abort() if self.reset else self.line.close()
-
-
 def hash_of(text: str) -> int:
     """A place that does not hang on the process's own hashes."""
     return sum(text.encode())
-
-
-def judged(rows: Iterable[dict[str, Any]], shelfs: Iterable[dict[str, Any]]) -> dict[str, Any]:
-    """What clients' and shelfs' records say of a day's transfers; nothing that a head says of itself is looked at."""
-    began: dict[str, dict[str, Any]] = {}
-    ends: dict[str, list[dict[str, Any]]] = defaultdict(list)
-    tries: Counter[int] = Counter()
-    for row in rows:
-        if row["e"] == "copy":
-            began[row["id"]] = row
-        elif row["e"] == "copied":
-            ends[row["id"]].append(row)
-        elif row["e"] == "tried":
-            tries[row["code"]] += 1
-    saves: Counter[str] = Counter()
-    trips: Counter[str] = Counter()
-    beside = 0
-    for row in shelfs:
-        # A save is an append to a directory's log, named by its label.
-        if row["e"] == "effect" and row.get("label") and "/d/" in row["x"]:
-            saves[row["label"]] += 1
-        elif row["e"] == "got" and row.get("op") == APPEND and not row["full"]:
-            trips[row["id"]] += 1
-        elif row["e"] == "beside":
-            beside += 1
-    done = [e[0] for e in ends.values()]
-    wrong = [f"{e['id']}: {name}" for e in done for name in e["wrong"]]
-    return {
-        "started": len(began),
-        "completed": sum(e["code"] == 0 for e in done),
-        "failed": sum(e["code"] != 0 for e in done),
-        "unanswered": sum(len(ends[i]) != 1 for i in began),
-        "landed_twice": sum(n > 1 for n in saves.values()),
-        "contents_wrong": len(wrong),
-        "first_wrong": wrong[0] if wrong else "",
-        "tries": dict(sorted(tries.items())),
-        "saves": len(saves),
-        "second_trips": sum(n > 1 for n in trips.values()),
-        "beside": beside,
-        "looked_at": sum(e["last"] and e["code"] == 0 for e in done),
-        "not_looked_at": sum(e["last"] and e["code"] != 0 for e in done),
-    }
-
-
-def sound(told: dict[str, Any]) -> bool:
-    """Whether a day's transfers are as they must be."""
-    return not any(told[k] for k in ("unanswered", "landed_twice", "contents_wrong", "second_trips", "not_looked_at"))
--- /dev/null
+++ b/pebblehinge/lab/rsync_session.py
@@ -0,0 +1,116 @@
+"""The connection of an rsync client up to its transfer: greeting, login, options, and messages."""
+
+from __future__ import annotations
+
+from pebblehinge.lab.rsync_call import Call
+from pebblehinge.rsync.digests import login, login_digest
+from pebblehinge.rsync.greeting import Agreed, hello, read_hello, settle
+from pebblehinge.rsync.numbers import (
+    DONE,
+    I32,
+    IndexIn,
+    IndexOut,
+    read_short,
+    read_vstring,
+)
+from pebblehinge.rsync.options import parse
+from pebblehinge.rsync.serve import BASIS, TRANSFER, XNAME
+from pebblehinge.rsync.stream import (
+    DELETED,
+    ERROR,
+    ERROR_EXIT,
+    ERROR_XFER,
+    INFO,
+    IO_ERROR,
+    NO_SEND,
+    START,
+    WARNING,
+    RsyncError,
+    Stream,
+)
+
+
+class Session:
+    def __init__(self, stream: Stream, wanted: Call) -> None:
+        self.stream, self.call = stream, wanted
+        self.exit_code = self.io_error = 0
+        self.began = False
+        stream.on_message = self.message
+
+    def message(self, tag: int, data: bytes) -> None:
+        if tag in (ERROR_XFER, INFO, ERROR, WARNING, DELETED):
+            self.call.said.append((tag, data.decode("utf-8", "surrogateescape").rstrip("\n")))
+            if tag == ERROR:
+                self.call.error = self.call.said[-1][1]
+        elif tag == ERROR_EXIT and len(data) == 4:
+            self.exit_code = int(I32.unpack(data)[0])
+        elif tag == IO_ERROR and len(data) == 4:
+            self.io_error |= int(I32.unpack(data)[0])
+        elif tag == NO_SEND and len(data) == 4:
+            self.call.no_send.append(int(I32.unpack(data)[0]))
+
+    async def run(self, verb: str, path: str) -> None:
+        stream, wanted = self.stream, self.call
+        agreed = read_hello(await stream.line(), wanted.version)
+        stream.put(hello(wanted.version) + (b"" if verb == "modules" else wanted.module.encode()) + b"\n")
+        await stream.flush()
+        if not await self._enter(agreed):
+            return
+        words = wanted.words(verb != "push", path)
+        end = b"\0" if agreed.version >= 30 else b"\n"
+        stream.put(b"".join(w + end for w in words) + end)
+        options = parse(words)
+        able = wanted.able if agreed.version >= 30 else ""
+        await stream.flush()
+        await settle(stream, agreed, options, False, 0, able)
+        self.began = True
+        stream.unread()
+        if agreed.version >= 30:
+            stream.start_frames_out()
+        self.agreed, self.options = agreed, options
+        self.index_in, self.index_out = IndexIn(agreed.version), IndexOut(agreed.version)
+        self.phases = 2 if agreed.version >= 29 else 1
+        await self._transfer(verb)
+
+    async def _enter(self, agreed: Agreed) -> bool:
+        """Lines up to OK; False where the connection ends before a transfer."""
+        stream, wanted = self.stream, self.call
+        while True:
+            line = await stream.line()
+            if line.startswith(b"@RSYNCD: AUTHREQD "):
+                challenge = line[18:]
+                # An older tool lists no sums, and does not look at the other side's.
+                kind = login_digest(agreed.version, agreed.digests if agreed.version >= 31 else None)
+                answer = login(kind, wanted.secret, challenge, agreed.version)
+                stream.put(wanted.user.encode() + b" " + answer + b"\n")
+                await stream.flush()
+            elif line == b"@RSYNCD: OK":
+                return True
+            elif line == b"@RSYNCD: EXIT":
+                return False
+            elif line.startswith(b"@ERROR"):
+                raise RsyncError(line.decode("utf-8", "replace"), START)
+            else:
+                wanted.lines.append(line.decode("utf-8", "replace"))
+
+    async def _transfer(self, verb: str) -> None:
+        """The transfer itself, once the server has agreed to it."""
+        raise NotImplementedError
+
+    async def _item(self) -> tuple[int, int]:
+        index = await self.index_in(self.stream)
+        if index == DONE or self.agreed.version < 29:
+            return index, TRANSFER
+        flags = await read_short(self.stream)
+        if flags & BASIS:
+            await self.stream.take(1)
+        if flags & XNAME:
+            await read_vstring(self.stream)
+        return index, flags
+
+    async def _done(self) -> None:
+        self.stream.put(self.index_out(DONE))
+        await self.stream.flush()
+        index, _ = await self._item()
+        if index != DONE:
+            raise RsyncError(f"file {index} came where the phase should end")
--- a/pebblehinge/lab/verdict.py
+++ b/pebblehinge/lab/verdict.py
@@ -9,7 +9,7 @@
 
 from pebblehinge import __version__
 from pebblehinge.lab.check import RULES, Day, Verdict
-from pebblehinge.lab.copies import judged, sound
+from pebblehinge.lab.rsync_verdict import judged, sound
 
 NONE: dict[str, Any] = judged((), ())
 ANSWERS = {"honoured": "honoured", "pushed back": "pushed_back", "terminated": "terminated"}
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -16,12 +16,12 @@
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.clients import Crowd
-from pebblehinge.lab.copies import Copies
 from pebblehinge.lab.faults.ground_in_memory import VillageGround, clock_of, join
 from pebblehinge.lab.faults.player import Ground
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.fleet import released
 from pebblehinge.lab.quiet import Memory, Quiet
+from pebblehinge.lab.rsync_load import Copies
 from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.listing import ListingServer
@@ -99,14 +99,23 @@
                 disk = self.struck.disk(name, self.seed)
                 ahead = life * (self.memory_age_ms or 0.0)
                 wall = self.struck.wall_of(name)
-                head.remember(disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"),
-                              self.struck.beside(name))  # fmt: skip
+                head.remember(
+                    disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.struck.beside(name)
+                )
             kept = self.captures[f"{name}.{life}"] = bytearray()
             head.capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
             await head.start()
             if self.config.member:
-                join(node, clock, self.config, name, head, self.struck.disk(name, self.seed), self.log,
-                     self.struck.beside(name))  # fmt: skip
+                join(
+                    node,
+                    clock,
+                    self.config,
+                    name,
+                    head,
+                    self.struck.disk(name, self.seed),
+                    self.log,
+                    self.struck.beside(name),
+                )
             return
         if name in self.config.member:
             disk, life = self.struck.disk(name, self.seed), self.lives.get(name, -1) + 1
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from pebblehinge.head import HeadServer
-from pebblehinge.lab.caller import Call, call
+from pebblehinge.lab.rsync_call import Call
+from pebblehinge.lab.rsync_client import call
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.listing import ListingServer
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,10 +20,11 @@
 
 from pebblehinge.cli import find_day
 from pebblehinge.client import Result, Retries
-from pebblehinge.lab.caller import Local
-from pebblehinge.lab.copies import Member, judged, sound
 from pebblehinge.lab.days import DayError, timeline
 from pebblehinge.lab.load import Draw
+from pebblehinge.lab.rsync_call import Local
+from pebblehinge.lab.rsync_member import Member
+from pebblehinge.lab.rsync_verdict import judged, sound
 from pebblehinge.lab.verdict import kept, summary
 from pebblehinge.lab.village import play
 from pebblehinge.lab.virtual import HIGH_WATER, VirtualLoop
--- a/tests/test_rsync.py
+++ b/tests/test_rsync.py
@@ -13,8 +13,9 @@
 import pytest
 from rsync_town import SETTINGS, Town, altered, in_town
 
-from pebblehinge.lab.caller import Call, Local, call, folder, link
-from pebblehinge.lab.copies import Cut
+from pebblehinge.lab.connection_cut import Cut
+from pebblehinge.lab.rsync_call import Call, Local, folder, link
+from pebblehinge.lab.rsync_client import call
 from pebblehinge.rsync.place import Place, Transfer
 from pebblehinge.rsync.sharing import Keeping, Sharing, admits, after_append
 from pebblehinge.rsync.stream import DELETE_LIMIT, PARTIAL, START, STREAM, SYNTAX, TIMEOUT
