--- a/benchmarks/plan_check.py
+++ b/benchmarks/plan_check.py
@@ -30,8 +30,8 @@
 from pebblehinge.lab.trials import AWAY_MS, WINDOW_S, Pool, fleet_of, lay_out, read, world_of
 from pebblehinge.lab.village import play
 from pebblehinge.plan import Planner, Trial
+from pebblehinge.plan.bottleneck import blame
 from pebblehinge.plan.demand import demand_of
-from pebblehinge.plan.planner import blame
 from pebblehinge.settings import Config, Trouble, show
 from pebblehinge.settings.load import loads
 
--- a/pebblehinge/plan/__init__.py
+++ b/pebblehinge/plan/__init__.py
@@ -2,6 +2,7 @@
 `planner` asks for trials and turns what they showed into an answer. `lab/trials.py` plays the trials."""
 
 from pebblehinge.plan.demand import Demand, PlanError
-from pebblehinge.plan.planner import Planner, Trial, TrialResult
+from pebblehinge.plan.planner import Planner
+from pebblehinge.plan.trial import Trial, TrialResult
 
 __all__ = ["Demand", "PlanError", "Planner", "Trial", "TrialResult"]
--- a/pebblehinge/plan/demand.py
+++ b/pebblehinge/plan/demand.py
@@ -51,9 +51,7 @@
         return begin * 1000.0, (begin + window_s) * 1000.0
 
 
-def demand_of(
-    rows: list[tuple[float, str, Row]], config: Config, fewest: int = FEWEST, whole: bool = True
-) -> Demand:
+def demand_of(rows: list[tuple[float, str, Row]], config: Config, fewest: int = FEWEST, whole: bool = True) -> Demand:
     """Arrays from merged rows; raises PlanError where they do not fit the fleet. `whole`: all of a capture."""
     if len(rows) < fewest:
         raise PlanError(f"{len(rows)} accesses are captured: under {fewest} no answer would be honest")
@@ -63,8 +61,10 @@
     slots = sorted({r.slot for _, _, r in rows})
     known = {s.slot for s in config.shelf.values()}
     for what, asked, there in (
-        ("volume", volumes, config.volume), ("plan", plans, config.plan), ("profile", profiles, config.profile),
-    ):  # fmt: skip
+        ("volume", volumes, config.volume),
+        ("plan", plans, config.plan),
+        ("profile", profiles, config.profile),
+    ):
         missing = [name for name in asked if name not in there]
         if missing:
             raise PlanError(f"the capture has {what} {missing[0]!r}, which the fleet's settings do not know")
@@ -74,8 +74,10 @@
     unasked = sorted(known - set(slots))
     if whole and len(rows) > 50 * len(known) and len(unasked) > len(known) / 2:
         raise PlanError(f"{len(unasked)} of {len(known)} shelfs are not in the capture: is it this fleet's?")
-    index = {kind: {name: i for i, name in enumerate(names)}
-             for kind, names in (("v", volumes), ("p", plans), ("f", profiles))}  # fmt: skip
+    index = {
+        kind: {name: i for i, name in enumerate(names)}
+        for kind, names in (("v", volumes), ("p", plans), ("f", profiles))
+    }
     last: dict[str, float] = {}
     run = np.zeros(len(rows), bool)
     for i, (at, _, r) in enumerate(rows):
--- a/pebblehinge/plan/text.py
+++ b/pebblehinge/plan/text.py
@@ -32,8 +32,10 @@
             f"{loss['reason']}"
         )
     out.append(f"next: {told['next_step']}")
-    out += [f"  then {x['name']} ({x['where']}) at {x['at_multiple']:.1f} times: {x['reason']}"
-            for x in told["other_limits"][:4]]  # fmt: skip
+    out += [
+        f"  then {x['name']} ({x['where']}) at {x['at_multiple']:.1f} times: {x['reason']}"
+        for x in told["other_limits"][:4]
+    ]
     return out + [f"note: {note}" for note in told["notes"]]
 
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -18,9 +18,10 @@
 from pebblehinge.lab.trials import fleet_of, lay_out, losses, play_trial, world_of
 from pebblehinge.lab.village import play
 from pebblehinge.plan import PlanError, Planner, Trial, TrialResult
+from pebblehinge.plan.bottleneck import blame
 from pebblehinge.plan.demand import demand_of, fit_speed, window_of
-from pebblehinge.plan.formulas import erlang_c, estimate, limit_parts, other_limits, slots_of
-from pebblehinge.plan.planner import blame
+from pebblehinge.plan.formulas import erlang_c, estimate, limit_parts, slots_of
+from pebblehinge.plan.limits import other_limits
 from pebblehinge.settings import Config, load
 
 CONFIG = load(DAYS / "quiet.conf")
