--- /dev/null
+++ b/tests/captured_rows.py
@@ -0,0 +1,49 @@
+"""Rows of a capture made up for tests, on the fleet of the shipped day `quiet`."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import numpy as np
+from command_line import DAYS
+
+from pebblehinge.capture import Row
+from pebblehinge.settings import load
+
+CONFIG = load(DAYS / "quiet.conf")
+
+
+VOLUMES = list(CONFIG.volume)
+
+
+def row(t: float, **more: Any) -> Row:
+    usual: dict[str, Any] = dict(
+        t=t,
+        volume="premium-1",
+        plan="premium",
+        profile="doc-read",
+        extent=f"e{t}",
+        slot=0,
+        units=2.0,
+        write=False,
+        again=False,
+        bytes=100,
+        final=0,
+        took_ms=30.0,
+        trip_ms=28.0,
+        trips=1,
+    )
+    return Row(**{**usual, **more})
+
+
+def rows_of(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, Row]]:
+    rng = np.random.default_rng(1)
+    times = np.sort(rng.uniform(0, seconds * 1000.0, count))
+    return [
+        (
+            float(t),
+            "h1",
+            row(float(t), slot=i % 8, volume=VOLUMES[i % 20], plan=VOLUMES[i % 20].partition("-")[0], **more),
+        )
+        for i, t in enumerate(times)
+    ]
--- a/tests/test_fault_processes.py
+++ b/tests/test_fault_processes.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from test_lab import command
+from command_line import command
 
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.verdict import kept
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -1,116 +1,19 @@
-"""Captures, their replay, and the planner: its reasoning against made-up trials, its reading against odd captures."""
+"""The capacity planner: what it reads, its formulas, its reasoning against made-up trials."""
 
 from __future__ import annotations
 
-import json
-from pathlib import Path
 from typing import Any
 
 import msgspec
 import numpy as np
 import pytest
-from test_lab import DAYS, command
+from captured_rows import CONFIG, row, rows_of
 
-from pebblehinge.capture import Capture, CaptureError, CaptureWriter, Row
-from pebblehinge.capture.files import parse_capture
-from pebblehinge.lab import search
-from pebblehinge.lab.replay import Replay, merge
-from pebblehinge.lab.trials import fleet_of, lay_out, losses, play_trial, world_of
-from pebblehinge.lab.village import play
 from pebblehinge.plan import PlanError, Planner, Trial, TrialResult
 from pebblehinge.plan.bottleneck import blame
 from pebblehinge.plan.demand import demand_of, fit_speed, window_of
 from pebblehinge.plan.formulas import erlang_c, estimate, limit_parts, slots_of
 from pebblehinge.plan.limits import other_limits
-from pebblehinge.settings import Config, load
-
-CONFIG = load(DAYS / "quiet.conf")
-VOLUMES = list(CONFIG.volume)
-
-
-def row(t: float, **more: Any) -> Row:
-    usual: dict[str, Any] = dict(
-        t=t, volume="premium-1", plan="premium", profile="doc-read", extent=f"e{t}", slot=0, units=2.0, write=False,
-        again=False, bytes=100, final=0, took_ms=30.0, trip_ms=28.0, trips=1,
-    )  # fmt: skip
-    return Row(**{**usual, **more})
-
-
-def rows_of(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, Row]]:
-    rng = np.random.default_rng(1)
-    times = np.sort(rng.uniform(0, seconds * 1000.0, count))
-    return [(float(t), "h1", row(float(t), slot=i % 8, volume=VOLUMES[i % 20], plan=VOLUMES[i % 20].partition("-")[0],
-                                 **more)) for i, t in enumerate(times)]  # fmt: skip
-
-
-# ---- captures
-
-
-def written(*rows: Row, wall: float = 5000.0) -> bytes:
-    out = bytearray()
-    writer = CaptureWriter(out.extend, "h1", wall, 100.0)
-    for r in rows:
-        writer.add(r.t + 100.0, *msgspec.structs.astuple(r)[1:])
-        writer.flush()
-    return bytes(out)
-
-
-def test_a_capture_reads_back_and_is_read_up_to_a_cut_or_to_damage() -> None:
-    rows = [row(1.0), row(2.0), row(3.0)]
-    data = written(*rows)
-    whole = parse_capture(data)
-    assert (whole.head, whole.wall_ms, whole.rows, whole.cut) == ("h1", 5000.0, rows, "")
-    cut = parse_capture(data[:-5])
-    assert cut.rows == rows[:2] and "cut off" in cut.cut
-    damaged = bytearray(data)
-    damaged[-3] ^= 1
-    hurt = parse_capture(bytes(damaged))
-    assert hurt.rows == rows[:2] and "is damaged" in hurt.cut
-    with pytest.raises(CaptureError, match="version 9: version 1 is read"):
-        parse_capture(data[:8] + b"\x00\x09" + data[10:])
-    with pytest.raises(CaptureError, match="is no capture"):
-        parse_capture(b"rubbish")
-    with pytest.raises(CaptureError, match="holds no heading"):
-        parse_capture(data[:14])
-
-
-def test_a_full_disk_ends_the_capture_and_not_the_head() -> None:
-    failed: list[OSError] = []
-    written_bytes: list[bytes] = []
-
-    def sink(data: bytes) -> None:
-        if written_bytes:
-            raise OSError(28, "No space left on device")
-        written_bytes.append(data)
-
-    writer = CaptureWriter(sink, "h1", 0.0, 0.0, failed.append)
-    for _ in range(3):
-        writer.add(*msgspec.structs.astuple(row(1.0)))
-        writer.flush()
-    assert len(failed) == 1 and not writer.on and writer.rows == []
-
-
-def test_captures_of_several_heads_stand_on_one_line_without_second_tries() -> None:
-    first = Capture("h1", 1000.0, 77.0, [row(0.0), row(50.0, again=True)])
-    second = Capture("h2", 900.0, 5.0, [row(20.0), row(60_000.0)], cut="the block at byte 9 is damaged")
-    merged, notes = merge([first, second])
-    assert [(at, head) for at, head, _ in merged] == [(0.0, "h2"), (80.0, "h1"), (59_980.0, "h2")]
-    assert "h2: the block at byte 9 is damaged" in notes[0] and "a gap of 59.9 s" in notes[1]
-
-
-def test_load_is_replayed_grown_thinned_and_faster() -> None:
-    rows = rows_of(3000)
-    same = list(Replay(CONFIG, rows, 1).runs())
-    assert [a.at_ms for a in same] == [at for at, _, _ in rows] and {a.head for a in same} == {"h1"}
-    for multiple in (0.3, 1.7, 2.5):
-        assert len(list(Replay(CONFIG, rows, 1, multiple).runs())) == pytest.approx(3000 * multiple, rel=0.06)
-    grown = list(Replay(CONFIG, rows, 1, 2.0).runs())
-    assert max(a.at_ms for a in grown) <= rows[-1][0] and {a.head for a in grown} <= set(CONFIG.head)
-    fast = list(Replay(CONFIG, rows, 1, speed=4.0).runs())
-    assert fast[-1].at_ms == pytest.approx(rows[-1][0] / 4.0)
-
-
-# ---- reading
 
 
 def test_what_does_not_fit_the_fleet_is_refused_in_one_line() -> None:
@@ -153,9 +56,6 @@
     assert few == pytest.approx(sum(kind.speed) / 2) and wide >= 0.05
 
 
-# ---- formulas
-
-
 def test_formulas_hold_where_they_are_known() -> None:
     assert erlang_c(1, 0.5) == pytest.approx(0.5) and erlang_c(2, 1.0) == pytest.approx(1 / 3)
     demand = demand_of(rows_of(4000), CONFIG)
@@ -174,9 +74,6 @@
     assert let[5] == pytest.approx(0.39, abs=0.06) and let[-1] == pytest.approx(0.25, abs=0.02)
 
 
-# ---- reasoning
-
-
 def imagine(planner: Planner, serve: Any, most: int = 10_000) -> dict[str, Any]:
     """Answers the planner's trials from a made-up world."""
     played = 0
@@ -232,82 +129,9 @@
 
 
 def test_reserves_promised_over_what_is_there_are_told() -> None:
-    config = msgspec.structs.replace(CONFIG, plan={k: msgspec.structs.replace(p, reserve=p.reserve * 20)
-                                                   for k, p in CONFIG.plan.items()})  # fmt: skip
+    config = msgspec.structs.replace(
+        CONFIG, plan={k: msgspec.structs.replace(p, reserve=p.reserve * 20) for k, p in CONFIG.plan.items()}
+    )
     demand = demand_of(rows_of(3000), config)
     limits = other_limits(demand, config, slots_of(config, fit_speed(demand, config)), 0.1)
     assert next(x for x in limits if x.name == "reserves").at_multiple < 1.0
-
-
-# ---- trials
-
-
-def captured(config: Config, day: str) -> list[tuple[float, str, Row]]:
-    village, _ = play(config, day, 1)
-    return merge([parse_capture(bytes(data)) for data in village.captures.values()])[0]
-
-
-def test_a_trial_of_what_was_captured_shows_what_the_day_showed() -> None:
-    day = msgspec.structs.replace(CONFIG, day={"quiet": msgspec.structs.replace(CONFIG.day["quiet"], length=6000.0)})
-    rows = captured(day, "quiet")
-    world = world_of(CONFIG, rows, 0.0, 6000.0)
-    once, heavy = play_trial(world, Trial(1.0, 5)), play_trial(world, Trial(4.0, 5))
-    assert once.service > 0.96 and heavy.service < 0.7
-    assert sum(heavy.lost_by_shelf.values()) + sum(heavy.lost_by_limit.values()) == pytest.approx(
-        1.0 - heavy.service, abs=0.01
-    )
-    more = play_trial(world, Trial(4.0, 5, 24))
-    assert more.service > heavy.service + 0.2
-    lost = play_trial(world, Trial(1.0, 5, None, "rack a"))
-    assert lost.during < 0.7 and lost.service < once.service
-    assert play_trial(world, Trial(1.0, 5)) == once
-    places = lay_out(world, fleet_of(CONFIG, 24))
-    assert {len(p) for v, p in places.items()} <= set(range(1, 9)) and len({s for p in places.values() for s in p}) > 20
-    village, _ = play(day, "quiet", 1)
-    assert losses(village.facts())[1].keys() <= set(CONFIG.volume)
-
-
-def test_a_plan_from_the_command_line_and_its_bad_input(tmp_path: Path) -> None:
-    day = tmp_path / "short.conf"
-    day.write_text(f"include {(DAYS / '_archive.conf').resolve()}\nday short {{\n length 5s\n}}\n")
-    assert command("lab", "day", str(day), "--virtual", "--quiet", "--records", str(tmp_path / "r")).returncode == 0
-    captures = sorted(str(p) for p in (tmp_path / "r").glob("*.capture"))
-    done = command("plan", *captures, "--fleet", str(day), "--json", "--quiet", "--formulas")
-    told = json.loads(done.stdout)
-    assert done.returncode == 0 and told["first_limit"]["at_multiple"] > 1.0
-    assert {"name", "where", "at_multiple", "low", "high"} <= told["first_limit"].keys()
-    assert {"shelfs", "heads", "service", "low", "high"} <= told["needed"].keys()
-    for words, said in (
-        (["--goal", "1.5"], "a goal of 1.5"),
-        (["--lose-zone", "z9"], "zone 'z9' is not in the fleet"),
-    ):
-        done = command("plan", *captures, "--fleet", str(day), "--quiet", *words)
-        assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
-    (tmp_path / "bad.capture").write_bytes(b"no")
-    done = command("plan", str(tmp_path / "bad.capture"), "--fleet", str(day))
-    assert done.returncode == 2 and "is no capture" in done.stderr
-    made = command("lab", "report", str(tmp_path / "r"), "-o", str(tmp_path / "r.html"))
-    page = (tmp_path / "r.html").read_text()
-    assert made.returncode == 0 and page.count("data:image/svg+xml") == 2 and "http" not in page.partition("svg")[0]
-
-
-# ---- search
-
-
-def test_search_draws_the_same_days_and_shrinks_to_what_matters() -> None:
-    config = load(DAYS / "ledger.conf")
-    assert search.draw(config, 4, 9000.0) == search.draw(config, 4, 9000.0)
-    drawn = [search.draw(config, seed, 9000.0) for seed in range(30)]
-    assert len({t.name for troubles in drawn for t in troubles}) > 15
-    worst = search.Find(1, [*search.draw(config, 3, 9000.0)], 0.0, ["order"])
-
-    def played(config: Config, troubles: list, seed: int, length: float) -> search.Find:
-        broken = ["order"] if any(t.name == worst.troubles[-1].name for t in troubles) else []
-        return search.Find(seed, troubles, 0.5, broken)
-
-    real, search.attempt = search.attempt, played
-    try:
-        small = search.shrink(config, worst, 9000.0, 0.0, lambda line: None)
-    finally:
-        search.attempt = real
-    assert {t.name for t in small.troubles} == {worst.troubles[-1].name}
