--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -18,6 +18,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
 from capacity_fits import DATA, ROOT, Data, DataError, Reckoning, dumped, take  # noqa: E402
+from capacity_missing import missing  # noqa: E402
 from capacity_plot import plot  # noqa: E402
 from capacity_scale import scale  # noqa: E402
 from capacity_text import figure, number, quantity, rows  # noqa: E402
@@ -27,8 +28,6 @@
 MARKED = re.compile(r"(<!-- table ([a-z-]+) -->\n).*?(<!-- end -->)", re.DOTALL)
 NOT_MEASURED = "*not measured*"
 FAR = 1.05  # a fit that is used further beyond its range than this is called extrapolated
-MOST_HEADS = 1_000_000
-FAR_OFF = 10  # times the coming size: beyond that a row of the ranked list is only named
 
 
 def cell(data: Data, names: dict[str, float], stated: Any, unit: str, used: list[str]) -> tuple[str, float | None]:
@@ -78,10 +77,18 @@
         today, _ = cell(data, data.size("today"), row.get("expr"), unit, used)
         coming, value = cell(data, data.size("coming"), row.get("expr"), unit, used)
         budget = Reckoning(data, data.size("coming")).value(str(row["budget"])) if "budget" in row else None
-        body.append([
-            row["role"], row["what"], today, coming, quantity(budget, unit) if budget is not None else "-",
-            row.get("mechanism", "-"), verdict(value, budget, row.get("verdict", "")), ", ".join(used) or "-",
-        ])  # fmt: skip
+        body.append(
+            [
+                row["role"],
+                row["what"],
+                today,
+                coming,
+                quantity(budget, unit) if budget is not None else "-",
+                row.get("mechanism", "-"),
+                verdict(value, budget, row.get("verdict", "")),
+                ", ".join(used) or "-",
+            ]
+        )
     return body
 
 
@@ -117,51 +124,14 @@
     for row in data.raw["events"]:
         used: list[str] = []
         cells = [cell(data, data.size("coming"), row.get(key), unit, used)[0] for key, unit in columns]
-        cells = [c if key not in row or isinstance(row[key], dict) else f"{c}, computed"
-                 for (key, _), c in zip(columns, cells, strict=True)]  # fmt: skip
+        cells = [
+            c if key not in row or isinstance(row[key], dict) else f"{c}, computed"
+            for (key, _), c in zip(columns, cells, strict=True)
+        ]
         body.append([row["event"], *cells, row.get("note", "-"), ", ".join(used) or "-"])
     return rows(["event", "messages", "bytes", "busiest second", "until all is well", "what happens", "from"], body)
 
 
-def passed_at(data: Data, expr: str, budget: str) -> int | None:
-    """The smallest number of heads, in the coming size's shape, at which the expression is over its budget."""
-
-    def over(heads: int) -> bool:
-        names = data.grown(heads)
-        return Reckoning(data, names).value(expr) > Reckoning(data, names).value(budget)
-
-    if not over(MOST_HEADS):
-        return None
-    low, high = 0, MOST_HEADS
-    while high - low > 1:
-        middle = (low + high) // 2
-        low, high = (low, middle) if over(middle) else (middle, high)
-    return high
-
-
-def at_heads(heads: int) -> str:
-    return "any" if heads <= 1 else f"{heads:,}" if heads <= MOST_HEADS else f"over {MOST_HEADS:,}"
-
-
-def missing(data: Data) -> str:
-    found = []
-    for row in data.raw["missing"]:
-        if "run" in row and row["run"] not in data.runs:
-            raise DataError(f"missing {row['what']!r}: run {row['run']!r} is not there")
-        heads = passed_at(data, row["expr"], str(row["budget"])) if "expr" in row else row["heads"]
-        source = "computed" if "expr" in row else f"run {row['run']}"
-        found.append((heads if heads is not None else MOST_HEADS + 1, row, source))
-    found.sort(key=lambda f: (f[0], f[1]["what"]))
-    far = [row["what"] for heads, row, _ in found if heads > FAR_OFF * data.raw["sizes"]["coming"]["heads"]]
-    body = [
-        [str(n), row["what"], at_heads(heads), row["budget_said"],
-         row["mechanism"], source]
-        for n, (heads, row, source) in enumerate(found[: len(found) - len(far)], 1)
-    ]  # fmt: skip
-    table = rows(["", "what breaks", "at heads", "budget", "mechanism", "how known"], body)
-    return table + f"\nPassed only over {FAR_OFF} times the coming size: {'; '.join(far) or 'none'}.\n"
-
-
 def slopes(data: Data) -> str:
     body = []
     for fit in data.fits.values():
@@ -203,12 +173,20 @@
 
 
 TABLES: dict[str, Callable[[Data], str]] = {
-    "summary": summary, "size": size, "roles": roles, "zones": zones, "slopes": slopes,
-    "events": events, "missing": missing, "runs": runs,
-    "decision": lambda d: section(d, "decision"), "caps": lambda d: section(d, "caps", "idle"),
-    "scale": scale, "spread": lambda d: section(d, "spread", "version-spread"),
+    "summary": summary,
+    "size": size,
+    "roles": roles,
+    "zones": zones,
+    "slopes": slopes,
+    "events": events,
+    "missing": missing,
+    "runs": runs,
+    "decision": lambda d: section(d, "decision"),
+    "caps": lambda d: section(d, "caps", "idle"),
+    "scale": scale,
+    "spread": lambda d: section(d, "spread", "version-spread"),
     "virtual": lambda d: section(d, "virtual", "wide"),
-}  # fmt: skip
+}
 
 
 def written(data: Data, page: str) -> str:
--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -16,8 +16,6 @@
 )
 
 SHELF = "pebblehinge/shelf/server.py"
-
-
 CONSOLE, VIEW = "pebblehinge/console/server.py", "pebblehinge/console/view.py"
 
 
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -114,10 +114,13 @@
 
     def write(self) -> None:
         figures = {
-            "t": round(self.monotonic(), 4), "cpu": round(time.process_time(), 4), "rss": resident(),
-            "lag_ms": round(self.lag * 1000.0, 2), "out": {NAMES[k]: v for k, v in self.out.items()},
+            "t": round(self.monotonic(), 4),
+            "cpu": round(time.process_time(), 4),
+            "rss": resident(),
+            "lag_ms": round(self.lag * 1000.0, 2),
+            "out": {NAMES[k]: v for k, v in self.out.items()},
             "in": {NAMES[k]: v for k, v in self.came.items()},
-        }  # fmt: skip
+        }
         self.lag = 0.0
         self.samples.write(json.dumps(figures) + "\n")
         self.samples.flush()
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -49,9 +49,15 @@
         self.feed = Feed(self.loop, clock, self.config, taken, lambda new, mode: None, self._keep, Quiet())
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
         self.listing = ListingLink(
-            self.loop, clock, self.name, self.config.listing.listen, self.config.limits, rng, self._listed,
+            self.loop,
+            clock,
+            self.name,
+            self.config.listing.listen,
+            self.config.limits,
+            rng,
+            self._listed,
             self.config.listing.mode == "ask",
-        )  # fmt: skip
+        )
         spread, rate = self.given["spread"], self.given["trips"]
         self.trips = Trips(self.loop, clock, self.name, self.config.limits, rng, spread, rate)
         self.feed.start()
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -12,8 +12,15 @@
 
 
 def group_of(process: str) -> str:
-    for prefix, group in (("heads", "hollow heads"), ("shelfs", "hollow shelfs"), ("listing", "list"),
-                          ("load", "load"), ("g", "instances"), ("h", "real heads"), ("s", "real shelfs")):  # fmt: skip
+    for prefix, group in (
+        ("heads", "hollow heads"),
+        ("shelfs", "hollow shelfs"),
+        ("listing", "list"),
+        ("load", "load"),
+        ("g", "instances"),
+        ("h", "real heads"),
+        ("s", "real shelfs"),
+    ):
         if process.startswith(prefix):
             return group
     return process
@@ -55,7 +62,7 @@
             "rss_mb": round(max(r["rss"] for r in inside) / 2**20, 1),
             "lag_ms": max(r["lag_ms"] for r in inside),
             **{side: _less(b[side], a[side]) for side in ("out", "in")},
-        }  # fmt: skip
+        }
 
 
 def _less(b: dict[str, Any], a: dict[str, Any]) -> dict[str, list[int]]:
@@ -81,11 +88,14 @@
         rows = [r for n, r in by_process.items() if group_of(n) == group]
         if rows:
             groups[group] = {
-                "processes": len(rows), "cpu_share": round(sum(r["cpu_s"] for r in rows) / length, 4),
+                "processes": len(rows),
+                "cpu_share": round(sum(r["cpu_s"] for r in rows) / length, 4),
                 "most_cpu_share": round(max(r["cpu_s"] for r in rows) / length, 4),
-                "most_rss_mb": max(r["rss_mb"] for r in rows), "most_lag_ms": max(r["lag_ms"] for r in rows),
-                "out": _added([r["out"] for r in rows]), "in": _added([r["in"] for r in rows]),
-            }  # fmt: skip
+                "most_rss_mb": max(r["rss_mb"] for r in rows),
+                "most_lag_ms": max(r["lag_ms"] for r in rows),
+                "out": _added([r["out"] for r in rows]),
+                "in": _added([r["in"] for r in rows]),
+            }
     sent = _added([r["out"] for r in by_process.values()])
     control = {kind: sent.get(kind, [0, 0]) for kind in ("NEWS", "RENEW", "GRANT", "RAFT", "LIST")}
     return {
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -43,10 +43,22 @@
     """`events(stage)` runs beside the load and is what the run is for."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, path: Path, seed: int, folder: Path, loopback: str,
-        said: Callable[[str], None], heads: int, shelfs: int, events: Callable[[ScaleStage], Any], regions: bool,
-        counting: bool, spread: int = 0, trips: float = 0.0,
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        path: Path,
+        seed: int,
+        folder: Path,
+        loopback: str,
+        said: Callable[[str], None],
+        heads: int,
+        shelfs: int,
+        events: Callable[[ScaleStage], Any],
+        regions: bool,
+        counting: bool,
+        spread: int = 0,
+        trips: float = 0.0,
+    ) -> None:
         super().__init__(loop, config, path, "struck", seed, folder, loopback, said, [])
         self.heads, self.shelfs, self.events = heads, shelfs, events
         self.figures = folder / "figures"
@@ -95,17 +107,21 @@
     async def _hollow_shelfs(self) -> None:
         numbers = list(range(1, self.shelfs - REAL_SHELFS + 1))
         count = -(-len(numbers) // SHELFS_EACH)
-        await asyncio.gather(*(
-            self._spawn_hollow(f"shelfs{n + 1}", "hollow-shelfs", {**self._given(), "numbers": numbers[n::count]})
-            for n in range(count)
-        ))  # fmt: skip
+        await asyncio.gather(
+            *(
+                self._spawn_hollow(f"shelfs{n + 1}", "hollow-shelfs", {**self._given(), "numbers": numbers[n::count]})
+                for n in range(count)
+            )
+        )
 
     async def _spawn_hollow(self, name: str, role: str, given: dict[str, Any]) -> None:
         with self.struck.control(name) as (command, _):
             process = await asyncio.create_subprocess_exec(
-                *command([role, json.dumps(given)]), stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
+                *command([role, json.dumps(given)]),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
                 stderr=self.logs,
-            )  # fmt: skip
+            )
         self.processes[name] = process
         assert process.stdout is not None
         line = await asyncio.wait_for(process.stdout.readline(), 60.0)
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -2,24 +2,17 @@
 
 from __future__ import annotations
 
-import gc
-import itertools
 import random
 import tempfile
 import time
-import tracemalloc
-from collections.abc import Callable
 from typing import Any
 
 import msgspec
 from slopes import ROOT, Point, least_ms, point
+from slopes_version import HEADS, VOLUMES, head_of, kept_by, text, versions
 
-from pebblehinge.agreed.activation import careful
 from pebblehinge.agreed.state import State, Version, command
-from pebblehinge.agreed.taking import Taking
-from pebblehinge.cli import clock_of
 from pebblehinge.head import HeadServer
-from pebblehinge.lab.village import Quiet
 from pebblehinge.raft import Entry
 from pebblehinge.raft.log import DATA
 from pebblehinge.raft.storage import RealDisk, Storage, first_members
@@ -27,116 +20,6 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind, Session, encode
 
-VOLUMES = 2000
-HEADS = (30, 100, 300, 600, 910)
-TEXT = """
-profile look {{
-    importance 2
-    expected 400ms
-    patience 2s
-    repeat redoable
-}}
-profile save {{
-    importance 2
-    expected 400ms
-    patience 2s
-    repeat irreversible
-}}
-plan capped {{
-    rate 40/s
-    limit {limit}/s
-    burst 200
-}}
-volumes v {volumes} {{
-    plan capped
-    heads {heads}
-}}
-{blocks}
-{members}
-group {{
-    lease 3s
-}}
-"""
-
-
-def text(heads: int, volumes: int = VOLUMES, limit: float = 100) -> str:
-    """Settings of a fleet as a group has them: each head and instance by name, volumes that are alike in one block."""
-    blocks = "\n".join(f"head h{n} {{\n    listen 10.{n // 250}.{n % 250}.1:7000\n}}" for n in range(heads))
-    members = "\n".join(f"member g{n} {{\n    listen 10.200.0.{n}:6000\n}}" for n in range(1, 6))
-    return TEXT.format(limit=limit, volumes=volumes, heads=heads, blocks=blocks, members=members)
-
-
-def kept_by(make: Callable[[], Any]) -> int:
-    """Bytes that stand after a call, as long as what it returned is held."""
-    make()  # caches that every call shares
-    gc.collect()
-    tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    held = make()
-    gc.collect()
-    found = tracemalloc.get_traced_memory()[0] - before
-    tracemalloc.stop()
-    del held
-    return found
-
-
-def taken(old: str, new: str) -> Taking:
-    """A head between two versions: one active, one pending."""
-    taking = Taking("h1", 0.25)
-    taking.answered(taking.asked(0.0), 3000.0, 1, old, 2, new, {})
-    return taking
-
-
-class Handle:
-    """A timer that never rings."""
-
-    def cancel(self) -> None:
-        """Nothing to call off."""
-
-
-class StillLoop:
-    """A loop in which no time passes: the measured calls only set timers."""
-
-    def time(self) -> float:
-        return 0.0
-
-    def call_at(self, *_: Any) -> Handle:
-        return Handle()
-
-    def create_future(self) -> None:
-        """Nothing waits here."""
-
-
-def head_of(config: Config) -> HeadServer:
-    """A framed head with no sockets."""
-    loop: Any = StillLoop()
-    return HeadServer(loop, clock_of(loop), config, "h1", Quiet())
-
-
-def version(heads: int, volumes: int) -> dict[str, Any]:
-    old, new = text(heads, volumes), text(heads, volumes, 90)
-    one, other = loads(old), loads(new)
-    half, head = careful(one, other, "h1"), head_of(one)
-    turns = itertools.cycle((half, one))  # settings that are as they were are not taken up anew
-    grant = (1, 3000.0, 1, old, 2, new, {}, "")
-    return {
-        "text_bytes": len(old), "read_ms": least_ms(lambda: loads(old)),
-        "careful_ms": least_ms(lambda: careful(one, other, "h1")),
-        "take_up_ms": least_ms(lambda: head.adopt(next(turns))),
-        "kept_bytes": kept_by(lambda: taken(old, new)), "one_config_bytes": kept_by(lambda: loads(old)),
-        "careful_bytes": kept_by(lambda: careful(one, other, "h1")),
-        "grant_both_ms": least_ms(lambda: encode(Kind.GRANT, *grant)),
-    }  # fmt: skip
-
-
-def versions(small: bool) -> list[Point]:
-    """A version's text against the heads that it names and the volumes that it has."""
-    heads = HEADS[:2] if small else HEADS
-    found = [point({"heads": n, "volumes": VOLUMES, "along": "heads"}, **version(n, VOLUMES)) for n in heads]
-    for count in (30, 300) if small else (30, 300, 1000, 2000):
-        found.append(point({"heads": 910, "volumes": count, "along": "volumes"}, **version(910, count)))
-    return found
-
 
 def entries(count: int) -> list[tuple[str, str, str, int, float]]:
     rng = random.Random(1)
@@ -160,13 +43,18 @@
 
         heads = [head_of(config) for _ in range(8)]
         fresh, told, head = iter(heads), read(), head_of(config)
-        found.append(point(
-            {"rows": count}, frame_bytes=len(frame), change_bytes=len(encode(Kind.LIST, 0, "changes", rows[:1])),
-            write_ms=least_ms(lambda r=rows: encode(Kind.LIST, 1, "whole", r)), read_ms=least_ms(read),
-            first_ms=least_ms(lambda f=fresh, t=told: next(f).listing.came("whole", t)),
-            again_ms=least_ms(lambda h=head, t=told: h.listing.came("whole", t)),
-            kept_bytes=kept_by(lambda t=told: listed(config, t)) - kept_by(lambda: head_of(config)),
-        ))  # fmt: skip
+        found.append(
+            point(
+                {"rows": count},
+                frame_bytes=len(frame),
+                change_bytes=len(encode(Kind.LIST, 0, "changes", rows[:1])),
+                write_ms=least_ms(lambda r=rows: encode(Kind.LIST, 1, "whole", r)),
+                read_ms=least_ms(read),
+                first_ms=least_ms(lambda f=fresh, t=told: next(f).listing.came("whole", t)),
+                again_ms=least_ms(lambda h=head, t=told: h.listing.came("whole", t)),
+                kept_bytes=kept_by(lambda t=told: listed(config, t)) - kept_by(lambda: head_of(config)),
+            )
+        )
     return found
 
 
@@ -197,12 +85,15 @@
         held = state_of(heads, kept)
         data = held.dump()
         along = "versions" if heads == 910 and kept > 1 else f"heads at {kept}"
-        found.append(point(
-            {"heads": heads, "versions": kept, "along": along},
-            snapshot_bytes=len(data), dump_ms=least_ms(held.dump, 5),
-            restore_ms=least_ms(lambda d=data: State.restore(d), 5),
-            memory_bytes=kept_by(lambda h=heads, v=kept: state_of(h, v)),
-        ))  # fmt: skip
+        found.append(
+            point(
+                {"heads": heads, "versions": kept, "along": along},
+                snapshot_bytes=len(data),
+                dump_ms=least_ms(held.dump, 5),
+                restore_ms=least_ms(lambda d=data: State.restore(d), 5),
+                memory_bytes=kept_by(lambda h=heads, v=kept: state_of(h, v)),
+            )
+        )
     return found
 
 
@@ -219,8 +110,14 @@
                 began = time.perf_counter()
                 storage.store(None, None, [], snapshot)
                 took.append((time.perf_counter() - began) * 1000.0)
-        found.append(point({"versions": kept, "heads": 910}, snapshot_bytes=len(data),
-                           store_ms=sorted(took)[4], worst_store_ms=max(took)))  # fmt: skip
+        found.append(
+            point(
+                {"versions": kept, "heads": 910},
+                snapshot_bytes=len(data),
+                store_ms=sorted(took)[4],
+                worst_store_ms=max(took),
+            )
+        )
     return found
 
 
--- a/benchmarks/slopes_service.py
+++ b/benchmarks/slopes_service.py
@@ -14,107 +14,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from helpers import LOOPBACK  # noqa: E402
-from service_rig import CONFIG, SETTINGS, Client, Discovery, Shelf, ask, entry, listing  # noqa: E402
-from slopes import Child, Point, on_core_ms, point, resident_kib  # noqa: E402
+from service_rig import Shelf, entry, listing  # noqa: E402
+from slopes import Point, on_core_ms, point, resident_kib  # noqa: E402
+from slopes_head import Head  # noqa: E402
 
-SOCKETS = 16_384  # told to the head: of these a quarter may be clients with nothing open, three eighths shelfs'
-HEALTH = b"GET /health/live HTTP/1.1\r\nHost: service.internal\r\n\r\n"
 REST_S = 3.0
 ACCESSES = 4_000
 
 
-class Head:
-    """A head as a process, and the discovery that it watches, which is here."""
-
-    async def start(self, folder: str, shelfs: int, address: Callable[[int], int]) -> Head:
-        self.discovery = Discovery()
-        await self.discovery.start()
-        self.discovery.list = listing(1, *(entry(f"s{i}", address(i), i) for i in range(shelfs)))
-        with_port = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
-        self.port = with_port.sockets[0].getsockname()[1]
-        with_port.close()
-        settings = {**SETTINGS, "family_info": {**SETTINGS["family_info"], "shards": max(shelfs, 4)},
-                    "service_levels": [{"base_rate": 100_000.0, "name": "gold", "reserve": 100_000.0}]}  # fmt: skip
-        config = {**CONFIG, "listen": f"127.0.0.1:{self.port}", "discovery": f"{LOOPBACK}:{self.discovery.port}",
-                  "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": SOCKETS}, "settings": settings}  # fmt: skip
-        path = Path(folder) / "config.json"
-        path.write_text(json.dumps(config))
-        self.child = Child("-m", "pebblehinge.service", RELAY_CONFIG=str(path))
-        self.pulse = asyncio.create_task(self._pulse())
-        for _ in range(200):
-            try:
-                client = await self.client()
-                client.write(HEALTH.replace(b"live", b"ready"))
-                if (await client.answer()).status == 200 and self.discovery.asked:
-                    client.transport.close()
-                    break
-            except OSError:
-                pass
-            await asyncio.sleep(0.05)
-        else:
-            raise RuntimeError("the head has not become ready")
-        await asyncio.sleep(1.0)  # what a start leaves to be done is done
-        return self
-
-    def __enter__(self) -> Head:
-        return self
-
-    def __exit__(self, *_: object) -> None:
-        self.pulse.cancel()
-        self.child.__exit__()
-
-    async def _pulse(self) -> None:
-        """Discovery's empty line, by which a head knows that its watch stands."""
-        while True:
-            for conn in [c for c in self.discovery.conns if not c.lost]:
-                conn.write(b"1\r\n\n\r\n")
-            await asyncio.sleep(2.0)
-
-    async def client(self) -> Client:
-        client = Client()
-        await asyncio.get_running_loop().create_connection(lambda: client, "127.0.0.1", self.port)
-        return client
-
-    async def clients(self, count: int, asks: bool) -> list[Client]:
-        found = []
-        while len(found) < count:
-            some = await asyncio.gather(*(self.client() for _ in range(min(50, count - len(found)))))
-            found += some
-            if asks:
-                for client in some:
-                    client.write(HEALTH)
-                await asyncio.gather(*(client.answer() for client in some))
-        return found
-
-    async def at_rest(self, seconds: float) -> float:
-        """Milliseconds on a core a second."""
-        before = on_core_ms(self.child.pid)
-        await asyncio.sleep(seconds)
-        return (on_core_ms(self.child.pid) - before) / seconds
-
-    async def run(self, clients: list[Client], accesses: int, shards: int) -> tuple[float, int]:
-        """So many accesses, one after the other on each connection, over all shards in turn: ms on a core for each,
-        and how many were honoured."""
-        numbers, honoured = iter(range(accesses)), 0
-        before = on_core_ms(self.child.pid)
-
-        async def one(client: Client) -> None:
-            nonlocal honoured
-            for n in numbers:
-                # The answers are counted by hand: the rig's own wait looks every few milliseconds.
-                had = len(client.answers)
-                client.write(ask(shard=n % shards, Cookie=f"block={n % 9973:016x}"))
-                while len(client.answers) == had:
-                    await asyncio.sleep(0)
-                honoured += client.answers[-1].status == 200
-                client.answers.clear()
-                client.seen = 0
-
-        await asyncio.gather(*(one(c) for c in clients))
-        return (on_core_ms(self.child.pid) - before) / accesses, honoured
-
-
 def whole(script: Callable[[str], Coroutine[Any, Any, list[Point]]]) -> list[Point]:
     with tempfile.TemporaryDirectory() as folder:
         return uvloop.run(script(folder))
@@ -137,8 +44,15 @@
                     for client in clients:
                         client.transport.abort()
                 kind = "has asked" if asks else "silent"
-                found.append(point({"connections": count, "kind": kind}, resident_kib=held, grown_kib=held - first,
-                                   rest_ms_a_s=rest, still_open=stay))  # fmt: skip
+                found.append(
+                    point(
+                        {"connections": count, "kind": kind},
+                        resident_kib=held,
+                        grown_kib=held - first,
+                        rest_ms_a_s=rest,
+                        still_open=stay,
+                    )
+                )
         return found
 
     return whole(script)
@@ -167,8 +81,17 @@
                     await asyncio.sleep(0.1)
                     changes += on_core_ms(head.child.pid) - before - 0.1 * rest
                 after = resident_kib(head.child.pid)
-            found.append(point({"shelfs": count}, resident_kib=held, resident_after_lists_kib=after, rest_ms_a_s=rest,
-                               list_bytes=size, whole_list_ms=wholes / times, change_ms=changes / times))  # fmt: skip
+            found.append(
+                point(
+                    {"shelfs": count},
+                    resident_kib=held,
+                    resident_after_lists_kib=after,
+                    rest_ms_a_s=rest,
+                    list_bytes=size,
+                    whole_list_ms=wholes / times,
+                    change_ms=changes / times,
+                )
+            )
         return found
 
     return whole(script)
@@ -198,9 +121,20 @@
             for peer in peers:
                 peer.conns.clear()
                 peer.asked.clear()
-            found.append(point({"shelfs": count}, resident_kib=held, grown_kib=held - first, shelf_connections=up,
-                               dialled_access_ms=dials, dialled_honoured=well / count, rest_ms_a_s=rest,
-                               access_ms=cost, honoured=honoured / ACCESSES, resident_after_kib=after))  # fmt: skip
+            found.append(
+                point(
+                    {"shelfs": count},
+                    resident_kib=held,
+                    grown_kib=held - first,
+                    shelf_connections=up,
+                    dialled_access_ms=dials,
+                    dialled_honoured=well / count,
+                    rest_ms_a_s=rest,
+                    access_ms=cost,
+                    honoured=honoured / ACCESSES,
+                    resident_after_kib=after,
+                )
+            )
         return found
 
     return whole(script)
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -16,7 +16,8 @@
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
 from capacity_fits import DATA, Data, DataError, least_squares, take  # noqa: E402
-from capacity_page import MARKED, PAGE, PLOT, passed_at, written  # noqa: E402
+from capacity_missing import passed_at  # noqa: E402
+from capacity_page import MARKED, PAGE, PLOT, written  # noqa: E402
 from capacity_plot import plot  # noqa: E402
 from capacity_scale import broken, whole  # noqa: E402
 from caps import CAPS  # noqa: E402
