--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -13,8 +13,10 @@
     began = time.monotonic()
     done = subprocess.run(
         [sys.executable, "-m", "pebblehinge", "lab", "day", day, "--json", "--quiet", *more],
-        capture_output=True, text=True, check=False,
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     return json.loads(done.stdout), time.monotonic() - began
 
 
--- a/benchmarks/capacity_fits.py
+++ b/benchmarks/capacity_fits.py
@@ -24,8 +24,11 @@
 COMMIT = re.compile(r"[0-9a-f]{7,40}")
 DATE = re.compile(r"20\d\d-[01]\d-[0-3]\d")
 OPERATORS: dict[type, Callable[[Any, Any], Any]] = {
-    ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv,
-}  # fmt: skip
+    ast.Add: operator.add,
+    ast.Sub: operator.sub,
+    ast.Mult: operator.mul,
+    ast.Div: operator.truediv,
+}
 
 
 class DataError(Exception):
--- a/benchmarks/capacity_scale.py
+++ b/benchmarks/capacity_scale.py
@@ -12,17 +12,28 @@
 
 KINDS = ("NEWS", "RENEW", "GRANT")
 COLUMNS = (
-    ("heads", "heads"), ("shelfs", "shelfs"), ("members", "instances"), ("event", "event"), ("seed", "seed"),
-    ("version_median_s", "in force, median head, s"), ("version_p99_s", "99th percentile, s"),
-    ("version_last_s", "last head, s"), ("version_missing", "heads not in force"),
-    ("version_frames", "frames a version and head"), ("rest_frames", "frames at rest, a second and head"),
-    ("rest_bytes", "bytes at rest, a second and head"), ("rest_leader_cpu_share", "leader at rest, cores"),
+    ("heads", "heads"),
+    ("shelfs", "shelfs"),
+    ("members", "instances"),
+    ("event", "event"),
+    ("seed", "seed"),
+    ("version_median_s", "in force, median head, s"),
+    ("version_p99_s", "99th percentile, s"),
+    ("version_last_s", "last head, s"),
+    ("version_missing", "heads not in force"),
+    ("version_frames", "frames a version and head"),
+    ("rest_frames", "frames at rest, a second and head"),
+    ("rest_bytes", "bytes at rest, a second and head"),
+    ("rest_leader_cpu_share", "leader at rest, cores"),
     ("event_leader_cpu_share", "leader in the event, cores"),
     ("event_real_heads_most_cpu_share", "real head in the event, cores"),
-    ("event_real_heads_most_lag_ms", "its longest lag, ms"), ("event_instances_most_lag_ms", "an instance's, ms"),
-    ("event_busiest_second_frames", "frames in the busiest second"), ("well_after_s", "until all is well, s"),
-    ("parts_over", "times parts were over the limit"), ("rules_kept", "rules kept"),
-)  # fmt: skip
+    ("event_real_heads_most_lag_ms", "its longest lag, ms"),
+    ("event_instances_most_lag_ms", "an instance's, ms"),
+    ("event_busiest_second_frames", "frames in the busiest second"),
+    ("well_after_s", "until all is well, s"),
+    ("parts_over", "times parts were over the limit"),
+    ("rules_kept", "rules kept"),
+)
 
 
 def whole(point: dict[str, Any]) -> dict[str, Any]:
--- a/benchmarks/capacity_text.py
+++ b/benchmarks/capacity_text.py
@@ -5,9 +5,21 @@
 from typing import Any
 
 UNITS = {
-    "": 1.0, "/s": 1.0, "s": 1.0, "ms": 1e-3, "µs": 1e-6, "B": 1.0, "KB": 1e3, "MB": 1e6, "GB": 1e9, "B/s": 1.0,
-    "KB/s": 1e3, "MB/s": 1e6, "% of a core": 0.01, "cores": 1.0,
-}  # fmt: skip
+    "": 1.0,
+    "/s": 1.0,
+    "s": 1.0,
+    "ms": 1e-3,
+    "µs": 1e-6,
+    "B": 1.0,
+    "KB": 1e3,
+    "MB": 1e6,
+    "GB": 1e9,
+    "B/s": 1.0,
+    "KB/s": 1e3,
+    "MB/s": 1e6,
+    "% of a core": 0.01,
+    "cores": 1.0,
+}
 FAMILIES = (("s", "ms", "µs"), ("GB", "MB", "KB", "B"), ("MB/s", "KB/s", "B/s"))
 
 
--- a/benchmarks/console_load.py
+++ b/benchmarks/console_load.py
@@ -139,9 +139,11 @@
     for watched, took in found.items():
         x = np.array(took)
         told[f"{viewers if watched else 0} viewers"] = {
-            "accesses": len(took), "p50_ms": float(np.percentile(x, 50)), "p99_ms": float(np.percentile(x, 99)),
+            "accesses": len(took),
+            "p50_ms": float(np.percentile(x, 50)),
+            "p99_ms": float(np.percentile(x, 99)),
             "late share": float((x > 100.0).mean()),
-        }  # fmt: skip
+        }
     a, b = told["0 viewers"], told[f"{viewers} viewers"]
     told["p99 ratio"] = b["p99_ms"] / a["p99_ms"]  # type: ignore[assignment]
     print(json.dumps(told, indent=1))
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -26,10 +26,24 @@
 SETTINGS = Settings(
     profiles=(Profile("p", 1.0, 60_000.0, 90_000.0, 0.1, Repeat.REDOABLE, Group.ALL, 0.0, False),),
     plans=(Plan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), Plan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
-    mean_units=2.0, most_units=6.0, share_worth=0.3, idle_worth=0.1, asks_for_list=False, marks_repeats=False,
-    may_recall=True, stay_away_max_ms=500.0, try_limit=3, step_ms=1.0, cold_share=0.3, warm_ms=10_000.0,
-    fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0, budget_window_ms=5_000.0,
-)  # fmt: skip
+    mean_units=2.0,
+    most_units=6.0,
+    share_worth=0.3,
+    idle_worth=0.1,
+    asks_for_list=False,
+    marks_repeats=False,
+    may_recall=True,
+    stay_away_max_ms=500.0,
+    try_limit=3,
+    step_ms=1.0,
+    cold_share=0.3,
+    warm_ms=10_000.0,
+    fall_multiple=2.0,
+    order_settle_ms=0.0,
+    budget_share=None,
+    budget_free=0.0,
+    budget_window_ms=5_000.0,
+)
 ROUNDS = 2_000
 
 
@@ -169,8 +183,10 @@
         rows.append(tuple(pair[checkout] for checkout in both))
     ratios = sorted(a / b for a, b in rows)
     here, there = (statistics.median(column) for column in zip(*rows, strict=True))
-    print(f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
-          f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")  # fmt: skip
+    print(
+        f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
+        f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}"
+    )
 
 
 def main() -> None:
@@ -186,9 +202,11 @@
         return
     print("| | 40 shelfs, us | 400 shelfs, us | ratio | p99 40 | p99 400 |\n| --- | --- | --- | --- | --- | --- |")
     for what, call in (
-        ("a slot frees, 10 held", lambda n: freed(n, 10)), ("a slot frees, 100 held", lambda n: freed(n, 100)),
-        ("one entry of the list changes", changed), ("a new object is placed", picked),
-    ):  # fmt: skip
+        ("a slot frees, 10 held", lambda n: freed(n, 10)),
+        ("a slot frees, 100 held", lambda n: freed(n, 100)),
+        ("one entry of the list changes", changed),
+        ("a new object is placed", picked),
+    ):
         rows = [call(n) for n in (40, 400, 40, 400, 40, 400)]
         few, many = min(rows[0::2]), min(rows[1::2])
         print(f"| {what} | {few[0]:.1f} | {many[0]:.1f} | {many[0] / few[0]:.2f} | {few[1]:.1f} | {many[1]:.1f} |")
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -38,11 +38,26 @@
 READ = Profile("read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Repeat.REDOABLE, Group.ALL, 0.0, False)
 FREE = Plan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
 SETTINGS = Settings(
-    profiles=(READ,), plans=(FREE,), mean_units=1.0, most_units=1.0, share_worth=0.35, idle_worth=0.05,
-    asks_for_list=False, marks_repeats=True, may_recall=True, stay_away_max_ms=500.0, try_limit=3, step_ms=2.0,
-    cold_share=0.3, warm_ms=10_000.0, fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0,
+    profiles=(READ,),
+    plans=(FREE,),
+    mean_units=1.0,
+    most_units=1.0,
+    share_worth=0.35,
+    idle_worth=0.05,
+    asks_for_list=False,
+    marks_repeats=True,
+    may_recall=True,
+    stay_away_max_ms=500.0,
+    try_limit=3,
+    step_ms=2.0,
+    cold_share=0.3,
+    warm_ms=10_000.0,
+    fall_multiple=2.0,
+    order_settle_ms=0.0,
+    budget_share=None,
+    budget_free=0.0,
     budget_window_ms=5_000.0,
-)  # fmt: skip
+)
 
 
 def weights_of(shape: str, heads: int) -> list[float]:
--- a/benchmarks/decisions_learning.py
+++ b/benchmarks/decisions_learning.py
@@ -79,9 +79,13 @@
         self.arrivals(self.pair_s * heads, self.end_ms, lambda: self.come(0))
         self.arrivals(BESIDE_S * heads, self.end_ms, lambda: self.come(1))
         self.play(self.end_ms)
-        found: dict[str, Any] = {"asked": self.asked, "lost_before": self.lost_before, "lost_after": self.lost_after,
-                                 "learned": round(len(self.learned) / heads, 3),
-                                 "again": round(len(self.again) / heads, 3)}  # fmt: skip
+        found: dict[str, Any] = {
+            "asked": self.asked,
+            "lost_before": self.lost_before,
+            "lost_after": self.lost_after,
+            "learned": round(len(self.learned) / heads, 3),
+            "again": round(len(self.again) / heads, 3),
+        }
         for name, rows, since in (("learned", self.learned, self.fault_ms), ("again", self.again, 0.0)):
             times = sorted(t - since for t in rows.values()) + [math.inf] * (heads - len(rows))
             for part in (0.5, 0.99):
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -49,8 +49,17 @@
     """One case. `set_size` is what the heads are told of how many share the limit: all of them, unless a test lies.
     `full` starts all stores full, whatever is asked."""
 
-    def __init__(self, heads: int, seed: int, limit: float, demand: float, shape: str, slack: float,
-                 set_size: int | None = None, full: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self,
+        heads: int,
+        seed: int,
+        limit: float,
+        demand: float,
+        shape: str,
+        slack: float,
+        set_size: int | None = None,
+        full: bool = False,
+    ) -> None:
         burst = BURST_S * limit
         self.weights, self.shape = weights_of(shape, heads), shape
         self.set_size, self.limit, self.most, self.asked_s = set_size or heads, limit, burst + slack, demand * limit
@@ -117,7 +126,15 @@
             slack = slack_of(name, BURST_S * limit, heads)
             for shape in SHAPES:
                 for demand in DEMANDS:
-                    x = {"heads": heads, "seed": seed, "limit": limit, "burst": BURST_S * limit, "slack": slack,
-                         "slack_as": name, "shape": shape, "demand": demand}  # fmt: skip
+                    x = {
+                        "heads": heads,
+                        "seed": seed,
+                        "limit": limit,
+                        "burst": BURST_S * limit,
+                        "slack": slack,
+                        "slack_as": name,
+                        "shape": shape,
+                        "demand": demand,
+                    }
                     found.append({"x": x, "y": Limits(heads, seed, limit, demand, shape, slack).figures()})
     return found
--- a/benchmarks/decisions_page.py
+++ b/benchmarks/decisions_page.py
@@ -71,8 +71,17 @@
 
 
 def learning(points: Points) -> str:
-    keys = ("learned", "learned_p50_ms", "learned_p99_ms", "asked", "lost_before", "lost_after",
-            "again", "again_p50_ms", "again_p99_ms")  # fmt: skip
+    keys = (
+        "learned",
+        "learned_p50_ms",
+        "learned_p99_ms",
+        "asked",
+        "lost_before",
+        "lost_after",
+        "again",
+        "again_p50_ms",
+        "again_p99_ms",
+    )
     xs = ("fault", "pair_s", "shape", "heads", "seed")
     rows = [[*(str(p["x"][k]) for k in xs), *(str(p["y"][k]) for k in keys)] for p in points]
     return table([*xs, *(k.replace("_", " ") for k in keys)], rows)
@@ -86,8 +95,16 @@
         cap = str(x["sockets"]) if x.get("sockets") else "none"
         keys = ("head_connections", "shelf_connections", "head_descriptors", "fleet_dials_s")
         rows.append([kept, cap, str(x["heads"]), x.get("shape", "any"), *(f"{y[key]:,}" for key in keys)])
-    head = ["pool", "descriptors given", "heads", "over shelfs", "connections a head", "connections a shelf",
-            "descriptors a head", "dials a second, fleet"]  # fmt: skip
+    head = [
+        "pool",
+        "descriptors given",
+        "heads",
+        "over shelfs",
+        "connections a head",
+        "connections a shelf",
+        "descriptors a head",
+        "dials a second, fleet",
+    ]
     return table(head, rows)
 
 
@@ -121,8 +138,14 @@
             "nothing that counts" if KINDS[scene] == "computed" else "other work; virtual time is the same at any load"
         )
         command = f"python benchmarks/decisions_at_size.py --scene {scene} --heads N --seed S --json"
-        run = {"id": f"decision-{scene}", "command": command, "commit": commit, "date": day,
-               "beside": beside, "kind": KINDS[scene]}  # fmt: skip
+        run = {
+            "id": f"decision-{scene}",
+            "command": command,
+            "commit": commit,
+            "date": day,
+            "beside": beside,
+            "kind": KINDS[scene],
+        }
         data[scene] = {"run": run, "points": points}
     return data
 
--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -66,10 +66,15 @@
             low, high = (middle, high) if of(middle)[0] < most else (low, middle)
         kept_s = low
         held, dials = of(low)
-    return {"head_connections": round(held), "shelf_connections": round(held * heads / SHELFS),
-            "head_dials_s": round(dials, 2), "fleet_dials_s": round(dials * heads),
-            "dials_an_access": round(dials / per_head, 4), "kept_s": round(kept_s, 2),
-            "head_descriptors": round(held) + CLIENTS // HEADS + OWN_SOCKETS}  # fmt: skip
+    return {
+        "head_connections": round(held),
+        "shelf_connections": round(held * heads / SHELFS),
+        "head_dials_s": round(dials, 2),
+        "fleet_dials_s": round(dials * heads),
+        "dials_an_access": round(dials / per_head, 4),
+        "kept_s": round(kept_s, 2),
+        "head_descriptors": round(held) + CLIENTS // HEADS + OWN_SOCKETS,
+    }
 
 
 def points(heads: int, seed: int, case: str = "") -> list[dict[str, Any]]:
@@ -80,6 +85,10 @@
             for sockets in (None, SOCKETS):
                 x = {"heads": heads, "shape": shape, "idle_s": idle_s, "sockets": sockets or 0, "kind": "in service"}
                 found.append({"x": x, "y": in_service(heads, shape, idle_s, sockets)})
-    y = {"head_connections": SHELFS, "shelf_connections": heads, "fleet_dials_s": 0,
-         "head_descriptors": SHELFS + CLIENTS // HEADS}  # fmt: skip
+    y = {
+        "head_connections": SHELFS,
+        "shelf_connections": heads,
+        "fleet_dials_s": 0,
+        "head_descriptors": SHELFS + CLIENTS // HEADS,
+    }
     return [*found, {"x": {"heads": heads, "kind": "framed"}, "y": y}]
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -28,8 +28,9 @@
     """One shelf that is dead or errs from DIES_MS on, beside one that is well; `rate` is accesses a second a head for
     the one, `beside` for the other."""
 
-    def __init__(self, heads: int, seed: int, rate: float, beside: float, outcome: Outcome, shape: str,
-                 budget: dict[str, float]) -> None:  # fmt: skip
+    def __init__(
+        self, heads: int, seed: int, rate: float, beside: float, outcome: Outcome, shape: str, budget: dict[str, float]
+    ) -> None:
         super().__init__(heads, 2, seed, replace(SETTINGS, **budget))
         self.weights, self.rate, self.beside, self.outcome = weights_of(shape, heads), rate, beside, outcome
         self.trips = self.further = self.asked = 0
--- a/benchmarks/fault_days.py
+++ b/benchmarks/fault_days.py
@@ -54,8 +54,15 @@
     broken = {rule: said["first"] for rule, said in told["rules"].items() if not said["kept"]}
     if known["faults"]:
         broken["fleet"] = known["faults"][0]
-    return {"seed": seed, "service": told["service"], "ends": told["ends"], "broken": sorted(broken),
-            "first": broken, "faults": known["faults"], **known["script"]}  # fmt: skip
+    return {
+        "seed": seed,
+        "service": told["service"],
+        "ends": told["ends"],
+        "broken": sorted(broken),
+        "first": broken,
+        "faults": known["faults"],
+        **known["script"],
+    }
 
 
 def one(job: tuple[str, int, int]) -> dict[str, Any]:
@@ -79,9 +86,16 @@
         path = folder / "settings.conf"
         path.write_text(text)
         stage = Processes(
-            asyncio.get_running_loop(), config, path, "struck", seed, folder / "records", loopback, lambda line: None,
+            asyncio.get_running_loop(),
+            config,
+            path,
+            "struck",
+            seed,
+            folder / "records",
+            loopback,
+            lambda line: None,
             script,
-        )  # fmt: skip
+        )
         try:
             return await stage.play()
         finally:
@@ -103,8 +117,10 @@
     parser.add_argument("--rate", type=float, default=100.0, help="runs of accesses a second")
     parser.add_argument("--json", action="store_true")
     told = parser.parse_args()
-    text, seeds = text_of(told.heads, told.shelfs, told.members, told.length, told.rate), range(
-        told.seeds[0], told.seeds[0] + told.seeds[1])  # fmt: skip
+    text, seeds = (
+        text_of(told.heads, told.shelfs, told.members, told.length, told.rate),
+        range(told.seeds[0], told.seeds[0] + told.seeds[1]),
+    )
     began = time.monotonic()
     if told.processes:
         rows = [on_processes(text, seed, told.faults) for seed in seeds]
@@ -113,13 +129,16 @@
             rows = list(pool.map(one, [(text, seed, told.faults) for seed in seeds]))
     services = [row["service"] for row in rows if "service" in row]
     whole = {
-        "runs": len(rows), "broken": sum(bool(r["broken"]) for r in rows),
+        "runs": len(rows),
+        "broken": sum(bool(r["broken"]) for r in rows),
         "faults": sum(bool(r.get("faults")) for r in rows),
-        "lines": sum(r.get("scripted", 0) for r in rows), "struck": sum(r.get("struck", 0) for r in rows),
-        "service": round(sum(services) / max(1, len(services)), 4), "worst": min(services, default=0.0),
+        "lines": sum(r.get("scripted", 0) for r in rows),
+        "struck": sum(r.get("struck", 0) for r in rows),
+        "service": round(sum(services) / max(1, len(services)), 4),
+        "worst": min(services, default=0.0),
         "relay_late_ms": max((r.get("relay_late_ms", 0.0) for r in rows), default=0.0),
         "seconds": round(time.monotonic() - began, 1),
-    }  # fmt: skip
+    }
     for row in rows:
         if row["broken"] or row.get("faults"):
             print(f"seed {row['seed']}: {row.get('first') or row.get('fault') or row['faults']}\n{row['script']}")
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -143,10 +143,18 @@
             await asyncio.sleep(0.02)
         began = clock()
         ok, said = await ask_group(
-            loop, [b.listen for b in config.member.values()], "propose",
-            {"text": document(100 + serial, heads, heads, host), "base": serial - 1, "session": "cost",
-             "serial": serial, "author": "cost"}, 8.0,
-        )  # fmt: skip
+            loop,
+            [b.listen for b in config.member.values()],
+            "propose",
+            {
+                "text": document(100 + serial, heads, heads, host),
+                "base": serial - 1,
+                "session": "cost",
+                "serial": serial,
+                "author": "cost",
+            },
+            8.0,
+        )
         assert ok, said
         while set(acts.values()) != {("active", serial)} or len(acts) < heads:
             await asyncio.sleep(0.002)
@@ -170,8 +178,10 @@
         told[f"instances {count}"]["ratio"] = told[f"instances {count}"]["a_second"] / one
     gone = without_leader(200)
     told["without leader, election time-outs"] = {
-        "median": float(np.median(gone)), "p99": float(np.percentile(gone, 99)), "worst": max(gone)
-    }  # fmt: skip
+        "median": float(np.median(gone)),
+        "p99": float(np.percentile(gone, 99)),
+        "worst": max(gone),
+    }
     told["20 heads"] = to_all_heads(20)
     print(json.dumps(told, indent=1))
 
--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -40,9 +40,19 @@
         async def start(member: str) -> None:
             more = [] if (folder / member).exists() else ["--begin"]
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "pebblehinge", "group", str(path), "--name", member, "--store",
-                str(folder / member), *more, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "pebblehinge",
+                "group",
+                str(path),
+                "--name",
+                member,
+                "--store",
+                str(folder / member),
+                *more,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.DEVNULL,
+            )
             up[member] = process
             assert (await process.stdout.readline()) == b"ready\n", f"{member} did not start again"
 
@@ -57,9 +67,12 @@
             base = 0 if history.startswith("no ") else int(history.splitlines()[-1].split()[0])
             note = f"round-{number}"
             ok, _ = await ask_group(
-                loop, addresses, "propose",
-                {"text": text, "base": base, "note": note, "session": f"s{number}", "serial": 1}, 6.0,
-            )  # fmt: skip
+                loop,
+                addresses,
+                "propose",
+                {"text": text, "base": base, "note": note, "session": f"s{number}", "serial": 1},
+                6.0,
+            )
             if ok:
                 said_yes.append(note)
 
@@ -86,8 +99,10 @@
     missing = [n for n in said_yes[-len(notes) :] if n not in notes]
     in_order = kept == said_yes[-len(kept) :] and len(notes) == len(set(notes))
     sound = ok and len(commits) == 1 and in_order and not missing
-    print(f"{rounds} rounds, {len(said_yes)} versions said yes to, {len(notes)} kept in the end, all instances at "
-          f"{sorted(commits)}: {'sound' if sound else 'BROKEN'}")
+    print(
+        f"{rounds} rounds, {len(said_yes)} versions said yes to, {len(notes)} kept in the end, all instances at "
+        f"{sorted(commits)}: {'sound' if sound else 'BROKEN'}"
+    )
     return 0 if sound else 1
 
 
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -92,9 +92,19 @@
         return Changes()
 
     def take(
-        self, now: float, id_: int, extent: str, profile: str, plan: str, volume: str, set_size: int, slot: int,
-        units: float, abandon: float, again: bool | None,
-    ) -> tuple[Any, Changes]:  # fmt: skip
+        self,
+        now: float,
+        id_: int,
+        extent: str,
+        profile: str,
+        plan: str,
+        volume: str,
+        set_size: int,
+        slot: int,
+        units: float,
+        abandon: float,
+        again: bool | None,
+    ) -> tuple[Any, Changes]:
         handle = self.Handle()
         handle.id, handle.over, handle.out = id_, False, True
         handle.trips = [Trip(self.at_slot[slot], abandon)]
@@ -156,9 +166,23 @@
         self.sent_at[i] = time.perf_counter()
         write = i % 3 == 0
         self.send(
-            Kind.TAKE, i, f"b-{i}", f"v-{i % 40 + 1}", None, "save" if write else "look", f"e{i % 997}",
-            i % self.shelfs, 2.0, 10_000.0, False, None, int(write), 0, len(self.data), self.data if write else b"",
-        )  # fmt: skip
+            Kind.TAKE,
+            i,
+            f"b-{i}",
+            f"v-{i % 40 + 1}",
+            None,
+            "save" if write else "look",
+            f"e{i % 997}",
+            i % self.shelfs,
+            2.0,
+            10_000.0,
+            False,
+            None,
+            int(write),
+            0,
+            len(self.data),
+            self.data if write else b"",
+        )
 
     def on_answer(self, id_: int, final: int, *rest: Any) -> None:
         self.took.append(time.perf_counter() - self.sent_at.pop(id_))
--- a/benchmarks/idle_connections.py
+++ b/benchmarks/idle_connections.py
@@ -86,8 +86,9 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "head.conf"
         file.write_text(FILE.format(host=host, most=max(4096, wanted[-1])))
-        head = subprocess.Popen([sys.executable, "-m", "pebblehinge", "head", str(file)], stdout=subprocess.PIPE,
-                                stderr=subprocess.DEVNULL)  # fmt: skip
+        head = subprocess.Popen(
+            [sys.executable, "-m", "pebblehinge", "head", str(file)], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
+        )
         try:
             assert head.stdout is not None and head.stdout.readline().startswith(b"ready")
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -102,10 +103,17 @@
     click.echo(json.dumps(told))
     if to:
         commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False)
-        run = {"id": "idle-connections", "command": "python benchmarks/idle_connections.py", "kind": "measured",
-               "commit": commit.stdout.strip(), "date": f"{date.today()}", "beside": "nothing"}  # fmt: skip
-        points = [{"x": {"connections": f["connections"]}, "y": {k: f[k] for k in ("kib", "opened_s", "lost")}}
-                  for f in found]  # fmt: skip
+        run = {
+            "id": "idle-connections",
+            "command": "python benchmarks/idle_connections.py",
+            "kind": "measured",
+            "commit": commit.stdout.strip(),
+            "date": f"{date.today()}",
+            "beside": "nothing",
+        }
+        points = [
+            {"x": {"connections": f["connections"]}, "y": {k: f[k] for k in ("kib", "opened_s", "lost")}} for f in found
+        ]
         Path(to).write_text(json.dumps({"run": run, "points": points, "fit": told, "note": ""}, indent=1) + "\n")
 
 
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -48,9 +48,11 @@
     parser.add_argument("--spread", type=int, default=0, help="hollow shelfs that each hollow head has links to")
     parser.add_argument("--trips", type=float, default=0.0, help="trips a second of each hollow head to those")
     parser.add_argument(
-        "--text", choices=("flat", "short"), default="flat",
+        "--text",
+        choices=("flat", "short"),
+        default="flat",
         help="of versions: as `config propose` sends it, every default spelled out, or as the file has it",
-    )  # fmt: skip
+    )
     parser.add_argument("--no-counting", action="store_true", help="no frames are counted: what counting costs")
     parser.add_argument("--keep", type=Path, help="a new folder for settings, records and figures of the run")
     parser.add_argument("--json", action="store_true")
@@ -86,18 +88,30 @@
         row.pop("asked"), row.pop("until", None)
     day = summary(Day.read(folder, stage.config), "struck", given.seed, {"faults": known["faults"]})
     return {
-        "heads": given.heads, "shelfs": given.shelfs, "members": given.members, "seed": given.seed,
-        "event": given.event, "regions": given.regions, "counted": not given.no_counting, "text": given.text,
+        "heads": given.heads,
+        "shelfs": given.shelfs,
+        "members": given.members,
+        "seed": given.seed,
+        "event": given.event,
+        "regions": given.regions,
+        "counted": not given.no_counting,
+        "text": given.text,
         "cap_s": given.cap,
-        "program": pebblehinge.__version__, "commit": commit(), "most_mb": known["most_mb"],
-        "most_processes": known["most_processes"], "load_late_ms": round(known["late_ms"], 1),
+        "program": pebblehinge.__version__,
+        "commit": commit(),
+        "most_mb": known["most_mb"],
+        "most_processes": known["most_processes"],
+        "load_late_ms": round(known["late_ms"], 1),
         "faults": known["faults"],
-        "relay_late_ms": known.get("script", {}).get("relay_late_ms"), **events.told,
-        "trips": dict(events.following.trips), "parts_summed": summed(events.following.rows, events.versions.limits),
+        "relay_late_ms": known.get("script", {}).get("relay_late_ms"),
+        **events.told,
+        "trips": dict(events.following.trips),
+        "parts_summed": summed(events.following.rows, events.versions.limits),
         "real": {k: day[k] for k in ("service", "worst_second", "latency_ms", "answers", "accesses")},
-        "rules_kept": kept(day), "rules": {r: v for r, v in day["rules"].items() if not v["kept"]},
+        "rules_kept": kept(day),
+        "rules": {r: v for r, v in day["rules"].items() if not v["kept"]},
         "windows": windows,
-    }  # fmt: skip
+    }
 
 
 def commit() -> str:
@@ -119,10 +133,21 @@
 
     async def whole() -> dict[str, Any]:
         stage = ScaleStage(
-            asyncio.get_running_loop(), loads(text, loopback=loopback), path, given.seed, folder / "records", loopback,
-            said, given.heads, given.shelfs, events,
-            given.regions or given.event == "cut", not given.no_counting, given.spread, given.trips,
-        )  # fmt: skip
+            asyncio.get_running_loop(),
+            loads(text, loopback=loopback),
+            path,
+            given.seed,
+            folder / "records",
+            loopback,
+            said,
+            given.heads,
+            given.shelfs,
+            events,
+            given.regions or given.event == "cut",
+            not given.no_counting,
+            given.spread,
+            given.trips,
+        )
         known = await play(stage)
         return told_of(given, folder / "records", stage, known)
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -61,9 +61,12 @@
     def __init__(self, *words: str, said: str | None = None, stdin: bool = False, **environ: str) -> None:
         out = subprocess.PIPE if said else subprocess.DEVNULL
         self.process = subprocess.Popen(
-            [sys.executable, *words], stdin=subprocess.PIPE if stdin else subprocess.DEVNULL, stdout=out,
-            stderr=subprocess.DEVNULL, env={**os.environ, **environ},
-        )  # fmt: skip
+            [sys.executable, *words],
+            stdin=subprocess.PIPE if stdin else subprocess.DEVNULL,
+            stdout=out,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, **environ},
+        )
         self.pid = self.process.pid
         if said and self.process.stdout is not None:
             while (line := self.process.stdout.readline().decode()).strip() != said:
@@ -114,9 +117,14 @@
     for row in points:
         print(json.dumps(row), file=sys.stderr)
     if given.out:
-        run = {"id": f"slope-{given.part}", "command": f"python benchmarks/slopes.py {given.part}",
-               "commit": git("rev-parse", "HEAD"), "date": datetime.date.today().isoformat(),
-               "beside": given.beside, "kind": "measured"}  # fmt: skip
+        run = {
+            "id": f"slope-{given.part}",
+            "command": f"python benchmarks/slopes.py {given.part}",
+            "commit": git("rev-parse", "HEAD"),
+            "date": datetime.date.today().isoformat(),
+            "beside": given.beside,
+            "kind": "measured",
+        }
         Path(given.out).write_text(json.dumps({"run": run, "points": points, "note": note}, indent=1) + "\n")
     return 0
 
--- a/benchmarks/slopes_framed.py
+++ b/benchmarks/slopes_framed.py
@@ -106,9 +106,17 @@
                 for client in clients:
                     client.abort()
                 await asyncio.sleep(0.2)
-            found.append(point({"connections": count}, resident_kib=held, grown_kib=held - first, rest_ms_a_s=rest,
-                               client_side_grown_kib=own - mine, client_side_ms_a_s=spent,
-                               still_open=still))  # fmt: skip
+            found.append(
+                point(
+                    {"connections": count},
+                    resident_kib=held,
+                    grown_kib=held - first,
+                    rest_ms_a_s=rest,
+                    client_side_grown_kib=own - mine,
+                    client_side_ms_a_s=spent,
+                    still_open=still,
+                )
+            )
         listing.stop()
         return found
 
@@ -120,9 +128,21 @@
 
     async def script(folder: str) -> list[Point]:
         loop, found = asyncio.get_running_loop(), []
-        for volumes, rows in [(10, 30), (10, 300)] if small else [
-            (10, 30), (10, 300), (10, 600), (10, 1000), (10, 1500), (10, 2000), (500, 1500), (1000, 1500), (2000, 1500)
-        ]:  # fmt: skip
+        for volumes, rows in (
+            [(10, 30), (10, 300)]
+            if small
+            else [
+                (10, 30),
+                (10, 300),
+                (10, 600),
+                (10, 1000),
+                (10, 1500),
+                (10, 2000),
+                (500, 1500),
+                (1000, 1500),
+                (2000, 1500),
+            ]
+        ):
             path = Path(folder) / "head.conf"
             path.write_text(settings(volumes))
             listing = await list_of(loop, loads(settings(volumes)), rows)
--- a/benchmarks/slopes_list.py
+++ b/benchmarks/slopes_list.py
@@ -90,9 +90,18 @@
                 change_ms, change_bytes = (on_core_ms(child.pid) - before) / 10, sum(c.bytes for c in conns) / 10
                 for conn in conns:
                     conn.abort()
-            found.append(point({"heads": count, "rows": rows}, resident_kib=held, grown_kib=held - first,
-                               resident_after_kib=peak, whole_ms=whole_ms, whole_bytes=whole_bytes,
-                               change_ms=change_ms, change_bytes=change_bytes))  # fmt: skip
+            found.append(
+                point(
+                    {"heads": count, "rows": rows},
+                    resident_kib=held,
+                    grown_kib=held - first,
+                    resident_after_kib=peak,
+                    whole_ms=whole_ms,
+                    whole_bytes=whole_bytes,
+                    change_ms=change_ms,
+                    change_bytes=change_bytes,
+                )
+            )
             await asyncio.sleep(0.1)
         return found
 
@@ -118,8 +127,9 @@
                 still = sum(not c.closed for c in conns)
                 for conn in conns:
                     conn.abort()
-            found.append(point({"heads": count}, resident_kib=held, grown_kib=held - first, rest_ms_a_s=rest,
-                               still_open=still))  # fmt: skip
+            found.append(
+                point({"heads": count}, resident_kib=held, grown_kib=held - first, rest_ms_a_s=rest, still_open=still)
+            )
         listing.stop()
         return found
 
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -69,9 +69,15 @@
     """Versions one after another, counted. `active` tells how many heads act in full on a version."""
 
     def __init__(
-        self, heads: int, clock: Callable[[], float], active: Callable[[int], int], last: Callable[[], int],
-        propose: Callable[[int], Any], within_s: float, found: Counter[str],
-    ) -> None:  # fmt: skip
+        self,
+        heads: int,
+        clock: Callable[[], float],
+        active: Callable[[int], int],
+        last: Callable[[], int],
+        propose: Callable[[int], Any],
+        within_s: float,
+        found: Counter[str],
+    ) -> None:
         self.heads, self.clock, self.active, self.last, self.propose = heads, clock, active, last, propose
         self.within_s, self.found = within_s, found
 
@@ -125,9 +131,14 @@
         await group.until(lambda: active(1) == heads, 120.0)
         await asyncio.sleep(3.0)
         spread = Spread(
-            heads, group.clock, active, lambda: max(m.node.raft.log.last for m in group.members.values()),
-            lambda n: group.propose(document(100 + n, heads, heads), n), within_s, found,
-        )  # fmt: skip
+            heads,
+            group.clock,
+            active,
+            lambda: max(m.node.raft.log.last for m in group.members.values()),
+            lambda n: group.propose(document(100 + n, heads, heads), n),
+            within_s,
+            found,
+        )
         return await spread.play(versions, pause_s)
 
     with counting() as found:
@@ -154,8 +165,13 @@
             await server.start()
 
         async def propose(number: int) -> tuple[bool, str]:
-            values = {"text": document(100 + number, heads, heads, host), "base": number - 1, "session": "spread",
-                      "serial": number, "author": "spread"}  # fmt: skip
+            values = {
+                "text": document(100 + number, heads, heads, host),
+                "base": number - 1,
+                "session": "spread",
+                "serial": number,
+                "author": "spread",
+            }
             return await ask_group(loop, [b.listen for b in config.member.values()], "propose", values, 10.0)
 
         while not any(m.node.leads and m.node.raft.commit >= m.node.raft.term_start for m in servers):
--- a/benchmarks/virtual_size.py
+++ b/benchmarks/virtual_size.py
@@ -48,8 +48,11 @@
 
 def writes(village: Village) -> dict[str, int]:
     """How often something was written to connections, by who wrote to whom."""
-    roles = {**dict.fromkeys(village.config.head, "head"), **dict.fromkeys(village.config.member, "instance"),
-             **dict.fromkeys(village.config.shelf, "shelf")}  # fmt: skip
+    roles = {
+        **dict.fromkeys(village.config.head, "head"),
+        **dict.fromkeys(village.config.member, "instance"),
+        **dict.fromkeys(village.config.shelf, "shelf"),
+    }
     found: dict[str, int] = {}
     for (source, to), count in village.world.net.tried.items():
         key = f"{roles.get(source, 'other')} to {roles.get(to, 'other')}"
@@ -85,12 +88,21 @@
     result = judged(village.facts(), told.seed, known)
     asked = [r["ok"] for r in village.records.rows if r["e"] == "proposed"]
     return row | {
-        "through": True, "reached_s": round(village.world.now - loop_began, 2), "seconds": round(played - began, 1),
-        "judging": round(time.process_time() - played, 1), "peak_mb": peak_mb(), "service": result["service"],
-        "ends": result["ends"], "broken": result["broken"], "first": result["first"], "word": known["faults"],
-        "proposed": len(asked), "said_yes": sum(asked), "writes": writes(village),
+        "through": True,
+        "reached_s": round(village.world.now - loop_began, 2),
+        "seconds": round(played - began, 1),
+        "judging": round(time.process_time() - played, 1),
+        "peak_mb": peak_mb(),
+        "service": result["service"],
+        "ends": result["ends"],
+        "broken": result["broken"],
+        "first": result["first"],
+        "word": known["faults"],
+        "proposed": len(asked),
+        "said_yes": sum(asked),
+        "writes": writes(village),
         "digest": digest_of(village),
-    }  # fmt: skip
+    }
 
 
 def main() -> int:
--- a/benchmarks/wide_group.py
+++ b/benchmarks/wide_group.py
@@ -28,11 +28,16 @@
     except Exception as error:  # a find is whatever a run ends with
         return {"seed": seed, "fault": f"{type(error).__name__}: {error}", "seconds": time.process_time() - began}
     return {
-        "seed": seed, "fault": "", "seconds": round(time.process_time() - began, 1), "versions": group.active(),
-        "proposed": group.counts["proposed"], "said_yes": len(group.said_yes), "most": round(group.most, 4),
+        "seed": seed,
+        "fault": "",
+        "seconds": round(time.process_time() - began, 1),
+        "versions": group.active(),
+        "proposed": group.counts["proposed"],
+        "said_yes": len(group.said_yes),
+        "most": round(group.most, 4),
         "reached_s": round(group.loop.now - 1000.0, 1),
         "counts": {k: n for k, n in sorted(group.counts.items()) if " " in k},
-    }  # fmt: skip
+    }
 
 
 def main() -> int:
@@ -47,10 +52,17 @@
         row = one(seed, told.heads, told.length)
         broken += bool(row["fault"])
         print(json.dumps(row) if told.json else row, flush=True)
-    print(json.dumps({
-        "heads": told.heads, "length_s": told.length, "seeds": told.seeds[1], "broken": broken,
-        "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0, 1),
-    }))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "heads": told.heads,
+                "length_s": told.length,
+                "seeds": told.seeds[1],
+                "broken": broken,
+                "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0, 1),
+            }
+        )
+    )
     return 1 if broken else 0
 
 
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -97,5 +97,10 @@
     slow = f"s{rng.randint(1, 4)}" if kind != "noisy" else ""
     named, _ = play_one(seed, slow, kind != "shelf", rng.uniform(4.0, 12.0))
     wanted = {SHELF + slow} if kind == "shelf" else {"noisy"} if kind == "noisy" else {SHELF + slow, "noisy"}
-    return {"seed": seed, "kind": kind, "wanted": sorted(wanted), "named": named[: len(wanted)],
-            "right": set(named[: len(wanted)]) == wanted}  # fmt: skip
+    return {
+        "seed": seed,
+        "kind": kind,
+        "wanted": sorted(wanted),
+        "named": named[: len(wanted)],
+        "right": set(named[: len(wanted)]) == wanted,
+    }
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -59,10 +59,14 @@
             while not self.stopped:
                 try:
                     client = await connect(
-                        self.config.head[head].listen, name=f"{self.name}", loop=self.loop, limit=limits.frame,
-                        streams=limits.streams, keepalive_ms=limits.keepalive,
+                        self.config.head[head].listen,
+                        name=f"{self.name}",
+                        loop=self.loop,
+                        limit=limits.frame,
+                        streams=limits.streams,
+                        keepalive_ms=limits.keepalive,
                         noted=lambda e, **v: self.records.note(self.clock(), e, **v),
-                    )  # fmt: skip
+                    )
                     self.conns[head] = client
                     self.records.note(self.clock(), "connected", head=head)
                     return
@@ -155,9 +159,18 @@
         retries = Retries(config.load.retries, config.load.backoff, profile.repeat)
         honours = self.rng.random() < config.load.honours
         self.records.note(
-            at_ms, "op", op=op, profile=ask.profile, plan=ask.plan, volume=ask.volume, x=f"{ask.volume}/{ask.extent}",
-            head=ask.head, u=units, write=ask.op == WRITE, slot=ask.slot,
-        )  # fmt: skip
+            at_ms,
+            "op",
+            op=op,
+            profile=ask.profile,
+            plan=ask.plan,
+            volume=ask.volume,
+            x=f"{ask.volume}/{ask.extent}",
+            head=ask.head,
+            u=units,
+            write=ask.op == WRITE,
+            slot=ask.slot,
+        )
         data = payload(op, ask.size) if ask.op == WRITE else b""
 
         async def attempt(tries: int, left_ms: float) -> Result:
@@ -165,10 +178,19 @@
             if client is None:
                 return Result("pushed back", reason=UNREACHED)
             future = client.access(
-                ask.volume, ask.extent, profile=ask.profile, op=ask.op, slot=ask.slot, units=units,
-                patience_ms=left_ms, length=ask.size, data=data, again=tries > 0,
-                label=op if profile.repeat == "labelled" else None, trace=f"{op}.{tries}",
-            )  # fmt: skip
+                ask.volume,
+                ask.extent,
+                profile=ask.profile,
+                op=ask.op,
+                slot=ask.slot,
+                units=units,
+                patience_ms=left_ms,
+                length=ask.size,
+                data=data,
+                again=tries > 0,
+                label=op if profile.repeat == "labelled" else None,
+                trace=f"{op}.{tries}",
+            )
             if early is not None:
                 done, _ = await asyncio.wait([future], timeout=early / 1000.0)
                 if not done:
--- a/pebblehinge/lab/compare.py
+++ b/pebblehinge/lab/compare.py
@@ -17,8 +17,12 @@
     """One day in virtual time by the build under `root`."""
     done = subprocess.run(
         [python, "-m", "pebblehinge", "lab", "day", day, "--virtual", "--quiet", "--json", "--seed", str(seed)],
-        capture_output=True, text=True, cwd=root, env={**os.environ, "PYTHONPATH": root}, check=False,
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+        cwd=root,
+        env={**os.environ, "PYTHONPATH": root},
+        check=False,
+    )
     if done.returncode not in (0, 1):
         raise RuntimeError(done.stderr.strip().splitlines()[-1] if done.stderr.strip() else f"exit {done.returncode}")
     return json.loads(done.stdout)
@@ -48,9 +52,11 @@
         told[name] = {
             "a": round(float(np.mean([read(x) for x in first])), 4),
             "b": round(float(np.mean([read(x) for x in second])), 4),
-            "difference": round(mean, 4), "low": round(low, 4), "high": round(high, 4),
+            "difference": round(mean, 4),
+            "low": round(low, 4),
+            "high": round(high, 4),
             "clear": bool(low > 0 or high < 0),
-        }  # fmt: skip
+        }
     told["broken"] = {
         side: sorted({rule for x in rows for rule, said in x["rules"].items() if not said["kept"]})
         for side, rows in (("a", first), ("b", second))
--- a/pebblehinge/lab/days.py
+++ b/pebblehinge/lab/days.py
@@ -88,8 +88,10 @@
     at, end = t.at, t.at + last
     if t.name == "list-stale":
         by = {"by": t.by or 0.0}
-        return [Step(at, "list", "listing", {"verb": t.name, **by}, mark),
-                Step(end, "list", "listing", {"verb": t.name, "off": 1}, mark)]  # fmt: skip
+        return [
+            Step(at, "list", "listing", {"verb": t.name, **by}, mark),
+            Step(end, "list", "listing", {"verb": t.name, "off": 1}, mark),
+        ]
     steps: list[Step] = []
     if t.name in CONTROLS:
         figures = dict(zip(CONTROLS[t.name], (t.by, t.every), strict=False)) | FLAGS.get(t.name, {})
--- a/pebblehinge/lab/facts.py
+++ b/pebblehinge/lab/facts.py
@@ -130,14 +130,33 @@
                 self.saves.append(row)
             if event == "up":
                 capacity = row["cores"] * row["speed"]
-                life = Life(name, row["slot"], row["started"], row["cold"], capacity, row["cold_from"], row["warm_ms"],
-                            row["unit_work"])  # fmt: skip
+                life = Life(
+                    name,
+                    row["slot"],
+                    row["started"],
+                    row["cold"],
+                    capacity,
+                    row["cold_from"],
+                    row["warm_ms"],
+                    row["unit_work"],
+                )
                 self.lives.append(life)
                 out.clear()
             elif event == "got":
                 assert life is not None
-                got = Got(t, name, life.slot, row["head"], row["n"], row["u"], row["w"], row["full"], row["op"],
-                          row["x"], row["label"])  # fmt: skip
+                got = Got(
+                    t,
+                    name,
+                    life.slot,
+                    row["head"],
+                    row["n"],
+                    row["u"],
+                    row["w"],
+                    row["full"],
+                    row["op"],
+                    row["x"],
+                    row["label"],
+                )
                 self.trips[row["id"]].append(got)
                 out[(row["id"], row["n"])] = got
                 if row["cold"]:
@@ -148,8 +167,20 @@
                 out.pop((row["id"], row["n"])).said = t
             elif event == "reset":
                 self.trips[row["id"]].append(
-                    Got(t, name, life.slot if life else 0, row["head"], row["n"], 0.0, 0.0, False, 0, "", None,
-                        unseen=True)  # fmt: skip
+                    Got(
+                        t,
+                        name,
+                        life.slot if life else 0,
+                        row["head"],
+                        row["n"],
+                        0.0,
+                        0.0,
+                        False,
+                        0,
+                        "",
+                        None,
+                        unseen=True,
+                    )
                 )
             elif event == "effect":
                 self.effects[row["id"]].append((t, name))
--- a/pebblehinge/lab/faults/draw.py
+++ b/pebblehinge/lab/faults/draw.py
@@ -13,9 +13,14 @@
 LONG = {"kill": (300.0, 4000.0), "freeze": (100.0, 6000.0)}
 USUAL = (400.0, 5000.0)
 BY = {
-    "delay": (20.0, 1500.0), "slow": (2048.0, 65536.0), "lose": (0.05, 0.9), "repeat": (0.05, 0.9),
-    "drift": (-0.002, 0.002), "wall": (-20_000.0, 20_000.0), "disk-slow": (5.0, 400.0),
-}  # fmt: skip
+    "delay": (20.0, 1500.0),
+    "slow": (2048.0, 65536.0),
+    "lose": (0.05, 0.9),
+    "repeat": (0.05, 0.9),
+    "drift": (-0.002, 0.002),
+    "wall": (-20_000.0, 20_000.0),
+    "disk-slow": (5.0, 400.0),
+}
 DATAGRAMS = ("lose", "repeat")
 WEIGHTS = {"cut": 5, "silent": 4, "kill": 5, "freeze": 4, "delay": 3, "reset": 3, "half-open": 2}
 
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -26,17 +26,31 @@
 
 
 def join(
-    node: Node, clock: Callable[[], float], config: Config, name: str, head: Any, disk: FaultyDisk, log: Any,
+    node: Node,
+    clock: Callable[[], float],
+    config: Config,
+    name: str,
+    head: Any,
+    disk: FaultyDisk,
+    log: Any,
     beside: Beside,
-) -> Feed:  # fmt: skip
+) -> Feed:
     """A head's way to the group, as the command line makes it."""
     floor = config.group.floor
     taking = Taking(name, floor)
     if disk.exists(AGREED):
         taking = Taking.restore(name, floor, disk.read(AGREED))
     head.adopt(cut_off(config, floor))
-    feed = Feed(node, clock, config, taking, lambda new, mode: head.adopt(new), lambda data: disk.replace(AGREED, data),
-                log, beside)  # fmt: skip
+    feed = Feed(
+        node,
+        clock,
+        config,
+        taking,
+        lambda new, mode: head.adopt(new),
+        lambda data: disk.replace(AGREED, data),
+        log,
+        beside,
+    )
     feed.start()
     return feed
 
--- a/pebblehinge/lab/faults/player.py
+++ b/pebblehinge/lab/faults/player.py
@@ -98,8 +98,16 @@
         self.struck[fault] += tried if what == "end" else -tried  # what wanted to pass meanwhile
         for a, b in self.ways.begin(fault) if what == "begin" else self.ways.end(fault):
             held = self.ways.between(a, b)
-            self.note(self.clock(), "way", a=a, b=b, held=not held.sound, blocked=held.blocked, delay=held.delay_ms,
-                      rate=held.rate)  # fmt: skip
+            self.note(
+                self.clock(),
+                "way",
+                a=a,
+                b=b,
+                held=not held.sound,
+                blocked=held.blocked,
+                delay=held.delay_ms,
+                rate=held.rate,
+            )
             self.ground.way(a, b, held)
 
     # ---- processes
@@ -143,5 +151,9 @@
 
 def told(player: Player) -> dict[str, Any]:
     """What a script did, for a report."""
-    return {"scripted": len(player.faults), "struck": sum(1 for n in player.struck.values() if n),
-            "idle": player.idle(), "relay_late_ms": round(player.ground.late_ms(), 1)}  # fmt: skip
+    return {
+        "scripted": len(player.faults),
+        "struck": sum(1 for n in player.struck.values() if n),
+        "idle": player.idle(),
+        "relay_late_ms": round(player.ground.late_ms(), 1),
+    }
--- a/pebblehinge/lab/faults/script.py
+++ b/pebblehinge/lab/faults/script.py
@@ -9,12 +9,22 @@
 # What each kind strikes, the unit of its figure (None: it has none), and whether it lasts.
 BOTH, ONE, PROCESS = "from", "to", ""
 KINDS: dict[str, tuple[str, str | None, bool]] = {
-    "cut": (BOTH, None, True), "silent": (ONE, None, True), "delay": (ONE, "ms", True), "slow": (ONE, "KiB", True),
-    "lose": (ONE, "%", True), "repeat": (ONE, "%", True), "reset": (BOTH, None, False),
-    "half-open": (BOTH, None, False), "kill": (PROCESS, None, True), "freeze": (PROCESS, None, True),
-    "drift": (PROCESS, "%", True), "wall": (PROCESS, "ms", True), "disk-full": (PROCESS, None, True),
-    "disk-slow": (PROCESS, "ms", True), "disk-fail": (PROCESS, None, True),
-}  # fmt: skip
+    "cut": (BOTH, None, True),
+    "silent": (ONE, None, True),
+    "delay": (ONE, "ms", True),
+    "slow": (ONE, "KiB", True),
+    "lose": (ONE, "%", True),
+    "repeat": (ONE, "%", True),
+    "reset": (BOTH, None, False),
+    "half-open": (BOTH, None, False),
+    "kill": (PROCESS, None, True),
+    "freeze": (PROCESS, None, True),
+    "drift": (PROCESS, "%", True),
+    "wall": (PROCESS, "ms", True),
+    "disk-full": (PROCESS, None, True),
+    "disk-slow": (PROCESS, "ms", True),
+    "disk-fail": (PROCESS, None, True),
+}
 FORMS = {BOTH: "NAME ... from NAME ...", ONE: "NAME ... to NAME ...", PROCESS: "NAME ..."}
 TIME = re.compile(r"(-?\d+(?:\.\d+)?)(ms|s)")
 FIGURE = {"ms": TIME, "KiB": re.compile(r"(\d+(?:\.\d+)?)(KiB)"), "%": re.compile(r"(-?\d+(?:\.\d+)?)(%)")}
--- a/pebblehinge/lab/load.py
+++ b/pebblehinge/lab/load.py
@@ -166,10 +166,18 @@
                 ways, extent = self.ways[0], f"e{rng.randrange(2)}"
         count = max(1, round(rng.uniform(*mix.run)))
         return Ask(
-            at, ways.name, ways.plan, name, extent, slot_of(ways, extent), rng.choices(ways.heads, ways.weights)[0],
-            WRITE if mix.write else READ, [round(rng.uniform(*mix.units), 2) for _ in range(count)],
-            [rng.uniform(*mix.gap) for _ in range(count - 1)], mix.bytes,
-        )  # fmt: skip
+            at,
+            ways.name,
+            ways.plan,
+            name,
+            extent,
+            slot_of(ways, extent),
+            rng.choices(ways.heads, ways.weights)[0],
+            WRITE if mix.write else READ,
+            [round(rng.uniform(*mix.units), 2) for _ in range(count)],
+            [rng.uniform(*mix.gap) for _ in range(count - 1)],
+            mix.bytes,
+        )
 
     def _scan_times(self) -> Iterator[float]:
         for t in self.troubles["scan"]:
@@ -190,9 +198,18 @@
         self.scans += 1
         slots = sorted({s.slot for s in self.config.shelf.values()})
         return Ask(
-            at, ways.name, ways.plan, name, f"scan-{self.part}-{self.scans}", rng.choice(slots),
-            rng.choice(ways.heads), READ, [round(rng.uniform(*mix.units), 2)], [], mix.bytes,
-        )  # fmt: skip
+            at,
+            ways.name,
+            ways.plan,
+            name,
+            f"scan-{self.part}-{self.scans}",
+            rng.choice(slots),
+            rng.choice(ways.heads),
+            READ,
+            [round(rng.uniform(*mix.units), 2)],
+            [],
+            mix.bytes,
+        )
 
     def leaves_early(self, at: float, patience_ms: float) -> float | None:
         """An impatient client's own end, before its patience is over."""
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -34,9 +34,17 @@
     """Each head, shelf, load and the list is a process of this command line."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, path: Path, day: str, seed: int, folder: Path,
-        loopback: str, said: Callable[[str], None], script: list[Fault] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        path: Path,
+        day: str,
+        seed: int,
+        folder: Path,
+        loopback: str,
+        said: Callable[[str], None],
+        script: list[Fault] | None = None,
+    ) -> None:
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
@@ -52,16 +60,26 @@
 
     def _command(self, role: list[str], name: str, *more: str) -> list[str]:
         base = [*role, str(self.path)]
-        return [*base, *(["--name", name] if name else []), "--loopback", self.loopback, "--records",
-                str(self.folder), *more]  # fmt: skip
+        return [
+            *base,
+            *(["--name", name] if name else []),
+            "--loopback",
+            self.loopback,
+            "--records",
+            str(self.folder),
+            *more,
+        ]
 
     async def _spawn(self, name: str, words: list[str]) -> asyncio.subprocess.Process:
         """Starts a process and waits for the line that says it is ready."""
         with self.struck.control(name) as (command, passed):
             process = await asyncio.create_subprocess_exec(
-                *command(words), stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.PIPE, stderr=self.logs,
+                *command(words),
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=self.logs,
                 pass_fds=passed,
-            )  # fmt: skip
+            )
         self.processes[name] = process
         assert process.stdout is not None
         line = await asyncio.wait_for(process.stdout.readline(), 30.0)
@@ -84,8 +102,19 @@
     async def start_one(self, name: str, cold: bool) -> None:
         if name in self.config.member:
             first = not (self.state / name).exists()
-            words = ["group", str(self.path), "--name", name, "--loopback", self.loopback, "--store",
-                     str(self.state / name), "--seed", str(self.seed), *(["--begin"] if first else [])]  # fmt: skip
+            words = [
+                "group",
+                str(self.path),
+                "--name",
+                name,
+                "--loopback",
+                self.loopback,
+                "--store",
+                str(self.state / name),
+                "--seed",
+                str(self.seed),
+                *(["--begin"] if first else []),
+            ]
             await self._spawn(name, words)
             return
         if name in self.config.head:
@@ -104,10 +133,23 @@
 
     async def run_load(self, part: int, parts: int, start_ms: float) -> float:
         name = f"load{part + 1}"
-        process = await self._spawn(name, self._command(
-            ["lab", "load"], "", "--day", self.day, "--seed", str(self.seed), "--part", str(part), "--parts",
-            str(parts), "--start", f"{start_ms:.3f}",
-        ))  # fmt: skip
+        process = await self._spawn(
+            name,
+            self._command(
+                ["lab", "load"],
+                "",
+                "--day",
+                self.day,
+                "--seed",
+                str(self.seed),
+                "--part",
+                str(part),
+                "--parts",
+                str(parts),
+                "--start",
+                f"{start_ms:.3f}",
+            ),
+        )
         assert process.stdout is not None
         told = await process.stdout.read()
         code = await process.wait()
--- a/pebblehinge/lab/proposer.py
+++ b/pebblehinge/lab/proposer.py
@@ -57,9 +57,12 @@
             rows = [line for line in history.splitlines() if line[:1].isdigit()]
             base = int(rows[-1].split()[0]) if rows else 0
             ok, _ = await ask_group(
-                self.loop, self.addresses, "propose",
-                {"text": self._text(), "base": base, "note": name, "session": name, "serial": 1}, WITHIN_S,
-            )  # fmt: skip
+                self.loop,
+                self.addresses,
+                "propose",
+                {"text": self._text(), "base": base, "note": name, "session": name, "serial": 1},
+                WITHIN_S,
+            )
         if ok:
             self.said_yes.append(name)
         self.note("proposed", version=name, ok=ok)
--- a/pebblehinge/lab/replay.py
+++ b/pebblehinge/lab/replay.py
@@ -76,10 +76,21 @@
                 when = at + late
                 if not 0.0 <= when <= last:  # what would leave the window comes at its other end
                     when = abs(when) if when < 0 else max(0.0, 2 * last - when)
-                asks.append(Ask(
-                    when / self.speed, row.volume, row.plan, row.profile, extent, self.slot(row, extent),
-                    self.head(row.volume, head, copy), WRITE if row.write else READ, [row.units], [], row.bytes,
-                ))  # fmt: skip
+                asks.append(
+                    Ask(
+                        when / self.speed,
+                        row.volume,
+                        row.plan,
+                        row.profile,
+                        extent,
+                        self.slot(row, extent),
+                        self.head(row.volume, head, copy),
+                        WRITE if row.write else READ,
+                        [row.units],
+                        [],
+                        row.bytes,
+                    )
+                )
         asks.sort(key=lambda a: a.at_ms)
         yield from asks
 
--- a/pebblehinge/lab/report.py
+++ b/pebblehinge/lab/report.py
@@ -75,8 +75,11 @@
         by[step["trouble"]].append((step["t"] - day.begin) / 1000.0)
     found = [(min(t), max(t), name.partition("#")[0]) for name, t in by.items() if name]
     for block in day.config.day.values():
-        found += [(t.at / 1000.0, (t.at + (t.last or 0.0)) / 1000.0, t.name) for t in block.at
-                  if t.name in ("burst", "hot-key", "scan", "give-up", "client-cuts")]  # fmt: skip
+        found += [
+            (t.at / 1000.0, (t.at + (t.last or 0.0)) / 1000.0, t.name)
+            for t in block.at
+            if t.name in ("burst", "hot-key", "scan", "give-up", "client-cuts")
+        ]
     return sorted(found)
 
 
@@ -91,8 +94,17 @@
     hatches = ["", "//", "xx", "..", "\\\\", "++", "oo"]
     bottom = np.zeros(len(seconds))
     for i, (end, values) in enumerate(sorted(ends.items(), key=lambda e: e[0] != "honoured")):
-        top.bar(seconds, values, bottom=bottom, width=1.0, align="edge", label=end, hatch=hatches[i % len(hatches)],
-                edgecolor="white", linewidth=0.2)  # fmt: skip
+        top.bar(
+            seconds,
+            values,
+            bottom=bottom,
+            width=1.0,
+            align="edge",
+            label=end,
+            hatch=hatches[i % len(hatches)],
+            edgecolor="white",
+            linewidth=0.2,
+        )
         bottom += values
     top.set_ylabel("accesses a second, by end")
     top.legend(loc="upper right", fontsize=8)
--- a/pebblehinge/lab/rules_of_answers.py
+++ b/pebblehinge/lab/rules_of_answers.py
@@ -35,8 +35,10 @@
             v.look(2.0, f"{a.id} by {head}: told to keep away {stay:.0f} ms, at most {most_stay:.0f} allowed")
         else:
             allowed = max(1.0, due + grace - a.sent)
-            v.look(0.0 if excused else (t - a.sent) / allowed,
-                   f"{a.id} by {head}: {final} after {t - a.sent:.0f} ms, allowed {allowed:.0f}")  # fmt: skip
+            v.look(
+                0.0 if excused else (t - a.sent) / allowed,
+                f"{a.id} by {head}: {final} after {t - a.sent:.0f} ms, allowed {allowed:.0f}",
+            )
     return v
 
 
@@ -51,9 +53,13 @@
         trips = sorted(day.trips.get(a.id, ()), key=lambda g: (g.n, g.t))
         may = [g for g in trips if not g.full]  # may have run: taken, or the connection broke after it came
         final = a.answers[0][1] if a.answers else "none"
-        course = f"{a.id} ({a.op['profile']}) by {a.op['head']}: " + "; ".join(
-            f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}" for g in trips
-        ) + f"; {final}, {len(day.effects.get(a.id, ()))} effects"  # fmt: skip
+        course = (
+            f"{a.id} ({a.op['profile']}) by {a.op['head']}: "
+            + "; ".join(
+                f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}" for g in trips
+            )
+            + f"; {final}, {len(day.effects.get(a.id, ()))} effects"
+        )
         if profile.repeat == "irreversible":
             effects = len(day.effects.get(a.id, ()))
             if effects > 1 or (may and any(g.n > may[0].n or g.t > may[0].t for g in trips)):
--- a/pebblehinge/lab/search.py
+++ b/pebblehinge/lab/search.py
@@ -19,11 +19,22 @@
 
 # What a drawn trouble may be: figures from mild to strong, and how long. Shelfs are struck by shares or racks.
 BY: dict[str, tuple[float, float]] = {
-    "slow": (2.0, 8.0), "fast-errors": (0.3, 1.0), "pauses": (80.0, 500.0), "neighbour": (0.3, 0.75),
-    "resets": (0.03, 0.3), "garble": (0.02, 0.15), "lost-answers": (0.05, 0.5), "mass-restart": (20.0, 400.0),
-    "list-stale": (1000.0, 8000.0), "burst": (1.3, 2.5), "hot-key": (0.03, 0.3), "scan": (0.05, 0.4),
-    "give-up": (0.05, 0.4), "client-cuts": (0.05, 0.4), "head-roll": (0.2, 0.6),
-}  # fmt: skip
+    "slow": (2.0, 8.0),
+    "fast-errors": (0.3, 1.0),
+    "pauses": (80.0, 500.0),
+    "neighbour": (0.3, 0.75),
+    "resets": (0.03, 0.3),
+    "garble": (0.02, 0.15),
+    "lost-answers": (0.05, 0.5),
+    "mass-restart": (20.0, 400.0),
+    "list-stale": (1000.0, 8000.0),
+    "burst": (1.3, 2.5),
+    "hot-key": (0.03, 0.3),
+    "scan": (0.05, 0.4),
+    "give-up": (0.05, 0.4),
+    "client-cuts": (0.05, 0.4),
+    "head-roll": (0.2, 0.6),
+}
 EVERY = {"pauses": (700.0, 3000.0), "neighbour": (500.0, 4000.0)}
 LONG = {"head-freeze": (200.0, 1500.0), "freeze": (500.0, 5000.0), "mass-restart": (500.0, 3000.0)}
 
@@ -124,9 +135,7 @@
     return attempt(config, draw(config, seed, length), seed, length)
 
 
-def search(
-    config: Config, first: int, count: int, length: float, jobs: int, said: Callable[[str], None]
-) -> list[Find]:
+def search(config: Config, first: int, count: int, length: float, jobs: int, said: Callable[[str], None]) -> list[Find]:
     """Plays `count` drawn days in parallel; worst first. An interrupt gives what is known so far."""
     finds: list[Find] = []
     executor = ProcessPoolExecutor(jobs)
@@ -157,8 +166,14 @@
             "mean": round(sum(f.service for f in finds) / max(1, len(finds)), 4),
         },
         "worst": [
-            {"seed": f.seed, "service": round(f.service, 4), "broken": f.broken, "why": f.why, "faults": f.faults,
-             "troubles": [t.name for t in f.troubles]}
+            {
+                "seed": f.seed,
+                "service": round(f.service, 4),
+                "broken": f.broken,
+                "why": f.why,
+                "faults": f.faults,
+                "troubles": [t.name for t in f.troubles],
+            }
             for f in finds[:most]
         ],
-    }  # fmt: skip
+    }
