--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -23,7 +23,8 @@
 import uvloop
 
 from pebblehinge.client import connect
-from pebblehinge.lab.caller import Call, Local, call
+from pebblehinge.lab.rsync_call import Call, Local
+from pebblehinge.lab.rsync_client import call
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -105,7 +105,7 @@
         "faults": known["faults"],
         "relay_late_ms": known.get("script", {}).get("relay_late_ms"),
         **events.told,
-        "trips": dict(events.following.attempts),
+        "trips": dict(events.following.trips),
         "parts_summed": summed(events.following.rows, events.versions.limits),
         "real": {k: day[k] for k in ("service", "worst_second", "latency_ms", "answers", "accesses")},
         "rules_kept": kept(day),
@@ -146,7 +146,7 @@
             given.regions or given.event == "cut",
             not given.no_counting,
             given.spread,
-            given.attempts,
+            given.trips,
         )
         known = await play(stage)
         return told_of(given, folder / "records", stage, known)
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from pebblehinge.client import connect
-from pebblehinge.lab.crash import SETTINGS
+from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.disk import RealDisk
 from pebblehinge.store.journal import Batch, Journal
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -16,12 +16,12 @@
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.clients import Crowd
-from pebblehinge.lab.copies import Copies
 from pebblehinge.lab.faults.ground_in_memory import VillageGround, clock_of, join
 from pebblehinge.lab.faults.player import Ground
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.fleet import released
 from pebblehinge.lab.quiet import Memory, Quiet
+from pebblehinge.lab.rsync_load import Copies
 from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.listing import ListingServer
