--- /dev/null
+++ b/tests/agreed_document.py
@@ -0,0 +1,49 @@
+"""The settings that the tests of shared configuration agree on, and a head's part of their limit."""
+
+from __future__ import annotations
+
+from pebblehinge.agreed.activation import parts_of
+from pebblehinge.settings import Config
+
+SMALL = 1e-4  # a volume that a head may send nothing for has a millionth of a unit a second there
+DOCUMENT = """
+profile look {{
+    importance 1
+    expected 400ms
+    patience 2s
+    repeat redoable
+}}
+plan capped {{
+    rate 5/s
+    limit {limit}/s
+    burst {burst}
+    slack 0
+}}
+volume v {{
+    plan capped
+    heads {heads}
+    through {through}
+}}
+{blocks}
+{members}
+group {{
+    lease 2s
+    drift 5%
+    floor 20%
+    renew 300ms
+    tick 40ms
+}}
+"""
+
+
+def document(limit: float = 100, heads: int = 3, names: int = 4, loopback: str = "127.0.0.1") -> str:
+    every = [f"h{n}" for n in range(1, names + 1)]
+    blocks = "\n".join(f"head {h} {{\n    listen {loopback}:{7000 + i}\n}}" for i, h in enumerate(every))
+    members = "\n".join(f"member g{n} {{\n    listen {loopback}:{6000 + n}\n}}" for n in range(1, 6))
+    return DOCUMENT.format(
+        limit=limit, burst=2 * limit, heads=heads, through=" ".join(every[:heads]), blocks=blocks, members=members
+    )
+
+
+def rate(config: Config | None, head: str) -> float:
+    return 0.0 if config is None else parts_of(config, head).get("v", (0.0, 0.0))[0]
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 import pytest
-from test_agreed import Group, document
+from agreed_document import document
+from agreed_group import Group
 
 from pebblehinge.agreed.feed import Feed
 from pebblehinge.net import Peer
--- a/tests/test_agreed_reading.py
+++ b/tests/test_agreed_reading.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from test_agreed import document
+from agreed_document import document
 from test_faults_in_memory import STRUCK
 
 from pebblehinge.agreed import Leases, State, Taking, reading
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 import pytest
+from agreed_document import document
 from helpers import LOOPBACK
-from test_agreed import document
 
 from pebblehinge.agreed.feed import LEADERLESS, Feed
 from pebblehinge.agreed.taking import Taking
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -122,7 +122,7 @@
 
 
 def test_heads_that_ask_as_those_of_before_are_served_beside_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("test_agreed.Feed", lambda *given: (Impatient if int(given[3].head[1:]) % 2 else Feed)(*given))
+    monkeypatch.setattr("agreed_group.Feed", lambda *given: (Impatient if int(given[3].head[1:]) % 2 else Feed)(*given))
 
     async def script(f: Fleet) -> None:
         assert sum(isinstance(feed, Impatient) for feed in f.feeds.values()) == 10
--- a/tests/test_lowering.py
+++ b/tests/test_lowering.py
@@ -9,7 +9,8 @@
 
 import asyncio
 
-from test_agreed import Group, document, on_group
+from agreed_document import document
+from agreed_group import Group, on_group
 
 
 def lowered(limit: float, through: int) -> Group:
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable
 
 import pytest
+from agreed_document import document
+from agreed_group import Group, on_group
 from fleet_rig import Fleet, on_fleet
-from test_agreed import Group, document, on_group
 
 from pebblehinge.agreed.proposals import MOST_QUEUED, WAIT_MS, Proposals
 from pebblehinge.agreed.state import State
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -6,8 +6,9 @@
 from pathlib import Path
 from typing import Any
 
+from agreed_document import document
+from agreed_group import Group
 from click.testing import CliRunner
-from test_agreed import Group, document
 
 from pebblehinge.agreed.bounds import TEXT
 from pebblehinge.cli import main as cli
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -4,9 +4,11 @@
 
 from typing import Any
 
-from test_agreed import Group, document, on_group, packed
+from agreed_document import document
+from agreed_group import Group, on_group
 
 from pebblehinge.agreed.state import State
+from pebblehinge.agreed.state import command as packed
 from pebblehinge.raft import Entry
 from pebblehinge.wire import Kind
 
