--- a/benchmarks/raft_seeds.py
+++ b/benchmarks/raft_seeds.py
@@ -12,7 +12,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from raft_world import draw, play, rough, shrink  # noqa: E402
+from raft_scripts import draw, play, rough, shrink  # noqa: E402
 
 
 def one(seed: int) -> tuple[int, str]:
--- a/benchmarks/raft_size.py
+++ b/benchmarks/raft_size.py
@@ -17,8 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from raft_world import FaultyDisk  # noqa: E402
-
+from pebblehinge.lab.disk import FaultyDisk  # noqa: E402
 from pebblehinge.raft import Raft, Role  # noqa: E402
 from pebblehinge.raft.storage import Storage, first_members  # noqa: E402
 
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -13,14 +13,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from raft_world import FaultyDisk
-
 from pebblehinge.agreed.activation import parts_of
 from pebblehinge.agreed.ask import ask_group
 from pebblehinge.agreed.feed import Feed
 from pebblehinge.agreed.reading import read
 from pebblehinge.agreed.server import MemberServer
 from pebblehinge.agreed.taking import Taking
+from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.proposer import broken_word
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
