--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -8,10 +8,11 @@
 from typing import Any
 
 from pebblehinge.head import HeadCore
-from pebblehinge.interface import Attempt, Changes, Outcome
+from pebblehinge.interface import Changes, Outcome
 from pebblehinge.net import Peer
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
+from pebblehinge.shelf.connection import Attempt
 from pebblehinge.wire import Kind, Session
 
 SETTINGS = """
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -57,7 +57,7 @@
         regions: bool,
         counting: bool,
         spread: int = 0,
-        trips: float = 0.0,
+        attempts: float = 0.0,
     ) -> None:
         super().__init__(loop, config, path, "struck", seed, folder, loopback, said, [])
         self.heads, self.shelfs, self.events = heads, shelfs, events
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -46,7 +46,9 @@
     parser.add_argument("--rate", type=float, default=60.0, help="runs of accesses a second on the real heads")
     parser.add_argument("--cap", type=float, default=30.0, help="seconds that a version or return is waited for")
     parser.add_argument("--spread", type=int, default=0, help="hollow shelfs that each hollow head has links to")
-    parser.add_argument("--trips", dest="attempts", type=float, default=0.0, help="trips a second of each hollow head to those")
+    parser.add_argument(
+        "--trips", dest="attempts", type=float, default=0.0, help="trips a second of each hollow head to those"
+    )
     parser.add_argument(
         "--text",
         choices=("flat", "short"),
@@ -105,7 +107,7 @@
         "faults": known["faults"],
         "relay_late_ms": known.get("script", {}).get("relay_late_ms"),
         **events.told,
-        "trips": dict(events.following.trips),
+        "trips": dict(events.following.attempts),
         "parts_summed": summed(events.following.rows, events.versions.limits),
         "real": {k: day[k] for k in ("service", "worst_second", "latency_ms", "answers", "accesses")},
         "rules_kept": kept(day),
@@ -146,7 +148,7 @@
             given.regions or given.event == "cut",
             not given.no_counting,
             given.spread,
-            given.trips,
+            given.attempts,
         )
         known = await play(stage)
         return told_of(given, folder / "records", stage, known)
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -23,8 +23,7 @@
 from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.disk import RealDisk
-from pebblehinge.store.journal import Batch, Journal
-from pebblehinge.store.records import Write
+from pebblehinge.store.journal import Batch, Journal, Write
 
 MORE = """
 volume direct {
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -27,8 +27,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from agreed_document import document  # noqa: E402
-from agreed_group import Group  # noqa: E402
+from test_agreed import Group, document  # noqa: E402
 
 from pebblehinge.agreed.ask import ask_group  # noqa: E402
 from pebblehinge.agreed.feed import Feed  # noqa: E402
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -108,7 +108,7 @@
             "connections": len(head.conns),
             "counts": dict(core.counts),
             "a_second": {k: round(v, 1) for k, v in rates.items()},
-            "further_trips": core.further,
+            "further_trips": core.retries,
             "outcomes": {o.value: n for o, n in core.outcomes.items()},
             "refused_because": dict(core.reasons),
             "latency_ms": {
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -134,6 +134,6 @@
                 max(taken.length, len(taken.data)),
                 LEFT if final is None else final,
                 round(now - taken.came_ms, 3),
-                round(taken.trip_ms, 3),
-                taken.trips,
+                round(taken.attempt_ms, 3),
+                taken.attempts,
             )
--- a/pebblehinge/head/connection.py
+++ b/pebblehinge/head/connection.py
@@ -66,7 +66,7 @@
         pass
 
     def doubt(self) -> None:
-        """A trip got no answer: is it the shelf, or a connection that is cut in the middle and swallows all? A ping
+        """An attempt got no answer: is it the shelf, or a connection that is cut in the middle and swallows all? A ping
         is answered by any process that runs; where even that stays out, a new connection is made."""
         if self.doubted_at is None:
             self.doubted_at = self.heard
--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -10,8 +10,9 @@
 from pebblehinge.head.house import House
 from pebblehinge.head.inside import Inside
 from pebblehinge.net import parse_address
-from pebblehinge.rsync.place import Place, Turns
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.sharing import Keeping, Sharing
+from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import Config
 
 LOOK_MS = 100.0  # how often the head's own lateness is looked at
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -1,4 +1,5 @@
-"""What the core of a head does becomes answers, trips, timers and calls to the list; what comes of them goes back."""
+"""What the core of a head does becomes answers, attempts, timers and calls to the list; what comes of them goes
+back."""
 
 from __future__ import annotations
 
@@ -72,14 +73,14 @@
         if self.core.stopping and not self.core.open:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_trip(self, taken: Taken, shelf: str, trip: int, until_ms: float) -> None:
+    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
         link = self.links[shelf]
         if self.config.log.accesses:
-            self.log.info("trip", id=taken.trace, n=trip, shelf=shelf)
-        link.send(taken, trip, until_ms, self.now)
+            self.log.info("trip", id=taken.trace, n=attempt, shelf=shelf)
+        link.send(taken, attempt, until_ms, self.now)
 
-    def drop_trip(self, taken: Taken) -> None:
-        taken.trip.link.drop(taken)
+    def drop_attempt(self, taken: Taken) -> None:
+        taken.attempt.link.drop(taken)
 
     def wake_at(self, at_ms: float) -> None:
         if at_ms < self.wake_ms:
--- a/pebblehinge/head/guest.py
+++ b/pebblehinge/head/guest.py
@@ -13,10 +13,11 @@
 from pebblehinge.head.house import House
 from pebblehinge.head.inside import Inside
 from pebblehinge.rsync.line import Line
-from pebblehinge.rsync.place import Place, Transfer
+from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.serve import Told, serve
 from pebblehinge.rsync.sharing import admits
 from pebblehinge.rsync.stream import ERROR, RsyncError
+from pebblehinge.rsync.transfer import Transfer
 from pebblehinge.settings.schema import Config, ModuleBlock
 
 LINGER_S = 3.0  # for what a client sent before it went
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -17,7 +17,7 @@
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session
 
-LOOK = 0.001  # seconds between a trip's time and its end, for one more look at the sockets
+LOOK = 0.001  # seconds between an attempt's time and its end, for one more look at the sockets
 STATUS = (Outcome.HONOURED, Outcome.ERRED, Outcome.FULL)  # as OUTCOME numbers them
 
 
@@ -125,7 +125,7 @@
             Kind.TRIP,
             out.number,
             taken.trace,
-            out.trip,
+            out.attempt,
             f"{taken.volume}/{taken.extent}",
             taken.op,
             taken.offset,
--- a/pebblehinge/lab/facts.py
+++ b/pebblehinge/lab/facts.py
@@ -157,7 +157,7 @@
                     row["x"],
                     row["label"],
                 )
-                self.trips[row["id"]].append(got)
+                self.attempts[row["id"]].append(got)
                 out[(row["id"], row["n"])] = got
                 if row["cold"]:
                     life.got.append((t, row["w"], row["head"]))
@@ -166,7 +166,7 @@
             elif event == "said" and (row["id"], row["n"]) in out:
                 out.pop((row["id"], row["n"])).said = t
             elif event == "reset":
-                self.trips[row["id"]].append(
+                self.attempts[row["id"]].append(
                     Got(
                         t,
                         name,
--- a/pebblehinge/lab/rsync_client.py
+++ b/pebblehinge/lab/rsync_client.py
@@ -10,7 +10,7 @@
 from pebblehinge.lab.rsync_pull import PullSession
 from pebblehinge.lab.rsync_push import PushSession
 from pebblehinge.lab.rsync_session import Session
-from pebblehinge.rsync.serve import STOPPED_DELETING
+from pebblehinge.rsync.deletion import STOPPED_DELETING
 from pebblehinge.rsync.stream import (
     DELETE_LIMIT,
     ERROR_XFER,
--- a/pebblehinge/lab/rsync_pull.py
+++ b/pebblehinge/lab/rsync_pull.py
@@ -5,20 +5,21 @@
 from pebblehinge.lab.rsync_call import Local
 from pebblehinge.lab.rsync_session import Session
 from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import ListIn, Named, arranged
+from pebblehinge.rsync.flist import Named, arranged
+from pebblehinge.rsync.flist_reader import ListIn
 from pebblehinge.rsync.numbers import (
     DONE,
     read_longint,
     read_varlong,
     short,
 )
-from pebblehinge.rsync.serve import TRANSFER
 from pebblehinge.rsync.stream import (
     ERROR_XFER,
     RsyncError,
 )
 from pebblehinge.rsync.sums import Summing, Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
+from pebblehinge.rsync.transfer_session import TRANSFER
 
 WINDOW = 16  # files asked for ahead
 
--- a/pebblehinge/lab/rsync_push.py
+++ b/pebblehinge/lab/rsync_push.py
@@ -6,19 +6,21 @@
 from typing import Any
 
 from pebblehinge.lab.rsync_session import Session
+from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import ListOut, Named, arranged
+from pebblehinge.rsync.flist import Named, arranged
+from pebblehinge.rsync.flist_writer import ListOut
 from pebblehinge.rsync.numbers import (
     DONE,
     short,
 )
 from pebblehinge.rsync.options import receiver_wants_filters
-from pebblehinge.rsync.serve import TRANSFER
 from pebblehinge.rsync.stream import (
     RsyncError,
 )
-from pebblehinge.rsync.sums import Search, Sums, read_sums
+from pebblehinge.rsync.sums import Sums, read_sums
 from pebblehinge.rsync.tokens import DeflatedOut, PlainOut
+from pebblehinge.rsync.transfer_session import TRANSFER
 
 
 class PushSession(Session):
--- a/pebblehinge/lab/rsync_session.py
+++ b/pebblehinge/lab/rsync_session.py
@@ -14,7 +14,6 @@
     read_vstring,
 )
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.serve import BASIS, TRANSFER, XNAME
 from pebblehinge.rsync.stream import (
     DELETED,
     ERROR,
@@ -28,6 +27,7 @@
     RsyncError,
     Stream,
 )
+from pebblehinge.rsync.transfer_session import BASIS, TRANSFER, XNAME
 
 
 class Session:
--- a/pebblehinge/lab/rsync_verdict.py
+++ b/pebblehinge/lab/rsync_verdict.py
@@ -22,14 +22,14 @@
         elif row["e"] == "tried":
             tries[row["code"]] += 1
     saves: Counter[str] = Counter()
-    trips: Counter[str] = Counter()
+    attempts: Counter[str] = Counter()
     beside = 0
     for row in shelfs:
         # A save is an append to a directory's log, named by its label.
         if row["e"] == "effect" and row.get("label") and "/d/" in row["x"]:
             saves[row["label"]] += 1
         elif row["e"] == "got" and row.get("op") == APPEND and not row["full"]:
-            trips[row["id"]] += 1
+            attempts[row["id"]] += 1
         elif row["e"] == "beside":
             beside += 1
     done = [e[0] for e in ends.values()]
@@ -44,7 +44,7 @@
         "first_wrong": wrong[0] if wrong else "",
         "tries": dict(sorted(tries.items())),
         "saves": len(saves),
-        "second_trips": sum(n > 1 for n in trips.values()),
+        "second_trips": sum(n > 1 for n in attempts.values()),
         "beside": beside,
         "looked_at": sum(e["last"] and e["code"] == 0 for e in done),
         "not_looked_at": sum(e["last"] and e["code"] != 0 for e in done),
--- a/pebblehinge/lab/rules_of_answers.py
+++ b/pebblehinge/lab/rules_of_answers.py
@@ -56,7 +56,8 @@
         course = (
             f"{a.id} ({a.op['profile']}) by {a.op['head']}: "
             + "; ".join(
-                f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}" for g in trips
+                f"trip {g.n} to {g.shelf} at {g.t - day.begin:.0f} ms{' turned away' if g.full else ''}"
+                for g in attempts
             )
             + f"; {final}, {len(day.effects.get(a.id, ()))} effects"
         )
--- a/pebblehinge/shelf/accesses.py
+++ b/pebblehinge/shelf/accesses.py
@@ -8,7 +8,7 @@
 
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
-from pebblehinge.shelf.connection import Trip
+from pebblehinge.shelf.connection import Attempt
 from pebblehinge.shelf.contents import Contents
 from pebblehinge.shelf.model import Faults, Job, Machine
 from pebblehinge.wire import Kind
@@ -46,12 +46,12 @@
         self.told_fall = self.beginning = False
         self.effects = 0
 
-    def take(self, t: Trip, units: float, left_ms: float) -> None:
+    def take(self, t: Attempt, units: float, left_ms: float) -> None:
         now, faults = self.now, self.faults
         self._advance(now)
         before = faults.hits(faults.resets)
         if before and faults.rng.random() < 0.5:
-            self.records.note(now, "reset", id=t.id, n=t.trip, head=t.conn.session.peer_name, unseen=True)
+            self.records.note(now, "reset", id=t.id, n=t.attempt, head=t.conn.session.peer_name, unseen=True)
             t.conn.abort()
             return
         chance = self.machine.strike.errors or self.machine.kind.errors
@@ -61,7 +61,7 @@
                 now,
                 "got",
                 id=t.id,
-                n=t.trip,
+                n=t.attempt,
                 head=t.conn.session.peer_name,
                 x=t.extent,
                 u=units,
@@ -76,14 +76,14 @@
             self._answer(t, ERRED, "failed", b"")
             return
         cheap = t.label is not None and self.contents.done(t.label, now, self.window)
-        job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.trip, now + left_ms, cheap)
+        job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.attempt, now + left_ms, cheap)
         t.job = job
         taken = not self.draining and self.machine.take(now, job)
         self.records.note(
             now,
             "got",
             id=t.id,
-            n=t.trip,
+            n=t.attempt,
             head=t.conn.session.peer_name,
             x=t.extent,
             u=units,
@@ -99,7 +99,7 @@
         if not taken:
             t.conn.send(Kind.OUTCOME, t.number, FULL, "draining" if self.draining else "full", b"")
             return
-        t.conn.trips[t.number] = t
+        t.conn.attempts[t.number] = t
         if before:  # the other half of the resets: it is taken, and its answer will find no connection
             t.conn.abort()
         if not self.beginning:
@@ -107,25 +107,25 @@
             self.loop.call_soon(self._begin)
 
     def _begin(self) -> None:
-        """After all frames that came together: a trip whose recall stood right behind it, as in the socket of a
+        """After all frames that came together: an attempt whose recall stood right behind it, as in the socket of a
         process that was stopped for a while, must not run."""
         self.beginning = False
         if not self.closed:
             self.machine.begin(self.now)
             self._wake()
 
-    def recall(self, t: Trip) -> None:
+    def recall(self, t: Attempt) -> None:
         self.machine.drop(t.job)
         if not t.job.began:
-            t.conn.trips.pop(t.number, None)
-        self.records.note(self.now, "recalled", id=t.id, n=t.trip, began=t.job.began)
+            t.conn.attempts.pop(t.number, None)
+        self.records.note(self.now, "recalled", id=t.id, n=t.attempt, began=t.job.began)
 
     def _advance(self, now: float) -> None:
         for job in self.machine.advance(now):
             if job.owner is not None:
                 self._end(job.owner, now)
 
-    def _end(self, t: Trip, now: float) -> None:
+    def _end(self, t: Attempt, now: float) -> None:
         if t.op == WRITE:
             self._effect(t, now)
             self._answer(t, DONE, "", b"")
@@ -134,33 +134,33 @@
             self._answer(t, DONE, "", APPENDED.pack(landed, len(self.contents.extents.get(t.extent, b""))))
         else:
             data = self.contents.read(t.extent, t.offset, t.length)
-            self.records.note(now, "read", id=t.id, n=t.trip)
+            self.records.note(now, "read", id=t.id, n=t.attempt)
             self._answer(t, DONE, "", data)
 
-    def _effect(self, t: Trip, now: float) -> bool:
+    def _effect(self, t: Attempt, now: float) -> bool:
         """A write takes effect, but for a repeat whose label says that it was done; an append where the extent ends
         at the offset that it names, and nowhere else."""
         if t.op == APPEND and len(self.contents.extents.get(t.extent, b"")) != t.offset:
-            self.records.note(now, "beside", id=t.id, n=t.trip, x=t.extent, offset=t.offset)
+            self.records.note(now, "beside", id=t.id, n=t.attempt, x=t.extent, offset=t.offset)
             return False
         if t.op not in (WRITE, APPEND):
             return False
         if t.op == WRITE and t.label is not None and self.contents.done(t.label, now, self.window):
-            self.records.note(now, "repeat", id=t.id, n=t.trip, label=t.label)
+            self.records.note(now, "repeat", id=t.id, n=t.attempt, label=t.label)
             return False
         self.effects += 1
         if self.effects % 1024 == 0:
             self.contents.forget(now, self.window)
-        self.records.note(now, "effect", id=t.id, n=t.trip, label=t.label, x=t.extent, bytes=len(t.data))
-        self.contents.write(now, t.id, t.extent, t.offset, t.data, t.label, t.trip)
+        self.records.note(now, "effect", id=t.id, n=t.attempt, label=t.label, x=t.extent, bytes=len(t.data))
+        self.contents.write(now, t.id, t.extent, t.offset, t.data, t.label, t.attempt)
         return True
 
-    def _answer(self, t: Trip, status: int, reason: str, data: bytes) -> None:
-        t.conn.trips.pop(t.number, None)
+    def _answer(self, t: Attempt, status: int, reason: str, data: bytes) -> None:
+        t.conn.attempts.pop(t.number, None)
         if self.faults.hits(self.faults.lost_answers):
-            self.records.note(self.now, "lost", id=t.id, n=t.trip)
+            self.records.note(self.now, "lost", id=t.id, n=t.attempt)
             return
-        self.records.note(self.now, "said", id=t.id, n=t.trip, status=status)
+        self.records.note(self.now, "said", id=t.id, n=t.attempt, status=status)
         t.conn.send(Kind.OUTCOME, t.number, status, reason, data)
 
     def _fall(self, now: float) -> None:
--- a/pebblehinge/shelf/connection.py
+++ b/pebblehinge/shelf/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in shelf: trips in, outcomes out, and the lab's control frames."""
+"""One connection to a stand-in shelf: attempts in, outcomes out, and the lab's control frames."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from pebblehinge.wire import Kind, Session, WireError
 
 
-class Trip:
-    __slots__ = ("conn", "number", "id", "trip", "extent", "op", "offset", "length", "label", "data", "job")
+class Attempt:
+    __slots__ = ("conn", "number", "id", "attempt", "extent", "op", "offset", "length", "label", "data", "job")
 
 
 class Shelf(Protocol):
@@ -28,8 +28,8 @@
     faults: Faults
     conns: dict[ShelfConn, None]
 
-    def take(self, t: Trip, units: float, left_ms: float) -> None: ...
-    def recall(self, t: Trip) -> None: ...
+    def take(self, t: Attempt, units: float, left_ms: float) -> None: ...
+    def recall(self, t: Attempt) -> None: ...
     def control(self, verb: str, values: dict[str, Any]) -> str: ...
 
 
@@ -43,7 +43,7 @@
         session = Session("shelf", shelf.name, limits.frame, limits.streams, greets=False)
         super().__init__(shelf.loop, session, limits.stall, limits.keepalive)
         self.shelf = shelf
-        self.trips: dict[int, Trip] = {}
+        self.attempts: dict[int, Attempt] = {}
         self.deaf = False
 
     def connection_made(self, transport: Any) -> None:
@@ -75,7 +75,7 @@
         self,
         number: int,
         id_: str,
-        trip: int,
+        attempt: int,
         extent: str,
         op: int,
         offset: int,
@@ -85,15 +85,15 @@
         left_ms: float,
         data: bytes,
     ) -> None:
-        if number in self.trips:
+        if number in self.attempts:
             raise WireError(f"TRIP: number {number} is out already")
-        t = Trip()
-        t.conn, t.number, t.id, t.trip, t.extent, t.op = self, number, id_, trip, extent, op
+        t = Attempt()
+        t.conn, t.number, t.id, t.attempt, t.extent, t.op = self, number, id_, attempt, extent, op
         t.offset, t.length, t.label, t.data = offset, length, label, data
         self.shelf.take(t, units, left_ms)
 
     def on_recall(self, number: int) -> None:
-        t = self.trips.get(number)
+        t = self.attempts.get(number)
         if t is not None:
             self.shelf.recall(t)
 
--- a/tests/captured_rows.py
+++ b/tests/captured_rows.py
@@ -30,8 +30,8 @@
         bytes=100,
         final=0,
         took_ms=30.0,
-        trip_ms=28.0,
-        trips=1,
+        attempt_ms=28.0,
+        attempts=1,
     )
     return Row(**{**usual, **more})
 
--- a/tests/rsync_trees.py
+++ b/tests/rsync_trees.py
@@ -6,7 +6,7 @@
 
 from rsync_town import Town
 
-from pebblehinge.lab.caller import Local, folder, link
+from pebblehinge.lab.rsync_call import Local, folder, link
 
 RNG = random.Random(77)
 BIG = RNG.randbytes(300_000)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -15,9 +15,13 @@
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.disk import RealDisk, StorageError
-from pebblehinge.store.journal import Journal
-from pebblehinge.store.records import Done, Write
-from pebblehinge.store.segment import HEADER, name_of
+from pebblehinge.store.journal import (
+    HEADER,
+    Done,
+    Journal,
+    Write,
+    name_of,
+)
 
 
 @pytest.mark.parametrize("block", range(4))
--- a/tests/test_rsync.py
+++ b/tests/test_rsync.py
@@ -12,13 +12,11 @@
 from rsync_town import SETTINGS, Town, in_town
 from rsync_trees import BIG, TREE, held, stands
 
-from pebblehinge.lab.connection_cut import Cut
-from pebblehinge.lab.rsync_call import Call, Local, folder, link
-from pebblehinge.lab.rsync_client import call
-from pebblehinge.rsync.place import Place, Transfer
-from pebblehinge.rsync.sharing import Keeping, Sharing, admits, after_append
-from pebblehinge.rsync.stream import DELETE_LIMIT, PARTIAL, START, STREAM, SYNTAX, TIMEOUT
-from pebblehinge.rsync.tree import Entry, Folder, packed, slot_of
+from pebblehinge.lab.rsync_call import Call, Local, folder
+from pebblehinge.rsync.module_store import Place
+from pebblehinge.rsync.stream import DELETE_LIMIT, PARTIAL, START, SYNTAX
+from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.tree import Entry
 from pebblehinge.settings import SettingsError
 from pebblehinge.settings.load import loads
 
--- a/tests/test_rsync_bad_clients.py
+++ b/tests/test_rsync_bad_clients.py
@@ -12,7 +12,8 @@
 from rsync_town import SETTINGS, Town, altered, in_town
 from rsync_trees import RNG, TREE, held, stands
 
-from pebblehinge.lab.caller import Call, Local, call
+from pebblehinge.lab.rsync_call import Call, Local
+from pebblehinge.lab.rsync_client import call
 
 
 def test_a_reader_that_is_slow_for_an_hour_holds_no_memory_and_gets_its_file() -> None:
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -12,7 +12,7 @@
 from rsync_town import Town, in_town
 from rsync_trees import BIG, held, stands
 
-from pebblehinge.lab.caller import Local
+from pebblehinge.lab.rsync_call import Local
 from pebblehinge.rsync.stream import PARTIAL, STREAM
 from pebblehinge.rsync.transfer import Transfer
 
@@ -27,12 +27,12 @@
             shelf = t.servers[name]
             answer = shelf._answer
 
-            def silent(trip: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
-                if trip.op == 2 and len(lost) < 2:
-                    lost.append(trip.id)
-                    trip.conn.trips.pop(trip.number, None)
+            def silent(attempt: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
+                if attempt.op == 2 and len(lost) < 2:
+                    lost.append(attempt.id)
+                    attempt.conn.attempts.pop(attempt.number, None)
                     return
-                answer(trip, status, text, data)
+                answer(attempt, status, text, data)
 
             shelf._answer = silent
         got = await t.push({b"save": Local(b"2"), b"other": Local(b"3")})
@@ -51,12 +51,12 @@
             shelf = t.servers[name]
             answer = shelf._answer
 
-            def never(trip: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
-                if trip.op == 2 or silent:  # the save is done, and from then on nothing is answered
-                    silent.append(trip.id)
-                    trip.conn.trips.pop(trip.number, None)
+            def never(attempt: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
+                if attempt.op == 2 or silent:  # the save is done, and from then on nothing is answered
+                    silent.append(attempt.id)
+                    attempt.conn.attempts.pop(attempt.number, None)
                 else:
-                    answer(trip, status, text, data)
+                    answer(attempt, status, text, data)
 
             shelf._answer = never
         got = await t.push({b"save": Local(b"2")})
@@ -80,11 +80,11 @@
             shelf = t.servers[name]
             end = shelf._end
 
-            def slowly(trip: Any, now: float, end: Any = end) -> None:
-                if trip.op == 2 and not late:
-                    late.append(lambda: end(trip, trip.conn.shelf.clock()))
+            def slowly(attempt: Any, now: float, end: Any = end) -> None:
+                if attempt.op == 2 and not late:
+                    late.append(lambda: end(attempt, attempt.conn.shelf.clock()))
                     return
-                end(trip, now)
+                end(attempt, now)
 
             shelf._end = slowly
         got = await t.push({b"save": Local(b"2")})
--- a/tests/test_rsync_concurrent.py
+++ b/tests/test_rsync_concurrent.py
@@ -11,7 +11,7 @@
 from rsync_town import Town, in_town
 from rsync_trees import BIG, stands
 
-from pebblehinge.lab.caller import Local, folder
+from pebblehinge.lab.rsync_call import Local, folder
 from pebblehinge.rsync.tree import Entry, Folder, packed, slot_of
 
 
--- a/tests/test_rsync_interrupted.py
+++ b/tests/test_rsync_interrupted.py
@@ -11,8 +11,9 @@
 from rsync_town import SETTINGS, Town, altered, in_town
 from rsync_trees import BIG, RNG, TREE, held, stands
 
-from pebblehinge.lab.caller import Call, Local, call
-from pebblehinge.lab.copies import Cut
+from pebblehinge.lab.connection_cut import Cut
+from pebblehinge.lab.rsync_call import Call, Local
+from pebblehinge.lab.rsync_client import call
 from pebblehinge.rsync.stream import START, STREAM, TIMEOUT
 
 
