--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -32,7 +32,7 @@
     idle_worth=0.1,
     asks_for_list=False,
     marks_repeats=False,
-    may_recall=True,
+    may_cancel=True,
     stay_away_max_ms=500.0,
     try_limit=3,
     step_ms=1.0,
@@ -84,7 +84,7 @@
         while len(head.shelfs.held[0]) < held:
             take(head, now, n + 11, 0)
         out = head.shelfs.away[0][0]
-        timed(lambda a=out, t=now: a.ended(t, a.sent - 1, Outcome.HONOURED, True, 5.0), times)
+        timed(lambda a=out, t=now: a.ended(t, a.sent - 1, Outcome.SUCCEEDED, True, 5.0), times)
     return told(times)
 
 
@@ -123,12 +123,12 @@
     for n in range(volumes):
         a = head.take(0.0, n, None, "p", "c", f"v{n}", 2, n % shelfs, 2.0, 90_000.0)[0]
         a.left(0.0)
-        a.ended(0.0, 0, Outcome.RECALLED, True, 1.0)
+        a.ended(0.0, 0, Outcome.CANCELLED, True, 1.0)
     note("volumes")
     for n in range(extents):
         for at in (1.0, 3.0, 7.0):
             a = head.take(at + n, n, f"x{n}", "p", "g", "v0", 2, n % shelfs, 2.0, 90_000.0)[0]
-            a.ended(at + n + 0.5, 0, Outcome.HONOURED, True, 0.5)
+            a.ended(at + n + 0.5, 0, Outcome.SUCCEEDED, True, 0.5)
     head.woken(1e6)
     note("extents")
     tracemalloc.stop()
@@ -143,7 +143,7 @@
         head.listed(now, ListKind.WHOLE, fleet(shelfs, n * shelfs))
         for slot in range(shelfs):
             a = take(head, now, n, slot)
-            a.ended(now + 1.0, 0, Outcome.HONOURED, True, 1.0)
+            a.ended(now + 1.0, 0, Outcome.SUCCEEDED, True, 1.0)
         head.woken(now + 900.0)
     return {"columns": len(head.shelfs.names), "names": len(head.shelfs.index), "wakes": len(head.notes.wakes)}
 
@@ -163,8 +163,8 @@
             if len(out) <= shelfs * 2 + held * shelfs // 3:
                 break
             b = out.pop(rng.randrange(len(out)))
-            outcome = Outcome.HONOURED if n % 50 else Outcome.ERRED
-            changes = b.ended(now, b.sent - 1, outcome, outcome is Outcome.HONOURED, now - b.sent_ms)
+            outcome = Outcome.SUCCEEDED if n % 50 else Outcome.SERVER_ERROR
+            changes = b.ended(now, b.sent - 1, outcome, outcome is Outcome.SUCCEEDED, now - b.sent_ms)
         if changes.wake_ms is not None and changes.wake_ms <= now:
             head.woken(now)
     return (time.perf_counter() - began) / accesses * 1e6
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -46,7 +46,7 @@
     idle_worth=0.05,
     asks_for_list=False,
     marks_repeats=True,
-    may_recall=True,
+    may_cancel=True,
     stay_away_max_ms=500.0,
     try_limit=3,
     step_ms=2.0,
@@ -91,14 +91,14 @@
     # ---- what a scene says
 
     def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
-        """When an attempt that leaves now ends, and how. One that ends past its time is overdue then."""
+        """When an attempt that leaves now ends, and how. One that ends past its time is timed out then."""
         raise NotImplementedError
 
     def left(self, h: int, access: Any, attempt: Any) -> None:
         """An attempt has left."""
 
-    def over(self, h: int, access: Any, honoured: bool, why: str) -> None:
-        """An access has its answer: honoured, or the module's own."""
+    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
+        """An access has its answer: succeeded, or the module's own."""
 
     # ---- the machinery
 
@@ -140,17 +140,17 @@
 
     def do(self, h: int, changes: Changes) -> None:
         for access in changes.handles:
-            attempts, recalls, answer = access.drain()
+            attempts, cancellations, answer = access.drain()
             for attempt in attempts:
                 self.left(h, access, attempt)
                 when, outcome = self.answers(h, access, attempt)
                 if when > attempt.until_ms:
-                    when, outcome = attempt.until_ms, Outcome.OVERDUE
+                    when, outcome = attempt.until_ms, Outcome.TIMED_OUT
                 self.at(max(when, self.now), self._ends, h, access, access.sent - 1, outcome, self.now)
             if answer is not None:
-                self.over(h, access, False, answer.why if answer.final is Final.PUSHED_BACK else "terminated")
-            for number in recalls:
-                self.at(self.now, self._ends, h, access, number, Outcome.RECALLED, self.now)
+                self.over(h, access, False, answer.why if answer.final is Final.REJECTED else "terminated")
+            for number in cancellations:
+                self.at(self.now, self._ends, h, access, number, Outcome.CANCELLED, self.now)
         if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
             self.wakes[h] = changes.wake_ms
             self.at(changes.wake_ms, self._woken, h, changes.wake_ms)
@@ -163,10 +163,10 @@
     def _ends(self, h: int, access: Any, number: int, outcome: Outcome, left: float) -> None:
         if not access.out or number != access.sent - 1:
             return
-        honoured = outcome is Outcome.HONOURED
-        if honoured and not access.over:
+        succeeded = outcome is Outcome.SUCCEEDED
+        if succeeded and not access.over:
             self.over(h, access, True, "")
-        self.do(h, access.ended(self.now, number, outcome, honoured or access.over, self.now - left))
+        self.do(h, access.ended(self.now, number, outcome, succeeded or access.over, self.now - left))
 
 
 def with_plan(limit: float, burst: float, slack: float, **figures: Any) -> Settings:
--- a/benchmarks/decisions_learning.py
+++ b/benchmarks/decisions_learning.py
@@ -4,7 +4,7 @@
 asked while well), `hang` (nothing is answered), `err` (each attempt errs at once); at 0.58 accesses a second a pair,
 or, as `slow-10` and so on, at 10 for a third of the time. A head has learned with the first access for the shelf, after
 the fault began, that does not leave within the call that brought it; the shelf is used again with the first access that
-came after it was well and was honoured (one comes after 1.7 s in the mean at 0.58). Beside it each head asks well
+came after it was well and was succeeded (one comes after 1.7 s in the mean at 0.58). Beside it each head asks well
 shelfs, less than at the size (868 a second), as a run can bear it: the sick one weighs more in the head's means than it
 would there.
 """
@@ -42,24 +42,24 @@
 
     def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
         if attempt.shelf != "s0":
-            return self.now + SHELF_MS, Outcome.HONOURED
+            return self.now + SHELF_MS, Outcome.SUCCEEDED
         if self.sick() and self.case != "slow":
-            return (math.inf, Outcome.OVERDUE) if self.case == "hang" else (self.now + 2.0, Outcome.ERRED)
+            return (math.inf, Outcome.TIMED_OUT) if self.case == "hang" else (self.now + 2.0, Outcome.SERVER_ERROR)
         takes = SHELF_MS * (SLOWER if self.sick() else 1.0)
         done = max(self.now, heapq.heappop(self.free)) + takes
         heapq.heappush(self.free, done)
-        return done, Outcome.HONOURED
+        return done, Outcome.SUCCEEDED
 
-    def over(self, h: int, access: Any, honoured: bool, why: str) -> None:
+    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
         if access.note is None:
             return
-        in_time = honoured and self.now <= access.came_ms + EXPECTED_MS
+        in_time = succeeded and self.now <= access.came_ms + EXPECTED_MS
         if access.note == "sick" and not in_time:
             if access.came_ms <= self.learned.get(h, math.inf):
                 self.lost_before += 1
             else:
                 self.lost_after += 1
-        if access.note == "well" and honoured:
+        if access.note == "well" and succeeded:
             self.again.setdefault(h, self.now - self.well_ms)
 
     def come(self, slot: int) -> None:
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -77,15 +77,15 @@
         self.sends: list[float] = []
 
     def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
-        return self.now + SHELF_MS, Outcome.HONOURED
+        return self.now + SHELF_MS, Outcome.SUCCEEDED
 
     def left(self, h: int, access: Any, attempt: Any) -> None:
         if access.sent == 1:
             self.sends.append(self.now)
             self.used += self.counted_ms <= self.now < self.end_ms
 
-    def over(self, h: int, access: Any, honoured: bool, why: str) -> None:
-        self.pushed += access.note and not honoured
+    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
+        self.pushed += access.note and not succeeded
 
     def come(self) -> None:
         h = self.draw(self.weights)
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -38,7 +38,7 @@
     def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
         if attempt.shelf == "s0" and self.now >= DIES_MS:
             return self.now + 1.0, self.outcome
-        return self.now + SHELF_MS, Outcome.HONOURED
+        return self.now + SHELF_MS, Outcome.SUCCEEDED
 
     def left(self, h: int, access: Any, attempt: Any) -> None:
         if self.now >= SETTLED_MS:
@@ -74,14 +74,14 @@
     for shape in ("even", "zipf"):
         x = {"heads": heads, "seed": seed, "shape": shape}
         if case in ("", "dead"):
-            y = Sums(heads, seed, PAIR_S, 0.0, Outcome.UNREACHED, shape, {}).figures()
+            y = Sums(heads, seed, PAIR_S, 0.0, Outcome.CONNECT_FAILED, shape, {}).figures()
             found.append({"x": {**x, "case": "dead", "pair_s": round(PAIR_S, 2)}, "y": y})
         for asked in (0.9, 1.2, 2.0) if case in ("", "cold") else ():
             y = cold(heads, seed, "skewed" if shape == "zipf" else "even", asked)
             found.append({"x": {**x, "case": "cold", "asked": asked}, "y": y})
         for budget in ({}, BUDGET) if case in ("", "budget") else ():
             rate = 2.0  # a head, of accesses in all: of the 868 a second at the size, what a run can bear
-            y = Sums(heads, seed, ERRING * rate, (1 - ERRING) * rate, Outcome.ERRED, shape, budget).figures()
+            y = Sums(heads, seed, ERRING * rate, (1 - ERRING) * rate, Outcome.SERVER_ERROR, shape, budget).figures()
             if budget:
                 window_s = budget["budget_window_ms"] / 1000.0
                 y["allowed_s"] = round(heads * (budget["budget_free"] / window_s + budget["budget_share"] * rate), 1)
--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -142,7 +142,7 @@
                     got = await client.write("plain", name, data[at : at + BLOCK], **more)
                 else:
                     got = await client.read("plain", name, BLOCK, **more)
-                assert got.honoured, got
+                assert got.succeeded, got
 
         await asyncio.gather(*(one(at) for at in range(0, len(data), BLOCK)))
         client.close()
@@ -187,7 +187,7 @@
             got = await client.write(
                 "plain", f"s{n}", b"x" * 1000, profile="save", slot=n % 4, units=1.0, patience_ms=5000.0
             )
-            assert got.honoured
+            assert got.succeeded
             took.append(got.took_ms)
             await asyncio.sleep(0.01)
         return took
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -33,7 +33,7 @@
 
         def _done(self, name: str, life: Any, changes: Any) -> None:
             self.calls += 1
-            rows = [(a.id, a.attempts, a.recalls, a.answer) for a in changes.handles]
+            rows = [(a.id, a.attempts, a.cancellations, a.answer) for a in changes.handles]
             self.said.update(repr((self.now, name, rows, changes.wake_ms, changes.list_calls)).encode())
             super()._done(name, life, changes)
 
--- a/benchmarks/slopes_head.py
+++ b/benchmarks/slopes_head.py
@@ -97,21 +97,21 @@
 
     async def run(self, clients: list[Client], accesses: int, shards: int) -> tuple[float, int]:
         """So many accesses, one after the other on each connection, over all shards in turn: ms on a core for each,
-        and how many were honoured."""
-        numbers, honoured = iter(range(accesses)), 0
+        and how many were succeeded."""
+        numbers, succeeded = iter(range(accesses)), 0
         before = on_core_ms(self.child.pid)
 
         async def one(client: Client) -> None:
-            nonlocal honoured
+            nonlocal succeeded
             for n in numbers:
                 # The answers are counted by hand: the rig's own wait looks every few milliseconds.
                 had = len(client.answers)
                 client.write(ask(shard=n % shards, Cookie=f"block={n % 9973:016x}"))
                 while len(client.answers) == had:
                     await asyncio.sleep(0)
-                honoured += client.answers[-1].status == 200
+                succeeded += client.answers[-1].status == 200
                 client.answers.clear()
                 client.seen = 0
 
         await asyncio.gather(*(one(c) for c in clients))
-        return (on_core_ms(self.child.pid) - before) / accesses, honoured
+        return (on_core_ms(self.child.pid) - before) / accesses, succeeded
--- a/benchmarks/slopes_service.py
+++ b/benchmarks/slopes_service.py
@@ -116,7 +116,7 @@
                 up = sum(not conn.lost for peer in peers[:count] for conn in peer.conns)
                 await asyncio.sleep(1.0)
                 rest = await head.at_rest(REST_S)
-                cost, honoured = await head.run(clients, ACCESSES, count)
+                cost, succeeded = await head.run(clients, ACCESSES, count)
                 after = resident_kib(head.child.pid)
             for peer in peers:
                 peer.conns.clear()
@@ -128,10 +128,10 @@
                     grown_kib=held - first,
                     shelf_connections=up,
                     dialled_access_ms=dials,
-                    dialled_honoured=well / count,
+                    dialled_succeeded=well / count,
                     rest_ms_a_s=rest,
                     access_ms=cost,
-                    honoured=honoured / ACCESSES,
+                    succeeded=succeeded / ACCESSES,
                     resident_after_kib=after,
                 )
             )
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -50,7 +50,7 @@
             got = await client.write(
                 volume, f"{n}-{k}", b"x" * 1024, profile="save", slot=(n + k) % 3, units=1.0, patience_ms=3000.0
             )
-            if got.honoured:
+            if got.succeeded:
                 took.append(time.perf_counter() - began)
             else:
                 refused += 1
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -112,15 +112,15 @@
             where = {"profile": profile, "slot": write.slot, "units": write.units, "patience_ms": 4000.0}
             for _ in range(50):
                 got = await client.read(write.volume, write.extent, len(write.data), offset=write.offset, **where)
-                if got.honoured and got.data == write.data:
+                if got.succeeded and got.data == write.data:
                     stood += 1
                     break
                 label = f"wb.{write.label}.{write.number}"
-                if got.honoured:
+                if got.succeeded:
                     got = await client.write(
                         write.volume, write.extent, write.data, offset=write.offset, label=label, **where
                     )
-                    if got.honoured:
+                    if got.succeeded:
                         brought += 1
                         break
                 await asyncio.sleep(max(0.1, got.stay_ms / 1000.0))
--- a/pebblehinge/client/conn.py
+++ b/pebblehinge/client/conn.py
@@ -31,7 +31,7 @@
     took_ms: float = 0.0
 
     @property
-    def honoured(self) -> bool:
+    def succeeded(self) -> bool:
         return self.final == "honoured"
 
 
--- a/pebblehinge/client/retry.py
+++ b/pebblehinge/client/retry.py
@@ -20,7 +20,7 @@
 
     def next_ms(self, tries: int, last: Result, left_ms: float, draw: float) -> float | None:
         """How long to wait before try number `tries` + 1, or None. `draw` is one number from [0, 1)."""
-        if last.honoured or tries > self.most or left_ms <= 0:
+        if last.succeeded or tries > self.most or left_ms <= 0:
             return None
         harmless = last.final == "pushed back" or self.repeat == "redoable"
         if last.final == LOST and self.repeat == "labelled":
@@ -38,7 +38,7 @@
     loop: asyncio.AbstractEventLoop,
     rng: random.Random,
 ) -> tuple[Result, int]:
-    """Calls `attempt(try, patience left)` until it is honoured or no further try is right; Result and tries."""
+    """Calls `attempt(try, patience left)` until it is succeeded or no further try is right; Result and tries."""
     until = loop.time() + patience_ms / 1000.0
     tries = 0
     while True:
--- a/pebblehinge/core/books.py
+++ b/pebblehinge/core/books.py
@@ -1,7 +1,7 @@
 """Between sockets and the decision module: keeps what the module need not know, and decides nothing.
 
 No I/O and no clock: calls come in with the time, what is to be done goes out through `Doing`. An attempt's outcome
-is told as it was; the final answer of an honoured access is sent here, every other one comes from the module.
+is told as it was; the final answer of an succeeded access is sent here, every other one comes from the module.
 What may come in at all is the front's to say: it admits an access, then has it taken here.
 """
 
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from pebblehinge.account import Books
 
-HONOURED, PUSHED_BACK, TERMINATED = 0, 1, 2  # the final answers as the wire numbers them
-FINALS = {Final.PUSHED_BACK: PUSHED_BACK, Final.TERMINATED: TERMINATED}
+SUCCEEDED, REJECTED, FAILED = 0, 1, 2  # the final answers as the wire numbers them
+FINALS = {Final.REJECTED: REJECTED, Final.FAILED: FAILED}
 
 
 class Taken:
@@ -75,7 +75,7 @@
         self.stopping = False
         self.counts = {"taken": 0, "honoured": 0, "pushed back": 0, "terminated": 0, "left": 0, "refused": 0}
         self.outcomes = {outcome: 0 for outcome in Outcome}
-        self.reasons: dict[str, int] = {}  # why accesses were not honoured, by the module's own branches
+        self.reasons: dict[str, int] = {}  # why accesses were not succeeded, by the module's own branches
         self.retries = self.wakes = 0
         self.now = now
 
@@ -133,8 +133,8 @@
         assert access is not None
         self.outcomes[outcome] += 1
         taken.attempt, taken.attempt_ms, self.now = None, took_ms, now
-        if outcome is Outcome.HONOURED and not taken.answered:
-            self._answer(taken, HONOURED, 0.0, "", data)
+        if outcome is Outcome.SUCCEEDED and not taken.answered:
+            self._answer(taken, SUCCEEDED, 0.0, "", data)
         over = taken.answered
         self._account_end(taken, now)
         changes = access.ended(now, attempt, outcome, over, took_ms)
@@ -172,14 +172,14 @@
     # ---- carrying out
 
     def _carry_out(self, first: Changes, now: float) -> None:
-        """Does what a call to the module changed; a recall's outcome is a call of its own, done after."""
+        """Does what a call to the module changed; a cancellation's outcome is a call of its own, done after."""
         self.now = now
         todo = deque((first,))
         while todo:
             changes = todo.popleft()
             for access in changes.handles:
                 taken = self.taken[access.id]
-                attempts, recalls, answer = access.drain()
+                attempts, cancellations, answer = access.drain()
                 for attempt in attempts:
                     self.retries += taken.attempts > 0
                     if self.account is not None:
@@ -189,14 +189,14 @@
                     taken.shelf, taken.sent_ms, taken.begin_by_ms = attempt.shelf, now, attempt.begin_by_ms
                     self.doing.send_attempt(taken, attempt.shelf, taken.attempts, attempt.until_ms)
                     taken.attempts += 1
-                for number in recalls:
+                for number in cancellations:
                     if taken.attempt is not None:
                         self.doing.drop_attempt(taken)
                         taken.attempt = None
-                        self.outcomes[Outcome.RECALLED] += 1
+                        self.outcomes[Outcome.CANCELLED] += 1
                         took = now - taken.sent_ms
                         self._account_end(taken, now)
-                        todo.append(access.ended(now, number, Outcome.RECALLED, taken.answered, took))
+                        todo.append(access.ended(now, number, Outcome.CANCELLED, taken.answered, took))
                 if answer is not None:
                     if not taken.answered:
                         self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
--- a/pebblehinge/decide/head.py
+++ b/pebblehinge/decide/head.py
@@ -69,7 +69,7 @@
         counts for less the longer it lay. What limits had left is known only where nothing was sent after it
         was written (whole). Harm: a fleet that changed meanwhile is judged by what it was, for seconds."""
         shelfs, path, left, lives = self.shelfs, self.path, math.exp(-age / KEEPS_MS), state.get("lives", {})
-        shelfs.recalled_ms = now
+        shelfs.restored_ms = now
         shelfs.past = {name: Past.of(row, lives.get(name), now - age, left) for name, row in state["shelfs"].items()}
         shelfs.all_ms, fed, low, worth = state["every"]
         shelfs.fed_ms = now - age - fed
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -12,7 +12,7 @@
 from pebblehinge.kept import Lines, Notes
 
 COLD_PART = 0.4  # of the multiple of what a cold shelf surely can do, let through while the usual is asked
-MAY_STILL_RUN = (Outcome.OVERDUE, Outcome.BROKEN, Outcome.RECALLED)
+MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED)
 
 
 class Limits:
--- a/pebblehinge/decide/path.py
+++ b/pebblehinge/decide/path.py
@@ -13,8 +13,14 @@
 from pebblehinge.interface import Attempt, Changes, Outcome, Repeat
 from pebblehinge.kept import Notes, Recent
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHED, Outcome.MOOT)
-GOES_AGAIN = (Outcome.ERRED, Outcome.FULL, Outcome.UNREACHED, Outcome.BROKEN, Outcome.RECALLED)  # may be well
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+GOES_AGAIN = (
+    Outcome.SERVER_ERROR,
+    Outcome.OVERLOADED,
+    Outcome.CONNECT_FAILED,
+    Outcome.CONNECTION_LOST,
+    Outcome.CANCELLED,
+)  # may be well
 OVERTAKEN = 3  # later attempts answered first, after which an attempt out for as many latencies counts as lost
 
 
@@ -58,7 +64,7 @@
         came = abandon_ms - a.profile.patience_ms if again else now
         a.due_ms = min(came + a.profile.expected_ms, a.abandon_ms)
         self.seq += 1
-        a.seq, a.attempts, a.recalls, a.answer = self.seq, [], [], None
+        a.seq, a.attempts, a.cancellations, a.answer = self.seq, [], [], None
         self.limits.came(a, now)
         self.worth.price(a, now)
         if extent is not None:
@@ -160,8 +166,8 @@
         a.risk_ms = a.sent_ms if a.risk_ms is None and outcome not in NEVER_RAN else a.risk_ms
         self.limits.ended(a, now, outcome)
         self.shelfs.note(a, s, now, outcome, took)
-        if outcome is Outcome.HONOURED:
-            self.recall_overtaken(a, s, now)
+        if outcome is Outcome.SUCCEEDED:
+            self.cancel_overtaken(a, s, now)
         if over or a.over:
             self.refusal.close(a)
         elif not self.go_again(a, s, now, outcome):
@@ -169,12 +175,12 @@
         e = self.extents.get(a.extent) if a.extent is not None else None
         if e is not None and a.over:
             e.answered_ms = now if e.open == 0 else None
-        self.serve(s, now, a.extent if outcome is Outcome.HONOURED else None)
+        self.serve(s, now, a.extent if outcome is Outcome.SUCCEEDED else None)
 
     def left(self, a: Access, now: float) -> None:
         if not a.over:
-            if a.out and self.given.cfg.may_recall:
-                self.recall(a)
+            if a.out and self.given.cfg.may_cancel:
+                self.cancel(a)
             self.refusal.close(a)
             if a.shelf >= 0:
                 self.serve(a.shelf, now, None)
@@ -192,9 +198,9 @@
         insort(shelfs.held[s], a)
         return True
 
-    def recall_overtaken(self, answered: Access, s: int, now: float) -> None:
+    def cancel_overtaken(self, answered: Access, s: int, now: float) -> None:
         """A shelf takes accesses in turn: an attempt that later ones overtook long ago got lost on the way,
-        so it is recalled and goes again. Harm: long work may be done twice; its units are allowed for."""
+        so it is cancelled and goes again. Harm: long work may be done twice; its units are allowed for."""
         cfg = self.given.cfg
         for a in self.shelfs.away[s]:
             if a.sent_ms >= answered.sent_ms:
@@ -203,10 +209,10 @@
             usual = self.shelfs.mean(s, now) * max(1.0, a.size)
             lost = a.overtaken >= OVERTAKEN and now - a.sent_ms >= LATENCIES * usual
             useful = not a.over and now + usual <= a.due_ms and a.sent < cfg.try_limit
-            if lost and useful and cfg.may_recall and self.limits.may_repeat(a, now, 1, True):
-                self.recall(a)
+            if lost and useful and cfg.may_cancel and self.limits.may_repeat(a, now, 1, True):
+                self.cancel(a)
 
-    def recall(self, a: Access) -> None:
+    def cancel(self, a: Access) -> None:
         a.overtaken = -math.inf  # asked for once
-        a.recalls.append(a.sent - 1)
+        a.cancellations.append(a.sent - 1)
         self.notes.changed(a)
--- a/pebblehinge/decide/refusal.py
+++ b/pebblehinge/decide/refusal.py
@@ -72,7 +72,7 @@
             self.notes.wake(min(a.abandon_ms if a.due_ms >= a.abandon_ms else a.due_ms for a in held), s)
 
     def give_up(self, a: Access, why: str) -> None:
-        """The final answer, at once. Pushed back where trying again is harmless, with a time to stay away,
+        """The final answer, at once. Rejected where trying again is harmless, with a time to stay away,
         drawn, or all come back in step."""
         repeat, group = a.profile.repeat, a.profile.group
         clean = (
@@ -81,7 +81,7 @@
             or (repeat is Repeat.LABELLED and group is Group.ALL)
         )
         stay = self.shelfs.given.cfg.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
-        a.answer = Answer(Final.PUSHED_BACK, stay, why) if clean else Answer(Final.TERMINATED, why=why)
+        a.answer = Answer(Final.REJECTED, stay, why) if clean else Answer(Final.FAILED, why=why)
         self.worth.give_back(a)
         self.notes.changed(a)
         self.close(a)
--- a/pebblehinge/decide/shelfs.py
+++ b/pebblehinge/decide/shelfs.py
@@ -20,7 +20,7 @@
 SAME_MS = 1000.0  # starts that lie nearer are one process's: lists tell ages, and take their time
 LATENCIES = 4.0  # a shelf is silent when it has answered nothing for so many mean latencies ...
 SILENT_MS = 400.0  # ... and this on top, so that pauses and flushes pass
-LOST = 4  # attempts overdue or broken in a row, with no answer between, that make a shelf down
+LOST = 4  # attempts timed out or broken in a row, with no answer between, that make a shelf down
 TRIAL_GAP_MS = 250.0  # between careful attempts to a shelf that is down
 
 
@@ -33,13 +33,13 @@
         self.all_ms, self.fed_ms, self.answers = 0.0, now, 0  # mean over all, when last fed, by how many
         self.low_ms = 0.0  # lower quartile of the latencies of all shelfs
         self.past: dict[str, Past] = {}  # what an earlier life knew of shelfs that were not listed yet
-        self.recalled_ms = now
+        self.restored_ms = now
 
     # ---- what lists say
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> list[int]:
         """A list, or changes to it. Returns the places that it may have changed."""
-        if now - self.recalled_ms > KEEPS_MS:
+        if now - self.restored_ms > KEEPS_MS:
             self.past.clear()
         touched: list[int] = []
         for s in self.all_but({e.shelf for e in entries}) if kind is not ListKind.CHANGES else ():
@@ -121,7 +121,7 @@
         """What an attempt's outcome says of the shelf's health."""
         if a.sent_ms < self.started[s]:  # to the process before this one: it says nothing of it
             return
-        if outcome is Outcome.HONOURED:
+        if outcome is Outcome.SUCCEEDED:
             self.heard_ms[s] = now
             if self.dead[s]:  # nobody knows since when it runs again: it may have been started for this attempt
                 self.chill(s, a.sent_ms)
@@ -137,17 +137,17 @@
             self.learn(s, now, took)
             step = max(FOLLOW, 1 / (1 + self.answers))
             self.low_ms = self.low_ms * (1 + step * (0.25 - (took < self.low_ms))) or took
-        elif outcome in (Outcome.UNREACHED, Outcome.BROKEN, Outcome.OVERDUE):
+        elif outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT):
             self.lost[s] += 1
             # A broken connection says little: links break here and there while the shelf is well and answers
             # others. But a process gone or out of reach may have restarted untold: it counts as cold.
-            silent = now - self.seen_ms[s] > SILENT_MS and outcome is Outcome.UNREACHED
-            if outcome is not Outcome.OVERDUE and (silent or self.lost[s] >= LOST):
+            silent = now - self.seen_ms[s] > SILENT_MS and outcome is Outcome.CONNECT_FAILED
+            if outcome is not Outcome.TIMED_OUT and (silent or self.lost[s] >= LOST):
                 self.dead[s], self.trial_ms[s] = True, now + TRIAL_GAP_MS
                 self.chill(s, now)
             elif self.lost[s] > 1 and took > self.mean(s, now):  # a lone loss does not mean slow
                 self.learn(s, now, took)
-        elif outcome in (Outcome.ERRED, Outcome.FULL):
+        elif outcome in (Outcome.SERVER_ERROR, Outcome.OVERLOADED):
             self.heard_ms[s], self.lost[s] = now, 0
 
     def chill(self, s: int, since: float) -> None:
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from pebblehinge.account import Books
-from pebblehinge.core import PUSHED_BACK, Core, Taken
+from pebblehinge.core import REJECTED, Core, Taken
 from pebblehinge.core.books import Doing
 from pebblehinge.settings.schema import Config, HeadBlock
 from pebblehinge.wire.frames import APPEND, READ, WRITE
@@ -72,7 +72,7 @@
             # Nothing of it has gone anywhere, so trying again is harmless whatever its profile.
             self.counts["refused"] += 1
             taken.answered = True
-            self.doing.answer(taken, PUSHED_BACK, self.config.rules.stay_away_max, str(refusal), b"")
+            self.doing.answer(taken, REJECTED, self.config.rules.stay_away_max, str(refusal), b"")
             return None
         taken.plan = known_plan
         self.accept(
--- a/pebblehinge/head/clients.py
+++ b/pebblehinge/head/clients.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from pebblehinge.core import HONOURED, Taken
+from pebblehinge.core import SUCCEEDED, Taken
 from pebblehinge.head.house import House
 from pebblehinge.net import Peer
 from pebblehinge.wire import Kind, Session, WireError
@@ -92,7 +92,7 @@
     def answered(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.open.pop(taken.id, None)
         back, seen = self.server.back, self.seen.pop(taken.id, ())
-        if back is not None and final == HONOURED and taken.op == 0 and back.buffers(taken.volume):
+        if back is not None and final == SUCCEEDED and taken.op == 0 and back.buffers(taken.volume):
             data = back.after_read(taken, seen, data)
         self.send(Kind.ANSWER, taken.id, final, stay_ms, reason, taken.slot, data)
 
--- a/pebblehinge/head/dial.py
+++ b/pebblehinge/head/dial.py
@@ -12,7 +12,7 @@
 
 
 class Dial:
-    """`peer()` makes the connection's protocol; `unreached()` is called where an attempt fails."""
+    """`peer()` makes the connection's protocol; `not connected()` is called where an attempt fails."""
 
     def __init__(
         self,
@@ -21,10 +21,10 @@
         address: str,
         limits: LimitsBlock,
         peer: Callable[[], Peer],
-        unreached: Callable[[], None],
+        connect_failed: Callable[[], None],
     ) -> None:
         self.loop, self.clock, self.address, self.limits = loop, clock, address, limits
-        self.peer, self.unreached = peer, unreached
+        self.peer, self.connect_failed = peer, connect_failed
         self.connecting: asyncio.Task | None = None
         self.deadline: asyncio.TimerHandle | None = None
         self.refusal, self.patience, self.deadline_ms = "", 0, 0.0
@@ -85,4 +85,4 @@
         if not task.done():
             task.cancel()
         self.refusal = self.refusal or why
-        self.unreached()
+        self.connect_failed()
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pebblehinge.core import HONOURED, Taken
+from pebblehinge.core import SUCCEEDED, Taken
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.link import ShelfLink
@@ -43,7 +43,7 @@
         self.core = core(config, self.block, self.now, self)
         self.timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
-        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of honoured accesses
+        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of succeeded accesses
         self.listing = ListingLink(
             loop,
             clock,
@@ -64,7 +64,7 @@
     def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         taken.conn.answered(taken, final, stay_ms, reason, data)
         now = self.now
-        if final == HONOURED:
+        if final == SUCCEEDED:
             self.latency.record_value(max(1, int((now - taken.came_ms) * 1000.0)))
         self.note(now, "answer", id=taken.trace, final=FINALS[final], stay=stay_ms)
         if self.config.log.accesses:
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -18,7 +18,7 @@
 from pebblehinge.wire import Kind, Session
 
 LOOK = 0.001  # seconds between an attempt's time and its end, for one more look at the sockets
-STATUS = (Outcome.HONOURED, Outcome.ERRED, Outcome.FULL)  # as OUTCOME numbers them
+STATUS = (Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.OVERLOADED)  # as OUTCOME numbers them
 
 
 class Out:
@@ -46,7 +46,7 @@
         self.shelf, self.address, self.limits = shelf, address, limits
         self.ended, self.noted = ended, noted
         self.wire: Wire | None = None
-        self.dial = Dial(loop, clock, address, limits, self._peer, self._unreached)
+        self.dial = Dial(loop, clock, address, limits, self._peer, self._connect_failed)
         self.waiting: deque[Out] = deque()  # nothing of these was written
         self.out: dict[int, Out] = {}  # these may have run
         self.numbers = 0
@@ -61,7 +61,7 @@
         self.numbers += 1
         out.number, out.taken, out.attempt, out.until_ms, out.sent_ms = self.numbers, taken, attempt, until_ms, now
         out.link, out.looked = self, False
-        out.timer = self.loop.call_at(until_ms / 1000.0, self._overdue, out)
+        out.timer = self.loop.call_at(until_ms / 1000.0, self._timed_out, out)
         taken.attempt = out
         if self.wire is not None and not self.wire.paused:
             self._write(out, now)
@@ -104,12 +104,12 @@
         self.wire = wire
         self.push()
 
-    def _unreached(self) -> None:
+    def _connect_failed(self) -> None:
         now = self.clock()
         lost = list(self.waiting)
         self.waiting.clear()
         for out in lost:
-            self._end(out, now, Outcome.UNREACHED)
+            self._end(out, now, Outcome.CONNECT_FAILED)
 
     def push(self) -> None:
         """Writes what waits, as far as the shelf reads."""
@@ -149,7 +149,7 @@
         broken = list(self.out.values())
         self.out.clear()
         for out in broken:
-            self._end(out, now, Outcome.BROKEN)
+            self._end(out, now, Outcome.CONNECTION_LOST)
         if self.waiting:
             self.dial.connect()
 
@@ -162,27 +162,27 @@
     def came(self, number: int, status: int, reason: str, data: bytes) -> None:
         out = self.out.pop(number, None)
         if out is None or status >= len(STATUS):
-            self.late += 1  # overdue or recalled before: its access has its answer, nothing is sent again
+            self.late += 1  # timed out or cancelled before: its access has its answer, nothing is sent again
             if out is not None:
-                self._end(out, self.now, Outcome.ERRED)
+                self._end(out, self.now, Outcome.SERVER_ERROR)
             return
         self._end(out, self.now, STATUS[status], data)
 
-    def _overdue(self, out: Out) -> None:
+    def _timed_out(self, out: Out) -> None:
         if not out.looked:
             # A loop that was held up runs its timers before it reads: the outcome may lie in the socket.
             out.looked = True
-            out.timer = self.loop.call_later(LOOK, self._overdue, out)
+            out.timer = self.loop.call_later(LOOK, self._timed_out, out)
             return
         now = self.clock()
         if self.out.pop(out.number, None) is not None:
             if self.wire is not None:
                 self.wire.send(Kind.RECALL, out.number)
                 self.wire.doubt()
-            self._end(out, now, Outcome.OVERDUE)
+            self._end(out, now, Outcome.TIMED_OUT)
         elif out in self.waiting:
             self.waiting.remove(out)
-            self._end(out, now, Outcome.UNREACHED)
+            self._end(out, now, Outcome.CONNECT_FAILED)
 
     def _end(self, out: Out, now: float, outcome: Outcome, data: bytes = b"") -> None:
         out.timer.cancel()
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -2,11 +2,11 @@
 
 How to call the module (`decide/`): Head(settings, seed, now), then head.start(now) once. head.take(...) gives the
 handle of an access and what changed; all that later happens to that access is a call on its handle: ended (an attempt's
-outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs, head.woken
-says that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new attempts,
-recalls and final answer, then the next wake and the calls to the list. head.adopt takes new settings in service: what
-is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what was learned,
-head.recall takes it up in a later life, before the first list.
+outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs, head.woken says
+that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new attempts,
+cancellations and final answer, then the next wake and the calls to the list. head.adopt takes new settings in service:
+what is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what was
+learned, head.recall takes it up in a later life, before the first list.
 
 Times are milliseconds with fractions on the caller's clock; nothing in the module reads another. Rates are units a
 second, ids are as given by the caller. There are no decisions here.
@@ -38,14 +38,14 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    HONOURED = "honoured"  # the shelf served it
-    ERRED = "erred"  # the shelf answered with an error; it may have run
-    FULL = "full"  # turned away unseen
-    OVERDUE = "overdue"  # no answer in time; it may have run or still run
-    UNREACHED = "unreached"  # no connection; it never ran
-    BROKEN = "broken"  # the connection broke meanwhile; it may have run
-    RECALLED = "recalled"  # withdrawn; it may have run
-    MOOT = "moot"  # never sent
+    SUCCEEDED = "honoured"  # the shelf served it
+    SERVER_ERROR = "erred"  # the shelf answered with an error; it may have run
+    OVERLOADED = "full"  # turned away unseen
+    TIMED_OUT = "overdue"  # no answer in time; it may have run or still run
+    CONNECT_FAILED = "unreached"  # no connection; it never ran
+    CONNECTION_LOST = "broken"  # the connection broke meanwhile; it may have run
+    CANCELLED = "recalled"  # withdrawn; it may have run
+    NOT_SENT = "moot"  # never sent
 
 
 class Standing(Enum):
@@ -74,8 +74,8 @@
 class Final(Enum):
     """A final answer that the head gives itself."""
 
-    PUSHED_BACK = "pushed back"
-    TERMINATED = "terminated"
+    REJECTED = "pushed back"
+    FAILED = "terminated"
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,7 +119,7 @@
     idle_worth: float
     asks_for_list: bool
     marks_repeats: bool
-    may_recall: bool
+    may_cancel: bool
     stay_away_max_ms: float  # 0 where none may be given
     try_limit: int
     step_ms: float
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What a call changed: handles in order, each with its new attempts, recalls and final answer."""
+    """What a call changed: handles in order, each with its new attempts, cancellations and final answer."""
 
     handles: list[Handle] = field(default_factory=list)
     wake_ms: float | None = None
--- a/pebblehinge/kept/calls.py
+++ b/pebblehinge/kept/calls.py
@@ -8,13 +8,13 @@
 
 
 class Calls:
-    """A handle: its calls go to the path that its access is on. What the last one changed is in attempts, recalls and
-    answer."""
+    """A handle: its calls go to the path that its access is on. What the last one changed is in attempts, cancellations
+    and answer."""
 
     path: Any  # decides what a call means: ended, left, and the notes of what changed
     sent, out = 0, False  # attempts so far; whether one is out
     attempts: list[Attempt]
-    recalls: list[int]
+    cancellations: list[int]
     answer: Answer | None
 
     def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
@@ -33,7 +33,7 @@
         return self.path.notes.finish(now)
 
     def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
-        """What changed since the last look: new attempts, attempts to recall, the final answer."""
-        changed = self.attempts, self.recalls, self.answer
-        self.attempts, self.recalls, self.answer = [], [], None
+        """What changed since the last look: new attempts, attempts to cancel, the final answer."""
+        changed = self.attempts, self.cancellations, self.answer
+        self.attempts, self.cancellations, self.answer = [], [], None
         return changed
--- a/pebblehinge/kept/columns.py
+++ b/pebblehinge/kept/columns.py
@@ -23,7 +23,7 @@
         self.waits, self.last_extent = column(), column()  # slots kept for an extent, until when; the last one sent
         self.plain_ms, self.run_ms, self.mean_ms = column(), column(), column()  # latency averages
         self.seen_ms, self.heard_ms = column(), column()  # mean last fed; last answer, or first attempt after a rest
-        self.lost = column()  # attempts overdue or broken since
+        self.lost = column()  # attempts timed out or broken since
         self.dead, self.trial_ms = column(), column()  # no connection; when the next careful attempt may go
 
     def column(self) -> list[Any]:
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -14,7 +14,7 @@
 from pebblehinge.settings import Config
 from pebblehinge.wire.frames import WRITE
 
-UNREACHED = "unreached"  # no head took it: the client may come again
+CONNECT_FAILED = "unreached"  # no head took it: the client may come again
 
 
 class Crowd:
@@ -176,7 +176,7 @@
         async def attempt(tries: int, left_ms: float) -> Result:
             client = self._conn(ask.head)
             if client is None:
-                return Result("pushed back", reason=UNREACHED)
+                return Result("pushed back", reason=CONNECT_FAILED)
             future = client.access(
                 ask.volume,
                 ask.extent,
@@ -204,7 +204,7 @@
         patience = profile.patience - (self.clock() - at_ms)
         result, tries = await with_retries(attempt, retries, patience, self.loop, self.rng)
         now = self.clock()
-        final = UNREACHED if result.reason == UNREACHED else result.final
+        final = CONNECT_FAILED if result.reason == CONNECT_FAILED else result.final
         self.done[final] = self.done.get(final, 0) + 1
         self.records.note(now, "done", op=op, final=final, tries=tries, took=round(now - at_ms, 3))
 
@@ -230,4 +230,4 @@
         self.records.close()
 
 
-__all__ = ["LOST", "UNREACHED", "Crowd"]
+__all__ = ["LOST", "CONNECT_FAILED", "Crowd"]
--- a/pebblehinge/lab/compare.py
+++ b/pebblehinge/lab/compare.py
@@ -37,7 +37,7 @@
 
 
 def compare(a: str, b: str, root_a: str, root_b: str, seeds: list[int], jobs: int) -> dict[str, Any]:
-    """Service, p99 and pushed back of B against A, by pairs of one seed."""
+    """Service, p99 and rejected of B against A, by pairs of one seed."""
     work = [(root, day, seed) for seed in seeds for root, day in ((root_a, a), (root_b, b))]
     with ThreadPoolExecutor(jobs) as pool:
         got = list(pool.map(lambda w: figures(sys.executable, w[0], w[1], w[2]), work))
--- a/pebblehinge/lab/crash/verdict.py
+++ b/pebblehinge/lab/crash/verdict.py
@@ -20,10 +20,10 @@
     doubled = [label for label, n in times.items() if n > 1]
     first = {label: n for label, n in reversed(effects)}
     broken = 0
-    for asked, honoured in books.barriers:
-        # What was confirmed before it was asked lands before what was sent after it was honoured.
+    for asked, succeeded in books.barriers:
+        # What was confirmed before it was asked lands before what was sent after it was succeeded.
         before = [first[x] for x, at in books.confirmed.items() if at < asked and x in first]
-        after = [first[x] for x, at in books.asked.items() if at > honoured and x in first]
+        after = [first[x] for x, at in books.asked.items() if at > succeeded and x in first]
         broken += bool(before and after and max(before) > min(after))
     return {
         "confirmed": len(books.confirmed),
--- a/pebblehinge/lab/crash/writers.py
+++ b/pebblehinge/lab/crash/writers.py
@@ -16,7 +16,7 @@
         self.confirmed: dict[str, int] = {}  # label -> which of all events that was
         self.unknown: dict[str, None] = {}
         self.asked: dict[str, int] = {}  # label -> when it was sent
-        self.barriers: list[tuple[int, int]] = []  # when one was asked, and when it was honoured
+        self.barriers: list[tuple[int, int]] = []  # when one was asked, and when it was succeeded
         self.flushes = 0
         self.claimed_wrongly: list[str] = []
         self.events = 0
@@ -49,12 +49,12 @@
         if what < 0.04:
             began = books.event()
             got = await client.barrier("bids", profile="save", patience_ms=2000.0)
-            if got.honoured:
+            if got.succeeded:
                 books.barriers.append((began, books.event()))
         elif what < 0.08:
             before = [label for label in books.confirmed]
             got = await client.flush_volume("bids", profile="save", patience_ms=2500.0)
-            if got.honoured:
+            if got.succeeded:
                 books.flushes += 1
                 stands = held() if held is not None else {}
                 for label in before if held is not None else ():
@@ -76,7 +76,7 @@
                 units=1.0,
                 patience_ms=2000.0,
             )
-            if got.honoured:
+            if got.succeeded:
                 books.confirmed[label] = books.event()
             elif got.final != "pushed back":
                 books.unknown[label] = None
--- a/pebblehinge/lab/rules_of_answers.py
+++ b/pebblehinge/lab/rules_of_answers.py
@@ -81,7 +81,7 @@
             if not same or (final == "pushed back" and profile.group != "all"):
                 part = 2.0
         v.look(part, course)
-    # The same over a client's tries: a pushback made the next one harmless, so none may have had an effect.
+    # The same over a client's tries: a rejection made the next one harmless, so none may have had an effect.
     by_op: dict[str, list[str]] = defaultdict(list)
     for id_ in day.effects:
         op = id_.rpartition(".")[0]
--- a/pebblehinge/plan/demand.py
+++ b/pebblehinge/plan/demand.py
@@ -30,8 +30,8 @@
     units: np.ndarray
     write: np.ndarray
     run: np.ndarray  # an access of an extent that its shelf surely remembers
-    attempt_ms: np.ndarray  # 0 where no attempt was honoured
-    first: np.ndarray  # honoured at the first attempt
+    attempt_ms: np.ndarray  # 0 where no attempt was succeeded
+    first: np.ndarray  # succeeded at the first attempt
     volumes: list[str]
     plans: list[str]
     profiles: list[str]
--- a/pebblehinge/rsync/sharing.py
+++ b/pebblehinge/rsync/sharing.py
@@ -3,7 +3,7 @@
 A transfer asks for a turn for each access. Turns are granted while fewer are out than the window, to the transfer that
 was served least for its weight; so a folder of a thousand files gets no more than one file beside it. The window goes
 by what the head and its shelfs bear: it grows by one a round while answers come in their usual time, and shrinks when
-they take longer or are pushed back. Each access still goes through the decision module, which says when and where.
+they take longer or are rejected. Each access still goes through the decision module, which says when and where.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
         return left if left >= LEAST_PATIENCE else 0.0
 
     def ended(self, now: float, turn: Turn, final: str, stay_ms: float) -> None:
-        """An access has its answer: honoured, pushed back, terminated or anything else that is no success."""
+        """An access has its answer: succeeded, rejected, failed or anything else that is no success."""
         self.out -= 1
         share = turn.transfer
         share.out -= 1
@@ -131,7 +131,7 @@
             self.shrunk_ms = now + max(20.0, round_ms)
 
     def after(self, now: float, turn: Turn, final: str, stay_ms: float, repeatable: bool) -> float | None:
-        """How long to wait before the same access goes once more, or None for never. What was pushed back ran nowhere,
+        """How long to wait before the same access goes once more, or None for never. What was rejected ran nowhere,
         so it may always; what ended otherwise only where a second time does no harm."""
         if final == "honoured" or (final != "pushed back" and not repeatable):
             return None
--- a/pebblehinge/rsync/transfer.py
+++ b/pebblehinge/rsync/transfer.py
@@ -117,7 +117,7 @@
             raise Refused(f"a write was {answer.final}: {answer.reason or 'no shelf could serve it in time'}", TIMEOUT)
 
     async def append(self, extent: str, end: int, data: bytes, label: str) -> tuple[str, bool | None, int]:
-        """One attempt, pushed back ones apart: how it ended, whether it landed, the log's length."""
+        """One attempt, rejected ones apart: how it ended, whether it landed, the log's length."""
         answer = await self._do(
             APPEND,
             extent,
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.core import HONOURED, PUSHED_BACK, Core, Taken
+from pebblehinge.core import REJECTED, SUCCEEDED, Core, Taken
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import ServiceConfig
 from pebblehinge.service.requests import Asked, ServiceTaken
@@ -89,9 +89,9 @@
         conn: ClientConn = taken.conn
         if conn.taken is not taken:
             return  # its client has gone
-        if final == HONOURED:
+        if final == SUCCEEDED:
             conn.answered(200, data)
-        elif final == PUSHED_BACK:
+        elif final == REJECTED:
             conn.answered(503, extra=retry_after(stay_ms))
         else:
             conn.answered(502)
--- a/pebblehinge/service/lateness.py
+++ b/pebblehinge/service/lateness.py
@@ -11,7 +11,7 @@
 
 
 class Lateness:
-    """Measured by a timer; while that is overdue itself, by so much."""
+    """Measured by a timer; while that is timed out itself, by so much."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -23,7 +23,7 @@
 
     @property
     def now_ms(self) -> float:
-        """How long what is read now may have lain unread: as long as the measure itself is overdue, and as it was
+        """How long what is read now may have lain unread: as long as the measure itself is timed out, and as it was
         when it was last made, in the turn that it was made in."""
         return max(self.turn_ms, self.usual_ms, (self.loop.time() - self.due) * 1000.0 - 1.0)
 
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -109,7 +109,7 @@
             self.pool.note("unreadable")
             self.attempt = None
             self.transport.abort()
-            self.pool.over(attempt, Outcome.ERRED)  # it has run, and what came is of no use
+            self.pool.over(attempt, Outcome.SERVER_ERROR)  # it has run, and what came is of no use
             return
         if answer is None:
             return
@@ -135,13 +135,13 @@
         if self in self.shelf.idle:
             self.shelf.idle.remove(self)
         if attempt is not None:
-            self.pool.over(attempt, Outcome.BROKEN if attempt.written else Outcome.UNREACHED)
+            self.pool.over(attempt, Outcome.CONNECTION_LOST if attempt.written else Outcome.CONNECT_FAILED)
 
 
 def outcome_of(answer: Response) -> Outcome:
     """What a whole answer says. Only on 503 and 504 a shelf can say that it has not run the access."""
     if answer.status == 200:
-        return Outcome.HONOURED
+        return Outcome.SUCCEEDED
     if answer.status in (503, 504) and answer.all(b"x-not-run") == [b"1"]:
-        return Outcome.FULL
-    return Outcome.ERRED
+        return Outcome.OVERLOADED
+    return Outcome.SERVER_ERROR
--- a/pebblehinge/service/shelfs.py
+++ b/pebblehinge/service/shelfs.py
@@ -2,7 +2,7 @@
 
 An attempt's bytes go out in one place, `_begin`, and only while they may: its access has no answer yet and its client
 is there, its time to begin is not over, and the list still wants accesses at the address that the connection leads to.
-What was settled by then is `MOOT`: nothing of it was sent.
+What was settled by then is `NOT_SENT`: nothing of it was sent.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
         if conn is None:
             attempt.task = self.loop.create_task(self._connect(attempt))
         elif not self._begin(attempt, conn):
-            self.loop.call_soon(self.over, attempt, Outcome.MOOT)
+            self.loop.call_soon(self.over, attempt, Outcome.NOT_SENT)
 
     def drop(self, attempt: Attempt) -> None:
         """It is given up: its connection is closed, one that is still being made is kept for others."""
@@ -135,17 +135,17 @@
                 if attempt.taken.attempt is not attempt:
                     self.keep(conn)
                 elif conn.transport.is_closing():
-                    self.over(attempt, Outcome.UNREACHED)
+                    self.over(attempt, Outcome.CONNECT_FAILED)
                 elif conn.address == attempt.shelf.address:
                     if not self._begin(attempt, conn):
-                        self.over(attempt, Outcome.MOOT)
+                        self.over(attempt, Outcome.NOT_SENT)
                     return
                 else:
                     conn.transport.abort()
         except asyncio.CancelledError:
-            self.over(attempt, Outcome.UNREACHED)
+            self.over(attempt, Outcome.CONNECT_FAILED)
         except OSError as error:
-            self.over(attempt, Outcome.MOOT if error.errno in NO_ROOM else Outcome.UNREACHED)
+            self.over(attempt, Outcome.NOT_SENT if error.errno in NO_ROOM else Outcome.CONNECT_FAILED)
         finally:
             attempt.task = None
 
@@ -177,18 +177,18 @@
         return bool(idle)
 
     def _due(self, attempt: Attempt) -> None:
-        attempt.timer = self.loop.call_later(SECOND_LOOK_S, self._overdue, attempt)
+        attempt.timer = self.loop.call_later(SECOND_LOOK_S, self._timed_out, attempt)
 
-    def _overdue(self, attempt: Attempt) -> None:
+    def _timed_out(self, attempt: Attempt) -> None:
         self._cut(attempt)
         # One whose connection never came up has not been sent at all.
-        self.over(attempt, Outcome.OVERDUE if attempt.written else Outcome.MOOT)
+        self.over(attempt, Outcome.TIMED_OUT if attempt.written else Outcome.NOT_SENT)
 
     def _unwritten(self, attempt: Attempt) -> None:
         """Its time to begin is over, and part of it is still here: without it, it never runs."""
         if not attempt.written and attempt.taken.attempt is attempt:
             self._cut(attempt)
-            self.over(attempt, Outcome.MOOT)
+            self.over(attempt, Outcome.NOT_SENT)
 
     def _cut(self, attempt: Attempt) -> None:
         if attempt.conn is not None:
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -174,7 +174,7 @@
             idle_worth=r.spare_worth,
             asks_for_list=self.listing.mode == "ask",
             marks_repeats=r.marks_repeats,
-            may_recall=r.recall,
+            may_cancel=r.recall,
             stay_away_max_ms=r.stay_away_max,
             try_limit=r.try_limit,
             step_ms=head.step,
--- a/pebblehinge/shelf/accesses.py
+++ b/pebblehinge/shelf/accesses.py
@@ -14,7 +14,7 @@
 from pebblehinge.wire import Kind
 from pebblehinge.wire.frames import APPEND, APPENDED, WRITE
 
-DONE, ERRED, FULL = 0, 1, 2
+DONE, SERVER_ERROR, FULL = 0, 1, 2
 
 
 class Accesses:
@@ -73,7 +73,7 @@
             )
             if self.rng.random() < 0.5:
                 self._effect(t, now)
-            self._answer(t, ERRED, "failed", b"")
+            self._answer(t, SERVER_ERROR, "failed", b"")
             return
         cheap = t.label is not None and self.contents.done(t.label, now, self.window)
         job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.attempt, now + left_ms, cheap)
--- a/pebblehinge/stated.py
+++ b/pebblehinge/stated.py
@@ -97,7 +97,7 @@
         idle_worth=info.get("idle_worth", float),
         asks_for_list=env.word("membership_mode", {"push": False, "ask": True}),
         marks_repeats=habits.get("marks_retry", bool, False),
-        may_recall=caps.get("cancel", bool),
+        may_cancel=caps.get("cancel", bool),
         stay_away_max_ms=caps.get("max_retry_after_s", float, 0.0, scale=ms) * caps.get("retry_after", bool),
         try_limit=caps.get("try_limit", int),
         step_ms=env.get("step_s", float, scale=ms),
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -11,14 +11,14 @@
 from pebblehinge.interface import Entry, Final, ListCall, ListKind, Outcome, Settings
 
 OUTCOMES = {
-    "completed": Outcome.HONOURED,
-    "errored": Outcome.ERRED,
-    "saturated": Outcome.FULL,
-    "overdue": Outcome.OVERDUE,
-    "refused_conn": Outcome.UNREACHED,
-    "severed": Outcome.BROKEN,
-    "recalled": Outcome.RECALLED,
-    "superseded": Outcome.MOOT,
+    "completed": Outcome.SUCCEEDED,
+    "errored": Outcome.SERVER_ERROR,
+    "saturated": Outcome.OVERLOADED,
+    "overdue": Outcome.TIMED_OUT,
+    "refused_conn": Outcome.CONNECT_FAILED,
+    "severed": Outcome.CONNECTION_LOST,
+    "recalled": Outcome.CANCELLED,
+    "superseded": Outcome.NOT_SENT,
 }
 KINDS = {
     "delta": ListKind.CHANGES,
@@ -188,7 +188,7 @@
 
 
 def write_answer(tid: int, final: Final, stay_away_ms: float) -> str:
-    if final is Final.TERMINATED:
+    if final is Final.FAILED:
         return f"REPORT_FAILURE {tid}"
     return f"NOT_NOW {tid} {seconds(stay_away_ms)}" if stay_away_ms > 0 else f"NOT_NOW {tid} -"
 
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -112,9 +112,9 @@
     def _encode(self, instance: Instance, changes: Changes) -> None:
         lines = []
         for access in changes.handles:
-            attempts, recalls, answer = access.drain()
+            attempts, cancellations, answer = access.drain()
             lines += [f"SUBMIT_TO {access.id} {t.shelf} {codec.seconds(t.until_ms)}" for t in attempts]
-            lines += [f"ABORT_ATTEMPT {access.id} {attempt}" for attempt in recalls]
+            lines += [f"ABORT_ATTEMPT {access.id} {attempt}" for attempt in cancellations]
             if answer is not None:
                 lines.append(codec.write_answer(access.id, answer.final, answer.stay_away_ms))
             if access.over and not access.out:
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -106,22 +106,22 @@
 
     def do(self, h: int, changes: Changes) -> None:
         for access in changes.handles:
-            attempts, recalls, answer = access.drain()
+            attempts, cancellations, answer = access.drain()
             for attempt in attempts:
                 self.send(h, access, attempt)
             if answer is not None:
                 _, extent, leaves, again = access.story
                 back = self.now + answer.stay_away_ms
-                if answer.final is Final.PUSHED_BACK and again and back < leaves:
+                if answer.final is Final.REJECTED and again and back < leaves:
                     self.at(back, lambda x=extent, at=leaves, n=again - 1: self.take(h, x, at, n))
-            for number in recalls:
+            for number in cancellations:
                 self.at(self.now, lambda a=access, n=number: self.recalled(h, a, n))
         if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
             self.wakes[h] = changes.wake_ms
             self.at(changes.wake_ms, lambda: self.woken(h))
 
     def recalled(self, h: int, access: Any, number: int) -> None:
-        self.do(h, access.ended(self.now, number, Outcome.RECALLED, access.over, 1.0))
+        self.do(h, access.ended(self.now, number, Outcome.CANCELLED, access.over, 1.0))
 
     def woken(self, h: int) -> None:
         self.wakes[h] = math.inf
@@ -135,17 +135,17 @@
         if up and self.now >= START_MS and knows:
             self.sends.append((self.now, access.units / self.cfg.mean_units))
         if not up and self.scene == "queue released":
-            when, outcome = attempt.until_ms, Outcome.OVERDUE
+            when, outcome = attempt.until_ms, Outcome.TIMED_OUT
         elif not up:
-            when, outcome = self.now + (1.0 if self.scene == "suspected" else 250.0), Outcome.UNREACHED
+            when, outcome = self.now + (1.0 if self.scene == "suspected" else 250.0), Outcome.CONNECT_FAILED
         else:
-            when, outcome = self.now + self.rng.uniform(20.0, 60.0), Outcome.HONOURED
+            when, outcome = self.now + self.rng.uniform(20.0, 60.0), Outcome.SUCCEEDED
 
         def ends() -> None:
             if access.out and number == access.sent - 1:
-                if outcome is Outcome.HONOURED and not access.over and left >= START_MS:
+                if outcome is Outcome.SUCCEEDED and not access.over and left >= START_MS:
                     self.served += 1
-                over = outcome is Outcome.HONOURED or access.over
+                over = outcome is Outcome.SUCCEEDED or access.over
                 self.do(h, access.ended(self.now, number, outcome, over, self.now - left))
 
         self.at(max(when, self.now), ends)
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -15,21 +15,21 @@
 GRACE_MS = 80.0  # a wake may be late by so much
 MARK = "profile mark {\nimportance 2\nexpected 300ms\npatience 1s\nrepeat labelled\ngroup cell\nwindow 700ms\n}\n"
 TEXT = BASE.replace("drain-grace", "answer-grace 90ms\ndrain-grace").replace("heads 2", "heads 3") + MARK
-RUNNING = (Outcome.ERRED, Outcome.OVERDUE, Outcome.BROKEN, Outcome.RECALLED, Outcome.HONOURED)
+RUNNING = (Outcome.SERVER_ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED, Outcome.SUCCEEDED)
 CONFIG = loads(TEXT)
 COLD = loads(TEXT.replace("cold-share 30%", "cold-share 12%").replace("multiple 2x", "multiple 1.4x"))
 PROFILES, VOLUMES, SHELFS, HEADS = ("look", "save", "line", "mark"), ("gold", "capped"), 4, ("h1", "h2", "h3")
 OUTCOMES = {
     "usual": {
-        Outcome.HONOURED: 60,
-        Outcome.ERRED: 8,
-        Outcome.FULL: 8,
-        Outcome.BROKEN: 8,
-        Outcome.UNREACHED: 5,
-        Outcome.MOOT: 2,
-        Outcome.OVERDUE: 9,
+        Outcome.SUCCEEDED: 60,
+        Outcome.SERVER_ERROR: 8,
+        Outcome.OVERLOADED: 8,
+        Outcome.CONNECTION_LOST: 8,
+        Outcome.CONNECT_FAILED: 5,
+        Outcome.NOT_SENT: 2,
+        Outcome.TIMED_OUT: 9,
     },
-    "well": {Outcome.HONOURED: 100},
+    "well": {Outcome.SUCCEEDED: 100},
 }
 WHAT = ("restart", "restart", "drain", "gone", "back", "moved", "earlier", "unstated", "future")
 
--- a/tests/drawn_world.py
+++ b/tests/drawn_world.py
@@ -108,14 +108,14 @@
 
     def _done(self, name: str, life: Life, changes: Changes) -> None:
         for access in changes.handles:
-            attempts, recalls, answer = access.drain()
+            attempts, cancellations, answer = access.drain()
             for attempt in attempts:
                 self._attempt(name, life, access, attempt)
-            for number in recalls:
+            for number in cancellations:
                 self.seen["recalled"] += 1
-                self.at(self.now, lambda a=access, n=number: self._end(name, life, a, n, Outcome.RECALLED))
+                self.at(self.now, lambda a=access, n=number: self._end(name, life, a, n, Outcome.CANCELLED))
             if answer is not None:
-                final = "pushed back" if answer.final is Final.PUSHED_BACK else "terminated"
+                final = "pushed back" if answer.final is Final.REJECTED else "terminated"
                 self._final(access, final, answer.stay_away_ms)
         life.wake = changes.wake_ms
 
@@ -137,9 +137,9 @@
             begins = max(self.now, self.free_at.get(attempt.shelf, 0.0))
             takes = begins + a.units * 14.0 / 2.0 / warmth - self.now
             self.free_at[attempt.shelf] = self.now + takes
-        if outcome is Outcome.OVERDUE or self.now + takes >= attempt.until_ms:
-            outcome, takes = Outcome.OVERDUE, max(0.0, attempt.until_ms - self.now)
-        if outcome not in (Outcome.UNREACHED, Outcome.MOOT):
+        if outcome is Outcome.TIMED_OUT or self.now + takes >= attempt.until_ms:
+            outcome, takes = Outcome.TIMED_OUT, max(0.0, attempt.until_ms - self.now)
+        if outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             age = self.now - self.truth[attempt.shelf].started_ms
             self.shelfs[attempt.shelf].append(
                 {
@@ -150,7 +150,7 @@
                     "head": name,
                     "u": a.units,
                     "w": a.units * 14.0,
-                    "full": outcome is Outcome.FULL,
+                    "full": outcome is Outcome.OVERLOADED,
                     "op": 1,
                     "x": a.extent,
                     "label": None,
@@ -172,9 +172,9 @@
         if self.lives.get(name) is not life or n in a.ended_attempts:
             return
         a.ended_attempts.add(n)
-        if shelf and outcome is not Outcome.OVERDUE:
+        if shelf and outcome is not Outcome.TIMED_OUT:
             self.shelfs[shelf].append({"e": "said", "t": self.now, "id": a.trace, "n": n})
-        if outcome is Outcome.HONOURED and a.trace not in self.finals:
+        if outcome is Outcome.SUCCEEDED and a.trace not in self.finals:
             self._final(a, "honoured", 0.0)
         over = a.trace in self.finals
         self._done(name, life, a.ended(self.now, n, outcome, over, self.now - a.sent_ms))
@@ -206,7 +206,7 @@
             self.truth[shelf] = replace(entry, standing=standing)
         else:  # another process: what was out at the one before breaks
             for row in self.out.pop(shelf, []):
-                self._end(*row, Outcome.BROKEN)
+                self._end(*row, Outcome.CONNECTION_LOST)
             started = {"earlier": self.now - 2000.0, "unstated": 0.0, "future": self.now + 500.0}.get(what, self.now)
             slot = (entry.slot + 1) % SHELFS if what == "moved" else entry.slot
             self.truth[shelf] = Entry(shelf, Standing.READY, slot, started)
@@ -270,4 +270,4 @@
         if ended:
             a, n = ended[int(r * len(ended))]
             self.seen["told twice"] += 1
-            self._done(name, life, a.ended(self.now, n, Outcome.ERRED, False, 1.0))
+            self._done(name, life, a.ended(self.now, n, Outcome.SERVER_ERROR, False, 1.0))
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -11,7 +11,7 @@
 
 from service_rig import CONFIG, SETTINGS, ask, entry, listing
 
-from pebblehinge.core import PUSHED_BACK, Core, Taken
+from pebblehinge.core import REJECTED, Core, Taken
 from pebblehinge.decide import NEVER_RAN
 from pebblehinge.http1 import Responses
 from pebblehinge.interface import ListKind, Outcome
@@ -24,7 +24,13 @@
 
 SLOW = {**SETTINGS, "classes": [{**c, "on_time_s": 2.0, "give_up_s": 9.0} for c in SETTINGS["classes"]]}
 LATE_MS = 90.0  # the longest turn
-ENDS = ((Outcome.HONOURED, 6), (Outcome.ERRED, 1), (Outcome.BROKEN, 1), (Outcome.UNREACHED, 1), (Outcome.OVERDUE, 3))
+ENDS = (
+    (Outcome.SUCCEEDED, 6),
+    (Outcome.SERVER_ERROR, 1),
+    (Outcome.CONNECTION_LOST, 1),
+    (Outcome.CONNECT_FAILED, 1),
+    (Outcome.TIMED_OUT, 3),
+)
 
 
 class Wire:
@@ -132,12 +138,12 @@
             self.never += 1
             self.at(
                 self.now,
-                lambda: taken.attempt is token and self.core.ended(self.now, taken, attempt, Outcome.MOOT, 0.0),
+                lambda: taken.attempt is token and self.core.ended(self.now, taken, attempt, Outcome.NOT_SENT, 0.0),
             )
             return
         assert not taken.conn.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
         outcome = self.rng.choices(*zip(*ENDS, strict=True))[0]
-        when = until_ms if outcome is Outcome.OVERDUE else min(until_ms, self.now + self.rng.expovariate(0.004))
+        when = until_ms if outcome is Outcome.TIMED_OUT else min(until_ms, self.now + self.rng.expovariate(0.004))
 
         def ends() -> None:
             if taken.attempt is token:
@@ -151,7 +157,7 @@
 
     def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         assert self.now <= taken.access.abandon_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
-        if final == PUSHED_BACK and taken.access.profile.name == "save":  # type: ignore[union-attr]
+        if final == REJECTED and taken.access.profile.name == "save":  # type: ignore[union-attr]
             assert taken.attempt is None and taken.id not in self.risky, "rule 2"
         self.door.answer(taken, final, stay_ms, data)
 
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -38,7 +38,7 @@
 
 
 def served(head: Head, now: float, slot: int, took: float) -> None:
-    """An access goes and is honoured."""
+    """An access goes and is succeeded."""
     a = take(head, now, slot)
     assert went(a), "it was to be sent"
-    a.ended(now + took, 0, Outcome.HONOURED, True, took)
+    a.ended(now + took, 0, Outcome.SUCCEEDED, True, took)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -64,7 +64,7 @@
     listed(head, 2.0, ("B", 0, 0.0))
     assert head.shelfs.index["A"] != head.shelfs.index["B"]
     b = take(head, 3.0)
-    a.ended(4.0, 0, Outcome.BROKEN, False, 4.0)
+    a.ended(4.0, 0, Outcome.CONNECTION_LOST, False, 4.0)
     assert head.shelfs.away[head.shelfs.index["B"]] == [b]
     head.listed(5.0, ListKind.CHANGES, [Entry("B", Standing.DRAINING, 0, 0.0)])
     listed(head, 6.0, ("C", 0, 0.0))
@@ -123,7 +123,7 @@
     listed(head, 0.0, ("A", 0, 0.0))
     first = take(head, 300_000.0, plan="capped", units=100.0, volume="v")
     assert went(first)
-    first.ended(300_010.0, 0, Outcome.HONOURED, True, 10.0)
+    first.ended(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
     for n in range(REMEMBERED + 10):
         take(head, 361_000.0 + n / 100, slot=9, volume=f"w{n}")  # refused: nobody has that slot
     assert "v" not in head.path.worth.stores, "it was to be forgotten"
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -49,7 +49,7 @@
         assert "accounts yes" in await (await session.get(URL + "/why/v")).text()
         rig.head.core.account = Books()
         client = await rig.client()
-        assert (await client.read("v", "x", 1, slot=0, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, slot=0, **LOOK)).succeeded
         got = await client.read("v", "x", 1, slot=9, **LOOK)
         assert got.final == "pushed back" and got.reason == "its shelf is not listed"
         state = json.loads(await (await session.get(URL + "/state")).read())
@@ -133,7 +133,7 @@
             took = []
             for n in range(300):
                 got = await client.read("v", f"x{n}", 1, slot=n % 2, **LOOK)
-                assert got.honoured
+                assert got.succeeded
                 took.append(got.took_ms)
                 await asyncio.sleep(0.004)
             return sorted(took)[len(took) * 95 // 100]
@@ -159,6 +159,6 @@
         more = {"profile": "look", "slot": 0, "units": units, "patience_ms": patience}
         ends = [await client.read(volume, f"x{n}", 1, **more) for n in range(4)]
         assert any(why in e.reason for e in ends if e.final == "pushed back"), [e.reason for e in ends]
-        assert set(rig.head.core.reasons) and sum(rig.head.core.reasons.values()) == sum(not e.honoured for e in ends)
+        assert set(rig.head.core.reasons) and sum(rig.head.core.reasons.values()) == sum(not e.succeeded for e in ends)
 
     on_rig(script, "", FLEET)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -66,7 +66,7 @@
                 core.woken(now)
             elif due and due[2] <= now:
                 doing.out.remove(due)
-                core.ended(now, due[0], due[1], Outcome.OVERDUE, 1.0)
+                core.ended(now, due[0], due[1], Outcome.TIMED_OUT, 1.0)
             else:
                 return
 
@@ -97,7 +97,7 @@
             takens += [taken] if taken is not None else []
         elif what < 0.85 and doing.out:
             row = doing.out.pop(rng.randrange(len(doing.out)))
-            outcome = Outcome.HONOURED if rng.random() < 0.4 else rng.choice(list(Outcome))
+            outcome = Outcome.SUCCEEDED if rng.random() < 0.4 else rng.choice(list(Outcome))
             core.ended(now, row[0], row[1], outcome, rng.uniform(1.0, 100.0))
         elif what < 0.93 and takens:
             open_ = [t for t in takens if not t.answered]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -44,7 +44,7 @@
         await until(lambda: not shelfs.out and not shelfs.dialling)
         kept = len(shelfs.table["s0"].idle)
         await until(lambda: shelfs.connections == kept)
-        assert rig.head.core.outcomes[Outcome.HONOURED] == (answer.status == 200)
+        assert rig.head.core.outcomes[Outcome.SUCCEEDED] == (answer.status == 200)
 
     on_rig(script, connect_ms=30.0)
 
@@ -60,7 +60,7 @@
         (taken,) = rig.head.core.taken.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.shelfs._overdue(taken.attempt)
+            rig.head.shelfs._timed_out(taken.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.taken)
@@ -84,7 +84,7 @@
             own.shutdown(socket.SHUT_WR)  # now, not when the loop comes to it
             own.detach()
         assert (await client.answer()).status == 200 and len(rig.shelfs[0].conns) == 2
-        assert rig.head.core.outcomes[Outcome.BROKEN] == 0
+        assert rig.head.core.outcomes[Outcome.CONNECTION_LOST] == 0
 
     on_rig(script)
 
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -33,7 +33,7 @@
 
 
 def answered(village: Village, head: str, begin: float, end: float) -> int:
-    """How many accesses a head honoured within a part of the day, ms from its beginning."""
+    """How many accesses a head succeeded within a part of the day, ms from its beginning."""
     facts = village.facts()
     return sum(
         a.op["head"] == head and final == "honoured" and begin <= t - facts.begin < end
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -20,7 +20,7 @@
     head = Head(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0), ("B", 1, 0.0))
     first = take(head, 0.0, 0, left=6000.0)
-    first.ended(5000.0, 0, Outcome.HONOURED, True, 5000.0)
+    first.ended(5000.0, 0, Outcome.SUCCEEDED, True, 5000.0)
     assert went(take(head, 7000.0, 1))
 
 
@@ -39,7 +39,7 @@
         served(head, now + n, 1, 20.0)
     for a in [take(head, now + 50, 0, left=2500.0) for _ in range(3)]:
         assert went(a)
-        a.ended(now + 2050, 0, Outcome.HONOURED, True, 2000.0)
+        a.ended(now + 2050, 0, Outcome.SUCCEEDED, True, 2000.0)
     head.shelfs.lost[head.shelfs.index["A"]] = 3
 
 
@@ -72,7 +72,7 @@
     attempts = [take(head, 10_000.0, profile="save") for _ in range(BOUND)]
     listed(head, 10_500.0, ("A", 0, 10_400.0))
     for a in attempts:
-        a.ended(10_600.0, 0, Outcome.BROKEN, False, 600.0)
+        a.ended(10_600.0, 0, Outcome.CONNECTION_LOST, False, 600.0)
     s = head.shelfs.index["A"]
     assert (head.shelfs.lost[s], head.shelfs.dead[s], head.shelfs.cold_ms[s]) == (0, False, 10_400.0)
 
@@ -89,10 +89,10 @@
     """Seen: cold from the last failed connection on, and so nearly warm, though it may have started just now."""
     head = Head(replace(SAFE, warm_ms=10_000.0, cold_share=1.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
-    take(head, 0.0).ended(1.0, 0, Outcome.UNREACHED, False, 1.0)
+    take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
     a = take(head, 9_000.0)
     assert went(a)
-    a.ended(9_010.0, 0, Outcome.HONOURED, True, 10.0)
+    a.ended(9_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
     assert head.shelfs.cold_ms[0] == 9_000.0 and not head.shelfs.dead[0]
 
 
@@ -102,7 +102,7 @@
     for seed in range(100):
         head = Head(replace(SAFE, warm_ms=10_000.0, cold_share=0.02, fall_multiple=1.0), seed, 0.0)
         listed(head, 0.0, ("A", 0, 0.0))
-        take(head, 0.0).ended(1.0, 0, Outcome.UNREACHED, False, 1.0)
+        take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
         tried += went(take(head, 300.0))
     assert 0 < tried < 30
 
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -27,9 +27,9 @@
         got = await asyncio.gather(*order)
         assert len(got) == 2000 and {g.final for g in got} <= {"honoured", "pushed back"}
         # The first connection to a shelf is made while the loop is late by the burst itself: found as a shelf that
-        # counted as unreachable, with everything after it pushed back.
-        assert rig.head.core.outcomes[Outcome.UNREACHED] == 0
-        assert (await clients[7].read("v", "calm", 1, **LOOK)).honoured
+        # counted as unreachable, with everything after it rejected.
+        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] == 0
+        assert (await clients[7].read("v", "calm", 1, **LOOK)).succeeded
 
     on_rig(script, fleet=FLEET.replace("keepalive 500ms", "keepalive 5s"))
 
@@ -40,7 +40,7 @@
         await rig.client()
         with pytest.raises(ConnectionError, match="2 connections are open here already"):
             await connect(rig.config.head["h1"].listen, loop=rig.loop)
-        assert (await first.read("v", "x", 1, **LOOK)).honoured
+        assert (await first.read("v", "x", 1, **LOOK)).succeeded
 
     on_rig(script, fleet=FLEET.replace("stall 1s", "stall 1s\n    connections 2"))
 
@@ -88,7 +88,7 @@
         got = await rest(reader)
         errors = [values[0] for kind, values in got if kind is Kind.ERROR]
         assert len(errors) == 1 and reason in errors[0], got
-        assert (await other.read("v", "x", 1, **LOOK)).honoured
+        assert (await other.read("v", "x", 1, **LOOK)).succeeded
         writer.close()
 
     on_rig(script)
@@ -102,7 +102,7 @@
             writer.write_eof()
             await asyncio.wait_for(reader.read(), 5.0)
             writer.close()
-        assert (await (await rig.client()).read("v", "x", 1, **LOOK)).honoured
+        assert (await (await rig.client()).read("v", "x", 1, **LOOK)).succeeded
 
     on_rig(script)
 
@@ -184,14 +184,14 @@
         client = await rig.client()
         lim = dict(profile="look", slot=0, units=6.0, patience_ms=2000.0)
         await asyncio.sleep(1.3)
-        assert (await client.read("c", "x", 1, **lim)).honoured
+        assert (await client.read("c", "x", 1, **lim)).succeeded
         held = client.read("c", "y", 1, **lim)  # its store has to fill: 6 units at 10 a second
         await asyncio.sleep(0.01)
         new = rig.config
         new.plan["capped"].limit, new.plan["capped"].burst = 100.0, 100.0
         rig.head.adopt(new)
         got = await held
-        assert got.honoured and got.took_ms < 400
+        assert got.succeeded and got.took_ms < 400
         assert rig.head.core.module.given.plans["capped"].limit_rate == 100.0
 
     on_rig(script)
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -143,8 +143,8 @@
         super().listed(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
 
     def ended(self, now: float, taken: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b"") -> None:
-        if outcome in (Outcome.UNREACHED, Outcome.BROKEN):
-            outcome = Outcome.FULL
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
+            outcome = Outcome.OVERLOADED
         super().ended(now, taken, attempt, outcome, took_ms, data)
 
 
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -21,7 +21,7 @@
         client = await rig.client()
         got = await client.read("v", "x", 100, **LOOK)
         assert (got.final, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
-        assert (await client.write("v", "y", b"abc", **SAVE)).honoured
+        assert (await client.write("v", "y", b"abc", **SAVE)).succeeded
         assert [t.data for t in rig.shelfs[0].attempts] == [b"", b"abc"]
 
     on_rig(script)
@@ -40,7 +40,7 @@
         rig.shelfs[0].attempts[0].answer()  # an answer to nobody
         other = await rig.client()
         rig.shelfs[0].does = Attempt.answer
-        assert (await other.read("v", "x", 1, **LOOK)).honoured
+        assert (await other.read("v", "x", 1, **LOOK)).succeeded
         assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late == 1
 
     on_rig(script)
@@ -109,11 +109,11 @@
 def test_shelf_restarted_untold_between_two_attempts() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        assert (await client.read("v", "x", 1, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
         rig.shelfs[0].crash()
         await rig.shelfs[0].start()
         await until(lambda: rig.head.links["s1"].wire is None)
-        assert (await client.read("v", "x", 1, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
         assert len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
@@ -132,7 +132,7 @@
         rig.shelfs[0].does = Attempt.answer
         again = await rig.client()
         got = await again.write("v", "x", b"1", again=True, **SAVE)
-        assert got.honoured and len(rig.shelfs[0].attempts) == 2
+        assert got.succeeded and len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
 
@@ -180,7 +180,7 @@
         assert got.final == "pushed back" and not rig.shelfs[0].attempts
         rig.listing.control("list-wrong", {"shelf": "s1", "off": 1})
         await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
-        assert (await client.read("v", "x", 1, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
 
     on_rig(script)
 
@@ -208,14 +208,14 @@
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        assert (await client.read("v", "x", 1, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
         conn = rig.shelfs[0].conns[0]
         conn.session.feed = lambda data: None  # type: ignore[method-assign]
         lost = await client.read("v", "x", 1, **LOOK)
         assert lost.final == "pushed back"
         await until(lambda: rig.head.links["s1"].wire is None)
         await asyncio.sleep(0.3)
-        assert (await client.read("v", "x", 1, **LOOK)).honoured
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
         assert len(rig.shelfs[0].conns) == 2
 
     on_rig(script)
@@ -230,6 +230,6 @@
         first = client.read("v", "x", 1, **LOOK)
         monkeypatch.setattr(time, "time", lambda: wall + 86_400.0)
         got = await first
-        assert got.honoured and 40 < got.took_ms < 400
+        assert got.succeeded and 40 < got.took_ms < 400
 
     on_rig(script)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -8,14 +8,14 @@
     0 change A:0::100                   changes to it;  `cached` and `failed` likewise
     5 take 1 x look gold 2 v=vol n=2 s=0 until=2000     id, extent (- for none), profile, plan, units
                                         (again=1 or 0 where clients mark their repeats)
-    9 end 1 honoured                    the outcome of an access's last attempt
+    9 end 1 succeeded                    the outcome of an access's last attempt
     9 left 1                            the client is gone
     9 restart                           a new head, with the list as it was last
     700 wait                            every wake asked for until then, in turn
 
-A line `= 1>A, 2 pushed back 500` below says exactly what the head did there; with none, it did nothing.
-Attempts read id>shelf (with `until` in brackets where the case says `set show_until=1`), recalls `1 recall 0`,
-answers `1 pushed back STAY` or `1 terminated`, list calls `watch`; after `wait` each is led by its time, @MS.
+A line `= 1>A, 2 rejected 500` below says exactly what the head did there; with none, it did nothing.
+Attempts read id>shelf (with `until` in brackets where the case says `set show_until=1`), cancellations `1 recall 0`,
+answers `1 rejected STAY` or `1 failed`, list calls `watch`; after `wait` each is led by its time, @MS.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     idle_worth=0.1,
     asks_for_list=False,
     marks_repeats=False,
-    may_recall=True,
+    may_cancel=True,
     stay_away_max_ms=500.0,
     try_limit=3,
     step_ms=1.0,
@@ -108,11 +108,11 @@
         done = []
         self.wake = changes.wake_ms
         for handle in changes.handles:
-            attempts, recalls, answer = handle.drain()
+            attempts, cancellations, answer = handle.drain()
             for attempt in attempts:
                 until = f" ({attempt.until_ms:g})" if self.show_until else ""
                 done.append(f"{stamp}{handle.id}>{attempt.shelf}{until}")
-            done += [f"{stamp}{handle.id} recall {attempt}" for attempt in recalls]
+            done += [f"{stamp}{handle.id} recall {attempt}" for attempt in cancellations]
             if answer is not None:
                 most = self.settings.stay_away_max_ms
                 spread = most / 2 <= answer.stay_away_ms <= most  # drawn; written as the most
@@ -168,7 +168,7 @@
             return self.told(handle.begun(now))
         assert verb == "end", f"unknown verb {verb}"
         outcome = Outcome(words[1])
-        over = outcome is Outcome.HONOURED or handle.over
+        over = outcome is Outcome.SUCCEEDED or handle.over
         return self.told(handle.ended(now, handle.sent - 1, outcome, over, now - handle.sent_ms))
 
 
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -23,7 +23,7 @@
 
 
 def test_a_late_loop_does_not_blame_the_shelf() -> None:
-    """The loop runs its timers first: an answer that lay in the socket in time once counted as overdue."""
+    """The loop runs its timers first: an answer that lay in the socket in time once counted as timed out."""
 
     async def script(rig: Rig) -> None:
         def does(conn: ShelfPeer, request: Request) -> None:
@@ -32,7 +32,7 @@
 
         rig.shelfs[0].does = does
         await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="200"))
-        assert rig.head.core.outcomes[Outcome.OVERDUE] == 0 and rig.head.core.outcomes[Outcome.HONOURED] == 1
+        assert rig.head.core.outcomes[Outcome.TIMED_OUT] == 0 and rig.head.core.outcomes[Outcome.SUCCEEDED] == 1
 
     on_rig(script)
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -19,26 +19,31 @@
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
 ENDS = {  # what a shelf does: the outcome, the attempts it takes, and what the client of an irreversible access is told
-    "an error": (answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome.ERRED, 1, 502),
-    "full": (answers(b"HTTP/1.1 503 Full\r\n" + NOT_RUN), Outcome.FULL, 3, 503),
-    "over already": (answers(b"HTTP/1.1 504 Over\r\n" + NOT_RUN), Outcome.FULL, 3, 503),
-    "503 that does not say so": (answers(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Outcome.ERRED, 1, 502),
-    "500 that says it has not run": (answers(b"HTTP/1.1 500 No\r\n" + NOT_RUN), Outcome.ERRED, 1, 502),
-    "noise": (answers(b"\x00\x01noise\r\n\r\n"), Outcome.ERRED, 1, 502),
-    "3 GB": (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"), Outcome.ERRED, 1, 502),
-    "no length": (answers(b"HTTP/1.1 200 OK\r\n\r\nx"), Outcome.ERRED, 1, 502),
-    "a head without end": (answers(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000), Outcome.ERRED, 1, 502),
-    "a break": (answers(b"", close=True), Outcome.BROKEN, 1, 502),
-    "half an answer": (answers(OK[:-1], close=True), Outcome.BROKEN, 1, 502),
-    "nothing": (answers(b""), Outcome.OVERDUE, 1, 502),
-    "a length too long": (answers(OK[:-1]), Outcome.OVERDUE, 1, 502),
-    "1xx in front": (answers(b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + OK), Outcome.HONOURED, 1, 200),
-    "a second copy": (answers(OK + OK), Outcome.HONOURED, 1, 200),
-    "noise behind": (answers(OK + b"\r\n"), Outcome.HONOURED, 1, 200),
-    "an end behind": (answers(OK, close=True), Outcome.HONOURED, 1, 200),
+    "an error": (answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome.SERVER_ERROR, 1, 502),
+    "full": (answers(b"HTTP/1.1 503 Full\r\n" + NOT_RUN), Outcome.OVERLOADED, 3, 503),
+    "over already": (answers(b"HTTP/1.1 504 Over\r\n" + NOT_RUN), Outcome.OVERLOADED, 3, 503),
+    "503 that does not say so": (
+        answers(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+        Outcome.SERVER_ERROR,
+        1,
+        502,
+    ),
+    "500 that says it has not run": (answers(b"HTTP/1.1 500 No\r\n" + NOT_RUN), Outcome.SERVER_ERROR, 1, 502),
+    "noise": (answers(b"\x00\x01noise\r\n\r\n"), Outcome.SERVER_ERROR, 1, 502),
+    "3 GB": (answers(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"), Outcome.SERVER_ERROR, 1, 502),
+    "no length": (answers(b"HTTP/1.1 200 OK\r\n\r\nx"), Outcome.SERVER_ERROR, 1, 502),
+    "a head without end": (answers(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000), Outcome.SERVER_ERROR, 1, 502),
+    "a break": (answers(b"", close=True), Outcome.CONNECTION_LOST, 1, 502),
+    "half an answer": (answers(OK[:-1], close=True), Outcome.CONNECTION_LOST, 1, 502),
+    "nothing": (answers(b""), Outcome.TIMED_OUT, 1, 502),
+    "a length too long": (answers(OK[:-1]), Outcome.TIMED_OUT, 1, 502),
+    "1xx in front": (answers(b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + OK), Outcome.SUCCEEDED, 1, 200),
+    "a second copy": (answers(OK + OK), Outcome.SUCCEEDED, 1, 200),
+    "noise behind": (answers(OK + b"\r\n"), Outcome.SUCCEEDED, 1, 200),
+    "an end behind": (answers(OK, close=True), Outcome.SUCCEEDED, 1, 200),
     "a large answer": (
         answers(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300_000),
-        Outcome.HONOURED,
+        Outcome.SUCCEEDED,
         1,
         200,
     ),
@@ -100,7 +105,7 @@
         rig.shelfs[0].server.close()
         answer = await rig.ask(ask("save", 0, b"abc"))
         assert answer.status == 503 and 0.25 <= float(answer.all(b"retry-after")[0]) <= 0.5
-        assert rig.head.core.outcomes[Outcome.UNREACHED] >= 1 and not rig.head.core.taken
+        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.taken
 
     on_rig(script)
 
@@ -201,13 +206,13 @@
         access, _ = head.take(now, 1, "x", "save", "gold", "v", 1, 0, 2.0, now + 1000.0, False)
         return access
 
-    take(0.0).ended(30.0, 0, Outcome.HONOURED, True, 30.0)
+    take(0.0).ended(30.0, 0, Outcome.SUCCEEDED, True, 30.0)
     access = take(40.0)
     for attempt in range(2):
-        access.ended(41.0 + attempt, attempt, Outcome.UNREACHED, False, 1.0)
+        access.ended(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
     assert access.sent == 3 and not access.over and head.shelfs.cold_ms[0] is None and not head.shelfs.dead[0]
-    access.ended(70.0, 2, Outcome.HONOURED, True, 28.0)
+    access.ended(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
     access = take(900.0)
-    access.ended(901.0, 0, Outcome.UNREACHED, False, 1.0)
-    assert access.over and access.answer.final is Final.PUSHED_BACK
+    access.ended(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
+    assert access.over and access.answer.final is Final.REJECTED
     assert head.shelfs.dead[0] and head.shelfs.cold_ms[0] == 901.0
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -88,7 +88,7 @@
             client.send(Kind.TAKE, 900 + n, f"t{n}", volume, *rest)
         await until(lambda: len(seen) == 4)
         assert seen == [("extra", str(900 + n), "pushed back") for n in range(4)]
-        assert (await client.write("b", "x", b"hello", **WHERE)).honoured
+        assert (await client.write("b", "x", b"hello", **WHERE)).succeeded
 
     on_rig(script, BUFFERED)
 
@@ -100,14 +100,14 @@
         rig.shelfs[0].does = lambda attempt: None  # takes, never answers
         client = await rig.client()
         got = await client.write("b", "x", b"hello", **WHERE)
-        assert got.honoured
+        assert got.succeeded
         assert (await client.read("b", "x", 5, **WHERE)).data == b"hello"
-        assert (await client.barrier("b", profile="save", patience_ms=500.0)).honoured
+        assert (await client.barrier("b", profile="save", patience_ms=500.0)).succeeded
         got = await client.flush_volume("b", profile="save", patience_ms=300.0)
         assert got.final == "terminated"  # it does not stand there, and is not said to
         rig.shelfs[0].does = lambda attempt: attempt.answer(0, b"" if attempt.op else b"other")
         await until(lambda: not len(back.dirty), 8.0)
-        assert (await client.flush_volume("b", profile="save", patience_ms=300.0)).honoured
+        assert (await client.flush_volume("b", profile="save", patience_ms=300.0)).succeeded
         landed = [t for t in rig.shelfs[0].attempts if t.op == 1]
         assert landed[-1].data == b"hello" and landed[-1].label.startswith("wb.")
 
@@ -119,14 +119,14 @@
         disk = OnDisk()
         await buffered(rig, disk)
         client = await rig.client()
-        assert (await client.write("b", "x", b"1", **WHERE)).honoured
+        assert (await client.write("b", "x", b"1", **WHERE)).succeeded
         disk.fail = True
         got = await client.write("b", "y", b"2", **WHERE)
         assert got.final == "terminated" and "No space left" in got.reason
         disk.fail = False
         got = await client.write("b", "z", b"3", **WHERE)
         assert got.final == "pushed back" and "buffers no more" in got.reason
-        assert (await client.write("v", "q", b"4", **WHERE)).honoured  # other volumes go on
+        assert (await client.write("v", "q", b"4", **WHERE)).succeeded  # other volumes go on
 
     on_rig(script, BUFFERED)
 
@@ -142,7 +142,7 @@
         disk.hold.set_result(None)
         disk.hold = None
         await asyncio.sleep(0.05)
-        assert client.open == {} and (await client.write("b", "y", b"2", **WHERE)).honoured
+        assert client.open == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
 
     on_rig(script, BUFFERED)
 
@@ -172,14 +172,14 @@
         back = await buffered(rig, OnDisk())
         rig.shelfs[0].does = lambda attempt: None
         client = await rig.client()
-        assert (await client.write("b", "x", b"1", **WHERE)).honoured
+        assert (await client.write("b", "x", b"1", **WHERE)).succeeded
         new = config(BUFFERED.replace("volume b {\n    plan gold", "volume b {\n    plan capped"), FLEET)
         rig.head.adopt(new)
         for attempt in rig.shelfs[0].attempts:
             attempt.answer()
         rig.shelfs[0].does = lambda attempt: attempt.answer()
         ends = [await client.write("b", f"y{n}", b"2", **WHERE) for n in range(30)]
-        assert all(e.honoured for e in ends)  # confirming costs no units
+        assert all(e.succeeded for e in ends)  # confirming costs no units
         began = rig.clock()
         await until(lambda: not len(back.dirty), 10.0)
         # Ten units a second and a store that began empty: each write-back was counted there, once.
