--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -21,10 +21,20 @@
 from typing import Any
 
 from pebblehinge.decide import Access, Head
-from pebblehinge.interface import Entry, Group, ListKind, Outcome, Plan, Profile, Repeat, Settings, Standing
+from pebblehinge.interface import (
+    DeduplicationScope,
+    Entry,
+    Idempotency,
+    ListKind,
+    Outcome,
+    Plan,
+    Profile,
+    Settings,
+    Standing,
+)
 
 SETTINGS = Settings(
-    profiles=(Profile("p", 1.0, 60_000.0, 90_000.0, 0.1, Repeat.REDOABLE, Group.ALL, 0.0, False),),
+    profiles=(Profile("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),),
     plans=(Plan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), Plan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
     mean_units=2.0,
     most_units=6.0,
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -19,14 +19,14 @@
 from pebblehinge.decide import Head
 from pebblehinge.interface import (
     Changes,
+    DeduplicationScope,
     Entry,
     Final,
-    Group,
+    Idempotency,
     ListKind,
     Outcome,
     Plan,
     Profile,
-    Repeat,
     Settings,
     Standing,
 )
@@ -35,7 +35,7 @@
 HEADS, SHELFS, ACCESSES_S = 910, 1_500, 790_000.0  # the coming size
 PAIR_S = ACCESSES_S / (HEADS * SHELFS)  # accesses a second a pair of head and shelf: 0.58
 
-READ = Profile("read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Repeat.REDOABLE, Group.ALL, 0.0, False)
+READ = Profile("read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False)
 FREE = Plan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
 SETTINGS = Settings(
     profiles=(READ,),
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
 from raft_world import World  # noqa: E402
-from test_agreed import Group, document  # noqa: E402
+from test_agreed import DeduplicationScope, document  # noqa: E402
 
 from pebblehinge.agreed.ask import ask_group  # noqa: E402
 from pebblehinge.agreed.feed import Feed  # noqa: E402
@@ -96,7 +96,7 @@
 
 def to_all_heads(heads: int) -> dict[str, float]:
     """Milliseconds of virtual time from a proposal to all heads active on it."""
-    group, took = Group(1), []
+    group, took = DeduplicationScope(1), []
 
     async def main() -> None:
         for n in range(1, 6):
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -27,7 +27,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from test_agreed import Group, document  # noqa: E402
+from test_agreed import DeduplicationScope, document  # noqa: E402
 
 from pebblehinge.agreed.ask import ask_group  # noqa: E402
 from pebblehinge.agreed.feed import Feed  # noqa: E402
@@ -112,7 +112,7 @@
 
 
 def in_virtual_time(heads: int, members: int, versions: int, within_s: float, pause_s: float) -> list[dict[str, Any]]:
-    group = Group(1)
+    group = DeduplicationScope(1)
     group.config = loads(document(100, heads, heads))
     group.config.member = dict(list(group.config.member.items())[:members])
 
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -8,7 +8,7 @@
 from pebblehinge.decide.access import FLOOR, REMEMBERED, Access
 from pebblehinge.decide.shelfs import Shelfs
 from pebblehinge.decide.worth import Worth
-from pebblehinge.interface import Outcome, Repeat
+from pebblehinge.interface import Idempotency, Outcome
 from pebblehinge.kept import Lines, Notes
 
 COLD_PART = 0.4  # of the multiple of what a cold shelf surely can do, let through while the usual is asked
@@ -27,7 +27,7 @@
 
     def may_go(self, a: Access, now: float) -> bool:
         s = a.shelf
-        if not self.shelfs.ready[s] or (a.sent and not self.may_repeat(a, now, 0)):
+        if not self.shelfs.ready[s] or (a.sent and not self.may_retry(a, now, 0)):
             return False
         if a.profile.in_order and a.extent is not None:  # rule 6
             if self.lines.first(a.extent) is not a:
@@ -59,19 +59,19 @@
         warms = cfg.warm_ms / max(FLOOR, 1.0 - cfg.cold_share)
         return max(at, min(since + cfg.warm_ms, since + (turn - cfg.cold_share) * warms))
 
-    def may_repeat(self, a: Access, now: float, new: int, out: bool = False) -> bool:
+    def may_retry(self, a: Access, now: float, new: int, out: bool = False) -> bool:
         """Rules 2 and 7 for a retry: looked at when queued (new = 1) and when it leaves."""
-        until = self.repeat_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
-        return now <= until and self.spare_attempts(now) >= 1 + new * self.queued
+        until = self.retry_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
+        return now <= until and self.spare_retries(now) >= 1 + new * self.queued
 
-    def repeat_until(self, a: Access, risk: float | None) -> float:
+    def retry_until(self, a: Access, risk: float | None) -> float:
         """Until when an attempt may begin, by the first that may have run."""
-        if risk is None or a.profile.repeat is Repeat.REDOABLE:
+        if risk is None or a.profile.repeat is Idempotency.IDEMPOTENT:
             return math.inf
-        window = -math.inf if a.profile.repeat is Repeat.IRREVERSIBLE else a.profile.window_ms
+        window = -math.inf if a.profile.repeat is Idempotency.NON_IDEMPOTENT else a.profile.window_ms
         return risk + window - 2 * self.given.cfg.step_ms
 
-    def spare_attempts(self, now: float) -> float:
+    def spare_retries(self, now: float) -> float:
         """Retries still allowed: those made count a little longer than stated, accesses shorter."""
         cfg = self.given.cfg
         while self.takes and self.takes[0] <= now - cfg.budget_window_ms + 2 * cfg.step_ms:
@@ -85,7 +85,7 @@
 
     def came(self, a: Access, now: float) -> None:
         self.takes.append(now)
-        self.spare_attempts(now)
+        self.spare_retries(now)
         if a.profile.in_order and a.extent is not None:
             self.lines.join(a.extent, a)
 
--- a/pebblehinge/decide/path.py
+++ b/pebblehinge/decide/path.py
@@ -10,11 +10,11 @@
 from pebblehinge.decide.refusal import Refusal
 from pebblehinge.decide.shelfs import BOUND, LATENCIES, SILENT_MS, TRIAL_GAP_MS, Shelfs
 from pebblehinge.decide.worth import Worth
-from pebblehinge.interface import Attempt, Changes, Outcome, Repeat
+from pebblehinge.interface import Attempt, Changes, Idempotency, Outcome
 from pebblehinge.kept import Notes, Recent
 
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-GOES_AGAIN = (
+RETRYABLE = (
     Outcome.SERVER_ERROR,
     Outcome.OVERLOADED,
     Outcome.CONNECT_FAILED,
@@ -93,9 +93,9 @@
             waits.clear()  # it waits only while others are queued (design)
             return
         waits[:] = [w for w in waits if w[1] > now]
-        if shelfs.down(s, now):  # one attempt at a time; a redoable one first, since it may be lost
+        if shelfs.down(s, now):  # one attempt at a time; an idempotent one first, since it may be lost
             free = [] if away or now < shelfs.trial_ms[s] else held
-            trials = sorted(free, key=lambda a: a.profile.repeat is Repeat.IRREVERSIBLE)
+            trials = sorted(free, key=lambda a: a.profile.repeat is Idempotency.NON_IDEMPOTENT)
             for a in [a for a in trials if may_go(a, now)][:1]:
                 shelfs.trial_ms[s] = now + TRIAL_GAP_MS
                 self.send(a, now)
@@ -154,7 +154,7 @@
         mean = shelfs.mean(s, now)
         past = math.inf if shelfs.dead[s] else mean * a.size
         until = min(a.abandon_ms, max(a.due_ms, now + past))
-        a.attempts.append(Attempt(shelfs.names[s], until, self.limits.repeat_until(a, a.risk_ms)))
+        a.attempts.append(Attempt(shelfs.names[s], until, self.limits.retry_until(a, a.risk_ms)))
         self.notes.wake(now + SILENT_MS + LATENCIES * mean, s)
         self.notes.changed(a)
 
@@ -170,7 +170,7 @@
             self.cancel_overtaken(a, s, now)
         if over or a.over:
             self.refusal.close(a)
-        elif not self.go_again(a, s, now, outcome):
+        elif not self.retry(a, s, now, outcome):
             self.refusal.give_up(a, "its trip was " + outcome.value)
         e = self.extents.get(a.extent) if a.extent is not None else None
         if e is not None and a.over:
@@ -185,13 +185,13 @@
             if a.shelf >= 0:
                 self.serve(a.shelf, now, None)
 
-    def go_again(self, a: Access, s: int, now: float, outcome: Outcome) -> bool:
+    def retry(self, a: Access, s: int, now: float, outcome: Outcome) -> bool:
         """Whether a failed access is queued again, for a retry to the only shelf that has its data."""
         shelfs = self.shelfs
         vain = not shelfs.ready[s] or now + shelfs.mean(s, now) * a.size > a.abandon_ms
         vain = vain or 0 <= a.slot != shelfs.slots[s]  # its data is elsewhere by now
-        vain = vain or a.sent >= self.given.cfg.try_limit or outcome not in GOES_AGAIN
-        if vain or shelfs.down(s, now) or not self.limits.may_repeat(a, now, 1):
+        vain = vain or a.sent >= self.given.cfg.try_limit or outcome not in RETRYABLE
+        if vain or shelfs.down(s, now) or not self.limits.may_retry(a, now, 1):
             return False
         self.limits.queued += 1
         a.held = True
@@ -209,7 +209,7 @@
             usual = self.shelfs.mean(s, now) * max(1.0, a.size)
             lost = a.overtaken >= OVERTAKEN and now - a.sent_ms >= LATENCIES * usual
             useful = not a.over and now + usual <= a.due_ms and a.sent < cfg.try_limit
-            if lost and useful and cfg.may_cancel and self.limits.may_repeat(a, now, 1, True):
+            if lost and useful and cfg.may_cancel and self.limits.may_retry(a, now, 1, True):
                 self.cancel(a)
 
     def cancel(self, a: Access) -> None:
--- a/pebblehinge/decide/refusal.py
+++ b/pebblehinge/decide/refusal.py
@@ -8,7 +8,7 @@
 from pebblehinge.decide.access import FLOOR, Access, Extent
 from pebblehinge.decide.limits import Limits
 from pebblehinge.decide.shelfs import BOUND
-from pebblehinge.interface import Answer, Final, Group, Repeat
+from pebblehinge.interface import Answer, DeduplicationScope, Final, Idempotency
 
 IDLE = 1.7  # what an idle shelf takes, in lower quartiles of the latencies of all shelfs
 TEMPER = 2.0  # how much more room what earns less than usual needs
@@ -77,8 +77,8 @@
         repeat, group = a.profile.repeat, a.profile.group
         clean = (
             (a.risk_ms is None and not a.out)
-            or repeat is Repeat.REDOABLE
-            or (repeat is Repeat.LABELLED and group is Group.ALL)
+            or repeat is Idempotency.IDEMPOTENT
+            or (repeat is Idempotency.IDEMPOTENT_WITH_KEY and group is DeduplicationScope.ALL)
         )
         stay = self.shelfs.given.cfg.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
         a.answer = Answer(Final.REJECTED, stay, why) if clean else Answer(Final.FAILED, why=why)
--- a/pebblehinge/http1/messages.py
+++ b/pebblehinge/http1/messages.py
@@ -9,7 +9,7 @@
 from pebblehinge.http1.reader import ANSWER_LIMIT, INFORMATIONAL_LIMIT, HttpError, _Message, _Reader
 
 
-class Request(_Message):
+class HttpRequest(_Message):
     __slots__ = ("method", "target", "version")
 
     method: bytes
@@ -17,13 +17,13 @@
     version: str
 
 
-class Response(_Message):
+class HttpResponse(_Message):
     __slots__ = ("status",)
 
     status: int
 
 
-class Requests(_Reader):
+class RequestParser(_Reader):
     """Requests out of what a client sends."""
 
     __slots__ = ("target", "told")
@@ -33,11 +33,11 @@
         self.told = False  # the client asked whether to go on, and waits
         super().__init__(httptools.HttpRequestParser)
 
-    def next(self) -> Request | None:
+    def next(self) -> HttpRequest | None:
         """The next whole request, or None until more has come; raises HttpError."""
         if not self._next():
             return None
-        request = Request(self.headers, b"".join(self.parts), self.keeps)
+        request = HttpRequest(self.headers, b"".join(self.parts), self.keeps)
         request.method, request.target = self.parser.get_method(), self.target
         request.version = self.parser.get_http_version()
         self.target, self.told = b"", False
@@ -54,7 +54,7 @@
             self.told = any(n == b"expect" and v.lower() == b"100-continue" for n, v in self.headers)
 
 
-class Responses(_Reader):
+class ResponseParser(_Reader):
     """Answers out of what a shelf sends; 1xx in front are passed over."""
 
     __slots__ = ("passed",)
@@ -65,11 +65,11 @@
         self.passed = 0
         super().__init__(httptools.HttpResponseParser)
 
-    def next(self) -> Response | None:
+    def next(self) -> HttpResponse | None:
         """The answer once it is whole, or None until more has come; raises HttpError."""
         while self._next():
             status = self.parser.get_status_code()
-            response = Response(self.headers, b"".join(self.parts), self.keeps)
+            response = HttpResponse(self.headers, b"".join(self.parts), self.keeps)
             self._renew()
             if status >= 200:
                 response.status, self.passed = status, 0
@@ -92,7 +92,7 @@
             self.fault = (502, "an answer that does not tell its length")
 
 
-class Stream(Responses):
+class ResponseStream(ResponseParser):
     """One answer without end: its body is handed on as it comes, and the head's status once it is there."""
 
     __slots__ = ("sink",)
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -19,16 +19,16 @@
 from typing import Protocol
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a repeat of an access would do."""
 
-    REDOABLE = "redoable"
-    LABELLED = "labelled"
-    IRREVERSIBLE = "irreversible"
+    IDEMPOTENT = "redoable"
+    IDEMPOTENT_WITH_KEY = "labelled"
+    NON_IDEMPOTENT = "irreversible"
 
 
-class Group(Enum):
-    """Which shelfs drop a repeat of a labelled access."""
+class DeduplicationScope(Enum):
+    """Which shelfs drop a repeat of a keyed access."""
 
     ALL = "all"
     ZONE = "zone"
@@ -87,8 +87,8 @@
     expected_ms: float
     patience_ms: float
     late_share: float
-    repeat: Repeat
-    group: Group
+    repeat: Idempotency
+    group: DeduplicationScope
     window_ms: float
     in_order: bool
 
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -13,7 +13,7 @@
 import socket
 from typing import Any, Protocol
 
-from pebblehinge.http1 import BODY_LIMIT, HttpError, Request, Requests, write_answer
+from pebblehinge.http1 import BODY_LIMIT, HttpError, HttpRequest, RequestParser, write_answer
 from pebblehinge.service.peek import ended, readable
 from pebblehinge.service.requests import Asked, ServiceTaken, read_access
 
@@ -59,7 +59,7 @@
     def __init__(self, door: Door, sock: socket.socket) -> None:
         self.door, self.sock = door, sock
         self.transport: Any = None
-        self.requests = Requests()
+        self.requests = RequestParser()
         self.taken: ServiceTaken | None = None
         self.keeps = self.counted = True
         self.waits = False  # for what lies unread
@@ -115,7 +115,7 @@
         self.waits = False
         self.go_on()
 
-    def _take(self, request: Request) -> None:
+    def _take(self, request: HttpRequest) -> None:
         door = self.door
         if request.version not in ("1.0", "1.1"):
             raise HttpError(400, "not HTTP/1.1")
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from pebblehinge.http1 import HttpError, Stream, write_request
+from pebblehinge.http1 import HttpError, ResponseStream, write_request
 from pebblehinge.interface import Standing
 from pebblehinge.service.lists import Objects, Told
 from pebblehinge.stated import StatedError
@@ -44,7 +44,7 @@
         self.heard = watch.loop.time()
         self.pieces: list[bytes] = []
         self.objects = Objects()
-        self.stream = Stream(self.pieces.append)
+        self.stream = ResponseStream(self.pieces.append)
 
     def connection_made(self, transport: Any) -> None:
         self.transport, self.heard = transport, self.watch.loop.time()
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from pebblehinge.core import Taken
-from pebblehinge.http1 import HttpError, Response, Responses
+from pebblehinge.http1 import HttpError, HttpResponse, ResponseParser
 from pebblehinge.interface import Outcome
 
 HELD_LIMIT = 16 * 1024 * 1024  # bytes of answers that are not whole yet, over all connections
@@ -63,7 +63,7 @@
 
     def __init__(self, pool: Pool, shelf: Shelf, address: tuple[str, int]) -> None:
         self.pool, self.shelf, self.address = pool, shelf, address
-        self.answers = Responses()
+        self.answers = ResponseParser()
         self.attempt: Attempt | None = None
         self.idle_ms = 0.0
         self.held = 0  # bytes of an answer that is not whole yet
@@ -138,7 +138,7 @@
             self.pool.over(attempt, Outcome.CONNECTION_LOST if attempt.written else Outcome.CONNECT_FAILED)
 
 
-def outcome_of(answer: Response) -> Outcome:
+def outcome_of(answer: HttpResponse) -> Outcome:
     """What a whole answer says. Only on 503 and 504 a shelf can say that it has not run the access."""
     if answer.status == 200:
         return Outcome.SUCCEEDED
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -5,7 +5,7 @@
 import re
 
 from pebblehinge.core import Taken
-from pebblehinge.http1 import HttpError, Request, write_request
+from pebblehinge.http1 import HttpError, HttpRequest, write_request
 from pebblehinge.service.config import ServiceConfig
 
 ID = re.compile(rb"[0-9A-Za-z_-]{1,64}")
@@ -67,7 +67,7 @@
     )
 
 
-def read_access(request: Request, config: ServiceConfig) -> Asked:
+def read_access(request: HttpRequest, config: ServiceConfig) -> Asked:
     """What a request asks for; raises HttpError with what is not in the protocol's form."""
 
     def one(name: bytes, form: re.Pattern[bytes] | None = None) -> bytes:
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -10,7 +10,7 @@
 
 from msgspec import field
 
-from pebblehinge.interface import Group, Plan, Profile, Repeat, Settings
+from pebblehinge.interface import DeduplicationScope, Idempotency, Plan, Profile, Settings
 from pebblehinge.settings.policy import PlanBlock, ProfileBlock, RulesBlock, VolumeBlock
 from pebblehinge.settings.rsync import ModuleBlock, RsyncBlock, UserBlock
 from pebblehinge.settings.stand_ins import (
@@ -157,8 +157,8 @@
                     p.expected,
                     p.patience,
                     p.late_share,
-                    Repeat(p.repeat),
-                    Group(p.group),
+                    Idempotency(p.repeat),
+                    DeduplicationScope(p.group),
                     p.window,
                     p.in_order,
                 )
--- a/pebblehinge/stated.py
+++ b/pebblehinge/stated.py
@@ -9,10 +9,14 @@
 
 import msgspec
 
-from pebblehinge.interface import Group, Plan, Profile, Repeat, Settings, Standing
-
-REPEATS = {"safe": Repeat.REDOABLE, "keyed": Repeat.LABELLED, "unsafe": Repeat.IRREVERSIBLE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+from pebblehinge.interface import DeduplicationScope, Idempotency, Plan, Profile, Settings, Standing
+
+IDEMPOTENCY_BY_EFFECT = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENT_WITH_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+DEDUPLICATION_SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 STANDINGS = {"Ready": Standing.READY, "Terminating": Standing.DRAINING, "Gone": Standing.GONE}
 
 
@@ -68,8 +72,8 @@
             expected_ms=row.get("on_time_s", float, scale=ms),
             patience_ms=row.get("give_up_s", float, scale=ms),
             late_share=row.get("late_worth", float, 0.0),
-            repeat=row.word("effect", REPEATS),
-            group=row.word("group", GROUPS, "all"),
+            repeat=row.word("effect", IDEMPOTENCY_BY_EFFECT),
+            group=row.word("group", DEDUPLICATION_SCOPES, "all"),
             window_ms=row.get("repeat_window_s", float, 0.0, scale=ms),
             in_order=row.get("sequential", bool, False),
         )
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -26,7 +26,7 @@
     "cached": ListKind.CACHED,
     "failed": ListKind.FAILED,
 }
-REPEAT_BIT = 2  # of an ARRIVAL's options
+RETRY_BIT = 2  # of an ARRIVAL's options
 CALLS = {ListCall.WATCH: "LISTEN 1"}
 
 
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -82,7 +82,7 @@
                 if name not in known:
                     raise WireError(f"ARRIVAL: {kind} is {name!r}: expected one of {', '.join(known)}")
             set_size, slot, units, volume, abandon = where
-            repeat = bool(options & codec.REPEAT_BIT) if head.given.cfg.marks_repeats else None
+            repeat = bool(options & codec.RETRY_BIT) if head.given.cfg.marks_repeats else None
             access, changes = head.take(now, tid, extent, profile, plan, volume, set_size, slot, units, abandon, repeat)
             instance.accesses[tid] = access
             return changes
--- a/tests/agreed_group.py
+++ b/tests/agreed_group.py
@@ -20,7 +20,7 @@
 from pebblehinge.settings.load import loads
 
 
-class Group:
+class DeduplicationScope:
     """Instances g1 to g5 and heads h1 to h4 on nodes of a virtual network."""
 
     def __init__(self, seed: int) -> None:
@@ -134,9 +134,9 @@
 
 
 def on_group(
-    script: Callable[[Group], Any], seed: int = 1, heads: int = 4, rates: dict[str, float] | None = None
-) -> Group:
-    group = Group(seed)
+    script: Callable[[DeduplicationScope], Any], seed: int = 1, heads: int = 4, rates: dict[str, float] | None = None
+) -> DeduplicationScope:
+    group = DeduplicationScope(seed)
     group.rates = rates or {}
 
     async def main() -> None:
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -9,7 +9,7 @@
 
 import pytest
 from agreed_document import document
-from agreed_group import Group
+from agreed_group import DeduplicationScope
 
 from pebblehinge.agreed.feed import Feed
 from pebblehinge.net import Peer
@@ -17,7 +17,7 @@
 from pebblehinge.wire import Kind
 
 
-class Fleet(Group):
+class Fleet(DeduplicationScope):
     """Heads h1 to hN. `sent` counts frames by kind; `made` holds when each head's connection came, and to whom."""
 
     def __init__(self, heads: int, seed: int = 1) -> None:
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -13,7 +13,7 @@
 
 from pebblehinge.core import REJECTED, Core, Taken
 from pebblehinge.decide import NEVER_RAN
-from pebblehinge.http1 import Responses
+from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import read_config
@@ -40,7 +40,7 @@
         self.world, self.number, self.pace = world, number, pace
         self.unread, self.out, self.shut, self.lost = b"", b"", False, False
         self.goes_ms = math.inf  # when its client ends its sending and goes
-        self.whole, self.halves, self.answers, self.got = 0, b"", 0, Responses()
+        self.whole, self.halves, self.answers, self.got = 0, b"", 0, ResponseParser()
         self.conn: ClientConn | None = None
 
     def write(self, data: bytes) -> None:
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -21,7 +21,7 @@
 from pebblehinge.rsync.options import parse
 from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
-from pebblehinge.rsync.stream import RsyncError, Stream
+from pebblehinge.rsync.stream import ResponseStream, RsyncError
 from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
 from pebblehinge.rsync.transfer import Transfer
@@ -52,15 +52,15 @@
     pass
 
 
-def stream_of(data: bytes, framed: bool = False) -> Stream:
-    stream = Stream(_never, lambda out: None, _at_once, _at_once)
+def stream_of(data: bytes, framed: bool = False) -> ResponseStream:
+    stream = ResponseStream(_never, lambda out: None, _at_once, _at_once)
     stream.feed(data)
     stream.end()
     stream.mux_in = framed
     return stream
 
 
-async def _numbers(stream: Stream) -> None:
+async def _numbers(stream: ResponseStream) -> None:
     index = IndexIn(31)
     while True:
         await read_varint(stream)
@@ -71,7 +71,7 @@
         await index(stream)
 
 
-async def _tokens(stream: Stream, tokens: Any) -> None:
+async def _tokens(stream: ResponseStream, tokens: Any) -> None:
     given = 0
     while (token := await tokens.next(stream)) is not None and given < BOUND:
         if isinstance(token, bytes):
@@ -81,14 +81,14 @@
             given += 4096  # a run stands for many: who takes them stops somewhere
 
 
-async def _sums(stream: Stream, rest: bytes) -> None:
+async def _sums(stream: ResponseStream, rest: bytes) -> None:
     digest = Digest("xxh64", 7, 31, True)
     search = Search(await read_sums(stream, digest), digest)
     given = sum(len(t) if isinstance(t, bytes) else 0 for t in (*search.feed(rest), *search.end()))
     assert given <= len(rest)
 
 
-async def _list(stream: Stream, shape: Shape) -> None:
+async def _list(stream: ResponseStream, shape: Shape) -> None:
     arranged(shape.version, await ListIn(shape, 1000).read(stream))
 
 
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -11,7 +11,7 @@
 import uvloop
 from helpers import LOOPBACK, until
 
-from pebblehinge.http1 import Request, Requests, Response, Responses
+from pebblehinge.http1 import HttpRequest, HttpResponse, RequestParser, ResponseParser
 from pebblehinge.service.config import read_config
 from pebblehinge.service.server import Service
 
@@ -59,7 +59,7 @@
     """A connection to a scripted shelf; `does` of the shelf says what it makes of a request."""
 
     def __init__(self, shelf: Shelf) -> None:
-        self.shelf, self.requests, self.lost = shelf, Requests(), False
+        self.shelf, self.requests, self.lost = shelf, RequestParser(), False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -81,8 +81,8 @@
 class Shelf:
     def __init__(self) -> None:
         self.conns: list[ShelfPeer] = []
-        self.asked: list[tuple[ShelfPeer, Request]] = []
-        self.does: Callable[[ShelfPeer, Request], None] = lambda conn, request: conn.write(OK)
+        self.asked: list[tuple[ShelfPeer, HttpRequest]] = []
+        self.does: Callable[[ShelfPeer, HttpRequest], None] = lambda conn, request: conn.write(OK)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -109,7 +109,7 @@
         self.server = await loop.create_server(lambda: DiscoveryPeer(self), LOOPBACK, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def watched(self, conn: Any, request: Request) -> None:
+    def watched(self, conn: Any, request: HttpRequest) -> None:
         conn.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         conn.tell(self.list)
 
@@ -157,7 +157,7 @@
     def address(self, shelf: int) -> tuple[str, int]:
         return LOOPBACK, self.shelfs[shelf].port
 
-    async def ask(self, data: bytes) -> Response:
+    async def ask(self, data: bytes) -> HttpResponse:
         client = await self.client()
         client.write(data)
         return await client.answer()
@@ -165,7 +165,7 @@
 
 class Client(asyncio.Protocol):
     def __init__(self) -> None:
-        self.responses, self.answers, self.lost, self.seen = Responses(), [], False, 0
+        self.responses, self.answers, self.lost, self.seen = ResponseParser(), [], False, 0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -181,7 +181,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
 
-    async def answer(self) -> Response:
+    async def answer(self) -> HttpResponse:
         self.seen += 1
         await until(lambda: len(self.answers) >= self.seen)
         return self.answers[self.seen - 1]
@@ -218,8 +218,8 @@
     uvloop.run(whole())
 
 
-def answers(data: bytes, close: bool = False) -> Callable[[ShelfPeer, Request], None]:
-    def does(conn: ShelfPeer, request: Request) -> None:
+def answers(data: bytes, close: bool = False) -> Callable[[ShelfPeer, HttpRequest], None]:
+    def does(conn: ShelfPeer, request: HttpRequest) -> None:
         conn.write(data)
         if close:
             conn.transport.close()
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -8,7 +8,7 @@
 
 import pytest
 from agreed_document import SMALL, document, rate
-from agreed_group import Group, on_group
+from agreed_group import DeduplicationScope, on_group
 
 from pebblehinge.agreed.activation import aside_of, careful, cut_off, fits, leave
 from pebblehinge.agreed.state import State
@@ -90,7 +90,7 @@
 
 
 def test_a_change_reaches_all_heads_within_the_bound_and_the_limit_holds_throughout() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         for serial, (limit, heads) in enumerate([(40, 3), (200, 3), (200, 4), (60, 2)], 2):
             ok, said = await g.propose(document(limit, heads), serial)
             assert ok, said
@@ -102,7 +102,7 @@
 
 
 def test_five_instances_two_killed_then_the_leader_every_change_once_in_order_everywhere() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         serial = 2
         leader = g.leader()
         others = [n for n in g.members if n != leader.name]
@@ -140,7 +140,7 @@
 def test_a_member_keeps_nothing_of_what_it_applied_but_the_state() -> None:
     """Seen: a list for tests, in which every command that was ever applied stood for as long as the member ran."""
 
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         def held() -> int:
             return sum(len(v) for m in g.members.values() for v in vars(m).values() if isinstance(v, (list, dict)))
 
@@ -155,7 +155,7 @@
 
 
 def test_a_head_that_is_cut_off_is_counted_for_its_floor_until_it_is_back() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         g.cut.add("h1")
         g.loop.net.partition(["h1"], [f"g{n}" for n in range(1, 6)])
         began = g.clock()
@@ -177,7 +177,7 @@
 
 
 def test_a_limit_under_what_a_missing_head_may_send_waits_until_it_is_forgotten() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         g.kill_head("h1")
         ok, said = await g.propose(document(5), 2)
         assert ok, said
@@ -191,7 +191,7 @@
 
 
 def test_a_version_that_a_head_cannot_use_is_refused_as_a_whole() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         ok, said = await g.propose(document(70, 2, names=2), 2)  # heads 3 and 4 are not in it
         assert ok, said
         await g.until(lambda: g.leader() and g.leader().state.versions[2].refused)
--- a/tests/test_agreed_faults.py
+++ b/tests/test_agreed_faults.py
@@ -7,7 +7,7 @@
 
 import pytest
 from agreed_document import document
-from agreed_group import Group, on_group
+from agreed_group import DeduplicationScope, on_group
 
 from pebblehinge.agreed.server import MemberServer
 from pebblehinge.lab.disk import FaultyDisk
@@ -15,10 +15,10 @@
 from pebblehinge.settings.load import loads
 
 
-def cut_off_through_a_lowering(rates: dict[str, float]) -> Group:
+def cut_off_through_a_lowering(rates: dict[str, float]) -> DeduplicationScope:
     """A head is cut off just as a limit is lowered far: its lease must be over before the others share what is left."""
 
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         members = [f"g{n}" for n in range(1, 6)]
         for serial, limit in ((2, 300), (3, 90)):
             if serial == 3:
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_limits_hold_through_changes_with_heads_and_instances_failing(seed: int) -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         rng = random.Random(seed)
         serial = 2
         members, heads = [f"g{n}" for n in range(1, 6)], [f"h{n}" for n in range(1, 5)]
@@ -109,7 +109,7 @@
 def test_an_old_leader_that_hears_no_majority_grants_no_lease() -> None:
     """Between its cut and its step-down it still believes that it leads; another may be reckoning without it."""
 
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         leader = g.leader()
         others = [n for n in g.members if n != leader.name]
         await g.until(lambda: g.feeds["h1"].wire is not None)
@@ -126,7 +126,7 @@
 
 
 def test_instances_of_another_group_are_not_listened_to() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         term = g.leader().node.raft.term
         alien = g.loop.node("g9")
         strange = loads(document().replace("group {", "group {\n    id strangers"))
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -14,7 +14,7 @@
 from service_rig import OK, SETTINGS, Rig, ShelfPeer, ask, on_rig
 from test_service_life import connect, slow_reader, status
 
-from pebblehinge.http1 import Request
+from pebblehinge.http1 import HttpRequest
 from pebblehinge.service import clients, door, peek
 from pebblehinge.stated import read_settings
 
@@ -214,7 +214,7 @@
     """The look at the client's socket costs nobody an answer, whatever it sent ahead."""
 
     async def script(rig: Rig) -> None:
-        def does(conn: ShelfPeer, request: Request) -> None:
+        def does(conn: ShelfPeer, request: HttpRequest) -> None:
             conn.write(OK)
 
         rig.shelfs[0].does = does
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -135,7 +135,7 @@
     on_rig(script, connect_ms=80.0)
 
 
-LABELLED = {
+IDEMPOTENT_WITH_KEY = {
     "effect": "keyed",
     "give_up_s": 2.0,
     "late_worth": 0.1,
@@ -144,7 +144,7 @@
     "points": 2.0,
     "repeat_window_s": 0.4,
 }
-WINDOW = read_settings({**SETTINGS, "classes": [SETTINGS["classes"][0], LABELLED]})
+WINDOW = read_settings({**SETTINGS, "classes": [SETTINGS["classes"][0], IDEMPOTENT_WITH_KEY]})
 
 
 ERROR = b"HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from service_rig import Discovery, entry, listing
 from test_discovery_drawn import DAMAGED, HEAD, chunk
 
-from pebblehinge.http1 import HttpError, Request
+from pebblehinge.http1 import HttpError, HttpRequest
 from pebblehinge.service import discovery
 from pebblehinge.service.discovery import Watch
 from pebblehinge.service.lists import Objects, Told
@@ -130,7 +130,7 @@
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
 
-        def damaged(conn: Any, request: Request) -> None:
+        def damaged(conn: Any, request: HttpRequest) -> None:
             conn.write(HEAD + chunk(DAMAGED))
 
         good, seen.peer.does = seen.peer.does, damaged
--- a/tests/test_discovery_drawn.py
+++ b/tests/test_discovery_drawn.py
@@ -10,7 +10,7 @@
 import pytest
 from service_rig import listing
 
-from pebblehinge.http1 import Requests
+from pebblehinge.http1 import RequestParser
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.service import discovery
 from pebblehinge.service.discovery import Watch
@@ -28,7 +28,7 @@
     """A connection to an agent that does what its world says as a request comes; one that stands tells changes."""
 
     def __init__(self, world: World) -> None:
-        self.world, self.requests = world, Requests()
+        self.world, self.requests = world, RequestParser()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from test_service_life import connect, slow_reader, status
 
 from pebblehinge.decide import access, path, worth
-from pebblehinge.http1 import Request
+from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
 from pebblehinge.service.server import Service
 from pebblehinge.stated import read_settings
@@ -90,7 +90,7 @@
 
 
 def reset(data: bytes):  # type: ignore[no-untyped-def]
-    def does(conn: ShelfPeer, request: Request) -> None:
+    def does(conn: ShelfPeer, request: HttpRequest) -> None:
         sock = conn.transport.get_extra_info("socket")
         conn.write(data)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -227,7 +227,7 @@
         rig.port = first_port
         rig.shelfs[0].does = answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         asked = len(rig.shelfs[0].asked)
-        assert (await rig.ask(ask("save", 0, b"abc"))).status == 502  # irreversible here, whatever it is there
+        assert (await rig.ask(ask("save", 0, b"abc"))).status == 502  # non-idempotent here, whatever it is there
         assert len(rig.shelfs[0].asked) == asked + 1
         second.watch.stop()
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -6,7 +6,15 @@
 
 import pytest
 
-from pebblehinge.http1 import BODY_LIMIT, HttpError, Requests, Responses, Stream, write_answer, write_request
+from pebblehinge.http1 import (
+    BODY_LIMIT,
+    HttpError,
+    RequestParser,
+    ResponseParser,
+    ResponseStream,
+    write_answer,
+    write_request,
+)
 from pebblehinge.http1.reader import ANSWER_LIMIT, HEAD_LIMIT
 
 
@@ -17,7 +25,7 @@
         for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
             reader.feed(data[start:end])
             while (m := reader.next()) is not None:
-                first = (m.method, m.target) if kind is Requests else (m.status,)
+                first = (m.method, m.target) if kind is RequestParser else (m.status,)
                 found.append((*first, m.headers, m.body, m.keep_alive))
     except HttpError as error:
         found.append(("error", error.status))
@@ -40,13 +48,13 @@
         b"PUT /save HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nc\r\n0\r\nX: y\r\n\r\n"
         b"\r\nGET /look HTTP/1.1\r\nhost: h\r\nConnection: close\r\n\r\n"
     )
-    got = all_ways(Requests, data)
+    got = all_ways(RequestParser, data)
     assert [(m, t, body, keeps) for m, t, _, body, keeps in got] == [
         (b"PUT", b"/save/a?x=1", b"a\r\nb", True),
         (b"PUT", b"/save", b"a\nc", True),
         (b"GET", b"/look", b"", False),
     ]
-    reader = Requests()
+    reader = RequestParser()
     reader.feed(data)
     assert reader.next() is not None and reader.buffer.startswith(b"PUT /save HTTP")
 
@@ -85,12 +93,12 @@
 )
 def test_what_is_no_request_or_too_much_of_one_is_told_apart(data: bytes, status: int) -> None:
     """Guards against lenient framing (a request hidden in another's body) and heads or bodies without end."""
-    assert all_ways(Requests, data)[-1] == ("error", status)
+    assert all_ways(RequestParser, data)[-1] == ("error", status)
 
 
 def test_a_head_is_bounded_when_its_end_comes_in_the_same_piece() -> None:
     """Its last piece was once not counted: a long head came through when cut in two."""
-    reader = Requests()
+    reader = RequestParser()
     reader.feed(b"GET / HTTP/1.1\r\nA: ")
     assert reader.next() is None
     reader.feed(b"x" * HEAD_LIMIT + b"\r\n\r\n")
@@ -101,14 +109,14 @@
 def test_answers_in_front_are_passed_over_within_a_bound() -> None:
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     hint = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"
-    assert [m[0] for m in all_ways(Responses, hint * 8 + answer)] == [200]
-    assert all_ways(Responses, hint * 9 + answer) == [("error", 502)]
+    assert [m[0] for m in all_ways(ResponseParser, hint * 8 + answer)] == [200]
+    assert all_ways(ResponseParser, hint * 9 + answer) == [("error", 502)]
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-    assert [m[2] for m in all_ways(Responses, chunked)] == [b"ok"]
+    assert [m[2] for m in all_ways(ResponseParser, chunked)] == [b"ok"]
 
 
 def test_what_comes_behind_an_answer_is_seen() -> None:
-    reader = Responses()
+    reader = ResponseParser()
     reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\r\n")
     answer = reader.next()
     assert answer is not None and answer.body == b"ok" and reader.buffer == b"\r\n"
@@ -128,12 +136,12 @@
     ],
 )
 def test_spoilt_answers_can_not_be_read(data: bytes) -> None:
-    assert all_ways(Responses, data)[-1][0] == "error"
+    assert all_ways(ResponseParser, data)[-1][0] == "error"
 
 
 def test_a_stream_hands_on_what_comes_without_end() -> None:
     pieces: list[bytes] = []
-    stream = Stream(pieces.append)
+    stream = ResponseStream(pieces.append)
     stream.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     assert stream.next() is None and stream.status == 200
     for _ in range(40):
@@ -144,7 +152,7 @@
 
 def test_own_messages_read_back_as_they_were_meant() -> None:
     request = write_request(b"PUT", b"/a?b", [(b"Host", b"h")], b"xyz") + b"X-Deadline-Ms: 5\r\n\r\nxyz"
-    (got,) = read(Requests, request, [])
+    (got,) = read(RequestParser, request, [])
     assert got[:2] == (b"PUT", b"/a?b") and got[3] == b"xyz"
-    (got,) = read(Responses, write_answer(503, b"", False, b"Retry-After: 0.5\r\n"), [])
+    (got,) = read(ResponseParser, write_answer(503, b"", False, b"Retry-After: 0.5\r\n"), [])
     assert got[0] == 503 and (b"retry-after", b"0.5") in got[1] and got[3] is False
--- a/tests/test_lowering.py
+++ b/tests/test_lowering.py
@@ -10,13 +10,13 @@
 import asyncio
 
 from agreed_document import document
-from agreed_group import Group, on_group
+from agreed_group import DeduplicationScope, on_group
 
 
-def lowered(limit: float, through: int) -> Group:
+def lowered(limit: float, through: int) -> DeduplicationScope:
     """h1 of three is cut off on a limit of 250, of which its floor is 16.7."""
 
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         ok, said = await g.propose(document(250), 2)
         assert ok, said
         await g.until(lambda: all(act[1:] == ("active", 2) for act in g.acts.values()))
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -38,7 +38,7 @@
 class Repeats(Head):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.path.limits.may_repeat = lambda *_: True  # type: ignore[method-assign]
+        self.path.limits.may_retry = lambda *_: True  # type: ignore[method-assign]
 
 
 class Drains(Head):
@@ -74,7 +74,7 @@
 class Spends(Head):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.path.limits.spare_attempts = lambda now: 99.0  # type: ignore[method-assign]
+        self.path.limits.spare_retries = lambda now: 99.0  # type: ignore[method-assign]
 
 
 class Strays(Head):
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -7,7 +7,7 @@
 
 import pytest
 from agreed_document import document
-from agreed_group import Group, on_group
+from agreed_group import DeduplicationScope, on_group
 from fleet_rig import Fleet, on_fleet
 
 from pebblehinge.agreed.proposals import MOST_QUEUED, WAIT_MS, Proposals
@@ -133,7 +133,7 @@
 
 
 def test_a_version_that_stays_pending_is_named_to_who_proposes_beside_it() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         g.kill_head("h1")
         ok, said = await g.propose(document(5), 2)  # less than what h1 may still send: it stays pending
         assert ok, said
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -19,7 +19,7 @@
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
 from pebblehinge.rsync.greeting import chosen, hello, read_hello
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.stream import ERROR_XFER, RsyncError, Stream
+from pebblehinge.rsync.stream import ERROR_XFER, ResponseStream, RsyncError
 from pebblehinge.rsync.tree import Entry, Folder, packed
 
 
@@ -49,7 +49,7 @@
 
 def test_frames() -> None:
     sent: list[bytes] = []
-    stream = Stream(None, sent.append, None, None)  # type: ignore[arg-type]
+    stream = ResponseStream(None, sent.append, None, None)  # type: ignore[arg-type]
     stream.start_frames_out()
     stream.put(b"abc")
     stream.message(ERROR_XFER, b"no\n")
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -46,7 +46,7 @@
     on_rig(script)
 
 
-def test_silent_shelf_ends_an_irreversible_write_once_terminated_in_its_own_time() -> None:
+def test_silent_shelf_ends_an_non_idempotent_write_once_terminated_in_its_own_time() -> None:
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = SILENT
         client = await rig.client()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -28,13 +28,13 @@
 from pebblehinge.decide import Access, Head
 from pebblehinge.interface import (
     Changes,
+    DeduplicationScope,
     Entry,
-    Group,
+    Idempotency,
     ListKind,
     Outcome,
     Plan,
     Profile,
-    Repeat,
     Settings,
     Standing,
 )
@@ -64,17 +64,19 @@
 )
 
 
-def profile(name: str, repeat: Repeat, group: Group = Group.ALL, due: float = 400.0, **more: bool) -> Profile:
+def profile(
+    name: str, repeat: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, due: float = 400.0, **more: bool
+) -> Profile:
     return Profile(name, 2.0, due, 3000.0, 0.1, repeat, group, 1000.0, more.get("in_order", False))
 
 
 PROFILES = (
-    profile("look", Repeat.REDOABLE),
-    profile("save", Repeat.IRREVERSIBLE),
-    profile("mark", Repeat.LABELLED, Group.CELL),
-    profile("markall", Repeat.LABELLED),
-    profile("bulk", Repeat.REDOABLE, due=2000.0),
-    profile("line", Repeat.REDOABLE, in_order=True),
+    profile("look", Idempotency.IDEMPOTENT),
+    profile("save", Idempotency.NON_IDEMPOTENT),
+    profile("mark", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
+    profile("markall", Idempotency.IDEMPOTENT_WITH_KEY),
+    profile("bulk", Idempotency.IDEMPOTENT, due=2000.0),
+    profile("line", Idempotency.IDEMPOTENT, in_order=True),
 )
 PLANS = (
     Plan("gold", 20.0, 20.0, 0.0, 0.0, 0.0, 1.0, 1.0),
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -8,7 +8,7 @@
 from helpers import LOOPBACK, until
 from service_rig import OK, Rig, ShelfPeer, ask, on_rig
 
-from pebblehinge.http1 import Request
+from pebblehinge.http1 import HttpRequest
 from pebblehinge.service import clients, door
 
 
@@ -45,7 +45,7 @@
 
 def test_requests_sent_ahead_in_any_pieces_are_answered_in_order() -> None:
     async def script(rig: Rig) -> None:
-        held: list[tuple[ShelfPeer, Request]] = []
+        held: list[tuple[ShelfPeer, HttpRequest]] = []
         rig.shelfs[0].does = lambda conn, r: held.append((conn, r))
         client = await rig.client()
         data = b"".join(ask(shard=0, Cookie=f"a=b; block={i:016x}") for i in range(3)) + ask("save", 1, b"x" * 5000)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -13,7 +13,7 @@
 from service_rig import CONFIG, OK, SETTINGS, Discovery, Rig, Shelf, ShelfPeer, ask, entry, listing, on_rig
 from test_service_life import connect
 
-from pebblehinge.http1 import Request
+from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
 from pebblehinge.service.__main__ import main
 from pebblehinge.service.config import ServiceConfig, read_config
@@ -26,7 +26,7 @@
     """The loop runs its timers first: an answer that lay in the socket in time once counted as timed out."""
 
     async def script(rig: Rig) -> None:
-        def does(conn: ShelfPeer, request: Request) -> None:
+        def does(conn: ShelfPeer, request: HttpRequest) -> None:
             conn.write(OK)
             time.sleep(0.4)  # the head's loop, too: the attempt's time is up before the answer is read
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -12,13 +12,14 @@
 from test_service_life import connect, status
 
 from pebblehinge.decide import Access, Head
-from pebblehinge.http1 import Request
+from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Entry, Final, ListKind, Outcome, Standing
 from pebblehinge.service import pool
 from pebblehinge.stated import read_settings
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
-ENDS = {  # what a shelf does: the outcome, the attempts it takes, and what the client of an irreversible access is told
+# what a shelf does: the outcome, the attempts it takes, and what the client of an non-idempotent access is told
+ENDS = {
     "an error": (answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome.SERVER_ERROR, 1, 502),
     "full": (answers(b"HTTP/1.1 503 Full\r\n" + NOT_RUN), Outcome.OVERLOADED, 3, 503),
     "over already": (answers(b"HTTP/1.1 504 Over\r\n" + NOT_RUN), Outcome.OVERLOADED, 3, 503),
@@ -141,7 +142,7 @@
         loop, took, peer = asyncio.get_running_loop(), [], []
         ended = rig.head.ended
 
-        def does(conn: ShelfPeer, request: Request) -> None:
+        def does(conn: ShelfPeer, request: HttpRequest) -> None:
             came = time.monotonic()
 
             def answer() -> None:
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from agreed_document import document
-from agreed_group import Group
+from agreed_group import DeduplicationScope
 from click.testing import CliRunner
 
 from pebblehinge.agreed.bounds import TEXT
@@ -24,7 +24,7 @@
 
 
 def in_a_group(script: Any, seed: int = 7) -> None:
-    group = Group(seed)
+    group = DeduplicationScope(seed)
 
     async def run() -> None:
         for n in range(1, 4):
@@ -42,7 +42,7 @@
 def test_a_large_version_becomes_active_also_at_a_head_that_lacks_it_and_the_one_before() -> None:
     """Before, its frames were cut off as too large: the operator heard that no instance could be reached."""
 
-    async def script(group: Group) -> None:
+    async def script(group: DeduplicationScope) -> None:
         for name in ("h1", "h2"):
             group.start_head(name)
         ok, said = await group.propose(padded(document(100), LARGE), 1)
@@ -62,7 +62,7 @@
 
 
 def test_a_text_beyond_the_bound_is_refused_with_both_sizes_and_the_next_one_is_agreed_on() -> None:
-    async def script(group: Group) -> None:
+    async def script(group: DeduplicationScope) -> None:
         ok, said = await group.propose(padded(document(100), TEXT + 1), 1)
         assert not ok and said == "the version's text has 3,145,729 bytes: expected at most 3,145,728"
         ok, said = await group.propose(padded(document(100), TEXT), 2)
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from agreed_document import document
-from agreed_group import Group, on_group
+from agreed_group import DeduplicationScope, on_group
 
 from pebblehinge.agreed.state import State
 from pebblehinge.agreed.state import command as packed
@@ -63,7 +63,7 @@
 def test_nothing_of_a_term_outlives_it_even_where_the_same_instance_leads_the_next() -> None:
     """Between its election and its first look a leader knows nothing of the leases that others granted meanwhile."""
 
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         leader = g.leader()
         granting, raft = leader.granting, leader.node.raft
         waiting, later = Conn(), Conn()
@@ -84,7 +84,7 @@
 
 
 def test_a_lease_is_for_heads_alone_whose_word_for_what_is_to_come_is_in_the_log() -> None:
-    async def script(g: Group) -> None:
+    async def script(g: DeduplicationScope) -> None:
         granting = g.leader().granting
 
         async def lease(head: str, acknowledges: int) -> float:
