--- a/benchmarks/capacity_fits.py
+++ b/benchmarks/capacity_fits.py
@@ -141,7 +141,7 @@
         return derived({**self.raw["common"], **self.raw["sizes"][name]})
 
     def grown(self, heads: float) -> dict[str, float]:
-        """The coming size's shape with another number of heads: shelfs, connections and accesses grow alongside."""
+        """The coming size's shape with another number of heads: shelfs, connections and requests grow alongside."""
         coming = self.raw["sizes"]["coming"]
         part = heads / coming["heads"]
         along = {k: coming[k] * part for k in ("heads", "shelfs", "connections", "accesses")}
--- a/benchmarks/caps_clients.py
+++ b/benchmarks/caps_clients.py
@@ -1,13 +1,13 @@
-"""Caps of a head's clients: connections, accesses, keepalive. Used by `caps_roles.py`."""
+"""Caps of a head's clients: connections, requests, keepalive. Used by `caps_roles.py`."""
 
 from __future__ import annotations
 
 from caps_points import ENOUGH, NAMED, RAISED, Cap, constant, default
 from caps_sizes import (
-    ACCESSES,
     COMING_SHELFS,
     CONNECTIONS,
     PATIENCE_S,
+    REQUESTS,
     SHELFS,
 )
 
@@ -20,7 +20,7 @@
 CLI = "pebblehinge/cli/head.py"
 
 
-OPEN = int(ACCESSES * PATIENCE_S)
+OPEN = int(REQUESTS * PATIENCE_S)
 
 
 CLIENT_CAPS = [
@@ -70,7 +70,7 @@
         "accesses",
         "taken and not answered",
         OPEN,
-        f"{ACCESSES} a second, {PATIENCE_S:g} s each",
+        f"{REQUESTS} a second, {PATIENCE_S:g} s each",
         "pushed back at the door",
         ENOUGH,
     ),
--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -4,8 +4,8 @@
 
 from caps_points import ENOUGH, RAISED, Cap, constant, inline
 from caps_sizes import (
-    ACCESSES,
     HEADS,
+    REQUESTS,
     SHELFS,
     VOLUMES,
     memory_bytes,
@@ -59,7 +59,7 @@
         constant("pebblehinge.records.files", "MOST_BUFFERED"),
         "lines",
         "records not yet written",
-        10 * ACCESSES,
+        10 * REQUESTS,
         "a second of a head's accesses, ten lines each",
         "written at once",
         ENOUGH,
--- a/benchmarks/caps_laboratory.py
+++ b/benchmarks/caps_laboratory.py
@@ -4,10 +4,10 @@
 
 from caps_points import ENOUGH, LOW, NAMED, RAISED, Cap, constant
 from caps_sizes import (
-    ACCESSES,
     COMING_HEADS,
     COMING_SHELFS,
     HEADS,
+    REQUESTS,
     SHELFS,
 )
 
@@ -84,7 +84,7 @@
         constant("pebblehinge.cli.days", "MOST_ROWS"),
         "accesses",
         "a trial of grown load",
-        20 * ACCESSES * COMING_HEADS,
+        20 * REQUESTS * COMING_HEADS,
         "the fleet's 20 busiest seconds",
         "refused: half a second of the whole fleet is all that is played, so trials are of parts of it",
         LOW,
--- a/benchmarks/caps_service.py
+++ b/benchmarks/caps_service.py
@@ -4,9 +4,9 @@
 
 from caps_points import ENOUGH, LOW, NAMED, Cap, constant
 from caps_sizes import (
-    ACCESSES,
     COMING_HEADS,
     CONNECTIONS,
+    REQUESTS,
     SHELFS,
     VOLUMES,
     list_bytes,
@@ -110,7 +110,7 @@
         "bytes",
         "answers that are not whole",
         200 * 65536,
-        f"{ACCESSES} a second, a fifth of a second each, 64 KiB",
+        f"{REQUESTS} a second, a fifth of a second each, 64 KiB",
         "the trip has erred",
         ENOUGH,
     ),
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -22,8 +22,8 @@
 HEADS, SHELFS, VOLUMES = 1024, 2048, 2000  # no cap may be under the first two; the third is the issue's
 COMING_HEADS, COMING_SHELFS = 910, 1500
 CONNECTIONS = 4615  # of clients to a head: 4,200,000 / 910
-ACCESSES = 868  # a second and head
-PATIENCE_S = 4.0  # the longest that an access usually stands
+REQUESTS = 868  # a second and head
+PATIENCE_S = 4.0  # the longest that a request usually stands
 VERSIONS_A_DAY = 790
 RENEW_S = 0.5
 LONGEST_NAME = 100  # characters, by the settings' pattern
--- a/benchmarks/console_load.py
+++ b/benchmarks/console_load.py
@@ -1,4 +1,4 @@
-"""What 500 viewers of the console cost the accesses: `python benchmarks/console_load.py [VIEWERS]`.
+"""What 500 viewers of the console cost the requests: `python benchmarks/console_load.py [VIEWERS]`.
 
 A head process with two stand-in shelfs and steady traffic from here; the viewers are another process that reads all it
 is sent. Turns with and without viewers alternate in one run; late is beyond 100 ms.
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -3,7 +3,7 @@
     python benchmarks/decision_cost.py [--against ../other-checkout]
 
 The module alone, with calls and no sockets. Times are of this machine and this hour; the ratios are what counts. With
---against only the way of an access is timed, in turn with another checkout's module, a process each time.
+--against only the way of a request is timed, in turn with another checkout's module, a process each time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import (
     DeduplicationScope,
     Entry,
@@ -67,7 +67,7 @@
     return head
 
 
-def take(head: Head, now: float, n: int, slot: int, plan: str = "g") -> Access:
+def take(head: Head, now: float, n: int, slot: int, plan: str = "g") -> Request:
     return head.take(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
 
 
@@ -83,7 +83,7 @@
 
 
 def freed(shelfs: int, held: int) -> tuple[float, float]:
-    """A slot frees at a shelf with so many accesses held: until the next one has left; median and p99, us."""
+    """A slot frees at a shelf with so many requests held: until the next one has left; median and p99, us."""
     head, now, times = head_of(shelfs), 0.0, []
     for n in range(shelfs * 8):
         take(head, now, n, n % shelfs)
@@ -158,12 +158,12 @@
     return {"columns": len(head.shelfs.names), "names": len(head.shelfs.index), "wakes": len(head.notes.wakes)}
 
 
-def way(shelfs: int = 40, accesses: int = 20_000, held: int = 12) -> float:
-    """Whole ways of accesses, from the take to the end: us each. Two thirds of the shelfs have a few held."""
+def way(shelfs: int = 40, requests: int = 20_000, held: int = 12) -> float:
+    """Whole ways of requests, from the take to the end: us each. Two thirds of the shelfs have a few held."""
     head, rng, now, out = head_of(shelfs), random.Random(1), 0.0, []
     head.start(now)
     began = time.perf_counter()
-    for n in range(accesses):
+    for n in range(requests):
         now += 0.05
         plan = "c" if n % 5 == 0 else "g"
         slot = rng.randrange(shelfs)
@@ -177,7 +177,7 @@
             changes = b.ended(now, b.sent - 1, outcome, outcome is Outcome.SUCCEEDED, now - b.sent_ms)
         if changes.wake_ms is not None and changes.wake_ms <= now:
             head.woken(now)
-    return (time.perf_counter() - began) / accesses * 1e6
+    return (time.perf_counter() - began) / requests * 1e6
 
 
 def against(other: Path) -> None:
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -2,7 +2,7 @@
 
 Each head is `pebblehinge.decide.Head` and knows what its own calls told it; nothing is shared between heads but the
 shelfs. Times are virtual milliseconds. A scene derives from `Fleet` and says what an attempt comes to (`answers`), and
-may look at each attempt that leaves (`left`) and each access that is over (`over`).
+may look at each attempt that leaves (`left`) and each request that is over (`over`).
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 )
 
 EXPECTED_MS, PATIENCE_MS = 400.0, 2_500.0  # doc-read of examples/head.conf
-HEADS, SHELFS, ACCESSES_S = 910, 1_500, 790_000.0  # the coming size
-PAIR_S = ACCESSES_S / (HEADS * SHELFS)  # accesses a second a pair of head and shelf: 0.58
+HEADS, SHELFS, REQUESTS_S = 910, 1_500, 790_000.0  # the coming size
+PAIR_S = REQUESTS_S / (HEADS * SHELFS)  # requests a second a pair of head and shelf: 0.58
 
 READ = Profile("read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False)
 FREE = Plan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
@@ -90,15 +90,15 @@
 
     # ---- what a scene says
 
-    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
         """When an attempt that leaves now ends, and how. One that ends past its time is timed out then."""
         raise NotImplementedError
 
-    def left(self, h: int, access: Any, attempt: Any) -> None:
+    def left(self, h: int, request: Any, attempt: Any) -> None:
         """An attempt has left."""
 
-    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
-        """An access has its answer: succeeded, or the module's own."""
+    def over(self, h: int, request: Any, succeeded: bool, why: str) -> None:
+        """A request has its answer: succeeded, or the module's own."""
 
     # ---- the machinery
 
@@ -129,28 +129,28 @@
     def take(
         self, h: int, slot: int, plan: str = "free", volume: str = "v", set_size: int = 1, note: Any = None
     ) -> Any:
-        """A client's access comes now, of one unit."""
+        """A client's request comes now, of one unit."""
         until = self.now + PATIENCE_MS
-        access, changes = self.heads[h].take(
+        request, changes = self.heads[h].take(
             self.now, next(self.ids), None, "read", plan, volume, set_size, slot, 1.0, until, False
         )
-        access.note, access.came_ms = note, self.now  # before anything asks for them: changes are acted on here
+        request.note, request.came_ms = note, self.now  # before anything asks for them: changes are acted on here
         self.do(h, changes)
-        return access
+        return request
 
     def do(self, h: int, changes: Changes) -> None:
-        for access in changes.handles:
-            attempts, cancellations, answer = access.drain()
+        for request in changes.handles:
+            attempts, cancellations, answer = request.drain()
             for attempt in attempts:
-                self.left(h, access, attempt)
-                when, outcome = self.answers(h, access, attempt)
+                self.left(h, request, attempt)
+                when, outcome = self.answers(h, request, attempt)
                 if when > attempt.until_ms:
                     when, outcome = attempt.until_ms, Outcome.TIMED_OUT
-                self.at(max(when, self.now), self._ends, h, access, access.sent - 1, outcome, self.now)
+                self.at(max(when, self.now), self._ends, h, request, request.sent - 1, outcome, self.now)
             if answer is not None:
-                self.over(h, access, False, answer.why if answer.final is Final.REJECTED else "terminated")
+                self.over(h, request, False, answer.why if answer.final is Final.REJECTED else "terminated")
             for number in cancellations:
-                self.at(self.now, self._ends, h, access, number, Outcome.CANCELLED, self.now)
+                self.at(self.now, self._ends, h, request, number, Outcome.CANCELLED, self.now)
         if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
             self.wakes[h] = changes.wake_ms
             self.at(changes.wake_ms, self._woken, h, changes.wake_ms)
@@ -160,13 +160,13 @@
             self.wakes[h] = math.inf
             self.do(h, self.heads[h].woken(self.now))
 
-    def _ends(self, h: int, access: Any, number: int, outcome: Outcome, left: float) -> None:
-        if not access.out or number != access.sent - 1:
+    def _ends(self, h: int, request: Any, number: int, outcome: Outcome, left: float) -> None:
+        if not request.out or number != request.sent - 1:
             return
         succeeded = outcome is Outcome.SUCCEEDED
-        if succeeded and not access.over:
-            self.over(h, access, True, "")
-        self.do(h, access.ended(self.now, number, outcome, succeeded or access.over, self.now - left))
+        if succeeded and not request.over:
+            self.over(h, request, True, "")
+        self.do(h, request.ended(self.now, number, outcome, succeeded or request.over, self.now - left))
 
 
 def with_plan(limit: float, burst: float, slack: float, **figures: Any) -> Settings:
--- a/benchmarks/decisions_learning.py
+++ b/benchmarks/decisions_learning.py
@@ -1,12 +1,12 @@
 """Scene `learning`: what one head can learn of a shelf that it asks seldom, told by what it does.
 
-Cases: `slow` (each access takes the shelf SLOWER times as long; it serves in turn and has twice the capacity that is
-asked while well), `hang` (nothing is answered), `err` (each attempt errs at once); at 0.58 accesses a second a pair,
-or, as `slow-10` and so on, at 10 for a third of the time. A head has learned with the first access for the shelf, after
-the fault began, that does not leave within the call that brought it; the shelf is used again with the first access that
-came after it was well and was succeeded (one comes after 1.7 s in the mean at 0.58). Beside it each head asks well
-shelfs, less than at the size (868 a second), as a run can bear it: the sick one weighs more in the head's means than it
-would there.
+Cases: `slow` (each request takes the shelf SLOWER times as long; it serves in turn and has twice the capacity that is
+asked while well), `hang` (nothing is answered), `err` (each attempt errs at once); at 0.58 requests a second a pair,
+or, as `slow-10` and so on, at 10 for a third of the time. A head has learned with the first request for the shelf,
+after the fault began, that does not leave within the call that brought it; the shelf is used again with the first
+request that came after it was well and was succeeded (one comes after 1.7 s in the mean at 0.58). Beside it each head
+asks well shelfs, less than at the size (868 a second), as a run can bear it: the sick one weighs more in the head's
+means than it would there.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     def sick(self) -> bool:
         return self.fault_ms <= self.now < self.well_ms
 
-    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
         if attempt.shelf != "s0":
             return self.now + SHELF_MS, Outcome.SUCCEEDED
         if self.sick() and self.case != "slow":
@@ -50,16 +50,16 @@
         heapq.heappush(self.free, done)
         return done, Outcome.SUCCEEDED
 
-    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
-        if access.note is None:
+    def over(self, h: int, request: Any, succeeded: bool, why: str) -> None:
+        if request.note is None:
             return
-        in_time = succeeded and self.now <= access.came_ms + EXPECTED_MS
-        if access.note == "sick" and not in_time:
-            if access.came_ms <= self.learned.get(h, math.inf):
+        in_time = succeeded and self.now <= request.came_ms + EXPECTED_MS
+        if request.note == "sick" and not in_time:
+            if request.came_ms <= self.learned.get(h, math.inf):
                 self.lost_before += 1
             else:
                 self.lost_after += 1
-        if access.note == "well" and succeeded:
+        if request.note == "well" and succeeded:
             self.again.setdefault(h, self.now - self.well_ms)
 
     def come(self, slot: int) -> None:
@@ -68,10 +68,10 @@
             self.take(h, 1 + self.rng.randrange(WELL_SHELFS))
             return
         note = "sick" if self.sick() else "well" if self.now >= self.well_ms else None
-        access = self.take(h, 0, note=note)
+        request = self.take(h, 0, note=note)
         if note == "sick":
             self.asked += 1
-            if not access.sent:
+            if not request.sent:
                 self.learned.setdefault(h, self.now)
 
     def figures(self) -> dict[str, Any]:
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -1,7 +1,7 @@
 """Scene `limits`: a plan's limit that each head keeps by its even part, before demand that comes otherwise.
 
 Beside the heads stands a keeper of the whole limit: one store of burst and slack that is filled at the limit's rate and
-lets an access wait as long as a head may. What the keeper lets through and the heads do not is lost by the split alone.
+lets a request wait as long as a head may. What the keeper lets through and the heads do not is lost by the split alone.
 Head and keeper start as they would be found: empty where more than their part is asked, else full.
 """
 
@@ -21,7 +21,7 @@
 BURST_S = 1.5  # of the limit, as the plan of examples/head.conf has it
 SPAN, SHORTEST_S = 6_000.0, 2.4  # a run lasts until the limit has filled so many units, and so long at least
 WARM = 0.42  # of it is not counted
-IN_STEP = 10  # accesses that come at once through one head, in `bursts`
+IN_STEP = 10  # requests that come at once through one head, in `bursts`
 SLOTS, SHELF_MS = 32, 5.0
 FLOOR = 1e-6
 
@@ -76,16 +76,16 @@
         self.asked = self.let = self.pushed = self.used = 0
         self.sends: list[float] = []
 
-    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
         return self.now + SHELF_MS, Outcome.SUCCEEDED
 
-    def left(self, h: int, access: Any, attempt: Any) -> None:
-        if access.sent == 1:
+    def left(self, h: int, request: Any, attempt: Any) -> None:
+        if request.sent == 1:
             self.sends.append(self.now)
             self.used += self.counted_ms <= self.now < self.end_ms
 
-    def over(self, h: int, access: Any, succeeded: bool, why: str) -> None:
-        self.pushed += access.note and not succeeded
+    def over(self, h: int, request: Any, succeeded: bool, why: str) -> None:
+        self.pushed += request.note and not succeeded
 
     def come(self) -> None:
         h = self.draw(self.weights)
--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -12,7 +12,7 @@
 import math
 from typing import Any
 
-from decisions_fleet import ACCESSES_S, HEADS, SHELFS
+from decisions_fleet import HEADS, REQUESTS_S, SHELFS
 
 from pebblehinge.service.server import OWN_SOCKETS, SHELF_PART
 from pebblehinge.service.shelfs import IDLE_PART
@@ -48,9 +48,9 @@
 
 
 def in_service(heads: int, shape: str, idle_s: float, sockets: int | None) -> dict[str, float]:
-    """The accesses of the coming size's shelfs come through so many heads, each in even part; `shape` is over shelfs.
+    """The requests of the coming size's shelfs come through so many heads, each in even part; `shape` is over shelfs.
     Under a cap the least recently used go: what is kept is the time at which so many are held (Che's reckoning)."""
-    per_head = ACCESSES_S / HEADS
+    per_head = REQUESTS_S / HEADS
     rates = [per_head * share for share in shares(shape, SHELFS)]
 
     def of(kept_s: float) -> tuple[float, float]:
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -1,4 +1,4 @@
-"""Scene `sums`: what all heads together do to one shelf, and spend beyond the accesses that they were asked for.
+"""Scene `sums`: what all heads together do to one shelf, and spend beyond the requests that they were asked for.
 
 Cases: `dead` (careful attempts to a shelf that can't be reached, a second), `cold` (what a cold shelf gets against the
 line of tests/cold_fleet.py, N + 2 sqrt(N) + 2), `budget` (retries a second while a tenth of the shelfs err).
@@ -21,11 +21,11 @@
 SHELF_MS = 15.0
 DIES_MS, SETTLED_MS, END_MS = 2_000.0, 4_000.0, 10_000.0
 BUDGET = {"budget_share": 0.15, "budget_free": 3.0, "budget_window_ms": 5_000.0}  # lab/days/_booking.conf
-ERRING = 0.1  # of the accesses asked for shelfs that err
+ERRING = 0.1  # of the requests asked for shelfs that err
 
 
 class Sums(Fleet):
-    """One shelf that is dead or errs from DIES_MS on, beside one that is well; `rate` is accesses a second a head for
+    """One shelf that is dead or errs from DIES_MS on, beside one that is well; `rate` is requests a second a head for
     the one, `beside` for the other."""
 
     def __init__(
@@ -35,15 +35,15 @@
         self.weights, self.rate, self.beside, self.outcome = weights_of(shape, heads), rate, beside, outcome
         self.attempts = self.retries = self.asked = 0
 
-    def answers(self, h: int, access: Any, attempt: Any) -> tuple[float, Outcome]:
+    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
         if attempt.shelf == "s0" and self.now >= DIES_MS:
             return self.now + 1.0, self.outcome
         return self.now + SHELF_MS, Outcome.SUCCEEDED
 
-    def left(self, h: int, access: Any, attempt: Any) -> None:
+    def left(self, h: int, request: Any, attempt: Any) -> None:
         if self.now >= SETTLED_MS:
             self.attempts += attempt.shelf == "s0"
-            self.retries += access.sent > 1
+            self.retries += request.sent > 1
 
     def figures(self) -> dict[str, float]:
         heads = len(self.heads)
@@ -61,7 +61,7 @@
 
 
 def cold(heads: int, seed: int, shape: str, asked: float) -> dict[str, float]:
-    """A shelf whose warm self can do the coming size's accesses a second over `asked`, started in the middle."""
+    """A shelf whose warm self can do the coming size's requests a second over `asked`, started in the middle."""
     fleet = ColdFleet(seed, heads, asked, shape)
     fleet.units_s = PAIR_S * heads * fleet.cfg.mean_units / asked
     fleet.rate = PAIR_S * heads / 1000.0
@@ -80,7 +80,7 @@
             y = cold(heads, seed, "skewed" if shape == "zipf" else "even", asked)
             found.append({"x": {**x, "case": "cold", "asked": asked}, "y": y})
         for budget in ({}, BUDGET) if case in ("", "budget") else ():
-            rate = 2.0  # a head, of accesses in all: of the 868 a second at the size, what a run can bear
+            rate = 2.0  # a head, of requests in all: of the 868 a second at the size, what a run can bear
             y = Sums(heads, seed, ERRING * rate, (1 - ERRING) * rate, Outcome.SERVER_ERROR, shape, budget).figures()
             if budget:
                 window_s = budget["budget_window_ms"] / 1000.0
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -1,6 +1,6 @@
 """What the head costs beside a pass-through head: same sockets, same code but the decisions. Whole processes.
 
-    python benchmarks/head_cost.py run [--accesses 40000] [--size 4096] [--json FILE]
+    python benchmarks/head_cost.py run [--requests 40000] [--size 4096] [--json FILE]
 
 The parent starts one process with all shelfs (they answer at once), one with the head, one with the load, and
 reads the head's CPU and memory from outside. Every ratio is of two heads measured in the same run, in turn.
@@ -123,8 +123,8 @@
             process.wait()
 
 
-async def full_load(loop: Any, heads: Heads, size: int, accesses: int) -> dict[str, Any]:
-    """As many accesses as the head does with 40 out at any time."""
+async def full_load(loop: Any, heads: Heads, size: int, requests: int) -> dict[str, Any]:
+    """As many requests as the head does with 40 out at any time."""
     asker = Asker(loop, heads.count, size)
     host, port = parse_address(heads.address)
     await loop.create_connection(lambda: asker, host, port)
@@ -132,12 +132,12 @@
     asker.begin(2000, 40)  # connections, caches
     await asker.done
     before, began = cpu_s(heads.pid), time.perf_counter()
-    asker.begin(accesses, 40)
+    asker.begin(requests, 40)
     await asker.done
     wall, cpu = time.perf_counter() - began, cpu_s(heads.pid) - before
-    assert asker.finals[0] == accesses, asker.finals
+    assert asker.finals[0] == requests, asker.finals
     asker.close()
-    return {"rate": accesses / wall, "cpu_us": cpu / accesses * 1e6, "rate_a_core": accesses / max(cpu, 1e-9)}
+    return {"rate": requests / wall, "cpu_us": cpu / requests * 1e6, "rate_a_core": requests / max(cpu, 1e-9)}
 
 
 async def at_rate(loop: Any, heads: Heads, size: int, rate: float, seconds: float) -> dict[str, float]:
@@ -163,15 +163,15 @@
     return {"p50_ms": p50 * 1e3, "p99_ms": p99 * 1e3}
 
 
-async def measure(loop: Any, accesses: int, size: int, memory: int) -> dict[str, Any]:
-    told: dict[str, Any] = {"accesses": accesses, "size": size, "cores": os.cpu_count()}
+async def measure(loop: Any, requests: int, size: int, memory: int) -> dict[str, Any]:
+    told: dict[str, Any] = {"accesses": requests, "size": size, "cores": os.cpu_count()}
     number = 0
     rounds: dict[str, list[dict[str, Any]]] = {"real": [], "pass": []}
     for _ in range(3):
         for what in ("pass", "real"):
             heads, number = Heads(what, 12, size, number), number + 1
             try:
-                rounds[what].append(await full_load(loop, heads, size, accesses))
+                rounds[what].append(await full_load(loop, heads, size, requests))
             finally:
                 heads.stop()
             print(what, rounds[what][-1], file=sys.stderr)
@@ -191,7 +191,7 @@
         for _ in range(2):
             heads, number = Heads("real", count, size, number), number + 1
             try:
-                runs.append((await full_load(loop, heads, size, accesses))["cpu_us"])
+                runs.append((await full_load(loop, heads, size, requests))["cpu_us"])
             finally:
                 heads.stop()
         shelfs_cost[str(count)] = min(runs)
@@ -217,11 +217,11 @@
 @click.option("--size", default=4096, show_default=True)
 @click.option("--memory", default=0, show_default=True, help="Accesses of the memory measurement; 0: none.")
 @click.option("--json", "file", type=click.Path(), help="Write the figures here too.")
-def run(accesses: int, size: int, memory: int, file: str | None) -> None:
+def run(requests: int, size: int, memory: int, file: str | None) -> None:
     """Measure all."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    told = loop.run_until_complete(measure(loop, accesses, size, memory))
+    told = loop.run_until_complete(measure(loop, requests, size, memory))
     text = json.dumps(told, indent=1)
     print(text)
     if file:
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -59,7 +59,7 @@
 
 
 class NoModule:
-    """In the decision module's place: every access goes to its shelf at once, and comes back once."""
+    """In the decision module's place: every request goes to its shelf at once, and comes back once."""
 
     class Handle:
         __slots__ = ("id", "attempts", "answer", "over", "out", "module")
@@ -132,7 +132,7 @@
 
 
 class Asker(Peer):
-    """A lean client: keeps `width` accesses out, or sends at a rate; the time of each is kept."""
+    """A lean client: keeps `width` requests out, or sends at a rate; the time of each is kept."""
 
     FRAMES = frozenset({Kind.ANSWER, Kind.STOPPING})
 
@@ -153,8 +153,8 @@
     def on_stopping(self, reason: str) -> None:
         pass
 
-    def begin(self, accesses: int, width: int) -> None:
-        self.wanted, self.took, self.finals = self.next_id + accesses, [], [0, 0, 0]
+    def begin(self, requests: int, width: int) -> None:
+        self.wanted, self.took, self.finals = self.next_id + requests, [], [0, 0, 0]
         self.done = self.loop.create_future()
         for _ in range(width):
             self.ask()
--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -1,4 +1,4 @@
-"""What the rsync protocol costs beside plain accesses, and how transfers share: `python benchmarks/rsync_cost.py [MB]`.
+"""What the rsync protocol costs beside plain requests, and how transfers share: `python benchmarks/rsync_cost.py [MB]`.
 
 One head process, four stand-in shelf processes that do a unit in a millisecond, on loopback. Plain copy: the client
 library writes and reads the same bytes as blocks of the same size, as many at a time as a transfer has. All
--- a/benchmarks/scale/hollow_links.py
+++ b/benchmarks/scale/hollow_links.py
@@ -18,7 +18,7 @@
 
 
 class Carried:
-    """What a link needs to know of an access."""
+    """What a link needs to know of a request."""
 
     __slots__ = ("trace", "volume", "extent", "op", "offset", "length", "units", "label", "data", "attempt")
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of single roles for docs/CAPACITY.md: what one connection, row, access, version adds to a process.
+"""Slopes of single roles for docs/CAPACITY.md: what one connection, row, request, version adds to a process.
 
     python benchmarks/slopes.py PART [--out FILE] [--beside WHAT]
 
--- a/benchmarks/slopes_framed.py
+++ b/benchmarks/slopes_framed.py
@@ -165,8 +165,8 @@
         return uvloop.run(script(folder))
 
 
-def accesses(small: bool) -> list[Point]:
-    """A framed head's time on a core for an access, by shelfs that are asked in turn, over a connection to each."""
+def requests(small: bool) -> list[Point]:
+    """A framed head's time on a core for a request, by shelfs that are asked in turn, over a connection to each."""
     import head_cost
 
     async def script(folder: str) -> list[Point]:
@@ -178,7 +178,7 @@
                 held = resident_kib(heads.pid)
             finally:
                 heads.stop()
-            found.append(point({"shelfs": count}, access_ms=told["cpu_us"] / 1000.0, resident_kib=held))
+            found.append(point({"shelfs": count}, request_ms=told["cpu_us"] / 1000.0, resident_kib=held))
         return found
 
     return whole(script)
@@ -190,6 +190,6 @@
         "Framed head with 2,000 volumes, 1,500 shelfs listed; clients of the library, keepalive 5 s as by default. The "
         "clients' side is one process.",
     ),
-    "framed-accesses": (accesses, "Accesses of 4,096 bytes, 40 out at a time, ends of benchmarks/head_cost.py."),
+    "framed-accesses": (requests, "Accesses of 4,096 bytes, 40 out at a time, ends of benchmarks/head_cost.py."),
     "framed-listed": (listed, "Framed head, no clients, no accesses."),
 }
--- a/benchmarks/slopes_head.py
+++ b/benchmarks/slopes_head.py
@@ -95,10 +95,10 @@
         await asyncio.sleep(seconds)
         return (on_core_ms(self.child.pid) - before) / seconds
 
-    async def run(self, clients: list[Client], accesses: int, shards: int) -> tuple[float, int]:
-        """So many accesses, one after the other on each connection, over all shards in turn: ms on a core for each,
+    async def run(self, clients: list[Client], requests: int, shards: int) -> tuple[float, int]:
+        """So many requests, one after the other on each connection, over all shards in turn: ms on a core for each,
         and how many were succeeded."""
-        numbers, succeeded = iter(range(accesses)), 0
+        numbers, succeeded = iter(range(requests)), 0
         before = on_core_ms(self.child.pid)
 
         async def one(client: Client) -> None:
@@ -114,4 +114,4 @@
                 client.seen = 0
 
         await asyncio.gather(*(one(c) for c in clients))
-        return (on_core_ms(self.child.pid) - before) / accesses, succeeded
+        return (on_core_ms(self.child.pid) - before) / requests, succeeded
--- a/benchmarks/slopes_service.py
+++ b/benchmarks/slopes_service.py
@@ -1,4 +1,4 @@
-"""The head in service: what client connections, shelfs of its list, pairs and accesses cost it."""
+"""The head in service: what client connections, shelfs of its list, pairs and requests cost it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from slopes_head import Head  # noqa: E402
 
 REST_S = 3.0
-ACCESSES = 4_000
+REQUESTS = 4_000
 
 
 def whole(script: Callable[[str], Coroutine[Any, Any, list[Point]]]) -> list[Point]:
@@ -98,7 +98,7 @@
 
 
 def pairs(small: bool) -> list[Point]:
-    """Shelfs that are all asked, a connection each: memory, and time on a core of an access that dials and of one that
+    """Shelfs that are all asked, a connection each: memory, and time on a core of a request that dials and of one that
     does not. The shelfs answer at once, from this process."""
 
     async def script(folder: str) -> list[Point]:
@@ -116,7 +116,7 @@
                 up = sum(not conn.lost for peer in peers[:count] for conn in peer.conns)
                 await asyncio.sleep(1.0)
                 rest = await head.at_rest(REST_S)
-                cost, succeeded = await head.run(clients, ACCESSES, count)
+                cost, succeeded = await head.run(clients, REQUESTS, count)
                 after = resident_kib(head.child.pid)
             for peer in peers:
                 peer.conns.clear()
@@ -127,11 +127,11 @@
                     resident_kib=held,
                     grown_kib=held - first,
                     shelf_connections=up,
-                    dialled_access_ms=dials,
+                    dialled_request_ms=dials,
                     dialled_succeeded=well / count,
                     rest_ms_a_s=rest,
-                    access_ms=cost,
-                    succeeded=succeeded / ACCESSES,
+                    request_ms=cost,
+                    succeeded=succeeded / REQUESTS,
                     resident_after_kib=after,
                 )
             )
--- a/pebblehinge/account/__init__.py
+++ b/pebblehinge/account/__init__.py
@@ -1,4 +1,4 @@
-"""Who waited for whom: where the time of accesses went, by volume and shelf. No I/O, no clock."""
+"""Who waited for whom: where the time of requests went, by volume and shelf. No I/O, no clock."""
 
 from pebblehinge.account.books import Books, Share
 
--- a/pebblehinge/account/books.py
+++ b/pebblehinge/account/books.py
@@ -1,4 +1,4 @@
-"""Accounts of waiting. Each millisecond that an access was held, or out, belongs to exactly one cause.
+"""Accounts of waiting. Each millisecond that a request was held, or out, belongs to exactly one cause.
 
 Held while attempts of this head are out at its shelf, it waits for those, in equal parts; held while none is out, for
 the head itself (its plan's limit, the cold of the shelf, a slot that is kept). Out beside other attempts of the head,
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that is out: for which volume, since when, and how long it kept each volume's accesses waiting."""
+    """One attempt that is out: for which volume, since when, and how long it kept each volume's requests waiting."""
 
     volume: str
     units: float
@@ -50,12 +50,12 @@
 
 
 class Books:
-    """Fed with what becomes of accesses, by their key. Keys of accesses that are over are forgotten."""
+    """Fed with what becomes of requests, by their key. Keys of requests that are over are forgotten."""
 
     def __init__(self, most: int = MOST_PAIRS) -> None:
         self.most = most
         self.desks: dict[str, Desk] = {}
-        self.where: dict[int, tuple[str, str, float]] = {}  # held accesses: shelf, volume, units
+        self.where: dict[int, tuple[str, str, float]] = {}  # held requests: shelf, volume, units
         self.usual = 0.0  # ms of a unit's attempt, over all shelfs
         self.waits: dict[tuple[str, str], float] = {}
         self.count: dict[str, int] = {}
@@ -63,7 +63,7 @@
     # ---- what happens
 
     def held(self, now: float, key: int, volume: str, shelf: str, units: float) -> None:
-        """An access is held for a shelf from now on."""
+        """A request is held for a shelf from now on."""
         desk = self._pass(now, shelf)
         desk.held[volume] = desk.held.get(volume, 0) + 1
         if key not in self.where:
@@ -103,7 +103,7 @@
         self.usual += FOLLOWS * self.usual * (0.5 if each > self.usual else -0.5) if self.usual else each
 
     def over(self, now: float, key: int) -> None:
-        """The access is over, whatever it was doing."""
+        """The request is over, whatever it was doing."""
         known = self.where.get(key)
         if known is None:
             return
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -30,7 +30,7 @@
 @click.option("--console", required=True, metavar="HOST:PORT", help="Of the head that is asked.")
 @click.option("--token", default="", help="Where the console wants one.")
 def why(volume: str, console: str, token: str) -> None:
-    """Where the time of VOLUME's accesses went at a head, and behind whom they waited."""
+    """Where the time of VOLUME's requests went at a head, and behind whom they waited."""
     import urllib.error
     import urllib.parse
     import urllib.request
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -178,7 +178,7 @@
     records: str | None,
     seed: int,
 ) -> None:
-    """Ask as a day's clients do, or as captures say; prints what became of the accesses."""
+    """Ask as a day's clients do, or as captures say; prints what became of the requests."""
     from pebblehinge.capture import CaptureError, read_capture
     from pebblehinge.lab.clients import Crowd
     from pebblehinge.lab.replay import Replay, merge
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -56,7 +56,7 @@
     store: str | None,
     pid_path: str | None,
 ) -> None:
-    """Run a head. SIGTERM: nothing new, every accepted access its answer, then exit 0. SIGHUP: settings again."""
+    """Run a head. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
     config = read_settings(file, loopback)
     name = pick(config, "head", name)
     if seed is not None:
--- a/pebblehinge/client/__init__.py
+++ b/pebblehinge/client/__init__.py
@@ -1,4 +1,4 @@
-"""The client library: accesses over one connection to a head, each with exactly one `Result`.
+"""The client library: requests over one connection to a head, each with exactly one `Result`.
 
 client = await connect("127.0.0.1:7000", name="office")
 got = await client.write("vol-1", "tender/42", b"...", profile="bid-save", slot=3, units=2, patience_ms=4000)
--- a/pebblehinge/client/conn.py
+++ b/pebblehinge/client/conn.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """How one access ended. `stay_ms` is the time to keep away before a further try; 0 is none."""
+    """How one request ended. `stay_ms` is the time to keep away before a further try; 0 is none."""
 
     final: str
     stay_ms: float = 0.0
@@ -36,7 +36,7 @@
 
 
 class Client(Peer):
-    """Many accesses on one connection. Made by `connect`."""
+    """Many requests on one connection. Made by `connect`."""
 
     FRAMES = frozenset({Kind.ANSWER, Kind.STOPPING})
 
@@ -84,7 +84,7 @@
         self.open.clear()
 
     def on_stopping(self, reason: str) -> None:
-        """The head takes nothing new: a further access belongs to another one."""
+        """The head takes nothing new: a further request belongs to another one."""
         self.stopping = True
 
     def on_answer(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
@@ -101,9 +101,9 @@
         took = (now - began) * 1000.0
         self._end(id_, future, Result(FINALS[final], stay_ms, reason, slot, data, took), trace)
 
-    # ---- accesses
+    # ---- requests
 
-    def access(
+    def request(
         self,
         volume: str,
         extent: str,
@@ -121,7 +121,7 @@
         again: bool | None = None,
         trace: str = "",
     ) -> asyncio.Future[Result]:
-        """Sends one access; the future gives its Result and never an error. Cancelling it calls it off."""
+        """Sends one request; the future gives its Result and never an error. Cancelling it calls it off."""
         future: asyncio.Future[Result] = self.loop.create_future()
         if self.closed or self.failed:
             future.set_result(Result(LOST, reason=self.why or "the connection is closed"))
@@ -154,21 +154,21 @@
         return future
 
     def read(self, volume: str, extent: str, length: int, **more: Any) -> asyncio.Future[Result]:
-        return self.access(volume, extent, op=READ, length=length, **more)
+        return self.request(volume, extent, op=READ, length=length, **more)
 
     def write(self, volume: str, extent: str, data: bytes, **more: Any) -> asyncio.Future[Result]:
-        return self.access(volume, extent, op=WRITE, data=data, length=len(data), **more)
+        return self.request(volume, extent, op=WRITE, data=data, length=len(data), **more)
 
     def barrier(self, volume: str, **more: Any) -> asyncio.Future[Result]:
         """Honoured: what was confirmed for a buffered volume before lands before what is confirmed after."""
-        return self.access(volume, "-", op=BARRIER, units=1.0, slot=0, **more)
+        return self.request(volume, "-", op=BARRIER, units=1.0, slot=0, **more)
 
     def flush_volume(self, volume: str, **more: Any) -> asyncio.Future[Result]:
         """Honoured: all that was confirmed for a buffered volume stands at its shelfs."""
-        return self.access(volume, "-", op=FLUSH, units=1.0, slot=0, **more)
+        return self.request(volume, "-", op=FLUSH, units=1.0, slot=0, **more)
 
     def cancel(self, id_: int) -> None:
-        """Calls an access off; the head owes nothing more for it."""
+        """Calls a request off; the head owes nothing more for it."""
         known = self.open.pop(id_, None)
         if known is not None:
             known[3].cancel()
--- a/pebblehinge/core/books.py
+++ b/pebblehinge/core/books.py
@@ -1,8 +1,8 @@
 """Between sockets and the decision module: keeps what the module need not know, and decides nothing.
 
 No I/O and no clock: calls come in with the time, what is to be done goes out through `Doing`. An attempt's outcome
-is told as it was; the final answer of an succeeded access is sent here, every other one comes from the module.
-What may come in at all is the front's to say: it admits an access, then has it taken here.
+is told as it was; the final answer of an succeeded request is sent here, every other one comes from the module.
+What may come in at all is the front's to say: it admits a request, then has it taken here.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Protocol
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import Changes, Entry, Final, ListCall, ListKind, Outcome, Settings
 
 if TYPE_CHECKING:
@@ -21,14 +21,14 @@
 FINALS = {Final.REJECTED: REJECTED, Final.FAILED: FAILED}
 
 
-class Taken:
-    """One access that this head took. A front adds what its attempts need."""
+class PendingRequest:
+    """One request that this head took. A front adds what its attempts need."""
 
     __slots__ = (
         "key",
         "conn",
         "id",
-        "access",
+        "request",
         "volume",
         "units",
         "data",
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.key, self.conn, self.volume, self.units, self.data, self.came_ms = 0, None, "", 0.0, b"", 0.0
-        self.access: Access | None = None
+        self.request: Request | None = None
         self.answered = False
         self.attempt: Any = None  # what the link keeps of the attempt that is out
         self.attempts = 0
@@ -55,9 +55,9 @@
 class Doing(Protocol):
     """What the core has done for it."""
 
-    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None: ...
-    def drop_attempt(self, taken: Taken) -> None: ...
-    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
+    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None: ...
+    def drop_attempt(self, taken: PendingRequest) -> None: ...
+    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
     def wake_at(self, at_ms: float) -> None: ...
     def call_list(self, call: ListCall) -> None: ...
 
@@ -68,14 +68,14 @@
     def __init__(self, settings: Settings, seed: int, now: float, doing: Doing, account: Books | None = None) -> None:
         self.doing, self.account = doing, account
         self.module = Head(settings, seed, now)
-        self.taken: dict[int, Taken] = {}  # all that may still get events, by key
+        self.taken: dict[int, PendingRequest] = {}  # all that may still get events, by key
         self.keys = 0
         self.bytes = 0
         self.open = 0  # taken and not yet answered
         self.stopping = False
         self.counts = {"taken": 0, "honoured": 0, "pushed back": 0, "terminated": 0, "left": 0, "refused": 0}
         self.outcomes = {outcome: 0 for outcome in Outcome}
-        self.reasons: dict[str, int] = {}  # why accesses were not succeeded, by the module's own branches
+        self.reasons: dict[str, int] = {}  # why requests were not succeeded, by the module's own branches
         self.retries = self.wakes = 0
         self.now = now
 
@@ -87,7 +87,7 @@
     def accept(
         self,
         now: float,
-        taken: Taken,
+        taken: PendingRequest,
         extent: str | None,
         profile: str,
         plan: str,
@@ -96,21 +96,21 @@
         abandon_ms: float,
         again: bool | None,
     ) -> None:
-        """An access that its front has admitted; volume, units and data stand in it."""
+        """A request that its front has admitted; volume, units and data stand in it."""
         self.keys += 1
         taken.key, taken.came_ms = self.keys, now
         self.taken[taken.key] = taken
         self.open += 1
         self.bytes += len(taken.data)
-        taken.access, changes = self.module.take(
+        taken.request, changes = self.module.take(
             now, taken.key, extent, profile, plan, taken.volume, set_size, slot, taken.units, abandon_ms, again
         )
         # Before what the call changed is done: an attempt that leaves at once was held for no time.
-        if self.account is not None and taken.access.shelf >= 0:
-            self.account.held(now, taken.key, taken.volume, self.module.shelfs.names[taken.access.shelf], taken.units)
+        if self.account is not None and taken.request.shelf >= 0:
+            self.account.held(now, taken.key, taken.volume, self.module.shelfs.names[taken.request.shelf], taken.units)
         self._carry_out(changes, now)
 
-    def left(self, now: float, taken: Taken) -> None:
+    def left(self, now: float, taken: PendingRequest) -> None:
         """Its client is gone, or called it off: nothing more is sent for it."""
         if taken.answered:
             return
@@ -118,26 +118,26 @@
         self.open -= 1
         self.counts["left"] += 1
         self.noted(taken, None, now)
-        assert taken.access is not None
-        changes = taken.access.left(now)
+        assert taken.request is not None
+        changes = taken.request.left(now)
         self._carry_out(changes, now)
         self._forget(taken)
 
     # ---- from shelfs, the listing and the clock
 
     def ended(
-        self, now: float, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
+        self, now: float, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
     ) -> None:
         """An attempt has its outcome, exactly one."""
-        access = taken.access
-        assert access is not None
+        request = taken.request
+        assert request is not None
         self.outcomes[outcome] += 1
         taken.attempt, taken.attempt_ms, self.now = None, took_ms, now
         if outcome is Outcome.SUCCEEDED and not taken.answered:
             self._answer(taken, SUCCEEDED, 0.0, "", data)
         over = taken.answered
         self._account_end(taken, now)
-        changes = access.ended(now, attempt, outcome, over, took_ms)
+        changes = request.ended(now, attempt, outcome, over, took_ms)
         self._carry_out(changes, now)
         self._forget(taken)
 
@@ -158,10 +158,10 @@
         """This life ends: by end_ms (clock time) the module has answered all that is taken."""
         self._carry_out(self.module.leaves(now, end_ms), now)
 
-    def noted(self, taken: Taken, final: int | None, now: float) -> None:
-        """For fronts that keep records: an access is over, by its final answer or (None) since its client left."""
+    def noted(self, taken: PendingRequest, final: int | None, now: float) -> None:
+        """For fronts that keep records: a request is over, by its final answer or (None) since its client left."""
 
-    def _account_end(self, taken: Taken, now: float) -> None:
+    def _account_end(self, taken: PendingRequest, now: float) -> None:
         """An attempt is over. What follows it, if anything, is held anew."""
         if self.account is not None and taken.key in self.account.where:
             self.account.ended(now, taken.key)
@@ -177,9 +177,9 @@
         todo = deque((first,))
         while todo:
             changes = todo.popleft()
-            for access in changes.handles:
-                taken = self.taken[access.id]
-                attempts, cancellations, answer = access.drain()
+            for request in changes.handles:
+                taken = self.taken[request.id]
+                attempts, cancellations, answer = request.drain()
                 for attempt in attempts:
                     self.retries += taken.attempts > 0
                     if self.account is not None:
@@ -196,7 +196,7 @@
                         self.outcomes[Outcome.CANCELLED] += 1
                         took = now - taken.sent_ms
                         self._account_end(taken, now)
-                        todo.append(access.ended(now, number, Outcome.CANCELLED, taken.answered, took))
+                        todo.append(request.ended(now, number, Outcome.CANCELLED, taken.answered, took))
                 if answer is not None:
                     if not taken.answered:
                         self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
@@ -207,8 +207,8 @@
             if changes.wake_ms is not None:
                 self.doing.wake_at(changes.wake_ms)
 
-    def _answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        """The one final answer; whatever comes after finds the access answered."""
+    def _answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        """The one final answer; whatever comes after finds the request answered."""
         if taken.answered:
             return
         taken.answered = True
@@ -217,9 +217,9 @@
         self.noted(taken, final, self.now)
         self.doing.answer(taken, final, stay_ms, reason, data)
 
-    def _forget(self, taken: Taken) -> None:
-        access = taken.access
-        if taken.answered and access is not None and access.over and not access.out:
+    def _forget(self, taken: PendingRequest) -> None:
+        request = taken.request
+        if taken.answered and request is not None and request.over and not request.out:
             if self.taken.pop(taken.key, None) is not None:
                 if self.account is not None:
                     self.account.over(now=self.now, key=taken.key)
--- a/pebblehinge/decide/access.py
+++ b/pebblehinge/decide/access.py
@@ -1,4 +1,4 @@
-"""An access, and the thinktimes of an extent."""
+"""A request, and the thinktimes of an extent."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
         return (bucket + 1) * BUCKET_MS
 
 
-class Access(Calls):
-    """One access, and its handle."""
+class Request(Calls):
+    """One request, and its handle."""
 
     over, held, run = False, False, False
     risk_ms, sent_ms, overtaken = None, 0.0, 0.0  # when the first that may have run left, when the last
 
-    def __lt__(self, other: Access) -> bool:
+    def __lt__(self, other: Request) -> bool:
         return (self.due_ms, self.seq) < (other.due_ms, other.seq)
--- a/pebblehinge/decide/head.py
+++ b/pebblehinge/decide/head.py
@@ -6,15 +6,15 @@
 import random
 from bisect import insort
 
-from pebblehinge.decide.access import Extent
 from pebblehinge.decide.path import Path
+from pebblehinge.decide.request import Extent
 from pebblehinge.decide.shelfs import FOLLOW, KEEPS_MS, Shelfs
 from pebblehinge.interface import Changes, Entry, ListCall, ListKind, Settings
 from pebblehinge.kept import Given, Notes, Past, Store, pack
 
 
 class Head:
-    """One instance. Its parts: shelfs and their health, the path of accesses, notes of what changed."""
+    """One instance. Its parts: shelfs and their health, the path of requests, notes of what changed."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         self.given, self.rng, self.notes = Given(settings), random.Random(seed), Notes(settings.step_ms)
@@ -84,7 +84,7 @@
         path.limits.retries.extend(now - age - t for t in state["further"])
 
     def adopt(self, now: float, settings: Settings) -> Changes:
-        """New settings while accesses are held. Harm: a plan that is gone holds to its end."""
+        """New settings while requests are held. Harm: a plan that is gone holds to its end."""
         self.path.worth.adopt(now, settings.plans != self.given.cfg.plans)
         self.given.adopt(settings)
         self.notes.step_ms = settings.step_ms or 1.0
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -5,7 +5,7 @@
 import math
 from collections import deque
 
-from pebblehinge.decide.access import FLOOR, REMEMBERED, Access
+from pebblehinge.decide.request import FLOOR, REMEMBERED, Request
 from pebblehinge.decide.shelfs import Shelfs
 from pebblehinge.decide.worth import Worth
 from pebblehinge.interface import Idempotency, Outcome
@@ -16,16 +16,16 @@
 
 
 class Limits:
-    """Rules 2 and 4 to 7 of one access's next attempt."""
+    """Rules 2 and 4 to 7 of one request's next attempt."""
 
     def __init__(self, shelfs: Shelfs, worth: Worth, notes: Notes, now: float) -> None:
         self.given, self.shelfs, self.worth, self.notes, self.born = shelfs.given, shelfs, worth, notes, now
-        self.lines = Lines()  # order by key: accesses not over, or with an attempt out
+        self.lines = Lines()  # order by key: requests not over, or with an attempt out
         self.rest_ms: dict[str, float] = {}
-        self.takes, self.retries = deque(), deque()  # attempt budget: when accesses and retries were
-        self.queued = 0  # accesses held for a retry
+        self.takes, self.retries = deque(), deque()  # attempt budget: when requests and retries were
+        self.queued = 0  # requests held for a retry
 
-    def may_go(self, a: Access, now: float) -> bool:
+    def may_go(self, a: Request, now: float) -> bool:
         s = a.shelf
         if not self.shelfs.ready[s] or (a.sent and not self.may_retry(a, now, 0)):
             return False
@@ -41,8 +41,8 @@
             self.notes.wake(at, s)
         return at <= now
 
-    def earliest(self, a: Access, now: float) -> float:
-        """When an access may go, by its volume's limit and by the warmth of its shelf."""
+    def earliest(self, a: Request, now: float) -> float:
+        """When a request may go, by its volume's limit and by the warmth of its shelf."""
         at, s, cfg, a.waits_for = now, a.shelf, self.given.cfg, "its plan's limit"
         if a.plan.limit_rate and not a.sent:  # rule 5: hold for units rather than pass the limit
             lack = a.units - self.worth.store(a, now).limit
@@ -59,12 +59,12 @@
         warms = cfg.warm_ms / max(FLOOR, 1.0 - cfg.cold_share)
         return max(at, min(since + cfg.warm_ms, since + (turn - cfg.cold_share) * warms))
 
-    def may_retry(self, a: Access, now: float, new: int, out: bool = False) -> bool:
+    def may_retry(self, a: Request, now: float, new: int, out: bool = False) -> bool:
         """Rules 2 and 7 for a retry: looked at when queued (new = 1) and when it leaves."""
         until = self.retry_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
         return now <= until and self.spare_retries(now) >= 1 + new * self.queued
 
-    def retry_until(self, a: Access, risk: float | None) -> float:
+    def retry_until(self, a: Request, risk: float | None) -> float:
         """Until when an attempt may begin, by the first that may have run."""
         if risk is None or a.profile.repeat is Idempotency.IDEMPOTENT:
             return math.inf
@@ -72,7 +72,7 @@
         return risk + window - 2 * self.given.cfg.step_ms
 
     def spare_retries(self, now: float) -> float:
-        """Retries still allowed: those made count a little longer than stated, accesses shorter."""
+        """Retries still allowed: those made count a little longer than stated, requests shorter."""
         cfg = self.given.cfg
         while self.takes and self.takes[0] <= now - cfg.budget_window_ms + 2 * cfg.step_ms:
             self.takes.popleft()
@@ -83,26 +83,26 @@
 
     # ---- what has come, gone and ended
 
-    def came(self, a: Access, now: float) -> None:
+    def came(self, a: Request, now: float) -> None:
         self.takes.append(now)
         self.spare_retries(now)
         if a.profile.in_order and a.extent is not None:
             self.lines.join(a.extent, a)
 
-    def sent(self, a: Access, now: float) -> None:
+    def sent(self, a: Request, now: float) -> None:
         if a.sent:
             self.retries.append(now)
             self.queued -= 1
         else:
             self.worth.store(a, now).limit -= a.units if a.plan.limit_rate else 0.0
 
-    def ended(self, a: Access, now: float, outcome: Outcome) -> None:
+    def ended(self, a: Request, now: float, outcome: Outcome) -> None:
         if a.profile.in_order and a.extent is not None and outcome in MAY_STILL_RUN:
             if len(self.rest_ms) > REMEMBERED:
                 self.rest_ms = {k: until for k, until in self.rest_ms.items() if until > now}
             self.rest_ms[a.extent] = now + self.given.cfg.order_settle_ms
 
-    def over(self, a: Access) -> None:
+    def over(self, a: Request) -> None:
         """Nothing is owed any more, and no attempt out: the next of its line may go."""
         if a.profile.in_order and a.extent is not None and not a.out:
             following = self.lines.leave(a.extent, a)
--- a/pebblehinge/decide/path.py
+++ b/pebblehinge/decide/path.py
@@ -1,13 +1,13 @@
-"""The ordinary path of an access, from top to bottom: taken, held, sent, answered or given up."""
+"""The ordinary path of a request, from top to bottom: taken, held, sent, answered or given up."""
 
 from __future__ import annotations
 
 import math
 from bisect import insort
 
-from pebblehinge.decide.access import REMEMBERED, Access, Extent
 from pebblehinge.decide.limits import Limits
 from pebblehinge.decide.refusal import Refusal
+from pebblehinge.decide.request import REMEMBERED, Extent, Request
 from pebblehinge.decide.shelfs import BOUND, LATENCIES, SILENT_MS, TRIAL_GAP_MS, Shelfs
 from pebblehinge.decide.worth import Worth
 from pebblehinge.interface import Attempt, Changes, Idempotency, Outcome
@@ -25,7 +25,7 @@
 
 
 class Path:
-    """What one head does with its accesses."""
+    """What one head does with its requests."""
 
     def __init__(self, shelfs: Shelfs, notes: Notes, now: float) -> None:
         self.given, self.rng, self.shelfs, self.notes = shelfs.given, shelfs.rng, shelfs, notes
@@ -48,9 +48,9 @@
         units: float,
         abandon_ms: float,
         repeat: bool | None = None,
-    ) -> tuple[Access, Changes]:
-        """A client's access has come; a repeat is its further try, None if not told. serve goes on."""
-        a, cfg = Access(), self.given.cfg
+    ) -> tuple[Request, Changes]:
+        """A client's request has come; a repeat is its further try, None if not told. serve goes on."""
+        a, cfg = Request(), self.given.cfg
         a.path, a.id, a.extent, a.volume, a.slot, a.units = self, id_, extent, volume, slot, units
         a.set_size = max(1, set_size)
         a.turn = self.rng.random()
@@ -101,30 +101,30 @@
                 self.send(a, now)
             return
         while held and len(away) < (BOUND if shelfs.cold_ms[s] is None else shelfs.bound[s]):
-            # An access of the finished, awaited or last sent extent goes at once, ahead of the candidate; a
+            # A request of the finished, awaited or last sent extent goes at once, ahead of the candidate; a
             # narrowed bound keeps no run apart, as the shelf saves work on it, but at cold ones (rule 4).
             kept = [w[0] for w in waits]
             runs = [done, shelfs.last_extent[s], *kept]
-            access = next((a for a in held if a.extent and a.extent in runs and may_go(a, now)), None)
-            if access is None:
+            request = next((a for a in held if a.extent and a.extent in runs and may_go(a, now)), None)
+            if request is None:
                 if len(away) < shelfs.bound[s]:
-                    access = next((a for a in held if may_go(a, now)), None)  # earliest due
-                if access is None:
+                    request = next((a for a in held if may_go(a, now)), None)  # earliest due
+                if request is None:
                     break
-                urgent = access.due_ms - now < 2 * shelfs.mean(s, now)
-                if not urgent and done is not None and self.worth_waiting(s, access, done, now):
+                urgent = request.due_ms - now < 2 * shelfs.mean(s, now)
+                if not urgent and done is not None and self.worth_waiting(s, request, done, now):
                     done = None
                     continue
                 if len(away) + len(waits) >= shelfs.bound[s]:
                     if not urgent:
                         break
                     waits.pop(0)
-            elif access.extent in kept:
-                del waits[kept.index(access.extent)]
-            done = None if access.extent != done else done
-            self.send(access, now)
+            elif request.extent in kept:
+                del waits[kept.index(request.extent)]
+            done = None if request.extent != done else done
+            self.send(request, now)
 
-    def worth_waiting(self, s: int, candidate: Access, done: str, now: float) -> bool:
+    def worth_waiting(self, s: int, candidate: Request, done: str, now: float) -> bool:
         """Benefit against cost (paper 3.3); keeps the freed slot for the extent if the wait pays."""
         e, run_ms = self.extents.get(done), self.shelfs.run_ms[s]
         if e is None or e.open or e.answered_ms is None or not e.counts or not run_ms:
@@ -138,7 +138,7 @@
         self.notes.wake(until, s)
         return True
 
-    def send(self, a: Access, now: float) -> None:
+    def send(self, a: Request, now: float) -> None:
         s, shelfs = a.shelf, self.shelfs
         shelfs.held[s].remove(a)
         a.held = False
@@ -158,7 +158,7 @@
         self.notes.wake(now + SILENT_MS + LATENCIES * mean, s)
         self.notes.changed(a)
 
-    def ended(self, a: Access, now: float, outcome: Outcome, over: bool, took: float) -> None:
+    def ended(self, a: Request, now: float, outcome: Outcome, over: bool, took: float) -> None:
         """Its attempt is over: answered already, or it goes again, or it is given up; the freed slot is used."""
         s = a.shelf
         a.out = False
@@ -177,7 +177,7 @@
             e.answered_ms = now if e.open == 0 else None
         self.serve(s, now, a.extent if outcome is Outcome.SUCCEEDED else None)
 
-    def left(self, a: Access, now: float) -> None:
+    def left(self, a: Request, now: float) -> None:
         if not a.over:
             if a.out and self.given.cfg.may_cancel:
                 self.cancel(a)
@@ -185,8 +185,8 @@
             if a.shelf >= 0:
                 self.serve(a.shelf, now, None)
 
-    def retry(self, a: Access, s: int, now: float, outcome: Outcome) -> bool:
-        """Whether a failed access is queued again, for a retry to the only shelf that has its data."""
+    def retry(self, a: Request, s: int, now: float, outcome: Outcome) -> bool:
+        """Whether a failed request is queued again, for a retry to the only shelf that has its data."""
         shelfs = self.shelfs
         vain = not shelfs.ready[s] or now + shelfs.mean(s, now) * a.size > a.abandon_ms
         vain = vain or 0 <= a.slot != shelfs.slots[s]  # its data is elsewhere by now
@@ -198,8 +198,8 @@
         insort(shelfs.held[s], a)
         return True
 
-    def cancel_overtaken(self, answered: Access, s: int, now: float) -> None:
-        """A shelf takes accesses in turn: an attempt that later ones overtook long ago got lost on the way,
+    def cancel_overtaken(self, answered: Request, s: int, now: float) -> None:
+        """A shelf takes requests in turn: an attempt that later ones overtook long ago got lost on the way,
         so it is cancelled and goes again. Harm: long work may be done twice; its units are allowed for."""
         cfg = self.given.cfg
         for a in self.shelfs.away[s]:
@@ -212,7 +212,7 @@
             if lost and useful and cfg.may_cancel and self.limits.may_retry(a, now, 1, True):
                 self.cancel(a)
 
-    def cancel(self, a: Access) -> None:
+    def cancel(self, a: Request) -> None:
         a.overtaken = -math.inf  # asked for once
         a.cancellations.append(a.sent - 1)
         self.notes.changed(a)
--- a/pebblehinge/decide/refusal.py
+++ b/pebblehinge/decide/refusal.py
@@ -5,8 +5,8 @@
 import heapq
 from bisect import insort
 
-from pebblehinge.decide.access import FLOOR, Access, Extent
 from pebblehinge.decide.limits import Limits
+from pebblehinge.decide.request import FLOOR, Extent, Request
 from pebblehinge.decide.shelfs import BOUND
 from pebblehinge.interface import Answer, DeduplicationScope, Final, Idempotency
 
@@ -15,14 +15,14 @@
 
 
 class Refusal:
-    """Places what is held for a shelf and gives up what can't be in time; the one end of an access."""
+    """Places what is held for a shelf and gives up what can't be in time; the one end of a request."""
 
     def __init__(self, limits: Limits, extents: dict[str, Extent]) -> None:
         self.limits, self.extents, self.notes = limits, extents, limits.notes
         self.shelfs, self.worth = limits.shelfs, limits.worth
 
     def shed(self, s: int, now: float) -> None:
-        """Refusal under overload. Each held access is placed at the time its turn should end; where one would
+        """Refusal under overload. Each held request is placed at the time its turn should end; where one would
         miss its due time, the one among it and those before it that earns least for the work is given up.
         One that can no longer be in time by itself counts with its late worth, due when the client leaves.
         Many heads share a shelf and each holds little to choose from: what earns less than usual here needs
@@ -33,7 +33,7 @@
             return
         idle = min(mean, IDLE * shelfs.low_ms)
         down, room, i = shelfs.down(s, now), bound - len(shelfs.away[s]), 0
-        least: list[tuple[float, float, int, Access]] = []  # a heap of those up to i, once one must go
+        least: list[tuple[float, float, int, Request]] = []  # a heap of those up to i, once one must go
         if down and now < shelfs.trial_ms[s]:
             for a in list(held):
                 self.give_up(a, "its shelf is down")
@@ -68,10 +68,10 @@
                 self.give_up(victim, "its time is up" if over else "others earn more there")
                 i -= victim is not a
             i += a.held
-        if held:  # rule 1: whichever shelf an access has come to stand at, the next end is asked for there
+        if held:  # rule 1: whichever shelf a request has come to stand at, the next end is asked for there
             self.notes.wake(min(a.abandon_ms if a.due_ms >= a.abandon_ms else a.due_ms for a in held), s)
 
-    def give_up(self, a: Access, why: str) -> None:
+    def give_up(self, a: Request, why: str) -> None:
         """The final answer, at once. Rejected where trying again is harmless, with a time to stay away,
         drawn, or all come back in step."""
         repeat, group = a.profile.repeat, a.profile.group
@@ -86,7 +86,7 @@
         self.notes.changed(a)
         self.close(a)
 
-    def close(self, a: Access) -> None:
+    def close(self, a: Request) -> None:
         if a.held:
             self.shelfs.held[a.shelf].remove(a)
             a.held = False
--- a/pebblehinge/decide/shelfs.py
+++ b/pebblehinge/decide/shelfs.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from pebblehinge.decide.access import Access
+from pebblehinge.decide.request import Request
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.kept import Columns, Given, Past
 
@@ -13,7 +13,7 @@
 CROWDED = 0.4  # an attempt that takes longer than this part of the shortest expected time narrows the bound
 FORGET = 0.26  # weight of a new latency: 95% of the old is gone after ten (paper 3.3)
 STEADY = 0.2  # the same for the slower average that health and refusals go by
-FOLLOW = 0.03  # by how much what a head knows over all shelfs follows one answer or access
+FOLLOW = 0.03  # by how much what a head knows over all shelfs follows one answer or request
 AGES_MS = 2000.0  # a shelf's mean latency gives way to that of all shelfs at this pace
 ALL_AGE_MS = 10_000.0  # that mean, once nothing answers any more, gives way to nothing at this pace
 KEEPS_MS = 120_000.0  # what an earlier life learned counts for less the longer it lay, at this pace
@@ -117,7 +117,7 @@
             return gone
         return now - self.heard_ms[s] - SILENT_MS >= LATENCIES * self.mean(s, now)
 
-    def note(self, a: Access, s: int, now: float, outcome: Outcome, took: float) -> None:
+    def note(self, a: Request, s: int, now: float, outcome: Outcome, took: float) -> None:
         """What an attempt's outcome says of the shelf's health."""
         if a.sent_ms < self.started[s]:  # to the process before this one: it says nothing of it
             return
@@ -127,7 +127,7 @@
                 self.chill(s, a.sent_ms)
             self.dead[s], self.lost[s] = False, 0
             # Crowding by other heads, slowness and thrashing all show as attempts that take long: fewer go out,
-            # down to one, so that an access waits here, where it can still be chosen or refused.
+            # down to one, so that a request waits here, where it can still be chosen or refused.
             step = 0.1 if took < CROWDED * self.given.shortest_ms else -0.2
             self.width[s] = min(float(BOUND), max(1.0, self.width[s] + step))
             self.bound[s] = int(self.width[s] + 0.5)
--- a/pebblehinge/decide/worth.py
+++ b/pebblehinge/decide/worth.py
@@ -1,10 +1,10 @@
-"""What an access earns, by what its volume is due, and what its volume's limit has left."""
+"""What a request earns, by what its volume is due, and what its volume's limit has left."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-from pebblehinge.decide.access import FLOOR, REMEMBERED, Access
+from pebblehinge.decide.request import FLOOR, REMEMBERED, Request
 from pebblehinge.decide.shelfs import FOLLOW
 from pebblehinge.kept import Given, Store
 
@@ -13,15 +13,15 @@
 
 
 class Worth:
-    """Prices accesses; keeps each volume's stores."""
+    """Prices requests; keeps each volume's stores."""
 
     def __init__(self, given: Given, now: float) -> None:
         self.given = given
         self.known_ms = now  # since when the limit of a volume that is not in stores has surely filled
         self.stores: OrderedDict[str, Store] = OrderedDict()
-        self.usual = 0.0  # what a unit of an access earns in the mean
+        self.usual = 0.0  # what a unit of a request earns in the mean
 
-    def store(self, a: Access, now: float) -> Store:
+    def store(self, a: Request, now: float) -> Store:
         """The volume's stores, filled up to now. The limit's store starts empty with the head and not with
         the volume: a restarted head cannot know what it spent, so it counts on what has surely filled; nor of
         a volume that was forgotten, before the last that was; nor of a plan, before it was adopted."""
@@ -42,8 +42,8 @@
         st.share = min(rate + cfg.most_units, st.share + passed * rate)
         return st
 
-    def price(self, a: Access, now: float) -> None:
-        """What a unit of the access earns: inside the reserve in full, then the share, then the rest."""
+    def price(self, a: Request, now: float) -> None:
+        """What a unit of the request earns: inside the reserve in full, then the share, then the rest."""
         st, cfg = self.store(a, now), self.given.cfg
         full = min(a.units, max(0.0, st.reserve)) if a.plan.reserve else 0.0
         part = min(a.units - full, max(0.0, st.share))
@@ -54,8 +54,8 @@
         a.density = a.profile.importance * a.plan.worth_factor * worth / max(a.units, FLOOR)
         self.usual += max(FOLLOW, 1 / a.seq) * (a.density - self.usual)
 
-    def give_back(self, a: Access) -> None:
-        """What a given up access would have earned is still due to others of its volume."""
+    def give_back(self, a: Request) -> None:
+        """What a given up request would have earned is still due to others of its volume."""
         st = self.stores.get(a.volume)
         if st is not None and not a.sent:
             st.reserve += a.taken[0]
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -5,23 +5,23 @@
 from typing import Any
 
 from pebblehinge.account import Books
-from pebblehinge.core import REJECTED, Core, Taken
+from pebblehinge.core import REJECTED, Core, PendingRequest
 from pebblehinge.core.books import Doing
 from pebblehinge.settings.schema import Config, HeadBlock
 from pebblehinge.wire.frames import APPEND, READ, WRITE
 
 MOST_LEFT_MS = 1e9  # ms, as long as any time that the settings may state
-LEFT = 3  # how a capture writes an access whose client went away
+LEFT = 3  # how a capture writes a request whose client went away
 
 
-class FramedTaken(Taken):
-    """One access, with what its attempts and its records need."""
+class FramedRequest(PendingRequest):
+    """One request, with what its attempts and its records need."""
 
     __slots__ = ("trace", "extent", "slot", "label", "op", "offset", "length", "plan", "profile", "again")
 
 
 class Refusal(Exception):
-    """An access that can't be given to the module; the text goes to its client."""
+    """A request that can't be given to the module; the text goes to its client."""
 
 
 def odd_time(left_ms: float) -> str:
@@ -58,9 +58,9 @@
         offset: int,
         length: int,
         data: bytes,
-    ) -> FramedTaken | None:
-        """An access has come. None where it was refused at the door, and answered."""
-        taken = FramedTaken()
+    ) -> FramedRequest | None:
+        """A request has come. None where it was refused at the door, and answered."""
+        taken = FramedRequest()
         taken.conn, taken.id, taken.trace = conn, id_, trace
         taken.volume, taken.extent, taken.slot, taken.units = volume, extent, slot, units
         taken.label, taken.op, taken.offset, taken.length, taken.data = label or trace, op, offset, length, data
@@ -88,8 +88,8 @@
         )
         return taken
 
-    def _admit(self, taken: FramedTaken, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
-        """The plan and number of heads of an access's volume, or why it can't be taken."""
+    def _admit(self, taken: FramedRequest, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
+        """The plan and number of heads of a request's volume, or why it can't be taken."""
         config, limits = self.config, self.config.limits
         if self.stopping and not getattr(taken.conn, "inside", False):
             raise Refusal("this head is stopping: another one takes new accesses")
@@ -108,8 +108,8 @@
             raise Refusal(why)
         if taken.op not in (READ, WRITE, APPEND) or taken.offset < 0 or not 0 <= taken.length <= limits.frame:
             raise Refusal("no read or write of such a place")
-        if self.open >= limits.accesses:
-            raise Refusal(f"{limits.accesses} accesses are open here already")
+        if self.open >= limits.requests:
+            raise Refusal(f"{limits.requests} accesses are open here already")
         if self.bytes + len(taken.data) > limits.bytes:
             raise Refusal(f"{limits.bytes} bytes of accesses are held here already")
         return volume.plan, volume.heads
@@ -119,7 +119,7 @@
         self.config = config
         self.adopt(now, config.module_settings(self.block))
 
-    def noted(self, taken: FramedTaken, final: int | None, now: float) -> None:
+    def noted(self, taken: FramedRequest, final: int | None, now: float) -> None:
         if self.capture is not None:
             self.capture.add(
                 taken.came_ms,
--- a/pebblehinge/head/clients.py
+++ b/pebblehinge/head/clients.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from pebblehinge.core import SUCCEEDED, Taken
+from pebblehinge.core import SUCCEEDED, PendingRequest
 from pebblehinge.head.house import House
 from pebblehinge.net import Peer
 from pebblehinge.wire import Kind, Session, WireError
@@ -13,7 +13,7 @@
 
 
 class ClientConn(Peer):
-    """One client's connection, with the accesses it has open."""
+    """One client's connection, with the requests it has open."""
 
     FRAMES = frozenset({Kind.TAKE, Kind.CANCEL})
 
@@ -22,7 +22,7 @@
         session = Session("head", server.name, limits.frame, limits.streams, greets=False)
         super().__init__(server.loop, session, limits.stall, limits.keepalive)
         self.server = server
-        self.open: dict[int, Taken | None] = {}
+        self.open: dict[int, PendingRequest | None] = {}
         self.seen: dict[int, Any] = {}  # reads of buffered volumes: what they must show
         self.settled = False  # has heard of the stop, and all that it sent before has come
 
@@ -89,7 +89,7 @@
         if self.open.pop(id_, self) is not self:
             self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
 
-    def answered(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.open.pop(taken.id, None)
         back, seen = self.server.back, self.seen.pop(taken.id, ())
         if back is not None and final == SUCCEEDED and taken.op == 0 and back.buffers(taken.volume):
--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -1,4 +1,4 @@
-"""The door for rsync clients: listens, ends them with the head, and makes every block an access of the head."""
+"""The door for rsync clients: listens, ends them with the head, and makes every block a request of the head."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.config: Config = server.config
         block = self.config.rsync
         self.rng = random.Random(f"{server.block.seed}/{server.name}/door")
-        self.sharing = Sharing(block.accesses, block.each)
+        self.sharing = Sharing(block.requests, block.each)
         self.turns = Turns(self.loop, self.clock, self.sharing)
         self.keeping = Keeping(block.parts, block.parts_for)
         self.places: dict[str, Place] = {}
@@ -80,7 +80,7 @@
         at = self.loop.time() + LOOK_MS / 1000.0
         self.look = self.loop.call_at(at, self._look, at)
 
-    # ---- accesses
+    # ---- requests
 
     def place(self, name: str) -> Place:
         place = self.places.get(name)
@@ -94,7 +94,7 @@
                 volume.slots,
                 most,
                 self.turns,
-                lambda **v: self.inside.access(block.volume, **v),
+                lambda **v: self.inside.request(block.volume, **v),
                 self.keeping,
             )
         return place
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pebblehinge.core import SUCCEEDED, Taken
+from pebblehinge.core import SUCCEEDED, PendingRequest
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.link import ShelfLink
@@ -43,7 +43,7 @@
         self.core = core(config, self.block, self.now, self)
         self.timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
-        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of succeeded accesses
+        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of succeeded requests
         self.listing = ListingLink(
             loop,
             clock,
@@ -61,25 +61,25 @@
 
     # ---- what the core has done
 
-    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         taken.conn.answered(taken, final, stay_ms, reason, data)
         now = self.now
         if final == SUCCEEDED:
             self.latency.record_value(max(1, int((now - taken.came_ms) * 1000.0)))
         self.note(now, "answer", id=taken.trace, final=FINALS[final], stay=stay_ms)
-        if self.config.log.accesses:
+        if self.config.log.requests:
             took = round(now - taken.came_ms, 3)
             self.log.info("answer", id=taken.trace, final=FINALS[final], ms=took, reason=reason)
         if self.core.stopping and not self.core.open:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         link = self.links[shelf]
-        if self.config.log.accesses:
+        if self.config.log.requests:
             self.log.info("trip", id=taken.trace, n=attempt, shelf=shelf)
         link.send(taken, attempt, until_ms, self.now)
 
-    def drop_attempt(self, taken: Taken) -> None:
+    def drop_attempt(self, taken: PendingRequest) -> None:
         taken.attempt.link.drop(taken)
 
     def wake_at(self, at_ms: float) -> None:
--- a/pebblehinge/head/inside.py
+++ b/pebblehinge/head/inside.py
@@ -1,17 +1,17 @@
-"""Accesses that a head makes itself: for rsync clients, and to bring confirmed writes to their shelfs."""
+"""Requests that a head makes itself: for rsync clients, and to bring confirmed writes to their shelfs."""
 
 from __future__ import annotations
 
 import asyncio
 
-from pebblehinge.core import Taken
+from pebblehinge.core import PendingRequest
 from pebblehinge.head.house import House
 
 FINALS = ("honoured", "pushed back", "terminated")
 
 
 class Answered:
-    """How such an access ended."""
+    """How such a request ended."""
 
     __slots__ = ("final", "stay_ms", "reason", "data")
 
@@ -20,7 +20,7 @@
 
 
 class Inside:
-    """To the head's core one more client. Its accesses are taken while the head stops, too: what they belong to was let
+    """To the head's core one more client. Its requests are taken while the head stops, too: what they belong to was let
     in before."""
 
     inside = True
@@ -30,7 +30,7 @@
         self.ids = 0
         self.waiting: dict[int, asyncio.Future[Answered]] = {}
 
-    async def access(
+    async def request(
         self,
         volume: str,
         *,
@@ -47,7 +47,7 @@
         data: bytes,
         label: str | None,
     ) -> Answered:
-        """One access by the head's own core, like any client's. Called off, it is left."""
+        """One request by the head's own core, like any client's. Called off, it is left."""
         server, future = self.server, self.server.loop.create_future()
         self.ids += 1
         id_ = self.ids
@@ -82,7 +82,7 @@
                 server.core.left(server.now, taken)
             raise
 
-    def answered(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         future = self.waiting.pop(taken.id, None)
         if future is not None and not future.done():
             future.set_result(Answered(FINALS[final], stay_ms, reason, data))
--- a/pebblehinge/head/landing.py
+++ b/pebblehinge/head/landing.py
@@ -59,11 +59,11 @@
     async def _land(self, write: Write) -> None:
         step = next_step(write, write.number in self.dirty.risky, None)
         if step == "look":
-            answer = await self._access(write, READ, b"")
+            answer = await self._request(write, READ, b"")
             if answer.final == "honoured":
                 step = next_step(write, True, answer.data)
         if step == "write":
-            answer = await self._access(write, WRITE, write.data)
+            answer = await self._request(write, WRITE, write.data)
             if answer.final != "pushed back":
                 self.dirty.risky[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
@@ -78,11 +78,11 @@
         self.pump()
         self.moved()
 
-    async def _access(self, write: Write, op: int, data: bytes) -> Any:
+    async def _request(self, write: Write, op: int, data: bytes) -> Any:
         volume = self.house.config.volume.get(write.volume)
         back = volume.back if volume is not None and volume.back else write.profile
         number = self.inside.ids + 1
-        return await self.inside.access(
+        return await self.inside.request(
             write.volume,
             op=op,
             extent=write.extent,
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from pebblehinge.core import Taken
+from pebblehinge.core import PendingRequest
 from pebblehinge.head.connection import Wire
 from pebblehinge.head.dial import Dial
 from pebblehinge.interface import Outcome
@@ -56,7 +56,7 @@
 
     # ---- calls
 
-    def send(self, taken: Taken, attempt: int, until_ms: float, now: float) -> None:
+    def send(self, taken: PendingRequest, attempt: int, until_ms: float, now: float) -> None:
         out = Out()
         self.numbers += 1
         out.number, out.taken, out.attempt, out.until_ms, out.sent_ms = self.numbers, taken, attempt, until_ms, now
@@ -70,7 +70,7 @@
         if self.wire is None:
             self.dial.connect()
 
-    def drop(self, taken: Taken) -> None:
+    def drop(self, taken: PendingRequest) -> None:
         """Nobody waits for this attempt any more; its shelf is told, the caller knows the outcome."""
         out = taken.attempt
         out.timer.cancel()
@@ -162,7 +162,7 @@
     def came(self, number: int, status: int, reason: str, data: bytes) -> None:
         out = self.out.pop(number, None)
         if out is None or status >= len(STATUS):
-            self.late += 1  # timed out or cancelled before: its access has its answer, nothing is sent again
+            self.late += 1  # timed out or cancelled before: its request has its answer, nothing is sent again
             if out is not None:
                 self._end(out, self.now, Outcome.SERVER_ERROR)
             return
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/head/metrics.py
@@ -1,4 +1,4 @@
-"""What a head tells prometheus: read from its books when asked, at no cost to an access."""
+"""What a head tells prometheus: read from its books when asked, at no cost to a request."""
 
 from __future__ import annotations
 
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -72,7 +72,7 @@
     # ---- stopping
 
     def stop(self, why: str) -> None:
-        """Takes nothing new, gives every accepted access its answer within its own time, then is stopped."""
+        """Takes nothing new, gives every accepted request its answer within its own time, then is stopped."""
         if self.core.stopping:
             return
         self.core.stopping = True
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -1,6 +1,6 @@
 """Buffered volumes of a head: confirms writes from its journal, brings them to their shelfs, lays them over reads.
 
-Decides nothing: `store.flushing` says what is taken and what goes when, the decision module all of an access.
+Decides nothing: `store.flushing` says what is taken and what goes when, the decision module all of a request.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pebblehinge.core import FAILED, REJECTED, SUCCEEDED, Taken
+from pebblehinge.core import FAILED, REJECTED, SUCCEEDED, PendingRequest
 from pebblehinge.head.admission import odd_time
 from pebblehinge.head.buffered_request import Asked
 from pebblehinge.head.house import House
@@ -78,7 +78,7 @@
         length: int,
         data: bytes,
     ) -> bool:
-        """True where the access is this one's: a write, a barrier or a flush; a read that dirty writes cover whole."""
+        """True where the request is this one's: a write, a barrier or a flush; a read that dirty writes cover whole."""
         now = self.server.now
         if op == READ:
             found = self.dirty.newest(volume, extent, offset, length) if length else None
@@ -168,7 +168,7 @@
         """Dirty writes that a read must show, even if they land while it is on its way and it did not see them."""
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
-    def after_read(self, taken: Taken, seen: tuple[Write, ...], data: bytes) -> bytes:
+    def after_read(self, taken: PendingRequest, seen: tuple[Write, ...], data: bytes) -> bytes:
         shown = Dirty()
         for write in seen:
             shown.add(0.0, write)
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -1,12 +1,12 @@
 """Types that pass between the decision module and whatever feeds it and acts for it.
 
 How to call the module (`decide/`): Head(settings, seed, now), then head.start(now) once. head.take(...) gives the
-handle of an access and what changed; all that later happens to that access is a call on its handle: ended (an attempt's
-outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs, head.woken says
-that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new attempts,
-cancellations and final answer, then the next wake and the calls to the list. head.adopt takes new settings in service:
-what is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what was
-learned, head.recall takes it up in a later life, before the first list.
+handle of a request and what changed; all that later happens to that request is a call on its handle: ended (an
+attempt's outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs,
+head.woken says that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new
+attempts, cancellations and final answer, then the next wake and the calls to the list. head.adopt takes new settings in
+service: what is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what
+was learned, head.recall takes it up in a later life, before the first list.
 
 Times are milliseconds with fractions on the caller's clock; nothing in the module reads another. Rates are units a
 second, ids are as given by the caller. There are no decisions here.
@@ -20,7 +20,7 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of an access would do."""
+    """What a repeat of a request would do."""
 
     IDEMPOTENT = "redoable"
     IDEMPOTENT_WITH_KEY = "labelled"
@@ -28,7 +28,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which shelfs drop a repeat of a keyed access."""
+    """Which shelfs drop a repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Profile:
-    """A kind of access, as the settings state it."""
+    """A kind of request, as the settings state it."""
 
     name: str
     importance: float
@@ -162,7 +162,7 @@
 
 
 class Handle(Protocol):
-    """The handle of one access, as callers see it; what its calls mean stands in decide/access.py."""
+    """The handle of one request, as callers see it; what its calls mean stands in decide/request.py."""
 
     id: int
     seq: int
--- a/pebblehinge/kept/__init__.py
+++ b/pebblehinge/kept/__init__.py
@@ -1,5 +1,5 @@
 """What the decision module keeps book of with no decision in it: settings by name, handles, wakes and changes, columns
-under dense places, lines of accesses, memory packed."""
+under dense places, lines of requests, memory packed."""
 
 from pebblehinge.kept.calls import Calls
 from pebblehinge.kept.columns import Columns
--- a/pebblehinge/kept/calls.py
+++ b/pebblehinge/kept/calls.py
@@ -1,4 +1,4 @@
-"""The calls on the handle of an access."""
+"""The calls on the handle of a request."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class Calls:
-    """A handle: its calls go to the path that its access is on. What the last one changed is in attempts, cancellations
-    and answer."""
+    """A handle: its calls go to the path that its request is on. What the last one changed is in attempts,
+    cancellations and answer."""
 
     path: Any  # decides what a call means: ended, left, and the notes of what changed
     sent, out = 0, False  # attempts so far; whether one is out
--- a/pebblehinge/kept/lines.py
+++ b/pebblehinge/kept/lines.py
@@ -1,4 +1,4 @@
-"""Lines of accesses, one a key, first come first."""
+"""Lines of requests, one a key, first come first."""
 
 from __future__ import annotations
 
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -93,7 +93,7 @@
     # ---- the day
 
     def start(self, start_ms: float) -> None:
-        """Begins at a time of the clock; `ended` is set when the last access has its end."""
+        """Begins at a time of the clock; `ended` is set when the last request has its end."""
         self.start_ms = start_ms
         for t in self.cuts:
             self._at(start_ms + t.at, self._cut, t.by or 0.0, start_ms + t.at + (t.last or 0.0))
@@ -139,7 +139,7 @@
             self.ended.set_result(None)
 
     async def _run(self, ask: Ask, at_ms: float) -> None:
-        """A run: each access follows the one before by a thinktime, at the latest after its expected time."""
+        """A run: each request follows the one before by a thinktime, at the latest after its expected time."""
         expected = self.config.profile[ask.profile].expected
         following: list[asyncio.Task] = []
         for i, units in enumerate(ask.units):
@@ -147,11 +147,11 @@
                 await asyncio.wait(following[-1:], timeout=expected / 1000.0)
                 await asyncio.sleep(ask.gaps[i - 1] / 1000.0)
                 at_ms = self.clock()
-            following.append(self.loop.create_task(self._access(ask, units, at_ms)))
+            following.append(self.loop.create_task(self._request(ask, units, at_ms)))
         await asyncio.gather(*following)
 
-    async def _access(self, ask: Ask, units: float, at_ms: float) -> None:
-        """One access of a client with its further tries; what is due counts from the time it was meant for."""
+    async def _request(self, ask: Ask, units: float, at_ms: float) -> None:
+        """One request of a client with its further tries; what is due counts from the time it was meant for."""
         config, profile = self.config, self.config.profile[ask.profile]
         self.numbers += 1
         op = f"{self.name}-{self.numbers}"
@@ -177,7 +177,7 @@
             client = self._conn(ask.head)
             if client is None:
                 return Result("pushed back", reason=CONNECT_FAILED)
-            future = client.access(
+            future = client.request(
                 ask.volume,
                 ask.extent,
                 profile=ask.profile,
--- a/pebblehinge/lab/load.py
+++ b/pebblehinge/lab/load.py
@@ -1,6 +1,6 @@
 """What clients ask, drawn ahead from a seed: volumes, their ways, runs, surges, troubles of the load. No I/O.
 
-The load is open: when a run begins never depends on answers. Within a run the next access follows the answer
+The load is open: when a run begins never depends on answers. Within a run the next request follows the answer
 of the one before by a thinktime, or its expected time where no answer came by then.
 """
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Ask:
-    """One run of accesses on one extent; `at_ms` from the load's beginning."""
+    """One run of requests on one extent; `at_ms` from the load's beginning."""
 
     at_ms: float
     volume: str
@@ -32,7 +32,7 @@
     head: str
     op: int
     units: list[float]
-    gaps: list[float]  # thinktimes before the second access and those after
+    gaps: list[float]  # thinktimes before the second request and those after
     size: int
     again: int = 0
 
--- a/pebblehinge/lab/replay.py
+++ b/pebblehinge/lab/replay.py
@@ -10,7 +10,7 @@
 from pebblehinge.settings import Config
 from pebblehinge.wire.frames import READ, WRITE
 
-RUN_MS = 5_000.0  # accesses of an extent this close are kept or left out together
+RUN_MS = 5_000.0  # requests of an extent this close are kept or left out together
 
 
 def merge(captures: list[Capture]) -> tuple[list[tuple[float, str, Row]], list[str]]:
@@ -34,7 +34,7 @@
 
 
 def stays(seed: int, row: Row, at: float, copy: int) -> float:
-    """A number from 0 to 1 that all accesses of one run share."""
+    """A number from 0 to 1 that all requests of one run share."""
     return digest(f"{seed}/{row.volume}/{row.extent}/{int(at / RUN_MS)}/{copy}") / 2**32
 
 
--- a/pebblehinge/lab/report.py
+++ b/pebblehinge/lab/report.py
@@ -32,7 +32,7 @@
 
 
 def series(day: Day) -> dict[str, np.ndarray]:
-    """Second by second: accesses by end, service, latency percentiles."""
+    """Second by second: requests by end, service, latency percentiles."""
     if not day.ops:
         return {}
     seconds = int((max(op["t"] for op in day.ops.values()) - day.begin) / 1000.0) + 1
--- a/pebblehinge/lab/rules_of_pace.py
+++ b/pebblehinge/lab/rules_of_pace.py
@@ -10,7 +10,7 @@
 
 
 def order(day: Facts) -> Verdict:
-    """Rule 6: accesses of one key at one head run one at a time, in the order in which they came."""
+    """Rule 6: requests of one key at one head run one at a time, in the order in which they came."""
     v = Verdict()
     ordered = {name for name, p in day.config.profile.items() if p.in_order}
     if not ordered:
--- a/pebblehinge/lab/seen.py
+++ b/pebblehinge/lab/seen.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Try:
-    """One access as its client saw it."""
+    """One request as its client saw it."""
 
     id: str
     op: dict[str, Any]
--- a/pebblehinge/plan/demand.py
+++ b/pebblehinge/plan/demand.py
@@ -9,9 +9,9 @@
 from pebblehinge.capture import Row
 from pebblehinge.settings import Config
 
-FEWEST = 60  # accesses below which no answer is honest
+FEWEST = 60  # requests below which no answer is honest
 WAY_MS = 0.3  # of an attempt, on the network of one site
-REMEMBER_MS = 2_000.0  # a further access of an extent within this counts as one of a run
+REMEMBER_MS = 2_000.0  # a further request of an extent within this counts as one of a run
 
 
 class PlanError(Exception):
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Demand:
-    """One row an access, in order of time; `at` in ms from 0."""
+    """One row a request, in order of time; `at` in ms from 0."""
 
     at: np.ndarray
     volume: np.ndarray
@@ -29,7 +29,7 @@
     slot: np.ndarray
     units: np.ndarray
     write: np.ndarray
-    run: np.ndarray  # an access of an extent that its shelf surely remembers
+    run: np.ndarray  # a request of an extent that its shelf surely remembers
     attempt_ms: np.ndarray  # 0 where no attempt was succeeded
     first: np.ndarray  # succeeded at the first attempt
     volumes: list[str]
--- a/pebblehinge/plan/formulas.py
+++ b/pebblehinge/plan/formulas.py
@@ -1,4 +1,4 @@
-"""A first answer by queueing formulas, in a second or two for a million accesses.
+"""A first answer by queueing formulas, in a second or two for a million requests.
 
 Each shelf is c cores before one queue. Second by second and shelf by shelf the demand's load (work over what the
 cores can do) gives the part that is answered in time: below saturation by the waiting time of M/G/c (Allen and
@@ -65,7 +65,7 @@
 
 
 def in_time(cores: int, rho: float, mean_ms: float, allowed_ms: float, spread: float) -> float:
-    """The part of accesses whose wait and service end within what is allowed; `spread` is (ca^2 + cs^2) / 2."""
+    """The part of requests whose wait and service end within what is allowed; `spread` is (ca^2 + cs^2) / 2."""
     slack = allowed_ms - 1.6 * mean_ms
     if slack <= 0:
         return max(0.0, 1.0 - math.exp(-allowed_ms / max(mean_ms, 1e-6)))
@@ -146,9 +146,9 @@
 
 
 def limit_parts(demand: Demand, config: Config, multiple: float) -> np.ndarray:
-    """For each access the part of its volume's demand in that second that the plan's limit lets through.
+    """For each request the part of its volume's demand in that second that the plan's limit lets through.
 
-    A volume's store is dealt out evenly among its heads while the accesses are not: what the busiest head may
+    A volume's store is dealt out evenly among its heads while the requests are not: what the busiest head may
     send is less than the whole limit, so the level is reckoned with the even parts and the uneven use.
     """
     let = np.ones(len(demand.at))
--- a/pebblehinge/plan/limits.py
+++ b/pebblehinge/plan/limits.py
@@ -51,7 +51,7 @@
             )
         )
     streams = config.limits.streams
-    busy = peak * 0.2 / heads  # open at once at a head, were every access open for 200 ms
+    busy = peak * 0.2 / heads  # open at once at a head, were every request open for 200 ms
     found.append(
         Limit(
             "streams",
@@ -64,8 +64,8 @@
         Limit(
             "accesses",
             "a head",
-            config.limits.accesses / max(1e-9, busy),
-            f"{busy:.0f} accesses open at a head, {config.limits.accesses} allowed",
+            config.limits.requests / max(1e-9, busy),
+            f"{busy:.0f} accesses open at a head, {config.limits.requests} allowed",
         )
     )
     rho = estimate(demand, config, slots).rho.max(axis=1)
--- a/pebblehinge/rsync/__init__.py
+++ b/pebblehinge/rsync/__init__.py
@@ -7,7 +7,7 @@
 files, `file_receiver` takes them, `deletion` removes what is left over.
 
 `tree` says how files lie in extents; `module_store` and `directory_log` keep a module's directories, `transfer` reads
-and commits them by accesses, `file_content` and `file_writer` move blocks. `sharing` decides how many accesses may be
+and commits them by requests, `file_content` and `file_writer` move blocks. `sharing` decides how many requests may be
 under way, `turns` carries that out. docs/rsync.md says what of the protocol is in.
 """
 
--- a/pebblehinge/rsync/directory_log.py
+++ b/pebblehinge/rsync/directory_log.py
@@ -12,7 +12,7 @@
 from pebblehinge.rsync.transfer import Transfer
 from pebblehinge.rsync.tree import Entry, Folder, folder_extent, packed
 
-PIECE = 256 << 10  # of a log in one access
+PIECE = 256 << 10  # of a log in one request
 MOST_APPEND = 128 << 10  # bytes of records in one append
 
 
--- a/pebblehinge/rsync/module_state.py
+++ b/pebblehinge/rsync/module_state.py
@@ -13,7 +13,7 @@
 
 
 class Answer(Protocol):
-    """How one access ended."""
+    """How one request ended."""
 
     final: str
     stay_ms: float
@@ -21,11 +21,11 @@
     data: bytes
 
 
-Access = Callable[..., Awaitable[Answer]]
+Request = Callable[..., Awaitable[Answer]]
 
 
 class Refused(RsyncError):
-    """An access got no better answer in the transfer's time; the text says which and why."""
+    """A request got no better answer in the transfer's time; the text says which and why."""
 
 
 class Log(Protocol):
@@ -43,7 +43,7 @@
     slots: list[int]
     most_units: float
     turns: Turns
-    access: Access
+    request: Request
     keeping: Keeping
     landed: int
     unsure: int
--- a/pebblehinge/rsync/module_store.py
+++ b/pebblehinge/rsync/module_store.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 
 from pebblehinge.rsync.directory_log import DirectoryLog
-from pebblehinge.rsync.module_state import Access
+from pebblehinge.rsync.module_state import Request
 from pebblehinge.rsync.sharing import Keeping
 from pebblehinge.rsync.turns import Turns
 from pebblehinge.settings.schema import ModuleBlock
@@ -23,11 +23,11 @@
         slots: list[int],
         most_units: float,
         turns: Turns,
-        access: Access,
+        request: Request,
         keeping: Keeping,
     ) -> None:
         self.name, self.block, self.slots, self.most_units = name, block, slots, most_units
-        self.turns, self.access, self.keeping = turns, access, keeping
+        self.turns, self.request, self.keeping = turns, request, keeping
         self.folders: OrderedDict[bytes, DirectoryLog] = OrderedDict()
         self.landed = self.unsure = self.appends = 0
 
--- a/pebblehinge/rsync/sharing.py
+++ b/pebblehinge/rsync/sharing.py
@@ -1,9 +1,9 @@
-"""How many accesses of transfers are under way, whose is next, what follows an answer, what is kept. No I/O, no clock.
+"""How many requests of transfers are under way, whose is next, what follows an answer, what is kept. No I/O, no clock.
 
-A transfer asks for a turn for each access. Turns are granted while fewer are out than the window, to the transfer that
+A transfer asks for a turn for each request. Turns are granted while fewer are out than the window, to the transfer that
 was served least for its weight; so a folder of a thousand files gets no more than one file beside it. The window goes
 by what the head and its shelfs bear: it grows by one a round while answers come in their usual time, and shrinks when
-they take longer or are rejected. Each access still goes through the decision module, which says when and where.
+they take longer or are rejected. Each request still goes through the decision module, which says when and where.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from typing import Any
 
 LEAST = 2.0
-SLOWER = 2.5  # times the usual time of an access, beyond which the window shrinks
+SLOWER = 2.5  # times the usual time of a request, beyond which the window shrinks
 SHRINK_SLOW, SHRINK_REFUSED = 0.85, 0.6
 FORGETS = 0.001  # by how much the usual time creeps up with each answer: a fleet may have become slower for good
-LEAST_PATIENCE = 50.0  # an access with less time left is not worth sending
+LEAST_PATIENCE = 50.0  # a request with less time left is not worth sending
 BACKOFF = 50.0
 MOST_BACKOFF = 2_000.0
 
 
 @dataclass(slots=True)
 class Turn:
-    """One access that waits for its turn, or is out."""
+    """One request that waits for its turn, or is out."""
 
     transfer: Share
     units: float
@@ -47,7 +47,7 @@
 
 
 class Sharing:
-    """Turns of all transfers of one head. `most` accesses out together, `each` of one transfer."""
+    """Turns of all transfers of one head. `most` requests out together, `each` of one transfer."""
 
     def __init__(self, most: int, each: int) -> None:
         self.most, self.each = most, each
@@ -55,7 +55,7 @@
         self.out = 0
         self.shares: dict[int, Share] = {}
         self.keys = 0
-        self.usual = math.inf  # ms an access of a unit takes when it is not in a crowd
+        self.usual = math.inf  # ms a request of a unit takes when it is not in a crowd
         self.shrunk_ms = -math.inf
 
     def begin(self, now: float, patience_ms: float, weight: float = 1.0) -> Share:
@@ -66,7 +66,7 @@
         return share
 
     def end(self, share: Share) -> list[Turn]:
-        """A transfer is over: what it waited for falls away. Accesses that are out still come back to `ended`."""
+        """A transfer is over: what it waited for falls away. Requests that are out still come back to `ended`."""
         self.shares.pop(share.key, None)
         dropped = list(share.waiting)
         share.waiting.clear()
@@ -78,7 +78,7 @@
         return turn
 
     def again(self, turn: Turn) -> None:
-        """The same access once more: it stands first."""
+        """The same request once more: it stands first."""
         turn.tries += 1
         turn.transfer.waiting.appendleft(turn)
 
@@ -103,12 +103,12 @@
         return min((s.away_until for s in self.shares.values() if s.waiting and s.away_until > now), default=math.inf)
 
     def patience(self, now: float, share: Share, usual_ms: float) -> float:
-        """The time that an access may take: its profile's, but no more than the transfer has left; 0: none is left."""
+        """The time that a request may take: its profile's, but no more than the transfer has left; 0: none is left."""
         left = min(usual_ms, share.deadline_ms - now)
         return left if left >= LEAST_PATIENCE else 0.0
 
     def ended(self, now: float, turn: Turn, final: str, stay_ms: float) -> None:
-        """An access has its answer: succeeded, rejected, failed or anything else that is no success."""
+        """A request has its answer: succeeded, rejected, failed or anything else that is no success."""
         self.out -= 1
         share = turn.transfer
         share.out -= 1
@@ -131,7 +131,7 @@
             self.shrunk_ms = now + max(20.0, round_ms)
 
     def after(self, now: float, turn: Turn, final: str, stay_ms: float, repeatable: bool) -> float | None:
-        """How long to wait before the same access goes once more, or None for never. What was rejected ran nowhere,
+        """How long to wait before the same request goes once more, or None for never. What was rejected ran nowhere,
         so it may always; what ended otherwise only where a second time does no harm."""
         if final == "honoured" or (final != "pushed back" and not repeatable):
             return None
@@ -196,7 +196,7 @@
 
 def admits(transfers: int, most: int, stopping: bool, lagging: bool) -> str | None:
     """Whether a new transfer may begin, or why not: a head that is late with its own work takes no more of them, since
-    a transfer can come again and the accesses beside it can't."""
+    a transfer can come again and the requests beside it can't."""
     if stopping:
         return "this head is stopping, another one takes new transfers"
     if transfers >= most:
--- a/pebblehinge/rsync/transfer.py
+++ b/pebblehinge/rsync/transfer.py
@@ -1,7 +1,7 @@
-"""One client's transfer over a module: accesses in their turns, and the directory entries that it reads and commits.
+"""One client's transfer over a module: requests in their turns, and the directory entries that it reads and commits.
 
-Decides nothing: `sharing` says when and whether again, the head's decision module all of an access. The loop, the clock
-and `access`, which makes one access and gives its result, are handed in.
+Decides nothing: `sharing` says when and whether again, the head's decision module all of a request. The loop, the clock
+and `request`, which makes one request and gives its result, are handed in.
 """
 
 from __future__ import annotations
@@ -52,10 +52,10 @@
         if not task.cancelled():
             task.exception()  # whoever awaits it sees it; one that is awaited by none any more was called off with it
 
-    # ---- accesses
+    # ---- requests
 
     async def _do(self, op: int, extent: str, profile: str, units: float, repeatable: bool, **more: Any) -> Answer:
-        """One access, and again as long as that is right; the last answer."""
+        """One request, and again as long as that is right; the last answer."""
         units = max(1.0, min(units, self.place.most_units))
         turn = await self.turns.turn(self.share, units)
         while True:
@@ -65,7 +65,7 @@
                 if not patience:
                     raise Refused("the transfer's time is over", TIMEOUT)
                 self.count += 1
-                answer = await self.place.access(
+                answer = await self.place.request(
                     op=op,
                     extent=extent,
                     slot=slot_of(extent, self.place.slots),
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection: what comes on it, one open access at most, and the one end of what is owed there.
+"""A client's connection: what comes on it, one open request at most, and the one end of what is owed there.
 
 A request that is not in the protocol's form is answered with an error, and its connection is closed behind it: what
 else waits on it is not worth reading. Nothing of it has gone anywhere.
@@ -15,7 +15,7 @@
 
 from pebblehinge.http1 import BODY_LIMIT, HttpError, HttpRequest, RequestParser, write_answer
 from pebblehinge.service.peek import ended, readable
-from pebblehinge.service.requests import Asked, ServiceTaken, read_access
+from pebblehinge.service.requests import Asked, ServiceRequest, read_request
 
 AHEAD_LIMIT = 2 * BODY_LIMIT  # bytes of requests sent ahead; clients send one request at a time
 
@@ -37,7 +37,7 @@
 
 
 class ClientConn(asyncio.Protocol):
-    """One client's connection. At most one access of it is open; what was sent ahead waits for its answer."""
+    """One client's connection. At most one request of it is open; what was sent ahead waits for its answer."""
 
     __slots__ = (
         "door",
@@ -60,12 +60,12 @@
         self.door, self.sock = door, sock
         self.transport: Any = None
         self.requests = RequestParser()
-        self.taken: ServiceTaken | None = None
+        self.taken: ServiceRequest | None = None
         self.keeps = self.counted = True
         self.waits = False  # for what lies unread
         self.over = False  # more was sent ahead than is kept: what comes now is read and dropped
         self.full = self.closing = False
-        self.since = self.until = 0.0  # until when the client of the last access waits for its answer
+        self.since = self.until = 0.0  # until when the client of the last request waits for its answer
         self.shelved: dict[ClientConn, None] | None = None  # the door's book that it stands in
 
     def connection_made(self, transport: Any) -> None:
@@ -124,13 +124,13 @@
             well = request.target.endswith(b"live") or door.owner.ready()
             self.reply(200 if well else 503)
             return
-        asked = read_access(request, door.owner.config)
+        asked = read_request(request, door.owner.config)
         if asked.id in door.ids:
             raise HttpError(400, "X-Request-Id: open already")
         door.take(self, asked, request.body)
 
     def answered(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        """The final answer of the access that is open here; what waits is looked at in a turn of its own."""
+        """The final answer of the request that is open here; what waits is looked at in a turn of its own."""
         self.settle()
         self.reply(status, body, extra)
         if not self.closing:
@@ -139,7 +139,7 @@
                 self.door.owner.loop.call_soon(self.go_on)
 
     def settle(self) -> None:
-        """No access is open here any more."""
+        """No request is open here any more."""
         if self.taken is not None:
             self.door.ids.discard(self.taken.id)
             self.taken = None
@@ -147,7 +147,7 @@
     def reply(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         """An answer, whole; where it ends the connection, it says so."""
         if not self.closing:
-            # While the head leaves, what came behind this access is owed an answer too.
+            # While the head leaves, what came behind this request is owed an answer too.
             keeps = self.keeps and not (self.door.closes and not self.requests.buffer and self.quiet())
             self.transport.write(write_answer(status, body, keeps, extra))
             if not keeps:
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.core import REJECTED, SUCCEEDED, Core, Taken
+from pebblehinge.core import REJECTED, SUCCEEDED, Core, PendingRequest
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import ServiceConfig
-from pebblehinge.service.requests import Asked, ServiceTaken
+from pebblehinge.service.requests import Asked, ServiceRequest
 
 
 def retry_after(stay_ms: float) -> bytes:
@@ -47,12 +47,12 @@
         self.owner = owner
         self.fresh: dict[ClientConn, None] = {}  # nothing yet, or part of a request
         self.idle: dict[ClientConn, None] = {}
-        self.busy: dict[ClientConn, None] = {}  # an access is open
+        self.busy: dict[ClientConn, None] = {}  # a request is open
         self.closing: dict[ClientConn, None] = {}
-        self.ids: set[str] = set()  # of accesses that are open
+        self.ids: set[str] = set()  # of requests that are open
         self.count = 0
         self.refused = self.spared = self.unserved = 0
-        self.gone = 0  # accesses of which no attempt was begun, since their client had closed
+        self.gone = 0  # requests of which no attempt was begun, since their client had closed
         self.leaving = False  # SIGTERM has come: none can come back that is sent away
         self.closes = False  # every answer ends its connection
 
@@ -70,7 +70,7 @@
         if owner.core.open >= owner.config.most_open:
             conn.reply(503, extra=retry_after(owner.config.settings.stay_away_max_ms))
             return
-        taken = ServiceTaken()
+        taken = ServiceRequest()
         taken.conn, taken.id, taken.volume, taken.units, taken.data = conn, asked.id, asked.volume, asked.units, body
         taken.head = asked.head
         conn.taken = taken
@@ -85,7 +85,7 @@
             now, taken, asked.extent, asked.profile, asked.plan, asked.set_size, asked.slot, abandon, again
         )
 
-    def answer(self, taken: Taken, final: int, stay_ms: float, data: bytes) -> None:
+    def answer(self, taken: PendingRequest, final: int, stay_ms: float, data: bytes) -> None:
         conn: ClientConn = taken.conn
         if conn.taken is not taken:
             return  # its client has gone
@@ -96,8 +96,8 @@
         else:
             conn.answered(502)
 
-    def wanted(self, taken: Taken) -> bool:
-        """Whether anything may still be begun for an access: it has no answer, and its client is there."""
+    def wanted(self, taken: PendingRequest) -> bool:
+        """Whether anything may still be begun for a request: it has no answer, and its client is there."""
         if not taken.answered and taken.conn.gone():
             self.owner.loop.call_soon(self._lose, taken.conn)
             self.gone += 1
@@ -140,7 +140,7 @@
                 conn.close()
 
     def spare(self, now: float) -> bool:
-        """Ends one connection with no access open, where there is one: one that is closing, has said nothing for a
+        """Ends one connection with no request open, where there is one: one that is closing, has said nothing for a
         while, or is idle longest."""
         for book, least in ((self.closing, 100.0), (self.fresh, 300.0), (self.idle, 0.0), (self.fresh, 0.0)):
             for conn in book:
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pebblehinge.core import Taken
+from pebblehinge.core import PendingRequest
 from pebblehinge.http1 import HttpError, HttpResponse, ResponseParser
 from pebblehinge.interface import Outcome
 
@@ -35,7 +35,7 @@
 
     __slots__ = ("taken", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms", "written")
 
-    def __init__(self, taken: Taken, number: int, shelf: Shelf, until_ms: float, now: float) -> None:
+    def __init__(self, taken: PendingRequest, number: int, shelf: Shelf, until_ms: float, now: float) -> None:
         self.taken, self.number, self.shelf, self.until_ms, self.sent_ms = taken, number, shelf, until_ms, now
         self.begin_by_ms = taken.begin_by_ms  # its last byte has to be gone by then, or it is not sent
         self.conn: ShelfConn | None = None
@@ -53,7 +53,7 @@
         self.name, self.address = name, address
         self.idle: list[ShelfConn] = []
         self.attempts = 0  # out
-        self.listed = True  # and wants new accesses
+        self.listed = True  # and wants new requests
 
 
 class ShelfConn(asyncio.Protocol):
@@ -78,7 +78,7 @@
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def leads_on(self) -> bool:
-        """To where the list still wants accesses."""
+        """To where the list still wants requests."""
         return self.shelf.listed and self.address == self.shelf.address
 
     def usable(self) -> bool:
@@ -139,7 +139,7 @@
 
 
 def outcome_of(answer: HttpResponse) -> Outcome:
-    """What a whole answer says. Only on 503 and 504 a shelf can say that it has not run the access."""
+    """What a whole answer says. Only on 503 and 504 a shelf can say that it has not run the request."""
     if answer.status == 200:
         return Outcome.SUCCEEDED
     if answer.status in (503, 504) and answer.all(b"x-not-run") == [b"1"]:
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -4,7 +4,7 @@
 
 import re
 
-from pebblehinge.core import Taken
+from pebblehinge.core import PendingRequest
 from pebblehinge.http1 import HttpError, HttpRequest, write_request
 from pebblehinge.service.config import ServiceConfig
 
@@ -41,8 +41,8 @@
 }
 
 
-class ServiceTaken(Taken):
-    """One access, with the head of its attempts up to the header that each attempt has of its own."""
+class ServiceRequest(PendingRequest):
+    """One request, with the head of its attempts up to the header that each attempt has of its own."""
 
     __slots__ = ("head",)
 
@@ -67,7 +67,7 @@
     )
 
 
-def read_access(request: HttpRequest, config: ServiceConfig) -> Asked:
+def read_request(request: HttpRequest, config: ServiceConfig) -> Asked:
     """What a request asks for; raises HttpError with what is not in the protocol's form."""
 
     def one(name: bytes, form: re.Pattern[bytes] | None = None) -> bytes:
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from pebblehinge.core import Core, Taken
+from pebblehinge.core import Core, PendingRequest
 from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
 from pebblehinge.service import early
 from pebblehinge.service.config import ServiceConfig, load_config
@@ -195,16 +195,16 @@
 
     # ---- what the core has done
 
-    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         self.shelfs.send(taken, shelf, attempt, until_ms)
 
-    def wanted(self, taken: Taken) -> bool:
+    def wanted(self, taken: PendingRequest) -> bool:
         return self.door.wanted(taken)
 
-    def drop_attempt(self, taken: Taken) -> None:
+    def drop_attempt(self, taken: PendingRequest) -> None:
         self.shelfs.drop(taken.attempt)
 
-    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.door.answer(taken, final, stay_ms, data)
 
     def call_list(self, call: ListCall) -> None:
@@ -224,7 +224,7 @@
 
     # ---- shelfs, discovery and the clock
 
-    def ended(self, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def ended(self, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
         self.core.ended(self.clock(), taken, attempt, outcome, took_ms, data)
 
     def _told(self, told: Told) -> None:
--- a/pebblehinge/service/shelfs.py
+++ b/pebblehinge/service/shelfs.py
@@ -1,7 +1,7 @@
 """Shelfs as this head reaches them: addresses, their pools of connections, dials, and the attempts on them.
 
-An attempt's bytes go out in one place, `_begin`, and only while they may: its access has no answer yet and its client
-is there, its time to begin is not over, and the list still wants accesses at the address that the connection leads to.
+An attempt's bytes go out in one place, `_begin`, and only while they may: its request has no answer yet and its client
+is there, its time to begin is not over, and the list still wants requests at the address that the connection leads to.
 What was settled by then is `NOT_SENT`: nothing of it was sent.
 """
 
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.core import Taken
+from pebblehinge.core import PendingRequest
 from pebblehinge.interface import Outcome
 from pebblehinge.service.pool import Attempt, Shelf, ShelfConn
 
@@ -27,8 +27,8 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
-    def ended(self, taken: Taken, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
-    def wanted(self, taken: Taken) -> bool: ...
+    def ended(self, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
+    def wanted(self, taken: PendingRequest) -> bool: ...
 
 
 class Shelfs:
@@ -44,7 +44,7 @@
         self.out = 0  # attempts
 
     def listed(self, ready: dict[str, bool], addresses: dict[str, tuple[str, int]], whole: bool) -> None:
-        """What a list says: by id, whether it wants new accesses, and where it is."""
+        """What a list says: by id, whether it wants new requests, and where it is."""
         for name, wants in ready.items():
             address = addresses[name]
             shelf = self.table.get(name)
@@ -61,7 +61,7 @@
                 self._close_idle(shelf)
                 self._forget(shelf)
 
-    def send(self, taken: Taken, name: str, number: int, until_ms: float) -> None:
+    def send(self, taken: PendingRequest, name: str, number: int, until_ms: float) -> None:
         """An attempt leaves. Its outcome comes later, never out of this call."""
         now = self.clock()
         shelf = self.table[name]
--- a/pebblehinge/shelf/__init__.py
+++ b/pebblehinge/shelf/__init__.py
@@ -1,4 +1,4 @@
-"""The stand-in shelf: `model` is the machine without sockets, `contents` what it stores, `accesses` what it does with
+"""The stand-in shelf: `model` is the machine without sockets, `contents` what it stores, `requests` what it does with
 both, `connection` and `registration` its connections, `server` the process."""
 
 from pebblehinge.shelf.contents import Contents
--- a/pebblehinge/shelf/accesses.py
+++ b/pebblehinge/shelf/accesses.py
@@ -1,4 +1,4 @@
-"""What a stand-in shelf does with accesses: its machine's queue and time, effects on its contents, and outcomes."""
+"""What a stand-in shelf does with requests: its machine's queue and time, effects on its contents, and outcomes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 DONE, SERVER_ERROR, FULL = 0, 1, 2
 
 
-class Accesses:
-    """The accesses of one shelf. `warm` is False where its process has just started after a crash."""
+class Requests:
+    """The requests of one shelf. `warm` is False where its process has just started after a crash."""
 
     def __init__(
         self,
--- a/pebblehinge/shelf/model.py
+++ b/pebblehinge/shelf/model.py
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One access in the machine."""
+    """One request in the machine."""
 
     owner: Any
     units: float
     write: bool
     extent: str
     attempt: int
-    until_ms: float  # an access whose time is up is not begun
+    until_ms: float  # a request whose time is up is not begun
     cheap: bool = False  # an ended repeat of a label costs next to nothing
     dropped: bool = False
     began: bool = False
@@ -95,7 +95,7 @@
             rate /= 1.0 + self.kind.thrash * min(1.0, crowd - 1.0)
         return rate
 
-    # ---- accesses
+    # ---- requests
 
     def work_of(self, job: Job) -> float:
         """Draws the work of a job; one on a remembered extent costs less at its first attempt."""
@@ -208,7 +208,7 @@
                 self.put_off = 0.0
 
     def next_ms(self) -> float:
-        """When `advance` is wanted next; infinite where only a new access can change anything."""
+        """When `advance` is wanted next; infinite where only a new request can change anything."""
         if not self.running or self.fell:
             return float("inf")
         return self._turn()
--- a/pebblehinge/store/flushing.py
+++ b/pebblehinge/store/flushing.py
@@ -3,7 +3,7 @@
 Writes wait a little, so that several of one extent go together, which saves a shelf work; age, a full buffer, a flush
 or a barrier end the wait. How many are out follows what the fleet bears, as for any client, and begins small after a
 restart: the replay of a full journal is much at once, and shelfs may have restarted, too. A shelf that is away is asked
-now and then for one write; the others' go on. Each write-back is an access of the head: the cold shares, drains and
+now and then for one write; the others' go on. Each write-back is a request of the head: the cold shares, drains and
 limits of plans are the decision module's, which counts its units once, here and not when the write was confirmed.
 """
 
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -4,18 +4,18 @@
 
 from typing import Any, BinaryIO, TextIO
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import Changes, Entry, ListKind
 from pebblehinge.wirehost import codec
 from pebblehinge.wirehost.codec import WireError
 
 
 class Instance:
-    """One head of this process, with the handles of its accesses that may still get events."""
+    """One head of this process, with the handles of its requests that may still get events."""
 
     def __init__(self, head: Head) -> None:
         self.head = head
-        self.accesses: dict[int, Access] = {}
+        self.requests: dict[int, Request] = {}
         self.wake_ms: float | None = None  # the earliest timer that is set
         self.timer = 0  # its cookie
 
@@ -83,8 +83,10 @@
                     raise WireError(f"ARRIVAL: {kind} is {name!r}: expected one of {', '.join(known)}")
             set_size, slot, units, volume, abandon = where
             repeat = bool(options & codec.RETRY_BIT) if head.given.cfg.marks_repeats else None
-            access, changes = head.take(now, tid, extent, profile, plan, volume, set_size, slot, units, abandon, repeat)
-            instance.accesses[tid] = access
+            request, changes = head.take(
+                now, tid, extent, profile, plan, volume, set_size, slot, units, abandon, repeat
+            )
+            instance.requests[tid] = request
             return changes
         if word == "SYNC":
             ref, _, kind = values
@@ -97,28 +99,28 @@
             return head.woken(now)
         if word not in ("VERDICT", "HEADERS", "HANGUP"):
             return None  # the head sends no probes and has no peers
-        access = instance.accesses.get(values[0])
-        if access is None:
+        request = instance.requests.get(values[0])
+        if request is None:
             return None  # over already, and nothing of it is out
         if word == "VERDICT":
             _, attempt, _, outcome, over, _, _, took, _ = values
-            changes = access.ended(now, attempt, outcome, over, took)
+            changes = request.ended(now, attempt, outcome, over, took)
         else:
-            changes = access.begun(now) if word == "HEADERS" else access.left(now)
-        if access.over and not access.out and access not in changes.handles:
-            del instance.accesses[access.id]
+            changes = request.begun(now) if word == "HEADERS" else request.left(now)
+        if request.over and not request.out and request not in changes.handles:
+            del instance.requests[request.id]
         return changes
 
     def _encode(self, instance: Instance, changes: Changes) -> None:
         lines = []
-        for access in changes.handles:
-            attempts, cancellations, answer = access.drain()
-            lines += [f"SUBMIT_TO {access.id} {t.shelf} {codec.seconds(t.until_ms)}" for t in attempts]
-            lines += [f"ABORT_ATTEMPT {access.id} {attempt}" for attempt in cancellations]
+        for request in changes.handles:
+            attempts, cancellations, answer = request.drain()
+            lines += [f"SUBMIT_TO {request.id} {t.shelf} {codec.seconds(t.until_ms)}" for t in attempts]
+            lines += [f"ABORT_ATTEMPT {request.id} {attempt}" for attempt in cancellations]
             if answer is not None:
-                lines.append(codec.write_answer(access.id, answer.final, answer.stay_away_ms))
-            if access.over and not access.out:
-                instance.accesses.pop(access.id, None)
+                lines.append(codec.write_answer(request.id, answer.final, answer.stay_away_ms))
+            if request.over and not request.out:
+                instance.requests.pop(request.id, None)
         lines += [codec.CALLS[call] for call in changes.list_calls]
         wake = changes.wake_ms
         if wake is not None and (instance.wake_ms is None or wake < instance.wake_ms):
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,7 +1,7 @@
 """Many heads before one cold shelf, in virtual time: what they send it together, beside what it bears.
 
 Each head is the real module and knows what its own calls told it. The shelf starts at `cold_share` of its capacity and
-is warm, evenly, after `warm_ms`; what is never safe is more than `N + 2 * sqrt(N) + 2` accesses of mean work in any
+is warm, evenly, after `warm_ms`; what is never safe is more than `N + 2 * sqrt(N) + 2` requests of mean work in any
 window of `WINDOW_MS`, N being `fall_multiple` times what it can do meanwhile.
 """
 
@@ -46,7 +46,7 @@
         self.rng, self.scene = random.Random(seed), scene
         cfg = self.cfg = settings(self.rng)
         self.units_s = self.rng.uniform(8.0, 60.0)  # that the warm shelf can do
-        self.rate = asked * self.units_s / cfg.mean_units / 1000.0  # accesses a ms for this shelf
+        self.rate = asked * self.units_s / cfg.mean_units / 1000.0  # requests a ms for this shelf
         self.now, self.order, self.events = 0.0, itertools.count(), []  # type: ignore[var-annotated]
         self.heads = [Head(cfg, self.rng.randrange(1 << 30), 0.0) for _ in range(heads)]
         self.wakes = [math.inf] * heads
@@ -98,42 +98,42 @@
             self.asks += 1
         units, key = self.rng.choice((1.0, 2.0, 2.0, 3.0)), next(self.ids)
         kind = "look" if self.rng.random() < 0.7 else "save"
-        access, changes = self.heads[h].take(
+        request, changes = self.heads[h].take(
             self.now, key, extent, kind, "gold", f"v{extent}", 3, 0, units, leaves, again < 2
         )
-        access.story = (h, extent, leaves, again)
+        request.story = (h, extent, leaves, again)
         self.do(h, changes)
 
     def do(self, h: int, changes: Changes) -> None:
-        for access in changes.handles:
-            attempts, cancellations, answer = access.drain()
+        for request in changes.handles:
+            attempts, cancellations, answer = request.drain()
             for attempt in attempts:
-                self.send(h, access, attempt)
+                self.send(h, request, attempt)
             if answer is not None:
-                _, extent, leaves, again = access.story
+                _, extent, leaves, again = request.story
                 back = self.now + answer.stay_away_ms
                 if answer.final is Final.REJECTED and again and back < leaves:
                     self.at(back, lambda x=extent, at=leaves, n=again - 1: self.take(h, x, at, n))
             for number in cancellations:
-                self.at(self.now, lambda a=access, n=number: self.recalled(h, a, n))
+                self.at(self.now, lambda a=request, n=number: self.recalled(h, a, n))
         if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
             self.wakes[h] = changes.wake_ms
             self.at(changes.wake_ms, lambda: self.woken(h))
 
-    def recalled(self, h: int, access: Any, number: int) -> None:
-        self.do(h, access.ended(self.now, number, Outcome.CANCELLED, access.over, 1.0))
+    def recalled(self, h: int, request: Any, number: int) -> None:
+        self.do(h, request.ended(self.now, number, Outcome.CANCELLED, request.over, 1.0))
 
     def woken(self, h: int) -> None:
         self.wakes[h] = math.inf
         self.do(h, self.heads[h].woken(self.now))
 
-    def send(self, h: int, access: Any, attempt: Any) -> None:
-        number, left = access.sent - 1, self.now
+    def send(self, h: int, request: Any, attempt: Any) -> None:
+        number, left = request.sent - 1, self.now
         up = self.up.get(attempt.shelf, True)
         shelfs = self.heads[h].shelfs
-        knows = shelfs.cold_ms[access.shelf] is not None  # told, or suspected: no other head can hold back
+        knows = shelfs.cold_ms[request.shelf] is not None  # told, or suspected: no other head can hold back
         if up and self.now >= START_MS and knows:
-            self.sends.append((self.now, access.units / self.cfg.mean_units))
+            self.sends.append((self.now, request.units / self.cfg.mean_units))
         if not up and self.scene == "queue released":
             when, outcome = attempt.until_ms, Outcome.TIMED_OUT
         elif not up:
@@ -142,11 +142,11 @@
             when, outcome = self.now + self.rng.uniform(20.0, 60.0), Outcome.SUCCEEDED
 
         def ends() -> None:
-            if access.out and number == access.sent - 1:
-                if outcome is Outcome.SUCCEEDED and not access.over and left >= START_MS:
+            if request.out and number == request.sent - 1:
+                if outcome is Outcome.SUCCEEDED and not request.over and left >= START_MS:
                     self.served += 1
-                over = outcome is Outcome.SUCCEEDED or access.over
-                self.do(h, access.ended(self.now, number, outcome, over, self.now - left))
+                over = outcome is Outcome.SUCCEEDED or request.over
+                self.do(h, request.ended(self.now, number, outcome, over, self.now - left))
 
         self.at(max(when, self.now), ends)
 
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -7,7 +7,7 @@
 
 from test_rules_can_break import BASE
 
-from pebblehinge.decide import Access
+from pebblehinge.decide import Request
 from pebblehinge.interface import Outcome, Settings
 from pebblehinge.settings.load import loads
 
@@ -78,5 +78,5 @@
 
     def __init__(self, head: Any, settings: Settings) -> None:
         self.head, self.settings, self.wake, self.deaf_until = head, settings, None, 0.0
-        self.open: dict[int, Access] = {}
+        self.open: dict[int, Request] = {}
         self.slots: dict[str, int] = {}  # as the list told it
--- a/tests/drawn_world.py
+++ b/tests/drawn_world.py
@@ -10,7 +10,7 @@
 
 from drawn import GRACE_MS, HEADS, RUNNING, SHELFS, Life, end_of
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import Changes, Entry, Final, ListKind, Outcome, Standing
 from pebblehinge.lab.check import Day
 from pebblehinge.settings import Config
@@ -30,7 +30,7 @@
         self.shelfs: dict[str, list[dict[str, Any]]] = {name: [] for name in self.truth}
         self.finals: dict[str, float] = {}
         self.free_at: dict[str, float] = {}
-        self.out: dict[str, list[tuple[str, Life, Access, int]]] = {}
+        self.out: dict[str, list[tuple[str, Life, Request, int]]] = {}
         self.after: list[str] = []  # attempts that left after the final answer
         self.astray: list[str] = []  # attempts to a shelf that by the list holds other data
         self.seen: Counter[str] = Counter()
@@ -107,24 +107,24 @@
         self._done(name, life, head.start(self.now))
 
     def _done(self, name: str, life: Life, changes: Changes) -> None:
-        for access in changes.handles:
-            attempts, cancellations, answer = access.drain()
+        for request in changes.handles:
+            attempts, cancellations, answer = request.drain()
             for attempt in attempts:
-                self._attempt(name, life, access, attempt)
+                self._attempt(name, life, request, attempt)
             for number in cancellations:
                 self.seen["recalled"] += 1
-                self.at(self.now, lambda a=access, n=number: self._end(name, life, a, n, Outcome.CANCELLED))
+                self.at(self.now, lambda a=request, n=number: self._end(name, life, a, n, Outcome.CANCELLED))
             if answer is not None:
                 final = "pushed back" if answer.final is Final.REJECTED else "terminated"
-                self._final(access, final, answer.stay_away_ms)
+                self._final(request, final, answer.stay_away_ms)
         life.wake = changes.wake_ms
 
-    def _final(self, a: Access, final: str, stay: float) -> None:
+    def _final(self, a: Request, final: str, stay: float) -> None:
         self._note("clients", "answer", id=a.trace, final=final, stay=stay)
         self.finals[a.trace] = self.now
         self.seen[final] += 1
 
-    def _attempt(self, name: str, life: Life, a: Access, attempt: Any) -> None:
+    def _attempt(self, name: str, life: Life, a: Request, attempt: Any) -> None:
         n = a.sent - 1
         if a.trace in self.finals:
             self.after.append(f"{a.trace}: trip {n} to {attempt.shelf} after its final answer")
@@ -168,7 +168,7 @@
         self.out[attempt.shelf].append((name, life, a, n))
         self.at(self.now + takes, lambda: self._end(name, life, a, n, outcome, attempt.shelf))
 
-    def _end(self, name: str, life: Life, a: Access, n: int, outcome: Outcome, shelf: str = "") -> None:
+    def _end(self, name: str, life: Life, a: Request, n: int, outcome: Outcome, shelf: str = "") -> None:
         if self.lives.get(name) is not life or n in a.ended_attempts:
             return
         a.ended_attempts.add(n)
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -11,7 +11,7 @@
 
 from service_rig import CONFIG, SETTINGS, ask, entry, listing
 
-from pebblehinge.core import REJECTED, Core, Taken
+from pebblehinge.core import REJECTED, Core, PendingRequest
 from pebblehinge.decide import NEVER_RAN
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
@@ -132,7 +132,7 @@
         self.at(self.now, lambda: what(*args))
 
     # what the core has done
-    def send_attempt(self, taken: Taken, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         taken.attempt = token = object()
         if not self.door.wanted(taken):
             self.never += 1
@@ -152,12 +152,12 @@
 
         self.at(when, ends)
 
-    def drop_attempt(self, taken: Taken) -> None:
+    def drop_attempt(self, taken: PendingRequest) -> None:
         self.risky.add(taken.id)
 
-    def answer(self, taken: Taken, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        assert self.now <= taken.access.abandon_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
-        if final == REJECTED and taken.access.profile.name == "save":  # type: ignore[union-attr]
+    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        assert self.now <= taken.request.abandon_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
+        if final == REJECTED and taken.request.profile.name == "save":  # type: ignore[union-attr]
             assert taken.attempt is None and taken.id not in self.risky, "rule 2"
         self.door.answer(taken, final, stay_ms, data)
 
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -1,4 +1,4 @@
-"""A decision module alone, and accesses for it."""
+"""A decision module alone, and requests for it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from test_scenarios import PLANS, PROFILES, SETTINGS
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import Changes, Entry, ListKind, Outcome, Standing
 
 SAFE = replace(SETTINGS, profiles=PROFILES, plans=PLANS, warm_ms=10.0)
@@ -17,7 +17,7 @@
     return head.listed(now, kind, [Entry(name, Standing.READY, slot, started) for name, slot, started in rows])
 
 
-def take(head: Head, now: float, slot: int = 0, **more: Any) -> Access:
+def take(head: Head, now: float, slot: int = 0, **more: Any) -> Request:
     given: dict[str, Any] = {
         "extent": None,
         "profile": "look",
@@ -32,13 +32,13 @@
     return head.take(now, 1, slot=slot, abandon_ms=now + left, **given)[0]
 
 
-def went(a: Access) -> bool:
+def went(a: Request) -> bool:
     attempts, _, _ = a.drain()
     return bool(attempts)
 
 
 def served(head: Head, now: float, slot: int, took: float) -> None:
-    """An access goes and is succeeded."""
+    """A request goes and is succeeded."""
     a = take(head, now, slot)
     assert went(a), "it was to be sent"
     a.ended(now + took, 0, Outcome.SUCCEEDED, True, took)
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -112,10 +112,10 @@
         self.motd = ""
         self.held: dict[str, bytearray] = {}
         turns = Turns(loop, loop.time, Sharing(8, 4))
-        self.the_place = Place("m", self.modules["m"], [0], 100.0, turns, self.access, Keeping(10, 1e6))
+        self.the_place = Place("m", self.modules["m"], [0], 100.0, turns, self.request, Keeping(10, 1e6))
         self.transfers: list[Transfer] = []
 
-    async def access(self, *, op: int, extent: str, offset: int, length: int, data: bytes, **_: Any) -> Any:
+    async def request(self, *, op: int, extent: str, offset: int, length: int, data: bytes, **_: Any) -> Any:
         held = self.held.setdefault(extent, bytearray())
 
         class Done:
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -77,7 +77,7 @@
 
 def test_a_version_is_acted_on_and_acknowledged_when_it_lasts_and_not_before() -> None:
     """Seen with 24 heads on one disk: each took up a version at once and waited 1 to 2.3 s for its sync inside the
-    loop; no bytes moved meanwhile, connections were cut on both sides, 306 accesses lost."""
+    loop; no bytes moved meanwhile, connections were cut on both sides, 306 requests lost."""
     rig = Rig()
     rig.grant(1, TEXT)
     assert rig.adopted == [] and rig.kept == [] and rig.acknowledges() == 0 and len(rig.waiting) == 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,7 +13,7 @@
 from test_scenarios import PLANS
 
 from pebblehinge.console.view import View
-from pebblehinge.decide import BOUND, REMEMBERED, Access, Head
+from pebblehinge.decide import BOUND, REMEMBERED, Head, Request
 from pebblehinge.head import HeadCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
@@ -71,8 +71,8 @@
     assert "B" in head.shelfs.index and head.shelfs.names[head.shelfs.index["C"]] == "C"
 
 
-def test_wakes_are_not_asked_for_by_each_access_that_is_held() -> None:
-    """Seen: an entry for every held access and every new time."""
+def test_wakes_are_not_asked_for_by_each_request_that_is_held() -> None:
+    """Seen: an entry for every held request and every new time."""
     head = Head(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     for n in range(1000):
@@ -81,7 +81,7 @@
     assert len(head.notes.wakes) < 50
 
 
-def test_giving_up_a_hundred_held_accesses_costs_in_step_with_their_number() -> None:
+def test_giving_up_a_hundred_held_requests_costs_in_step_with_their_number() -> None:
     """Seen: for each that was given up, all before it were looked at again."""
 
     class Counted(float):
@@ -143,8 +143,8 @@
 
 
 @pytest.mark.parametrize("left", [float("nan"), float("inf"), 1e300])
-def test_an_access_with_no_sound_time_is_refused_and_hurts_no_other(left: float) -> None:
-    """Seen: one access with a time that is no number made every later call for its shelf fail."""
+def test_a_request_with_no_sound_time_is_refused_and_hurts_no_other(left: float) -> None:
+    """Seen: one request with a time that is no number made every later call for its shelf fail."""
     doing = Doing()
     core = HeadCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
     core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
@@ -178,7 +178,7 @@
     """Seen: 10,000 held for a shelf that left the list took 9.6 s; each was looked for among all that had changed."""
     looks = 0
 
-    def same(a: Access, b: object) -> bool:
+    def same(a: Request, b: object) -> bool:
         nonlocal looks
         looks += 1
         return a is b
@@ -194,6 +194,6 @@
         assert len(changes.handles) == count - BOUND
         return looks
 
-    monkeypatch.setattr(Access, "__eq__", same)
-    monkeypatch.setattr(Access, "__hash__", object.__hash__, raising=False)
+    monkeypatch.setattr(Request, "__eq__", same)
+    monkeypatch.setattr(Request, "__hash__", object.__hash__, raising=False)
     assert given_up(400) < 2.6 * max(1, given_up(200)) + 400
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -67,7 +67,7 @@
 
 
 def test_one_that_sends_much_ahead_and_goes_is_seen_at_once() -> None:
-    """Past a bound reading was paused, and the end behind it not seen: its access went on, and others that waited."""
+    """Past a bound reading was paused, and the end behind it not seen: its request went on, and others that waited."""
 
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = lambda conn, request: None
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -28,15 +28,15 @@
 
 
 def let_through(again: bool) -> int:
-    """Of 200 accesses to one extent of a shelf that has just started, how many may go as far as their turn goes."""
+    """Of 200 requests to one extent of a shelf that has just started, how many may go as far as their turn goes."""
     cfg = settings(random.Random(3))
     head = Head(cfg, 5, START_MS)
     head.listed(START_MS, ListKind.WHOLE, [Entry("new", Standing.READY, 0, START_MS)])
     going = 0
     for n in range(200):
-        access, _ = head.take(START_MS + 1.0, n + 1, "e7", "look", "gold", "v1", 3, 0, 2.0, START_MS + 3000.0, again)
-        head.path.worth.usual = access.density
-        going += head.path.limits.earliest(access, START_MS + 1.0) <= START_MS + 1.0
+        request, _ = head.take(START_MS + 1.0, n + 1, "e7", "look", "gold", "v1", 3, 0, 2.0, START_MS + 3000.0, again)
+        head.path.worth.usual = request.density
+        going += head.path.limits.earliest(request, START_MS + 1.0) <= START_MS + 1.0
     return going
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: what it shows, whom it serves, and that no access waits for it; and the reasons that answers name."""
+"""The console: what it shows, whom it serves, and that no request waits for it; and the reasons that answers name."""
 
 from __future__ import annotations
 
@@ -123,8 +123,8 @@
     with_console(script)
 
 
-def test_two_hundred_viewers_hold_up_no_access() -> None:
-    """Against the same accesses with nobody watching, in one run; the bound is wide, since machines differ."""
+def test_two_hundred_viewers_hold_up_no_request() -> None:
+    """Against the same requests with nobody watching, in one run; the bound is wide, since machines differ."""
 
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         client = await rig.client()
@@ -146,7 +146,7 @@
             beside = await asked()
             for response in watching:
                 response.close()
-        # Viewers and accesses share this test's one process, too.
+        # Viewers and requests share this test's one process, too.
         assert beside < 5 * alone + 20.0, (alone, beside)
 
     with_console(script)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -121,7 +121,7 @@
     return faults, core, doing
 
 
-def test_the_core_answers_each_access_once_and_keeps_nothing_of_it() -> None:
+def test_the_core_answers_each_request_once_and_keeps_nothing_of_it() -> None:
     met: Counter[str] = Counter()
     for seed in range(RUNS):
         faults, core, _ = through_the_core(seed, HeadCore)
--- a/tests/test_decisions_at_size.py
+++ b/tests/test_decisions_at_size.py
@@ -54,7 +54,7 @@
     )
 
 
-def test_a_limit_that_leaves_a_head_less_than_one_access_lets_nothing_through() -> None:
+def test_a_limit_that_leaves_a_head_less_than_one_request_lets_nothing_through() -> None:
     assert limits(900, 0.5, "even", "0.1 of burst")["used_of_limit"] == 0.0  # 825 units of burst and slack
     assert limits(800, 0.5, "even", "0.1 of burst")["used_of_limit"] > 0.1
 
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -19,7 +19,7 @@
 
 
 async def dialling(rig: Rig, request: bytes, shelf: int = 0) -> tuple[Client, Gate]:
-    """A client whose access waits on a connection to its shelf."""
+    """A client whose request waits on a connection to its shelf."""
     gate = Gate(rig.head.loop)
     rig.head.shelfs.loop = gate  # type: ignore[assignment]
     client = await rig.client()
@@ -52,7 +52,7 @@
     on_rig(script, settings=read_settings(SETTINGS) if cancellations else MAY_NOT_CANCEL)
 
 
-def test_an_access_that_was_answered_meanwhile_is_not_sent() -> None:
+def test_a_request_that_was_answered_meanwhile_is_not_sent() -> None:
     """At the end of a life all that is out is given up: one that waited for its connection went out later."""
 
     async def script(rig: Rig) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from service_rig import CONFIG, OK, SETTINGS, Rig, ShelfPeer, answers, ask, on_rig
 from test_service_life import connect, slow_reader, status
 
-from pebblehinge.decide import access, path, worth
+from pebblehinge.decide import path, request, worth
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
 from pebblehinge.service.server import Service
@@ -236,7 +236,7 @@
 
 def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
     """More extents and volumes are open at once than are remembered: each has its answer, and nothing is left."""
-    monkeypatch.setattr(access, "REMEMBERED", 4)
+    monkeypatch.setattr(request, "REMEMBERED", 4)
     monkeypatch.setattr(path, "REMEMBERED", 4)
     monkeypatch.setattr(worth, "REMEMBERED", 4)
 
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -33,7 +33,7 @@
 
 
 def answered(village: Village, head: str, begin: float, end: float) -> int:
-    """How many accesses a head succeeded within a part of the day, ms from its beginning."""
+    """How many requests a head succeeded within a part of the day, ms from its beginning."""
     facts = village.facts()
     return sum(
         a.op["head"] == head and final == "honoured" and begin <= t - facts.begin < end
@@ -102,7 +102,7 @@
 
 
 def test_a_client_notices_a_connection_that_only_it_believes_in() -> None:
-    """Seen: 'at 3381ms half-open load1 from h3', and every access on it ran out of its time to the end of the day, 120
+    """Seen: 'at 3381ms half-open load1 from h3', and every request on it ran out of its time to the end of the day, 120
     of 1,229: the client library asked nothing of a silent connection."""
     village, _ = day("at 3s half-open load1 from h3\n")
     assert not verdicts(village)
@@ -116,7 +116,7 @@
         assert answered(village, name, 2_000.0, 9_000.0) > 50
 
 
-def test_a_slow_disk_costs_a_heads_accesses_nothing() -> None:
+def test_a_slow_disk_costs_a_heads_requests_nothing() -> None:
     """Seed 192 of the drawn scripts, 'disk-slow h2 by 378ms', with its writes in the loop: connections were cut."""
 
     def mean(script: str) -> float:
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -137,10 +137,10 @@
 def test_a_head_that_knows_nothing_sends_no_more_than_the_bound_to_each_shelf() -> None:
     head = Head(SAFE, 1, 0.0)
     listed(head, 0.0, *((f"s{i}", i, 0.0) for i in range(5)))
-    accesses = [take(head, 0.1 * n, n % 5, left=(40.0, 399.0, 3000.0)[n % 3]) for n in range(300)]
-    assert sum(a.out for a in accesses) <= 5 * BOUND
+    requests = [take(head, 0.1 * n, n % 5, left=(40.0, 399.0, 3000.0)[n % 3]) for n in range(300)]
+    assert sum(a.out for a in requests) <= 5 * BOUND
     head.woken(390.0)
-    late = [a for a in accesses if a.abandon_ms < 100.0 and not a.out]
+    late = [a for a in requests if a.abandon_ms < 100.0 and not a.out]
     assert late and all(a.over for a in late), "their time is over: each has its answer"
 
 
@@ -172,7 +172,7 @@
     assert head.shelfs.mean_ms[0] == 0.0 and went(take(head, 1.0, 0))
 
 
-def test_times_to_return_are_spread_over_heads_and_accesses() -> None:
+def test_times_to_return_are_spread_over_heads_and_requests() -> None:
     """All heads told the same time: what 200 of them refused at once, a zone's loss for one, came back at once."""
     stays = []
     for seed in range(100):
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -159,14 +159,14 @@
     async def script(rig: Rig) -> None:
         client = await rig.client()
         asked = {"volume": "v", "extent": "x", "op": 0, "length": 1, **LOOK, **more}
-        got = await client.access(**asked)
+        got = await client.request(**asked)
         assert got.final == "pushed back" and reason in got.reason and 200.0 <= got.stay_ms <= 400.0
         assert not rig.shelfs[0].attempts
 
     on_rig(script)
 
 
-def test_accesses_and_bytes_held_are_bounded() -> None:
+def test_requests_and_bytes_held_are_bounded() -> None:
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = SILENT
         client = await rig.client()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -24,9 +24,9 @@
     for n in range(20):
         for slot in (0, 1):
             at = 100.0 * n + slot
-            access, _ = head.take(at, n * 2 + slot, f"x{slot}", "look", "gold", "v", 1, slot, 2.0, at + 2000.0)
-            for number, attempt in enumerate(access.drain()[0]):
-                access.ended(at + 20.0 + 60 * slot, number, Outcome.SUCCEEDED, True, 20.0 + 60 * slot)
+            request, _ = head.take(at, n * 2 + slot, f"x{slot}", "look", "gold", "v", 1, slot, 2.0, at + 2000.0)
+            for number, attempt in enumerate(request.drain()[0]):
+                request.ended(at + 20.0 + 60 * slot, number, Outcome.SUCCEEDED, True, 20.0 + 60 * slot)
                 assert attempt.shelf in ("A", "B")
     return head
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Each of the seven rules, and that no access goes to a shelf without its data, as a property over runs of events from
+"""Each of the seven rules, and that no request goes to a shelf without its data, as a property over runs of events from
 fixed seeds, on the module's real `Head`.
 
 A run is a list of plain events (drawn.py), so a failing one can be cut down by leaving events out. `World` plays it on
@@ -17,7 +17,7 @@
 from drawn import COLD, CONFIG, RUNS, events_of
 from drawn_world import World
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import Changes, Entry, ListKind, Standing
 from pebblehinge.lab.check import RULES
 
@@ -27,7 +27,7 @@
         super().__init__(*given)
         give_up = self.path.refusal.give_up
 
-        def forgets(a: Access, why: str) -> None:
+        def forgets(a: Request, why: str) -> None:
             give_up(a, why)
             if why == "its time is up":
                 a.answer = None
@@ -57,7 +57,7 @@
         super().__init__(*given)
         store = self.path.worth.store
 
-        def rich(a: Access, now: float) -> Any:
+        def rich(a: Request, now: float) -> Any:
             st = store(a, now)
             st.limit = max(st.limit, a.units)
             return st
--- a/tests/test_rsync_concurrent.py
+++ b/tests/test_rsync_concurrent.py
@@ -91,7 +91,7 @@
 
 
 def test_many_tiny_files_and_a_single_save_beside_them() -> None:
-    """A folder of a thousand files must not hold up one file beside it by more than its few accesses."""
+    """A folder of a thousand files must not hold up one file beside it by more than its few requests."""
     many = {b"d%d/f%04d" % (n % 4, n): Local(b"%d" % n * 900) for n in range(1200)}
     many |= {b"d%d" % n: folder() for n in range(4)}
 
--- a/tests/test_rsync_sharing.py
+++ b/tests/test_rsync_sharing.py
@@ -1,4 +1,4 @@
-"""How rsync transfers share a head's accesses: turns, the window, retries and what is kept of interrupted pushes."""
+"""How rsync transfers share a head's requests: turns, the window, retries and what is kept of interrupted pushes."""
 
 from __future__ import annotations
 
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from pebblehinge.decide import Access
+from pebblehinge.decide import Request
 from pebblehinge.head import HeadCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.lab.check import RULES, Verdict
@@ -206,16 +206,16 @@
     assert set(sound) == set(RULES)
 
 
-def test_the_handle_of_an_access_has_no_second_attempt_out() -> None:
-    """What the core relies on: the module never has two attempts of one access out at once."""
-    seen: list[Access] = []
+def test_the_handle_of_a_request_has_no_second_attempt_out() -> None:
+    """What the core relies on: the module never has two attempts of one request out at once."""
+    seen: list[Request] = []
 
     class Watches(HeadCore):
         def _carry_out(self, first: Any, now: float) -> None:
             super()._carry_out(first, now)
             for taken in self.taken.values():
-                assert (taken.attempt is not None) == taken.access.out
-                seen.append(taken.access)
+                assert (taken.attempt is not None) == taken.request.out
+                seen.append(taken.request)
 
     judge(RESETS, Watches, None, length="3s")
     assert len(seen) > 1000
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -1,4 +1,4 @@
-"""The running head on sockets: accesses, shelfs that fail, stops, lists."""
+"""The running head on sockets: requests, shelfs that fail, stops, lists."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 
 
 def test_connection_accepted_but_never_greeted_counts_as_never_run() -> None:
-    """A stopped process has its connections accepted by the system: no greeting, so no byte of an access went."""
+    """A stopped process has its connections accepted by the system: no greeting, so no byte of a request went."""
 
     async def script(rig: Rig) -> None:
         shelf = rig.shelfs[0]
@@ -127,7 +127,7 @@
         await until(lambda: rig.shelfs[0].attempts)
         rig.kill_head()
         assert (await lost).final == "lost"
-        await rig.start_head()  # nothing of before is assumed: the access is not known here
+        await rig.start_head()  # nothing of before is assumed: the request is not known here
         assert rig.head.core.open == 0
         rig.shelfs[0].does = Attempt.answer
         again = await rig.client()
@@ -137,7 +137,7 @@
     on_rig(script)
 
 
-def test_stop_while_a_shelf_is_silent_gives_every_access_its_answer_first() -> None:
+def test_stop_while_a_shelf_is_silent_gives_every_request_its_answer_first() -> None:
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = SILENT
         client = await rig.client()
@@ -157,7 +157,7 @@
     on_rig(script)
 
 
-def test_access_sent_while_the_stop_is_on_its_way_is_answered_not_lost() -> None:
+def test_request_sent_while_the_stop_is_on_its_way_is_answered_not_lost() -> None:
     """A head with nothing open closed at once and lost what its client had just sent: found by rolling-release."""
 
     async def script(rig: Rig) -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -8,7 +8,7 @@
     0 change A:0::100                   changes to it;  `cached` and `failed` likewise
     5 take 1 x look gold 2 v=vol n=2 s=0 until=2000     id, extent (- for none), profile, plan, units
                                         (again=1 or 0 where clients mark their repeats)
-    9 end 1 succeeded                    the outcome of an access's last attempt
+    9 end 1 succeeded                    the outcome of a request's last attempt
     9 left 1                            the client is gone
     9 restart                           a new head, with the list as it was last
     700 wait                            every wake asked for until then, in turn
@@ -25,7 +25,7 @@
 
 import pytest
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.interface import (
     Changes,
     DeduplicationScope,
@@ -86,12 +86,12 @@
 
 
 class Play:
-    """One case: a head, the handles of its accesses, and what the last line made it do."""
+    """One case: a head, the handles of its requests, and what the last line made it do."""
 
     def __init__(self) -> None:
         self.settings = replace(SETTINGS, profiles=PROFILES, plans=PLANS)
         self.head: Head | None = None
-        self.handles: dict[int, Access] = {}
+        self.handles: dict[int, Request] = {}
         self.entries: dict[str, Entry] = {}
         self.show_until = False
         self.wake: float | None = None
@@ -148,7 +148,7 @@
         if verb == "take":
             more = dict(w.split("=") for w in words[5:])
             id_, extent = int(words[0]), None if words[1] == "-" else words[1]
-            access, changes = self.head.take(
+            request, changes = self.head.take(
                 now,
                 id_,
                 extent,
@@ -161,7 +161,7 @@
                 float(more.get("until", now + 3000)),
                 bool(int(more["again"])) if "again" in more else None,
             )
-            self.handles[id_] = access
+            self.handles[id_] = request
             return self.told(changes)
         handle = self.handles[int(words[0])]
         if verb == "left":
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -54,7 +54,7 @@
         loop.call_soon(long_turn) if where == "between turns" else loop.call_later(0.001, long_turn)
         await until(lambda: rig.head.core.taken)
         (taken,) = rig.head.core.taken.values()
-        assert 300.0 < taken.access.abandon_ms - taken.came_ms < 520.0
+        assert 300.0 < taken.request.abandon_ms - taken.came_ms < 520.0
         await asyncio.sleep(0.1)
         assert rig.head.late_ms < 100.0
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -11,14 +11,14 @@
 from service_rig import OK, SETTINGS, Rig, ShelfPeer, answers, ask, on_rig
 from test_service_life import connect, status
 
-from pebblehinge.decide import Access, Head
+from pebblehinge.decide import Head, Request
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Entry, Final, ListKind, Outcome, Standing
 from pebblehinge.service import pool
 from pebblehinge.stated import read_settings
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
-# what a shelf does: the outcome, the attempts it takes, and what the client of an non-idempotent access is told
+# what a shelf does: the outcome, the attempts it takes, and what the client of an non-idempotent request is told
 ENDS = {
     "an error": (answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Outcome.SERVER_ERROR, 1, 502),
     "full": (answers(b"HTTP/1.1 503 Full\r\n" + NOT_RUN), Outcome.OVERLOADED, 3, 503),
@@ -197,23 +197,23 @@
 
 
 def test_a_connection_that_could_not_be_made_makes_no_answering_shelf_cold() -> None:
-    """Where new connections break here and there, each made its shelf cold and most of its accesses were refused.
+    """Where new connections break here and there, each made its shelf cold and most of its requests were refused.
     One that has been silent is still found gone at once, and from then on counts as restarted."""
     head = Head(read_settings(SETTINGS), 1, 0.0)
     head.start(0.0)
     head.listed(0.0, ListKind.WHOLE, [Entry("s", Standing.READY, 0, 0.0)])
 
-    def take(now: float) -> Access:
-        access, _ = head.take(now, 1, "x", "save", "gold", "v", 1, 0, 2.0, now + 1000.0, False)
-        return access
+    def take(now: float) -> Request:
+        request, _ = head.take(now, 1, "x", "save", "gold", "v", 1, 0, 2.0, now + 1000.0, False)
+        return request
 
     take(0.0).ended(30.0, 0, Outcome.SUCCEEDED, True, 30.0)
-    access = take(40.0)
+    request = take(40.0)
     for attempt in range(2):
-        access.ended(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
-    assert access.sent == 3 and not access.over and head.shelfs.cold_ms[0] is None and not head.shelfs.dead[0]
-    access.ended(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
-    access = take(900.0)
-    access.ended(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
-    assert access.over and access.answer.final is Final.REJECTED
+        request.ended(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
+    assert request.sent == 3 and not request.over and head.shelfs.cold_ms[0] is None and not head.shelfs.dead[0]
+    request.ended(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
+    request = take(900.0)
+    request.ended(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
+    assert request.over and request.answer.final is Final.REJECTED
     assert head.shelfs.dead[0] and head.shelfs.cold_ms[0] == 901.0
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -66,7 +66,7 @@
     assert imported(for_types) == {"typing", "pebblehinge.head"}
 
 
-def test_all_decisions_of_an_access_are_named() -> None:
+def test_all_decisions_of_a_request_are_named() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert sorted(named) == sorted(f.relative_to(ROOT).as_posix() for f in (PACKAGE / "decide").glob("*.py"))
 
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -96,7 +96,7 @@
 def test_a_cold_machine_warms_and_falls_over_when_pushed() -> None:
     m = machine(warm=False, cold_from=0.5, cold=1000.0, queue=1000)
     assert (m.warmth(0.0), m.warmth(500.0), m.warmth(1000.0)) == (0.5, 0.75, 1.0)
-    # 2 x 0.5 x 1000 ms and two largest accesses: 1080 ms of work within the window
+    # 2 x 0.5 x 1000 ms and two largest requests: 1080 ms of work within the window
     for i in range(27):
         assert m.take(0.0, job(4.0, f"x{i}"))
     assert not m.fell and m.worst_fill == pytest.approx(1.0)
