--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -41,9 +41,9 @@
     ),
     Cap(
         "pairs of waiting",
-        "pebblehinge/account/books.py",
+        "pebblehinge/wait_accounting/accounting.py",
         "MOST_PAIRS = ",
-        constant("pebblehinge.account.books", "MOST_PAIRS"),
+        constant("pebblehinge.wait_accounting.accounting", "MOST_PAIRS"),
         "pairs",
         "volume and cause, where accounts are kept",
         5 * VOLUMES,
--- a/benchmarks/caps_service.py
+++ b/benchmarks/caps_service.py
@@ -18,9 +18,9 @@
 ASIDE_CAPS = [  # decide/ and service/: listed here, changed elsewhere
     Cap(
         "extents and volumes remembered",
-        "pebblehinge/decide/access.py",
+        "pebblehinge/decide/request.py",
         "REMEMBERED = ",
-        constant("pebblehinge.decide.access", "REMEMBERED"),
+        constant("pebblehinge.decide.request", "REMEMBERED"),
         "",
         "thinktimes by extent, stores of volumes at rest",
         VOLUMES,
@@ -30,9 +30,9 @@
     ),
     Cap(
         "trips of a head at a shelf",
-        "pebblehinge/decide/shelfs.py",
+        "pebblehinge/decide/node_health.py",
         "BOUND = ",
-        constant("pebblehinge.decide.shelfs", "BOUND"),
+        constant("pebblehinge.decide.node_health", "BOUND"),
         "trips",
         "out at one shelf",
         None,
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -20,26 +20,28 @@
 from pathlib import Path
 from typing import Any
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import (
     DeduplicationScope,
     Entry,
     Idempotency,
     ListKind,
     Outcome,
-    Plan,
-    Profile,
+    QuotaPlan,
+    RequestClass,
     Settings,
     Standing,
 )
 
 SETTINGS = Settings(
-    profiles=(Profile("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),),
-    plans=(Plan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), Plan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
+    request_classes=(
+        RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),
+    ),
+    quota_plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
     mean_units=2.0,
     most_units=6.0,
-    share_worth=0.3,
-    idle_worth=0.1,
+    share_value=0.3,
+    excess_value=0.1,
     asks_for_list=False,
     marks_repeats=False,
     may_cancel=True,
@@ -61,13 +63,13 @@
     return [Entry(f"s{first + i}", Standing.READY, i, 0.0) for i in range(count)]
 
 
-def head_of(count: int) -> Head:
-    head = Head(SETTINGS, 1, 0.0)
+def head_of(count: int) -> Scheduler:
+    head = Scheduler(SETTINGS, 1, 0.0)
     head.listed(0.0, ListKind.WHOLE, fleet(count))
     return head
 
 
-def take(head: Head, now: float, n: int, slot: int, plan: str = "g") -> Request:
+def take(head: Scheduler, now: float, n: int, slot: int, plan: str = "g") -> Request:
     return head.take(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
 
 
@@ -91,9 +93,9 @@
         take(head, now, n + 7, 0)
     for n in range(ROUNDS):
         now += 0.05
-        while len(head.shelfs.held[0]) < held:
+        while len(head.shelfs.queued[0]) < held:
             take(head, now, n + 11, 0)
-        out = head.shelfs.away[0][0]
+        out = head.shelfs.in_flight[0][0]
         timed(lambda a=out, t=now: a.ended(t, a.sent - 1, Outcome.SUCCEEDED, True, 5.0), times)
     return told(times)
 
@@ -120,7 +122,7 @@
 def memory(shelfs: int, extents: int, volumes: int) -> dict[str, float]:
     """KiB by what it is for, as tracemalloc sees it grow."""
     tracemalloc.start()
-    found, head, before = {}, Head(SETTINGS, 1, 0.0), 0
+    found, head, before = {}, Scheduler(SETTINGS, 1, 0.0), 0
     before = tracemalloc.get_traced_memory()[0]
 
     def note(what: str) -> None:
@@ -147,7 +149,7 @@
 
 def churned(names: int, shelfs: int = 40) -> dict[str, int]:
     """What is held after so many names have come and gone."""
-    head, now = Head(SETTINGS, 1, 0.0), 0.0
+    head, now = Scheduler(SETTINGS, 1, 0.0), 0.0
     for n in range(names // shelfs):
         now += 1000.0
         head.listed(now, ListKind.WHOLE, fleet(shelfs, n * shelfs))
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -16,7 +16,7 @@
 from dataclasses import replace
 from typing import Any
 
-from pebblehinge.decide import Head
+from pebblehinge.decide import Scheduler
 from pebblehinge.interface import (
     Changes,
     DeduplicationScope,
@@ -25,8 +25,8 @@
     Idempotency,
     ListKind,
     Outcome,
-    Plan,
-    Profile,
+    QuotaPlan,
+    RequestClass,
     Settings,
     Standing,
 )
@@ -35,15 +35,17 @@
 HEADS, SHELFS, REQUESTS_S = 910, 1_500, 790_000.0  # the coming size
 PAIR_S = REQUESTS_S / (HEADS * SHELFS)  # requests a second a pair of head and shelf: 0.58
 
-READ = Profile("read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False)
-FREE = Plan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
+READ = RequestClass(
+    "read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False
+)
+FREE = QuotaPlan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
 SETTINGS = Settings(
-    profiles=(READ,),
-    plans=(FREE,),
+    request_classes=(READ,),
+    quota_plans=(FREE,),
     mean_units=1.0,
     most_units=1.0,
-    share_worth=0.35,
-    idle_worth=0.05,
+    share_value=0.35,
+    excess_value=0.05,
     asks_for_list=False,
     marks_repeats=True,
     may_cancel=True,
@@ -81,10 +83,10 @@
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.wakes = [math.inf] * heads
         entries = [Entry(f"s{s}", Standing.READY, s, 0.0) for s in range(shelfs)]
-        self.heads: list[Head] = []
+        self.heads: list[Scheduler] = []
         for h in range(heads):
             begin = born[h] if born else 0.0
-            self.heads.append(Head(settings, self.rng.randrange(1 << 30), begin))
+            self.heads.append(Scheduler(settings, self.rng.randrange(1 << 30), begin))
             self.heads[h].start(begin)
             self.heads[h].listed(begin, ListKind.WHOLE, entries)
 
@@ -171,4 +173,6 @@
 
 def with_plan(limit: float, burst: float, slack: float, **figures: Any) -> Settings:
     """The settings with one plan that has a limit."""
-    return replace(SETTINGS, plans=(FREE, Plan("limited", 1e6, 0.0, limit, burst, slack, 1.0, 1.0)), **figures)
+    return replace(
+        SETTINGS, quota_plans=(FREE, QuotaPlan("limited", 1e6, 0.0, limit, burst, slack, 1.0, 1.0)), **figures
+    )
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -45,8 +45,8 @@
 
         self.lives += 1
         floor, clock = self.config.group.floor, clock_of(self.loop)
-        taken = taking.Taking.restore(self.name, floor, self.kept) if self.kept else taking.Taking(self.name, floor)
-        self.feed = Feed(self.loop, clock, self.config, taken, lambda new, mode: None, self._keep, Quiet())
+        pending = taking.Taking.restore(self.name, floor, self.kept) if self.kept else taking.Taking(self.name, floor)
+        self.feed = Feed(self.loop, clock, self.config, pending, lambda new, mode: None, self._keep, Quiet())
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
         self.listing = ListingLink(
             self.loop,
--- a/benchmarks/scale/hollow_links.py
+++ b/benchmarks/scale/hollow_links.py
@@ -60,7 +60,7 @@
         self.sent += 1
         link.send(Carried(f"{self.head}.{self.sent}", f"e{self.sent % 64}"), 1, now + PATIENCE_MS, now)
 
-    def _ended(self, now: float, taken: Carried, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def _ended(self, now: float, pending: Carried, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
         self.ends[outcome.value] += 1
 
     def close(self) -> None:
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -76,7 +76,7 @@
     return found
 
 
-def taken(old: str, new: str) -> Taking:
+def pending(old: str, new: str) -> Taking:
     """A head between two versions: one active, one pending."""
     taking = Taking("h1", 0.25)
     taking.answered(taking.asked(0.0), 3000.0, 1, old, 2, new, {})
@@ -120,7 +120,7 @@
         "read_ms": least_ms(lambda: loads(old)),
         "careful_ms": least_ms(lambda: careful(one, other, "h1")),
         "take_up_ms": least_ms(lambda: head.adopt(next(turns))),
-        "kept_bytes": kept_by(lambda: taken(old, new)),
+        "kept_bytes": kept_by(lambda: pending(old, new)),
         "one_config_bytes": kept_by(lambda: loads(old)),
         "careful_bytes": kept_by(lambda: careful(one, other, "h1")),
         "grant_both_ms": least_ms(lambda: encode(Kind.GRANT, *grant)),
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pebblehinge import __version__
-from pebblehinge.decide import BOUND
+from pebblehinge.decide import CONCURRENCY_LIMIT
 
 MOST_VOLUMES = 50
 MOST_EVENTS = 200
@@ -47,7 +47,7 @@
                 health, why = "down", f"{module.lost[s]} trips lost in a row, or silent with trips out"
             elif cold:
                 health, why = "cold", f"{(now - module.cold_ms[s]) / 1000:.1f} s since its start"
-            elif module.bound[s] < BOUND:
+            elif module.bound[s] < CONCURRENCY_LIMIT:
                 health, why = "slow", f"trips take long: {module.bound[s]} at a time"
             else:
                 health, why = "well", ""
@@ -66,7 +66,7 @@
 
     def volumes(self) -> list[dict[str, Any]]:
         """The volumes that were used last, against reserve, share and limit as this head keeps them."""
-        stores, config = self.head.core.module.path.worth.stores, self.head.config
+        stores, config = self.head.core.module.path.valuation.stores, self.head.config
         found = []
         for name in list(stores)[-MOST_VOLUMES:][::-1]:
             store, block = stores[name], config.volume.get(name)
@@ -115,7 +115,7 @@
                 q: round(latency.get_value_at_percentile(p) / 1000.0, 1)
                 for q, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))
             },
-            "waits": sum(len(w) for w in core.module.shelfs.waits),
+            "waits": sum(len(w) for w in core.module.shelfs.reserved_slots),
             "shelfs": shelfs,
             "volumes": self.volumes(),
             "events": list(self.events.rows)[-40:],
--- a/pebblehinge/core/books.py
+++ b/pebblehinge/core/request_table.py
@@ -11,11 +11,11 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Protocol
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, Entry, Final, ListCall, ListKind, Outcome, Settings
 
 if TYPE_CHECKING:
-    from pebblehinge.account import Books
+    from pebblehinge.wait_accounting import WaitAccounting
 
 SUCCEEDED, REJECTED, FAILED = 0, 1, 2  # the final answers as the wire numbers them
 FINALS = {Final.REJECTED: REJECTED, Final.FAILED: FAILED}
@@ -52,23 +52,25 @@
         self.begin_by_ms = math.inf  # the attempt that leaves may begin no later
 
 
-class Doing(Protocol):
+class Effects(Protocol):
     """What the core has done for it."""
 
-    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None: ...
-    def drop_attempt(self, taken: PendingRequest) -> None: ...
-    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
+    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None: ...
+    def drop_attempt(self, pending: PendingRequest) -> None: ...
+    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
     def wake_at(self, at_ms: float) -> None: ...
     def call_list(self, call: ListCall) -> None: ...
 
 
-class Core:
+class RequestTable:
     """One running head's books."""
 
-    def __init__(self, settings: Settings, seed: int, now: float, doing: Doing, account: Books | None = None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, now: float, doing: Effects, account: WaitAccounting | None = None
+    ) -> None:
         self.doing, self.account = doing, account
-        self.module = Head(settings, seed, now)
-        self.taken: dict[int, PendingRequest] = {}  # all that may still get events, by key
+        self.module = Scheduler(settings, seed, now)
+        self.pending: dict[int, PendingRequest] = {}  # all that may still get events, by key
         self.keys = 0
         self.bytes = 0
         self.open = 0  # taken and not yet answered
@@ -87,59 +89,71 @@
     def accept(
         self,
         now: float,
-        taken: PendingRequest,
+        pending: PendingRequest,
         extent: str | None,
-        profile: str,
-        plan: str,
+        request_class: str,
+        quota_plan: str,
         set_size: int,
         slot: int,
-        abandon_ms: float,
+        deadline_ms: float,
         again: bool | None,
     ) -> None:
         """A request that its front has admitted; volume, units and data stand in it."""
         self.keys += 1
-        taken.key, taken.came_ms = self.keys, now
-        self.taken[taken.key] = taken
+        pending.key, pending.came_ms = self.keys, now
+        self.pending[pending.key] = pending
         self.open += 1
-        self.bytes += len(taken.data)
-        taken.request, changes = self.module.take(
-            now, taken.key, extent, profile, plan, taken.volume, set_size, slot, taken.units, abandon_ms, again
+        self.bytes += len(pending.data)
+        pending.request, changes = self.module.take(
+            now,
+            pending.key,
+            extent,
+            request_class,
+            quota_plan,
+            pending.volume,
+            set_size,
+            slot,
+            pending.units,
+            deadline_ms,
+            again,
         )
         # Before what the call changed is done: an attempt that leaves at once was held for no time.
-        if self.account is not None and taken.request.shelf >= 0:
-            self.account.held(now, taken.key, taken.volume, self.module.shelfs.names[taken.request.shelf], taken.units)
+        if self.account is not None and pending.request.shelf >= 0:
+            self.account.held(
+                now, pending.key, pending.volume, self.module.shelfs.names[pending.request.shelf], pending.units
+            )
         self._carry_out(changes, now)
 
-    def left(self, now: float, taken: PendingRequest) -> None:
+    def left(self, now: float, pending: PendingRequest) -> None:
         """Its client is gone, or called it off: nothing more is sent for it."""
-        if taken.answered:
+        if pending.answered:
             return
-        taken.answered = True
+        pending.answered = True
         self.open -= 1
         self.counts["left"] += 1
-        self.noted(taken, None, now)
-        assert taken.request is not None
-        changes = taken.request.left(now)
+        self.noted(pending, None, now)
+        assert pending.request is not None
+        changes = pending.request.left(now)
         self._carry_out(changes, now)
-        self._forget(taken)
+        self._forget(pending)
 
     # ---- from shelfs, the listing and the clock
 
     def ended(
-        self, now: float, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
+        self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
     ) -> None:
         """An attempt has its outcome, exactly one."""
-        request = taken.request
+        request = pending.request
         assert request is not None
         self.outcomes[outcome] += 1
-        taken.attempt, taken.attempt_ms, self.now = None, took_ms, now
-        if outcome is Outcome.SUCCEEDED and not taken.answered:
-            self._answer(taken, SUCCEEDED, 0.0, "", data)
-        over = taken.answered
-        self._account_end(taken, now)
+        pending.attempt, pending.attempt_ms, self.now = None, took_ms, now
+        if outcome is Outcome.SUCCEEDED and not pending.answered:
+            self._answer(pending, SUCCEEDED, 0.0, "", data)
+        over = pending.answered
+        self._account_end(pending, now)
         changes = request.ended(now, attempt, outcome, over, took_ms)
         self._carry_out(changes, now)
-        self._forget(taken)
+        self._forget(pending)
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         self._carry_out(self.module.listed(now, kind, entries), now)
@@ -158,16 +172,16 @@
         """This life ends: by end_ms (clock time) the module has answered all that is taken."""
         self._carry_out(self.module.leaves(now, end_ms), now)
 
-    def noted(self, taken: PendingRequest, final: int | None, now: float) -> None:
+    def noted(self, pending: PendingRequest, final: int | None, now: float) -> None:
         """For fronts that keep records: a request is over, by its final answer or (None) since its client left."""
 
-    def _account_end(self, taken: PendingRequest, now: float) -> None:
+    def _account_end(self, pending: PendingRequest, now: float) -> None:
         """An attempt is over. What follows it, if anything, is held anew."""
-        if self.account is not None and taken.key in self.account.where:
-            self.account.ended(now, taken.key)
-            self.account.answered(taken.key)
-            if not taken.answered:
-                self.account.held(now, taken.key, taken.volume, taken.shelf, taken.units)
+        if self.account is not None and pending.key in self.account.where:
+            self.account.ended(now, pending.key)
+            self.account.answered(pending.key)
+            if not pending.answered:
+                self.account.held(now, pending.key, pending.volume, pending.shelf, pending.units)
 
     # ---- carrying out
 
@@ -178,50 +192,50 @@
         while todo:
             changes = todo.popleft()
             for request in changes.handles:
-                taken = self.taken[request.id]
+                pending = self.pending[request.id]
                 attempts, cancellations, answer = request.drain()
                 for attempt in attempts:
-                    self.retries += taken.attempts > 0
+                    self.retries += pending.attempts > 0
                     if self.account is not None:
-                        if taken.key not in self.account.where:
-                            self.account.held(now, taken.key, taken.volume, attempt.shelf, taken.units)
-                        self.account.sent(now, taken.key, taken.attempts == 0)
-                    taken.shelf, taken.sent_ms, taken.begin_by_ms = attempt.shelf, now, attempt.begin_by_ms
-                    self.doing.send_attempt(taken, attempt.shelf, taken.attempts, attempt.until_ms)
-                    taken.attempts += 1
+                        if pending.key not in self.account.where:
+                            self.account.held(now, pending.key, pending.volume, attempt.shelf, pending.units)
+                        self.account.sent(now, pending.key, pending.attempts == 0)
+                    pending.shelf, pending.sent_ms, pending.begin_by_ms = attempt.shelf, now, attempt.begin_by_ms
+                    self.doing.send_attempt(pending, attempt.shelf, pending.attempts, attempt.until_ms)
+                    pending.attempts += 1
                 for number in cancellations:
-                    if taken.attempt is not None:
-                        self.doing.drop_attempt(taken)
-                        taken.attempt = None
+                    if pending.attempt is not None:
+                        self.doing.drop_attempt(pending)
+                        pending.attempt = None
                         self.outcomes[Outcome.CANCELLED] += 1
-                        took = now - taken.sent_ms
-                        self._account_end(taken, now)
-                        todo.append(request.ended(now, number, Outcome.CANCELLED, taken.answered, took))
+                        took = now - pending.sent_ms
+                        self._account_end(pending, now)
+                        todo.append(request.ended(now, number, Outcome.CANCELLED, pending.answered, took))
                 if answer is not None:
-                    if not taken.answered:
+                    if not pending.answered:
                         self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
-                    self._answer(taken, FINALS[answer.final], answer.stay_away_ms, answer.why, b"")
-                self._forget(taken)
+                    self._answer(pending, FINALS[answer.final], answer.stay_away_ms, answer.why, b"")
+                self._forget(pending)
             for call in changes.list_calls:
                 self.doing.call_list(call)
             if changes.wake_ms is not None:
                 self.doing.wake_at(changes.wake_ms)
 
-    def _answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def _answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         """The one final answer; whatever comes after finds the request answered."""
-        if taken.answered:
+        if pending.answered:
             return
-        taken.answered = True
+        pending.answered = True
         self.open -= 1
         self.counts[("honoured", "pushed back", "terminated")[final]] += 1
-        self.noted(taken, final, self.now)
-        self.doing.answer(taken, final, stay_ms, reason, data)
+        self.noted(pending, final, self.now)
+        self.doing.answer(pending, final, stay_ms, reason, data)
 
-    def _forget(self, taken: PendingRequest) -> None:
-        request = taken.request
-        if taken.answered and request is not None and request.over and not request.out:
-            if self.taken.pop(taken.key, None) is not None:
+    def _forget(self, pending: PendingRequest) -> None:
+        request = pending.request
+        if pending.answered and request is not None and request.over and not request.out:
+            if self.pending.pop(pending.key, None) is not None:
                 if self.account is not None:
-                    self.account.over(now=self.now, key=taken.key)
-                self.bytes -= len(taken.data)
-                taken.data = b""
+                    self.account.over(now=self.now, key=pending.key)
+                self.bytes -= len(pending.data)
+                pending.data = b""
--- a/pebblehinge/decide/__init__.py
+++ b/pebblehinge/decide/__init__.py
@@ -1,8 +1,8 @@
 """All decisions of pebblehinge. How they are called stands in interface.py; a request's way in path.py."""
 
-from pebblehinge.decide.head import Head
-from pebblehinge.decide.path import NEVER_RAN
+from pebblehinge.decide.dispatch import NEVER_RAN
+from pebblehinge.decide.node_health import CONCURRENCY_LIMIT
 from pebblehinge.decide.request import REMEMBERED, Request
-from pebblehinge.decide.shelfs import BOUND
+from pebblehinge.decide.scheduler import Scheduler
 
-__all__ = ["BOUND", "NEVER_RAN", "REMEMBERED", "Request", "Head"]
+__all__ = ["CONCURRENCY_LIMIT", "NEVER_RAN", "REMEMBERED", "Request", "Scheduler"]
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -5,11 +5,11 @@
 import math
 from collections import deque
 
+from pebblehinge.decide.node_health import NodeHealth
 from pebblehinge.decide.request import FLOOR, REMEMBERED, Request
-from pebblehinge.decide.shelfs import Shelfs
-from pebblehinge.decide.worth import Worth
+from pebblehinge.decide.valuation import Valuation
 from pebblehinge.interface import Idempotency, Outcome
-from pebblehinge.kept import Lines, Notes
+from pebblehinge.scheduler_state import ChangeSet, KeyQueues
 
 COLD_PART = 0.4  # of the multiple of what a cold shelf surely can do, let through while the usual is asked
 MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED)
@@ -18,18 +18,18 @@
 class Limits:
     """Rules 2 and 4 to 7 of one request's next attempt."""
 
-    def __init__(self, shelfs: Shelfs, worth: Worth, notes: Notes, now: float) -> None:
-        self.given, self.shelfs, self.worth, self.notes, self.born = shelfs.given, shelfs, worth, notes, now
-        self.lines = Lines()  # order by key: requests not over, or with an attempt out
+    def __init__(self, shelfs: NodeHealth, valuation: Valuation, notes: ChangeSet, now: float) -> None:
+        self.given, self.shelfs, self.valuation, self.notes, self.born = shelfs.given, shelfs, valuation, notes, now
+        self.lines = KeyQueues()  # order by key: requests not over, or with an attempt out
         self.rest_ms: dict[str, float] = {}
         self.takes, self.retries = deque(), deque()  # attempt budget: when requests and retries were
-        self.queued = 0  # requests held for a retry
+        self.queued_retries = 0  # requests held for a retry
 
     def may_go(self, a: Request, now: float) -> bool:
         s = a.shelf
         if not self.shelfs.ready[s] or (a.sent and not self.may_retry(a, now, 0)):
             return False
-        if a.profile.in_order and a.extent is not None:  # rule 6
+        if a.request_class.in_order and a.extent is not None:  # rule 6
             if self.lines.first(a.extent) is not a:
                 return False
             rest = self.rest_ms.get(a.extent, now)
@@ -44,31 +44,36 @@
     def earliest(self, a: Request, now: float) -> float:
         """When a request may go, by its volume's limit and by the warmth of its shelf."""
         at, s, cfg, a.waits_for = now, a.shelf, self.given.cfg, "its plan's limit"
-        if a.plan.limit_rate and not a.sent:  # rule 5: hold for units rather than pass the limit
-            lack = a.units - self.worth.store(a, now).limit
-            at = now if lack <= FLOOR else now + lack * a.set_size / a.plan.limit_rate * 1000.0 + 1.0
-        since = self.shelfs.cold_ms[s]
+        if a.quota_plan.limit_rate and not a.sent:  # rule 5: hold for units rather than pass the limit
+            lack = a.units - self.valuation.store(a, now).limit
+            at = now if lack <= FLOOR else now + lack * a.set_size / a.quota_plan.limit_rate * 1000.0 + 1.0
+        since = self.shelfs.slow_start_ms[s]
         if since is None or now - since >= cfg.warm_ms:
-            self.shelfs.cold_ms[s] = None
+            self.shelfs.slow_start_ms[s] = None
             return at
         # Rule 4: of what asks for a cold shelf, all heads let through the part that it surely can do by now,
         # far from the multiple; each draws turns by itself, and what earns more has more of them. Answers
         # tell the rest. Harm: a suspected restart that was none, and much more asked than usual.
         a.waits_for = a.waits_for if at > now else "the cold of its shelf"
-        turn = a.turn * self.worth.usual / max(a.density, FLOOR) / max(FLOOR, COLD_PART * cfg.fall_multiple)
+        slow_start_turn = (
+            a.slow_start_turn
+            * self.valuation.mean_value_per_unit
+            / max(a.value_per_unit, FLOOR)
+            / max(FLOOR, COLD_PART * cfg.fall_multiple)
+        )
         warms = cfg.warm_ms / max(FLOOR, 1.0 - cfg.cold_share)
-        return max(at, min(since + cfg.warm_ms, since + (turn - cfg.cold_share) * warms))
+        return max(at, min(since + cfg.warm_ms, since + (slow_start_turn - cfg.cold_share) * warms))
 
     def may_retry(self, a: Request, now: float, new: int, out: bool = False) -> bool:
         """Rules 2 and 7 for a retry: looked at when queued (new = 1) and when it leaves."""
         until = self.retry_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
-        return now <= until and self.spare_retries(now) >= 1 + new * self.queued
+        return now <= until and self.spare_retries(now) >= 1 + new * self.queued_retries
 
     def retry_until(self, a: Request, risk: float | None) -> float:
         """Until when an attempt may begin, by the first that may have run."""
-        if risk is None or a.profile.repeat is Idempotency.IDEMPOTENT:
+        if risk is None or a.request_class.repeat is Idempotency.IDEMPOTENT:
             return math.inf
-        window = -math.inf if a.profile.repeat is Idempotency.NON_IDEMPOTENT else a.profile.window_ms
+        window = -math.inf if a.request_class.repeat is Idempotency.NON_IDEMPOTENT else a.request_class.window_ms
         return risk + window - 2 * self.given.cfg.step_ms
 
     def spare_retries(self, now: float) -> float:
@@ -86,25 +91,25 @@
     def came(self, a: Request, now: float) -> None:
         self.takes.append(now)
         self.spare_retries(now)
-        if a.profile.in_order and a.extent is not None:
+        if a.request_class.in_order and a.extent is not None:
             self.lines.join(a.extent, a)
 
     def sent(self, a: Request, now: float) -> None:
         if a.sent:
             self.retries.append(now)
-            self.queued -= 1
+            self.queued_retries -= 1
         else:
-            self.worth.store(a, now).limit -= a.units if a.plan.limit_rate else 0.0
+            self.valuation.store(a, now).limit -= a.units if a.quota_plan.limit_rate else 0.0
 
     def ended(self, a: Request, now: float, outcome: Outcome) -> None:
-        if a.profile.in_order and a.extent is not None and outcome in MAY_STILL_RUN:
+        if a.request_class.in_order and a.extent is not None and outcome in MAY_STILL_RUN:
             if len(self.rest_ms) > REMEMBERED:
                 self.rest_ms = {k: until for k, until in self.rest_ms.items() if until > now}
             self.rest_ms[a.extent] = now + self.given.cfg.order_settle_ms
 
     def over(self, a: Request) -> None:
         """Nothing is owed any more, and no attempt out: the next of its line may go."""
-        if a.profile.in_order and a.extent is not None and not a.out:
+        if a.request_class.in_order and a.extent is not None and not a.out:
             following = self.lines.leave(a.extent, a)
             if following is not None and following.shelf >= 0:
                 self.notes.wake(self.rest_ms.get(a.extent, self.born), following.shelf)
--- a/pebblehinge/decide/access.py
+++ b/pebblehinge/decide/request.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblehinge.kept import Calls
+from pebblehinge.scheduler_state import RequestHandle
 
 BUCKET_MS = 0.5  # width of a thinktime bucket (paper 3.3)
 BUCKETS = 400  # thinktimes past the last bucket count in it
@@ -14,10 +14,12 @@
 class Extent:
     """What is known of the thinktimes of one extent."""
 
-    __slots__ = ("counts", "answered_ms", "open", "turn")
+    __slots__ = ("counts", "answered_ms", "open", "slow_start_turn")
 
-    def __init__(self, turn: float) -> None:
-        self.turn = turn  # at a cold shelf; a first try draws it anew, a client's next one does not
+    def __init__(self, slow_start_turn: float) -> None:
+        self.slow_start_turn = (
+            slow_start_turn  # at a cold shelf; a first try draws it anew, a client's next one does not
+        )
         self.counts: dict[int, float] = {}
         self.answered_ms: float | None = None
         self.open = 0
@@ -36,10 +38,10 @@
         return (bucket + 1) * BUCKET_MS
 
 
-class Request(Calls):
+class Request(RequestHandle):
     """One request, and its handle."""
 
-    over, held, run = False, False, False
+    over, queued, run = False, False, False
     risk_ms, sent_ms, overtaken = None, 0.0, 0.0  # when the first that may have run left, when the last
 
     def __lt__(self, other: Request) -> bool:
--- a/pebblehinge/decide/head.py
+++ b/pebblehinge/decide/scheduler.py
@@ -6,20 +6,20 @@
 import random
 from bisect import insort
 
-from pebblehinge.decide.path import Path
+from pebblehinge.decide.dispatch import Dispatcher
+from pebblehinge.decide.node_health import FOLLOW, KEEPS_MS, NodeHealth
 from pebblehinge.decide.request import Extent
-from pebblehinge.decide.shelfs import FOLLOW, KEEPS_MS, Shelfs
 from pebblehinge.interface import Changes, Entry, ListCall, ListKind, Settings
-from pebblehinge.kept import Given, Notes, Past, Store, pack
+from pebblehinge.scheduler_state import ChangeSet, NodeSnapshot, SettingsView, TokenBuckets, pack
 
 
-class Head:
+class Scheduler:
     """One instance. Its parts: shelfs and their health, the path of requests, notes of what changed."""
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        self.given, self.rng, self.notes = Given(settings), random.Random(seed), Notes(settings.step_ms)
-        self.shelfs = Shelfs(self.given, self.rng, now)
-        self.path = Path(self.shelfs, self.notes, now)
+        self.given, self.rng, self.notes = SettingsView(settings), random.Random(seed), ChangeSet(settings.step_ms)
+        self.shelfs = NodeHealth(self.given, self.rng, now)
+        self.path = Dispatcher(self.shelfs, self.notes, now)
         self.take = self.path.take
 
     def start(self, now: float) -> Changes:
@@ -36,14 +36,14 @@
         for s in shelfs.listed(now, kind, entries):
             # What is held for a shelf that left moves to its replacement, or is given up.
             moved = {s, shelfs.at_slot.get(shelfs.slots[s], s)}
-            for a in [a for a in shelfs.held[s] if not shelfs.ready[s] or 0 <= a.slot != shelfs.slots[s]]:
+            for a in [a for a in shelfs.queued[s] if not shelfs.ready[s] or 0 <= a.slot != shelfs.slots[s]]:
                 heir = shelfs.at_slot.get(a.slot, -1) if a.slot >= 0 else shelfs.pick_new()
                 if heir < 0 or a.risk_ms is not None:
                     self.path.refusal.give_up(a, "its shelf left the list")
                 else:
-                    shelfs.held[s].remove(a)
+                    shelfs.queued[s].remove(a)
                     a.shelf = heir
-                    insort(shelfs.held[heir], a)
+                    insort(shelfs.queued[heir], a)
                     moved.add(heir)
             for affected in sorted(moved):
                 self.path.serve(affected, now, None)
@@ -54,7 +54,7 @@
             if what >= 0:
                 self.path.serve(what, now, None)
             elif what == -2:
-                for a in [a for row in (*self.shelfs.held, *self.shelfs.away) for a in row if not a.over]:
+                for a in [a for row in (*self.shelfs.queued, *self.shelfs.in_flight) for a in row if not a.over]:
                     self.path.refusal.give_up(a, "this head ends")
             elif self.given.cfg.asks_for_list:
                 self.notes.changes.list_calls.append(ListCall.WATCH)
@@ -70,26 +70,32 @@
         was written (whole). Harm: a fleet that changed meanwhile is judged by what it was, for seconds."""
         shelfs, path, left, lives = self.shelfs, self.path, math.exp(-age / KEEPS_MS), state.get("lives", {})
         shelfs.restored_ms = now
-        shelfs.past = {name: Past.of(row, lives.get(name), now - age, left) for name, row in state["shelfs"].items()}
-        shelfs.all_ms, fed, low, worth = state["every"]
-        shelfs.fed_ms = now - age - fed
+        shelfs.past = {
+            name: NodeSnapshot.of(row, lives.get(name), now - age, left) for name, row in state["shelfs"].items()
+        }
+        shelfs.fleet_mean_ms, fed, low_quartile, mean_value = state["every"]
+        shelfs.fleet_mean_updated_ms = now - age - fed
         if left > 0.5:
-            shelfs.low_ms, path.worth.usual, path.seq = low, worth, int(left / FOLLOW)
+            shelfs.low_quartile_ms, path.valuation.mean_value_per_unit, path.seq = (
+                low_quartile,
+                mean_value,
+                int(left / FOLLOW),
+            )
             shelfs.answers = path.seq
         for extent, counts in state["thinks"].items():
             e = path.extents[extent] = Extent(self.rng.random())
             e.counts = {b: n * left for b, n in counts.items() if n * left >= 0.01}
         for volume, (limit, since) in state["limits"].items() if whole else ():
-            path.worth.stores[volume] = Store(limit, now - age - since, self.given.cfg.most_units)
+            path.valuation.stores[volume] = TokenBuckets(limit, now - age - since, self.given.cfg.most_units)
         path.limits.retries.extend(now - age - t for t in state["further"])
 
     def adopt(self, now: float, settings: Settings) -> Changes:
         """New settings while requests are held. Harm: a plan that is gone holds to its end."""
-        self.path.worth.adopt(now, settings.plans != self.given.cfg.plans)
+        self.path.valuation.adopt(now, settings.quota_plans != self.given.cfg.quota_plans)
         self.given.adopt(settings)
         self.notes.step_ms = settings.step_ms or 1.0
-        for a in [a for held in self.shelfs.held for a in held]:
-            a.plan = self.given.plans.get(a.plan.name, a.plan)
+        for a in [a for queued in self.shelfs.queued for a in queued]:
+            a.quota_plan = self.given.quota_plans.get(a.quota_plan.name, a.quota_plan)
         for s in range(len(self.shelfs.names)):
             self.path.serve(s, now, None)
         return self.notes.finish(now)
@@ -98,11 +104,11 @@
         """This life ends, and all that was taken has its answer by end_ms: what can't go before is given up
         now, what is out may be answered yet. Harm: what a shelf would have answered after is redone."""
         self.path.end_ms = end_ms
-        for s, held in enumerate(self.shelfs.held):
-            for a in (*held, *self.shelfs.away[s]):
-                a.abandon_ms = min(a.abandon_ms, end_ms)
-                a.due_ms = min(a.due_ms, a.abandon_ms)
-            held.sort()
+        for s, queued in enumerate(self.shelfs.queued):
+            for a in (*queued, *self.shelfs.in_flight[s]):
+                a.deadline_ms = min(a.deadline_ms, end_ms)
+                a.due_ms = min(a.due_ms, a.deadline_ms)
+            queued.sort()
             self.path.serve(s, now, None)
         self.notes.wake(end_ms, -2)
         return self.notes.finish(now)
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from pebblehinge.account import Books
-from pebblehinge.core import REJECTED, Core, PendingRequest
-from pebblehinge.core.books import Doing
+from pebblehinge.core import REJECTED, PendingRequest, RequestTable
+from pebblehinge.core.request_table import Effects
 from pebblehinge.settings.schema import Config, HeadBlock
+from pebblehinge.wait_accounting import WaitAccounting
 from pebblehinge.wire.frames import APPEND, READ, WRITE
 
 MOST_LEFT_MS = 1e9  # ms, as long as any time that the settings may state
@@ -31,11 +31,13 @@
     return f"{left_ms:g} ms are left: a time of at most {MOST_LEFT_MS:g} is taken"
 
 
-class HeadCore(Core):
+class HeadCore(RequestTable):
     """The books of a head with settings of its own."""
 
-    def __init__(self, config: Config, head: HeadBlock, now: float, doing: Doing) -> None:
-        super().__init__(config.module_settings(head), head.seed, now, doing, Books() if head.accounts else None)
+    def __init__(self, config: Config, head: HeadBlock, now: float, doing: Effects) -> None:
+        super().__init__(
+            config.module_settings(head), head.seed, now, doing, WaitAccounting() if head.accounts else None
+        )
         self.config, self.block = config, head
         self.capture: Any = None  # a CaptureWriter, where what is taken is kept
 
@@ -60,24 +62,30 @@
         data: bytes,
     ) -> FramedRequest | None:
         """A request has come. None where it was refused at the door, and answered."""
-        taken = FramedRequest()
-        taken.conn, taken.id, taken.trace = conn, id_, trace
-        taken.volume, taken.extent, taken.slot, taken.units = volume, extent, slot, units
-        taken.label, taken.op, taken.offset, taken.length, taken.data = label or trace, op, offset, length, data
-        taken.profile, taken.again = profile, bool(again)
+        pending = FramedRequest()
+        pending.conn, pending.id, pending.trace = conn, id_, trace
+        pending.volume, pending.extent, pending.slot, pending.units = volume, extent, slot, units
+        pending.label, pending.op, pending.offset, pending.length, pending.data = (
+            label or trace,
+            op,
+            offset,
+            length,
+            data,
+        )
+        pending.profile, pending.again = profile, bool(again)
         self.counts["taken"] += 1
         try:
-            known_plan, set_size = self._admit(taken, plan, profile, left_ms)
+            known_plan, set_size = self._admit(pending, plan, profile, left_ms)
         except Refusal as refusal:
             # Nothing of it has gone anywhere, so trying again is harmless whatever its profile.
             self.counts["refused"] += 1
-            taken.answered = True
-            self.doing.answer(taken, REJECTED, self.config.rules.stay_away_max, str(refusal), b"")
+            pending.answered = True
+            self.doing.answer(pending, REJECTED, self.config.rules.stay_away_max, str(refusal), b"")
             return None
-        taken.plan = known_plan
+        pending.plan = known_plan
         self.accept(
             now,
-            taken,
+            pending,
             f"{volume}/{extent}",
             profile,
             known_plan,
@@ -86,31 +94,31 @@
             now + left_ms - self.block.answer_margin,
             again if self.config.rules.marks_repeats else None,
         )
-        return taken
+        return pending
 
-    def _admit(self, taken: FramedRequest, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
+    def _admit(self, pending: FramedRequest, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
         """The plan and number of heads of a request's volume, or why it can't be taken."""
         config, limits = self.config, self.config.limits
-        if self.stopping and not getattr(taken.conn, "inside", False):
+        if self.stopping and not getattr(pending.conn, "inside", False):
             raise Refusal("this head is stopping: another one takes new accesses")
         if profile not in config.profile:
             raise Refusal(f"profile {profile[:60]!r} is not known here")
-        volume = config.volume.get(taken.volume)
+        volume = config.volume.get(pending.volume)
         if volume is None:
-            raise Refusal(f"volume {taken.volume[:60]!r} is not known here")
+            raise Refusal(f"volume {pending.volume[:60]!r} is not known here")
         stands = volume.plan.partition("~")[0]  # between versions a volume may have a plan of its own, with less
         if plan is not None and plan != stands:
             what = "stands on another plan" if plan in config.plan else "names a plan that is not known here"
-            raise Refusal(f"volume {taken.volume!r} {what}: {plan[:60]!r}")
-        if not 0 < taken.units <= config.rules.most_units:
-            raise Refusal(f"{taken.units:g} units: at most {config.rules.most_units:g} are taken")
+            raise Refusal(f"volume {pending.volume!r} {what}: {plan[:60]!r}")
+        if not 0 < pending.units <= config.rules.most_units:
+            raise Refusal(f"{pending.units:g} units: at most {config.rules.most_units:g} are taken")
         if why := odd_time(left_ms):
             raise Refusal(why)
-        if taken.op not in (READ, WRITE, APPEND) or taken.offset < 0 or not 0 <= taken.length <= limits.frame:
+        if pending.op not in (READ, WRITE, APPEND) or pending.offset < 0 or not 0 <= pending.length <= limits.frame:
             raise Refusal("no read or write of such a place")
         if self.open >= limits.requests:
             raise Refusal(f"{limits.requests} accesses are open here already")
-        if self.bytes + len(taken.data) > limits.bytes:
+        if self.bytes + len(pending.data) > limits.bytes:
             raise Refusal(f"{limits.bytes} bytes of accesses are held here already")
         return volume.plan, volume.heads
 
@@ -119,21 +127,21 @@
         self.config = config
         self.adopt(now, config.module_settings(self.block))
 
-    def noted(self, taken: FramedRequest, final: int | None, now: float) -> None:
+    def noted(self, pending: FramedRequest, final: int | None, now: float) -> None:
         if self.capture is not None:
             self.capture.add(
-                taken.came_ms,
-                taken.volume,
-                taken.plan.partition("~")[0],
-                taken.profile,
-                taken.extent,
-                taken.slot,
-                taken.units,
-                taken.op != READ,
-                taken.again,
-                max(taken.length, len(taken.data)),
+                pending.came_ms,
+                pending.volume,
+                pending.plan.partition("~")[0],
+                pending.profile,
+                pending.extent,
+                pending.slot,
+                pending.units,
+                pending.op != READ,
+                pending.again,
+                max(pending.length, len(pending.data)),
                 LEFT if final is None else final,
-                round(now - taken.came_ms, 3),
-                round(taken.attempt_ms, 3),
-                taken.attempts,
+                round(now - pending.came_ms, 3),
+                round(pending.attempt_ms, 3),
+                pending.attempts,
             )
--- a/pebblehinge/head/clients.py
+++ b/pebblehinge/head/clients.py
@@ -78,25 +78,25 @@
             if back.take(self, id_, trace, volume, profile, extent, *more):
                 return
             seen = back.before_read(volume, extent)
-        taken = server.core.take(server.now, self, id_, trace, volume, plan, profile, extent, *rest)
-        if taken is not None and seen:
+        pending = server.core.take(server.now, self, id_, trace, volume, plan, profile, extent, *rest)
+        if pending is not None and seen:
             self.seen[id_] = seen
-        if taken is not None and not taken.answered:
-            self.open[id_] = taken
+        if pending is not None and not pending.answered:
+            self.open[id_] = pending
 
     def tell(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
         """An answer to what the core never saw."""
         if self.open.pop(id_, self) is not self:
             self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
 
-    def answered(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.open.pop(taken.id, None)
-        back, seen = self.server.back, self.seen.pop(taken.id, ())
-        if back is not None and final == SUCCEEDED and taken.op == 0 and back.buffers(taken.volume):
-            data = back.after_read(taken, seen, data)
-        self.send(Kind.ANSWER, taken.id, final, stay_ms, reason, taken.slot, data)
+    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        self.open.pop(pending.id, None)
+        back, seen = self.server.back, self.seen.pop(pending.id, ())
+        if back is not None and final == SUCCEEDED and pending.op == 0 and back.buffers(pending.volume):
+            data = back.after_read(pending, seen, data)
+        self.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
     def on_cancel(self, id_: int) -> None:
-        taken = self.open.pop(id_, None)
-        if taken is not None:  # an answer that crossed it on the way stands
-            self.server.core.left(self.server.now, taken)
+        pending = self.open.pop(id_, None)
+        if pending is not None:  # an answer that crossed it on the way stands
+            self.server.core.left(self.server.now, pending)
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -61,26 +61,26 @@
 
     # ---- what the core has done
 
-    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        taken.conn.answered(taken, final, stay_ms, reason, data)
+    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        pending.conn.answered(pending, final, stay_ms, reason, data)
         now = self.now
         if final == SUCCEEDED:
-            self.latency.record_value(max(1, int((now - taken.came_ms) * 1000.0)))
-        self.note(now, "answer", id=taken.trace, final=FINALS[final], stay=stay_ms)
+            self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
+        self.note(now, "answer", id=pending.trace, final=FINALS[final], stay=stay_ms)
         if self.config.log.requests:
-            took = round(now - taken.came_ms, 3)
-            self.log.info("answer", id=taken.trace, final=FINALS[final], ms=took, reason=reason)
+            took = round(now - pending.came_ms, 3)
+            self.log.info("answer", id=pending.trace, final=FINALS[final], ms=took, reason=reason)
         if self.core.stopping and not self.core.open:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         link = self.links[shelf]
         if self.config.log.requests:
-            self.log.info("trip", id=taken.trace, n=attempt, shelf=shelf)
-        link.send(taken, attempt, until_ms, self.now)
+            self.log.info("trip", id=pending.trace, n=attempt, shelf=shelf)
+        link.send(pending, attempt, until_ms, self.now)
 
-    def drop_attempt(self, taken: PendingRequest) -> None:
-        taken.attempt.link.drop(taken)
+    def drop_attempt(self, pending: PendingRequest) -> None:
+        pending.attempt.link.drop(pending)
 
     def wake_at(self, at_ms: float) -> None:
         if at_ms < self.wake_ms:
--- a/pebblehinge/head/inside.py
+++ b/pebblehinge/head/inside.py
@@ -54,7 +54,7 @@
         self.waiting[id_] = future
         now = server.now = server.clock()
         server.note(now, "take", id=trace, client=self.client)
-        taken = server.core.take(
+        pending = server.core.take(
             now,
             self,
             id_,
@@ -77,13 +77,13 @@
             return await future
         except asyncio.CancelledError:
             self.waiting.pop(id_, None)
-            if taken is not None and not taken.answered:
+            if pending is not None and not pending.answered:
                 server.now = server.clock()
-                server.core.left(server.now, taken)
+                server.core.left(server.now, pending)
             raise
 
-    def answered(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        future = self.waiting.pop(taken.id, None)
+    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        future = self.waiting.pop(pending.id, None)
         if future is not None and not future.done():
             future.set_result(Answered(FINALS[final], stay_ms, reason, data))
 
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -24,7 +24,7 @@
 class Out:
     """One attempt that has no outcome yet."""
 
-    __slots__ = ("number", "taken", "attempt", "until_ms", "sent_ms", "timer", "link", "looked")
+    __slots__ = ("number", "pending", "attempt", "until_ms", "sent_ms", "timer", "link", "looked")
 
 
 class ShelfLink:
@@ -56,13 +56,13 @@
 
     # ---- calls
 
-    def send(self, taken: PendingRequest, attempt: int, until_ms: float, now: float) -> None:
+    def send(self, pending: PendingRequest, attempt: int, until_ms: float, now: float) -> None:
         out = Out()
         self.numbers += 1
-        out.number, out.taken, out.attempt, out.until_ms, out.sent_ms = self.numbers, taken, attempt, until_ms, now
+        out.number, out.pending, out.attempt, out.until_ms, out.sent_ms = self.numbers, pending, attempt, until_ms, now
         out.link, out.looked = self, False
         out.timer = self.loop.call_at(until_ms / 1000.0, self._timed_out, out)
-        taken.attempt = out
+        pending.attempt = out
         if self.wire is not None and not self.wire.paused:
             self._write(out, now)
             return
@@ -70,9 +70,9 @@
         if self.wire is None:
             self.dial.connect()
 
-    def drop(self, taken: PendingRequest) -> None:
+    def drop(self, pending: PendingRequest) -> None:
         """Nobody waits for this attempt any more; its shelf is told, the caller knows the outcome."""
-        out = taken.attempt
+        out = pending.attempt
         out.timer.cancel()
         if self.out.pop(out.number, None) is not None:
             if self.wire is not None:
@@ -118,25 +118,25 @@
             self._write(self.waiting.popleft(), now)
 
     def _write(self, out: Out, now: float) -> None:
-        taken, wire = out.taken, self.wire
+        pending, wire = out.pending, self.wire
         assert wire is not None
         self.out[out.number] = out
         wire.send(
             Kind.TRIP,
             out.number,
-            taken.trace,
+            pending.trace,
             out.attempt,
-            f"{taken.volume}/{taken.extent}",
-            taken.op,
-            taken.offset,
-            taken.length,
-            taken.units,
-            taken.label,
+            f"{pending.volume}/{pending.extent}",
+            pending.op,
+            pending.offset,
+            pending.length,
+            pending.units,
+            pending.label,
             out.until_ms - now,
-            taken.data,
+            pending.data,
         )
         if self.noted is not None:
-            self.noted(now, "trip", id=taken.trace, n=out.attempt, shelf=self.shelf, until=round(out.until_ms, 3))
+            self.noted(now, "trip", id=pending.trace, n=out.attempt, shelf=self.shelf, until=round(out.until_ms, 3))
 
     def lost(self, wire: Wire) -> None:
         now = self.clock()
@@ -187,6 +187,6 @@
     def _end(self, out: Out, now: float, outcome: Outcome, data: bytes = b"") -> None:
         out.timer.cancel()
         if self.noted is not None:
-            self.noted(now, "outcome", id=out.taken.trace, n=out.attempt, shelf=self.shelf, what=outcome.value)
-        self.ended(now, out.taken, out.attempt, outcome, now - out.sent_ms, data)
+            self.noted(now, "outcome", id=out.pending.trace, n=out.attempt, shelf=self.shelf, what=outcome.value)
+        self.ended(now, out.pending, out.attempt, outcome, now - out.sent_ms, data)
         self._rest()
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -124,9 +124,9 @@
     def gone(self, conn: ClientConn) -> None:
         self.conns.pop(conn, None)
         now = self.clock()
-        for taken in list(conn.open.values()):
-            if taken is not None:
-                self.core.left(now, taken)
+        for pending in list(conn.open.values()):
+            if pending is not None:
+                self.core.left(now, pending)
         conn.open.clear()
         self.stop_if_done()
 
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -168,12 +168,12 @@
         """Dirty writes that a read must show, even if they land while it is on its way and it did not see them."""
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
-    def after_read(self, taken: PendingRequest, seen: tuple[Write, ...], data: bytes) -> bytes:
+    def after_read(self, pending: PendingRequest, seen: tuple[Write, ...], data: bytes) -> bytes:
         shown = Dirty()
         for write in seen:
             shown.add(0.0, write)
-        base = shown.over(taken.volume, taken.extent, taken.offset, taken.length, data)
-        return self.dirty.over(taken.volume, taken.extent, taken.offset, taken.length, base)
+        base = shown.over(pending.volume, pending.extent, pending.offset, pending.length, data)
+        return self.dirty.over(pending.volume, pending.extent, pending.offset, pending.length, base)
 
     # ---- what is waited for
 
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -79,14 +79,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Profile:
+class RequestClass:
     """A kind of request, as the settings state it."""
 
     name: str
-    importance: float
-    expected_ms: float
-    patience_ms: float
-    late_share: float
+    priority_weight: float
+    latency_objective_ms: float
+    max_wait_ms: float
+    late_value_share: float
     repeat: Idempotency
     group: DeduplicationScope
     window_ms: float
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class QuotaPlan:
     """What a volume of this plan is due; all figures count over all heads. A limit rate of 0 is no limit."""
 
     name: str
@@ -104,19 +104,19 @@
     limit_burst: float
     limit_slack: float
     weight: float
-    worth_factor: float
+    value_factor: float
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
     """What an instance is told at its start."""
 
-    profiles: tuple[Profile, ...]
-    plans: tuple[Plan, ...]
+    request_classes: tuple[RequestClass, ...]
+    quota_plans: tuple[QuotaPlan, ...]
     mean_units: float
     most_units: float
-    share_worth: float
-    idle_worth: float
+    share_value: float
+    excess_value: float
     asks_for_list: bool
     marks_repeats: bool
     may_cancel: bool
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from pebblehinge.account.books import SELF, SHELF
 from pebblehinge.lab.village import Village, play
 from pebblehinge.settings.load import loads
 from pebblehinge.settings.schema import Trouble
+from pebblehinge.wait_accounting.accounting import SELF, SHELF
 
 DAY = """
 rules {
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -139,7 +139,7 @@
             self.ended.set_result(None)
 
     async def _run(self, ask: Ask, at_ms: float) -> None:
-        """A run: each request follows the one before by a thinktime, at the latest after its expected time."""
+        """A run: each request follows the one before by a thinktime, at the latest after its latency objective."""
         expected = self.config.profile[ask.profile].expected
         following: list[asyncio.Task] = []
         for i, units in enumerate(ask.units):
--- a/pebblehinge/lab/load.py
+++ b/pebblehinge/lab/load.py
@@ -1,7 +1,7 @@
 """What clients ask, drawn ahead from a seed: volumes, their ways, runs, surges, troubles of the load. No I/O.
 
 The load is open: when a run begins never depends on answers. Within a run the next request follows the answer
-of the one before by a thinktime, or its expected time where no answer came by then.
+of the one before by a thinktime, or its latency objective where no answer came by then.
 """
 
 from __future__ import annotations
--- a/pebblehinge/plan/formulas.py
+++ b/pebblehinge/plan/formulas.py
@@ -102,7 +102,7 @@
     shape = (count, seconds)
     offered = np.bincount(flat, work * let, count * seconds).reshape(shape) * multiple
     power = (slots.cores * slots.speed)[:, None] * 1000.0
-    # A second's surplus is refused within the expected times, not kept for long: about a third of a second of it
+    # A second's surplus is refused within the latency objectives, not kept for long: about a third of a second of it
     # is carried, as what heads hold back until its due time.
     rho = offered / power
     carried = np.zeros(count)
--- a/pebblehinge/stated.py
+++ b/pebblehinge/platform_settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pebblehinge.interface import DeduplicationScope, Idempotency, Plan, Profile, Settings, Standing
+from pebblehinge.interface import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings, Standing
 
 IDEMPOTENCY_BY_EFFECT = {
     "safe": Idempotency.IDEMPOTENT,
@@ -20,58 +20,60 @@
 STANDINGS = {"Ready": Standing.READY, "Terminating": Standing.DRAINING, "Gone": Standing.GONE}
 
 
-class StatedError(Exception):
+class PlatformSettingsError(Exception):
     """Something in the object is not as it should be; the text names the place and what was expected."""
 
 
-class Reader:
+class SettingsReader:
     """Takes values out of such an object; a missing key or a wrong kind is named by its place."""
 
     def __init__(self, raw: Any, place: str, whole: str = "settings") -> None:
         self.raw, self.place, self.whole = raw, place, whole
         if not isinstance(raw, dict):
-            raise StatedError(f"{whole}: {place or 'the whole'} is no object: expected named values")
+            raise PlatformSettingsError(f"{whole}: {place or 'the whole'} is no object: expected named values")
 
     def get(self, key: str, kind: type, default: Any = None, scale: float = 1.0) -> Any:
         where = f"{self.place}.{key}" if self.place else key
         if key not in self.raw:
             if default is not None:
                 return default
-            raise StatedError(f"{self.whole}: {where} is missing: expected {kind.__name__}")
+            raise PlatformSettingsError(f"{self.whole}: {where} is missing: expected {kind.__name__}")
         try:
             value = msgspec.convert(self.raw[key], kind)
         except msgspec.ValidationError as error:
-            raise StatedError(f"{self.whole}: {where}: {error}") from None
+            raise PlatformSettingsError(f"{self.whole}: {where}: {error}") from None
         return value * scale if kind is float else value
 
     def word(self, key: str, words: dict[str, Any], default: str | None = None) -> Any:
         value = self.get(key, str, default)
         if value not in words:
-            raise StatedError(f"{self.whole}: {self.place}.{key} is {value!r}: expected one of {', '.join(words)}")
+            raise PlatformSettingsError(
+                f"{self.whole}: {self.place}.{key} is {value!r}: expected one of {', '.join(words)}"
+            )
         return words[value]
 
-    def sub(self, key: str) -> Reader:
-        return Reader(self.get(key, dict), f"{self.place}.{key}" if self.place else key, self.whole)
+    def sub(self, key: str) -> SettingsReader:
+        return SettingsReader(self.get(key, dict), f"{self.place}.{key}" if self.place else key, self.whole)
 
-    def rows(self, key: str) -> list[Reader]:
+    def rows(self, key: str) -> list[SettingsReader]:
         rows = self.get(key, list)
-        return [Reader(row, f"{key}[{i}]", self.whole) for i, row in enumerate(rows)]
+        return [SettingsReader(row, f"{key}[{i}]", self.whole) for i, row in enumerate(rows)]
 
 
 def read_settings(raw: Any) -> Settings:
     """The module's settings, from the object as it was decoded."""
-    env = Reader(raw, "")
+    env = SettingsReader(raw, "")
     caps, rules, info = env.sub("ceilings"), env.sub("rules"), env.sub("family_info")
-    habits = Reader(env.get("client_habits", dict, {}), "client_habits")
+    habits = SettingsReader(env.get("client_habits", dict, {}), "client_habits")
     ms = 1000.0
     budget = "repeat_ratio" in rules.raw or "min_extra" in rules.raw
-    profiles = tuple(
-        Profile(
+    request_classes = tuple(
+        RequestClass(
             name=row.get("name", str),
-            importance=row.get("points", float),
-            expected_ms=row.get("on_time_s", float, scale=ms),
-            patience_ms=row.get("give_up_s", float, scale=ms),
-            late_share=row.get("late_worth", float, 0.0),
+            priority_weight=row.get("points", float),
+            latency_objective_ms=row.get("on_time_s", float, scale=ms),
+            max_wait_ms=row.get("give_up_s", float, scale=ms),
+            late_value_share=row.get("late_worth", float, 0.0),
             repeat=row.word("effect", IDEMPOTENCY_BY_EFFECT),
             group=row.word("group", DEDUPLICATION_SCOPES, "all"),
             window_ms=row.get("repeat_window_s", float, 0.0, scale=ms),
@@ -79,8 +81,8 @@
         )
         for row in env.rows("classes")
     )
-    plans = tuple(
-        Plan(
+    quota_plans = tuple(
+        QuotaPlan(
             name=row.get("name", str),
             rate=row.get("base_rate", float),
             reserve=row.get("reserve", float, 0.0),
@@ -88,17 +90,17 @@
             limit_burst=row.get("limit_burst", float, 0.0),
             limit_slack=row.get("cap_slack", float, 0.0),
             weight=row.get("proportion", float, 1.0),
-            worth_factor=row.get("worth_factor", float, 1.0),
+            value_factor=row.get("worth_factor", float, 1.0),
         )
         for row in env.rows("service_levels")
     )
     return Settings(
-        profiles=profiles,
-        plans=plans,
+        request_classes=request_classes,
+        quota_plans=quota_plans,
         mean_units=info.get("mean_units", float),
         most_units=info.get("most_units", float),
-        share_worth=info.get("within_share", float),
-        idle_worth=info.get("idle_worth", float),
+        share_value=info.get("within_share", float),
+        excess_value=info.get("idle_worth", float),
         asks_for_list=env.word("membership_mode", {"push": False, "ask": True}),
         marks_repeats=habits.get("marks_retry", bool, False),
         may_cancel=caps.get("cancel", bool),
--- a/pebblehinge/kept/notes.py
+++ b/pebblehinge/scheduler_state/change_set.py
@@ -8,7 +8,7 @@
 from pebblehinge.interface import Changes, Handle
 
 
-class Notes:
+class ChangeSet:
     """Collects what one call changes, each handle once, in the order of its first change; keeps wakes over calls."""
 
     def __init__(self, step_ms: float) -> None:
--- a/pebblehinge/kept/lines.py
+++ b/pebblehinge/scheduler_state/key_queues.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Lines:
+class KeyQueues:
     """Who stands in line for a key. A line that empties is forgotten."""
 
     def __init__(self) -> None:
--- a/pebblehinge/kept/recent.py
+++ b/pebblehinge/scheduler_state/lru_cache.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Recent(OrderedDict[str, T]):
+class LruCache(OrderedDict[str, T]):
     """Keeps at most so many; `use` is what counts as a use, a plain look-up does not."""
 
     def __init__(self, most: int) -> None:
--- a/pebblehinge/kept/calls.py
+++ b/pebblehinge/scheduler_state/request_handle.py
@@ -7,7 +7,7 @@
 from pebblehinge.interface import Answer, Attempt, Changes, Outcome
 
 
-class Calls:
+class RequestHandle:
     """A handle: its calls go to the path that its request is on. What the last one changed is in attempts,
     cancellations and answer."""
 
--- a/pebblehinge/kept/store.py
+++ b/pebblehinge/scheduler_state/token_buckets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Store:
+class TokenBuckets:
     """A volume's stores: this head's part of the limit, and what is still due of reserve and share, in units."""
 
     __slots__ = ("limit", "reserve", "share", "at_ms")
--- a/pebblehinge/service/__main__.py
+++ b/pebblehinge/service/__main__.py
@@ -10,19 +10,19 @@
 
 import uvloop  # noqa: E402
 
+from pebblehinge.platform_settings import PlatformSettingsError  # noqa: E402
 from pebblehinge.service.config import load_config  # noqa: E402
 from pebblehinge.service.server import run  # noqa: E402
-from pebblehinge.stated import StatedError  # noqa: E402
 
 
 def main() -> int:
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
-            raise StatedError("configuration: RELAY_CONFIG is not set: expected the path of a file")
+            raise PlatformSettingsError("configuration: RELAY_CONFIG is not set: expected the path of a file")
         config = load_config(path)
         uvloop.run(run(path, config))
-    except (StatedError, OSError) as error:
+    except (PlatformSettingsError, OSError) as error:
         print(f"pebblehinge: {error}", file=sys.stderr)
         return 2
     return 0
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -44,7 +44,7 @@
         "transport",
         "sock",
         "requests",
-        "taken",
+        "pending",
         "keeps",
         "since",
         "over",
@@ -60,7 +60,7 @@
         self.door, self.sock = door, sock
         self.transport: Any = None
         self.requests = RequestParser()
-        self.taken: ServiceRequest | None = None
+        self.pending: ServiceRequest | None = None
         self.keeps = self.counted = True
         self.waits = False  # for what lies unread
         self.over = False  # more was sent ahead than is kept: what comes now is read and dropped
@@ -76,22 +76,22 @@
         if self.closing or self.over:  # read and dropped: a close over unread bytes would take the last answer along
             return
         self.requests.feed(data)
-        if self.taken is None:
+        if self.pending is None:
             self.go_on()
         if not self.closing and len(self.requests.buffer) > AHEAD_LIMIT:
             self.over, self.requests.buffer = True, self.requests.buffer[:AHEAD_LIMIT]
-            if self.taken is None:
+            if self.pending is None:
                 self.go_on()
 
     def go_on(self) -> None:
         """Takes what has come, one request after the other, as far as each is answered at once. Where more lies
         unread behind it, that is read first: it may be the client's end, or much more than is kept."""
-        if self.taken is None and not (self.closing or self.full or self.over) and not self.quiet():
+        if self.pending is None and not (self.closing or self.full or self.over) and not self.quiet():
             if not self.waits:
                 self.waits = True
                 self.door.owner.loop.call_soon(self._go_on)
             return
-        while self.taken is None and not self.closing and not self.full:
+        while self.pending is None and not self.closing and not self.full:
             try:
                 request = self.requests.next()
                 if request is None and self.over:
@@ -104,7 +104,7 @@
                 self._take(request)
             except HttpError as error:
                 self.refuse(error.status, str(error))
-        if not self.closing and self.taken is None:
+        if not self.closing and self.pending is None:
             if self.requests.partial:
                 if self.shelved is not self.door.fresh:
                     self.door.stands(self, self.door.fresh)
@@ -140,9 +140,9 @@
 
     def settle(self) -> None:
         """No request is open here any more."""
-        if self.taken is not None:
-            self.door.ids.discard(self.taken.id)
-            self.taken = None
+        if self.pending is not None:
+            self.door.ids.discard(self.pending.id)
+            self.pending = None
 
     def reply(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         """An answer, whole; where it ends the connection, it says so."""
@@ -182,15 +182,15 @@
 
     def resume_writing(self) -> None:
         self.full = False
-        if self.taken is None and not self.closing:
+        if self.pending is None and not self.closing:
             self.door.owner.loop.call_soon(self.go_on)
 
     def leave(self) -> None:
         """The client has gone: the one end of what is open here, however often and in whatever order that is told."""
-        taken, self.closing, self.requests.buffer = self.taken, True, b""
+        pending, self.closing, self.requests.buffer = self.pending, True, b""
         self.settle()
-        if taken is not None:
-            self.door.owner.core.left(self.door.owner.clock(), taken)
+        if pending is not None:
+            self.door.owner.core.left(self.door.owner.clock(), pending)
 
     def eof_received(self) -> None:
         """A client that ends its sending has gone away. Not only once the connection is lost: that waits for whatever
--- a/pebblehinge/service/config.py
+++ b/pebblehinge/service/config.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pebblehinge.interface import Settings
-from pebblehinge.stated import Reader, StatedError, read_settings
+from pebblehinge.platform_settings import PlatformSettingsError, SettingsReader, read_settings
 
 FILE_LIMIT = 8 * 1024 * 1024  # bytes
 FEWEST_SOCKETS = 64
@@ -40,7 +40,7 @@
 def parse_address(text: str, where: str) -> tuple[str, int]:
     found = ADDRESS.fullmatch(text)
     if found is None or not 0 < int(found[2]) < 65536:
-        raise StatedError(f"{WHOLE}: {where} is {text[:60]!r}: expected host:port")
+        raise PlatformSettingsError(f"{WHOLE}: {where} is {text[:60]!r}: expected host:port")
     return found[1], int(found[2])
 
 
@@ -49,28 +49,28 @@
     try:
         raw = msgspec.json.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise StatedError(f"{WHOLE}: {error}: expected a JSON object") from None
-    top = Reader(raw, "", WHOLE)
+        raise PlatformSettingsError(f"{WHOLE}: {error}: expected a JSON object") from None
+    top = SettingsReader(raw, "", WHOLE)
     seed = top.get("seed", str)
     try:
         number = int(seed, 16)
     except ValueError:
-        raise StatedError(f"{WHOLE}: seed is {seed[:60]!r}: expected hex digits") from None
+        raise PlatformSettingsError(f"{WHOLE}: seed is {seed[:60]!r}: expected hex digits") from None
     sockets = top.sub("limits").get("sockets", int)
     if sockets < FEWEST_SOCKETS:
-        raise StatedError(f"{WHOLE}: limits.sockets is {sockets}: expected at least {FEWEST_SOCKETS}")
-    stated = top.get("settings", dict)
-    settings = read_settings(stated)
-    if not settings.profiles or not settings.plans:
-        raise StatedError("settings: classes and service_levels: expected at least one of each")
-    env = Reader(stated, "")
+        raise PlatformSettingsError(f"{WHOLE}: limits.sockets is {sockets}: expected at least {FEWEST_SOCKETS}")
+    platform_settings = top.get("settings", dict)
+    settings = read_settings(platform_settings)
+    if not settings.request_classes or not settings.quota_plans:
+        raise PlatformSettingsError("settings: classes and service_levels: expected at least one of each")
+    env = SettingsReader(platform_settings, "")
     caps, info = env.sub("ceilings"), env.sub("family_info")
     writes = info.get("writes", list[bool])
-    if len(writes) != len(settings.profiles):
-        raise StatedError(f"settings: family_info.writes holds {len(writes)}: expected one for each class")
+    if len(writes) != len(settings.request_classes):
+        raise PlatformSettingsError(f"settings: family_info.writes holds {len(writes)}: expected one for each class")
     known = raw.get("known")
     if known is not None and not isinstance(known, dict):
-        raise StatedError(f"{WHOLE}: known is no object: expected a list in discovery's form")
+        raise PlatformSettingsError(f"{WHOLE}: known is no object: expected a list in discovery's form")
     return ServiceConfig(
         name=top.get("name", str),
         listen=parse_address(top.get("listen", str), "listen"),
@@ -79,20 +79,20 @@
         sockets=sockets,
         known=known,
         settings=settings,
-        writes={p.name: write for p, write in zip(settings.profiles, writes, strict=True)},
+        writes={p.name: write for p, write in zip(settings.request_classes, writes, strict=True)},
         shards=info.get("shards", int, 0),
         idle_ms=caps.get("conn_idle_s", float, scale=1000.0),
         connect_ms=caps.get("connect_timeout_s", float, scale=1000.0),
         most_open=caps.get("max_open", int, 1_000_000),
-        longest_ms=max(p.patience_ms for p in settings.profiles),
+        longest_ms=max(p.max_wait_ms for p in settings.request_classes),
     )
 
 
 def load_config(path: str) -> ServiceConfig:
     try:
         if os.path.getsize(path) > FILE_LIMIT:
-            raise StatedError(f"{WHOLE}: {path}: more than {FILE_LIMIT} bytes")
+            raise PlatformSettingsError(f"{WHOLE}: {path}: more than {FILE_LIMIT} bytes")
         with open(path, "rb") as file:
             return read_config(file.read(FILE_LIMIT))
     except OSError as error:
-        raise StatedError(f"{WHOLE}: {path}: {error.strerror}") from None
+        raise PlatformSettingsError(f"{WHOLE}: {path}: {error.strerror}") from None
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -17,8 +17,8 @@
 
 from pebblehinge.http1 import HttpError, ResponseStream, write_request
 from pebblehinge.interface import Standing
+from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service.lists import Objects, Told
-from pebblehinge.stated import StatedError
 
 SILENT_S = 2.5  # an empty line arrives every 2 s: after this without one, a further connection is opened ...
 GIVEN_UP_S = 5.0  # ... and after this the silent one is closed
@@ -70,7 +70,7 @@
                 self.watch.line(self, value)
             if ended:
                 self.transport.abort()
-        except (HttpError, StatedError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        except (HttpError, PlatformSettingsError, msgspec.DecodeError, UnicodeDecodeError) as error:
             self.watch.fault("discovery can't be read", error)
             self.transport.abort()
 
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.core import REJECTED, SUCCEEDED, Core, PendingRequest
+from pebblehinge.core import REJECTED, SUCCEEDED, PendingRequest, RequestTable
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import ServiceConfig
 from pebblehinge.service.requests import Asked, ServiceRequest
@@ -24,7 +24,7 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     config: ServiceConfig
-    core: Core
+    core: RequestTable
     late_ms: float
 
     def ready(self) -> bool: ...
@@ -70,24 +70,38 @@
         if owner.core.open >= owner.config.most_open:
             conn.reply(503, extra=retry_after(owner.config.settings.stay_away_max_ms))
             return
-        taken = ServiceRequest()
-        taken.conn, taken.id, taken.volume, taken.units, taken.data = conn, asked.id, asked.volume, asked.units, body
-        taken.head = asked.head
-        conn.taken = taken
+        pending = ServiceRequest()
+        pending.conn, pending.id, pending.volume, pending.units, pending.data = (
+            conn,
+            asked.id,
+            asked.volume,
+            asked.units,
+            body,
+        )
+        pending.head = asked.head
+        conn.pending = pending
         self.ids.add(asked.id)
         self.stands(conn, self.busy)
         owner.core.counts["taken"] += 1
         # It may have waited here unread for as long as the loop is late.
-        abandon = now - owner.late_ms + asked.patience_ms - self.MARGIN_MS
-        conn.until = min(abandon, now + owner.config.longest_ms)
+        deadline_ms = now - owner.late_ms + asked.max_wait_ms - self.MARGIN_MS
+        conn.until = min(deadline_ms, now + owner.config.longest_ms)
         again = asked.again if owner.config.settings.marks_repeats else None
         owner.core.accept(
-            now, taken, asked.extent, asked.profile, asked.plan, asked.set_size, asked.slot, abandon, again
+            now,
+            pending,
+            asked.extent,
+            asked.request_class,
+            asked.quota_plan,
+            asked.set_size,
+            asked.slot,
+            deadline_ms,
+            again,
         )
 
-    def answer(self, taken: PendingRequest, final: int, stay_ms: float, data: bytes) -> None:
-        conn: ClientConn = taken.conn
-        if conn.taken is not taken:
+    def answer(self, pending: PendingRequest, final: int, stay_ms: float, data: bytes) -> None:
+        conn: ClientConn = pending.conn
+        if conn.pending is not pending:
             return  # its client has gone
         if final == SUCCEEDED:
             conn.answered(200, data)
@@ -96,13 +110,13 @@
         else:
             conn.answered(502)
 
-    def wanted(self, taken: PendingRequest) -> bool:
+    def wanted(self, pending: PendingRequest) -> bool:
         """Whether anything may still be begun for a request: it has no answer, and its client is there."""
-        if not taken.answered and taken.conn.gone():
-            self.owner.loop.call_soon(self._lose, taken.conn)
+        if not pending.answered and pending.conn.gone():
+            self.owner.loop.call_soon(self._lose, pending.conn)
             self.gone += 1
             return False
-        return not taken.answered
+        return not pending.answered
 
     def _lose(self, conn: ClientConn) -> None:
         conn.leave()
--- a/pebblehinge/service/lists.py
+++ b/pebblehinge/service/lists.py
@@ -9,8 +9,8 @@
 
 from pebblehinge.http1 import HttpError
 from pebblehinge.interface import Entry, ListKind
+from pebblehinge.platform_settings import STANDINGS, PlatformSettingsError, SettingsReader
 from pebblehinge.service.config import parse_address
-from pebblehinge.stated import STANDINGS, Reader, StatedError
 
 OBJECT_LIMIT = 4 * 1024 * 1024  # bytes of one object
 MARKS = re.compile(rb'[{}\[\]"\\]')  # all that tells where a value ends
@@ -22,7 +22,7 @@
     __slots__ = ("version", "kind", "entries", "addresses", "faults")
 
     def __init__(self, raw: Any) -> None:
-        line = Reader(raw, "", "list")
+        line = SettingsReader(raw, "", "list")
         self.version = line.get("version", int)
         self.kind = ListKind.WHOLE if line.get("full", bool, False) else ListKind.CHANGES
         self.entries: list[Entry] = []
@@ -35,7 +35,7 @@
                 address = parse_address(row.get("addr", str), f"{row.place}.addr")
                 self.entries.append(Entry(name, standing, cell, row.get("started_ms", float, 0.0)))
                 self.addresses[name] = address
-            except StatedError as error:
+            except PlatformSettingsError as error:
                 self.faults.append(str(error))
 
 
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -33,11 +33,11 @@
 class Attempt:
     """One attempt that is out. `written` once its last byte is with the machine's network."""
 
-    __slots__ = ("taken", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms", "written")
+    __slots__ = ("pending", "number", "shelf", "until_ms", "begin_by_ms", "conn", "timer", "task", "sent_ms", "written")
 
-    def __init__(self, taken: PendingRequest, number: int, shelf: Shelf, until_ms: float, now: float) -> None:
-        self.taken, self.number, self.shelf, self.until_ms, self.sent_ms = taken, number, shelf, until_ms, now
-        self.begin_by_ms = taken.begin_by_ms  # its last byte has to be gone by then, or it is not sent
+    def __init__(self, pending: PendingRequest, number: int, shelf: Shelf, until_ms: float, now: float) -> None:
+        self.pending, self.number, self.shelf, self.until_ms, self.sent_ms = pending, number, shelf, until_ms, now
+        self.begin_by_ms = pending.begin_by_ms  # its last byte has to be gone by then, or it is not sent
         self.conn: ShelfConn | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
@@ -88,7 +88,7 @@
     def send(self, attempt: Attempt) -> None:
         self.attempt, attempt.conn = attempt, self
         wait = max(1, int(attempt.until_ms - self.pool.clock()))
-        self.transport.write(attempt.taken.head + b"X-Deadline-Ms: %d\r\n\r\n" % wait + attempt.taken.data)
+        self.transport.write(attempt.pending.head + b"X-Deadline-Ms: %d\r\n\r\n" % wait + attempt.pending.data)
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             attempt.written = True
 
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -54,14 +54,14 @@
 
     __slots__ = (
         "id",
-        "profile",
-        "plan",
+        "request_class",
+        "quota_plan",
         "extent",
         "volume",
         "units",
         "slot",
         "set_size",
-        "patience_ms",
+        "max_wait_ms",
         "again",
         "head",
     )
@@ -84,25 +84,25 @@
     asked = Asked()
     asked.id = one(b"x-request-id", ID).decode()
     one(b"host")
-    asked.profile = one(b"x-class").decode("latin-1")
-    writes = config.writes.get(asked.profile)
+    asked.request_class = one(b"x-class").decode("latin-1")
+    writes = config.writes.get(asked.request_class)
     if writes is None:
         raise HttpError(400, "X-Class: not known here")
     target = request.target
-    if not target.startswith(b"/") or target.partition(b"?")[0].split(b"/")[1] != asked.profile.encode("latin-1"):
+    if not target.startswith(b"/") or target.partition(b"?")[0].split(b"/")[1] != asked.request_class.encode("latin-1"):
         raise HttpError(400, "the path does not begin with the class")
     if request.method != (b"PUT" if writes else b"GET"):
         raise HttpError(405, "a read is a GET, a write is a PUT")
     if request.body and not writes:
         raise HttpError(400, "a read has no body")
-    asked.plan = one(b"x-plan").decode("latin-1")
-    if not any(plan.name == asked.plan for plan in config.settings.plans):
+    asked.quota_plan = one(b"x-plan").decode("latin-1")
+    if not any(quota_plan.name == asked.quota_plan for quota_plan in config.settings.quota_plans):
         raise HttpError(400, "X-Plan: not known here")
     blocks = [p.strip()[6:] for p in one(b"cookie").split(b";") if p.strip().startswith(b"block=")]
     if len(blocks) != 1 or HEX16.fullmatch(blocks[0]) is None:
         raise HttpError(400, "Cookie: expected one block of 16 hex digits")
     asked.extent = blocks[0].decode()
-    asked.patience_ms = float(one(b"x-deadline-ms", WHOLE))
+    asked.max_wait_ms = float(one(b"x-deadline-ms", WHOLE))
     again = found.get(b"x-retry", b"0")
     if again not in (b"0", b"1"):
         raise HttpError(400, "X-Retry: not in its form")
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -10,8 +10,9 @@
 import time
 from collections.abc import Callable
 
-from pebblehinge.core import Core, PendingRequest
+from pebblehinge.core import PendingRequest, RequestTable
 from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
+from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
 from pebblehinge.service.config import ServiceConfig, load_config
 from pebblehinge.service.discovery import Watch
@@ -21,7 +22,6 @@
 from pebblehinge.service.listener import Listener
 from pebblehinge.service.lists import Told
 from pebblehinge.service.shelfs import Shelfs
-from pebblehinge.stated import StatedError
 
 LOOK_S = 0.1  # between looks at what has stood too long
 OWN_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
@@ -56,7 +56,7 @@
         self.door = Door(self)
         self.shelfs = Shelfs(self, config.idle_ms, config.connect_ms, 0)
         self.listener = Listener(self)
-        self.core = Core(config.settings, config.seed, self.born, self)
+        self.core = RequestTable(config.settings, config.seed, self.born, self)
         rng = random.Random(config.seed ^ 0x5EED)  # the module has one of its own
         self.watch = Watch(loop, config.discovery, rng, self._told, self.say)
         self.told = False  # discovery itself has told a list
@@ -89,7 +89,7 @@
         if self.config.known is not None:
             try:
                 self._listed(Told(self.config.known))
-            except StatedError as error:
+            except PlatformSettingsError as error:
                 self.say("the known list can't be read", error=error)
         self.core.start(self.clock())
         self.watch.start()
@@ -112,7 +112,7 @@
         """SIGHUP: the file is read again; one that can't be read leaves the old one in force."""
         try:
             config = load_config(self.path)
-        except StatedError as error:
+        except PlatformSettingsError as error:
             self.say("the new configuration is not taken up", error=error)
             return
         old, self.config = self.config, config
@@ -195,17 +195,17 @@
 
     # ---- what the core has done
 
-    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
-        self.shelfs.send(taken, shelf, attempt, until_ms)
+    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+        self.shelfs.send(pending, shelf, attempt, until_ms)
 
-    def wanted(self, taken: PendingRequest) -> bool:
-        return self.door.wanted(taken)
+    def wanted(self, pending: PendingRequest) -> bool:
+        return self.door.wanted(pending)
 
-    def drop_attempt(self, taken: PendingRequest) -> None:
-        self.shelfs.drop(taken.attempt)
+    def drop_attempt(self, pending: PendingRequest) -> None:
+        self.shelfs.drop(pending.attempt)
 
-    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.door.answer(taken, final, stay_ms, data)
+    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        self.door.answer(pending, final, stay_ms, data)
 
     def call_list(self, call: ListCall) -> None:
         """The watch stands always."""
@@ -224,8 +224,8 @@
 
     # ---- shelfs, discovery and the clock
 
-    def ended(self, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
-        self.core.ended(self.clock(), taken, attempt, outcome, took_ms, data)
+    def ended(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+        self.core.ended(self.clock(), pending, attempt, outcome, took_ms, data)
 
     def _told(self, told: Told) -> None:
         self.told = True
--- a/pebblehinge/service/shelfs.py
+++ b/pebblehinge/service/shelfs.py
@@ -27,8 +27,8 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
-    def ended(self, taken: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
-    def wanted(self, taken: PendingRequest) -> bool: ...
+    def ended(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None: ...
+    def wanted(self, pending: PendingRequest) -> bool: ...
 
 
 class Shelfs:
@@ -61,11 +61,11 @@
                 self._close_idle(shelf)
                 self._forget(shelf)
 
-    def send(self, taken: PendingRequest, name: str, number: int, until_ms: float) -> None:
+    def send(self, pending: PendingRequest, name: str, number: int, until_ms: float) -> None:
         """An attempt leaves. Its outcome comes later, never out of this call."""
         now = self.clock()
         shelf = self.table[name]
-        attempt = taken.attempt = Attempt(taken, number, shelf, until_ms, now)
+        attempt = pending.attempt = Attempt(pending, number, shelf, until_ms, now)
         shelf.attempts += 1
         self.out += 1
         attempt.timer = self.loop.call_later(max(0.0, until_ms - now) / 1000.0, self._due, attempt)
@@ -81,10 +81,10 @@
         self._cut(attempt)
 
     def over(self, attempt: Attempt, outcome: Outcome, data: bytes = b"") -> None:
-        if attempt.taken.attempt is attempt:
+        if attempt.pending.attempt is attempt:
             took = self.clock() - attempt.sent_ms
             self._end(attempt)
-            self.owner.ended(attempt.taken, attempt.number, outcome, took, data)
+            self.owner.ended(attempt.pending, attempt.number, outcome, took, data)
 
     def keep(self, conn: ShelfConn) -> None:
         if conn.leads_on() and self.table.get(conn.shelf.name) is conn.shelf:
@@ -119,7 +119,7 @@
     def _begin(self, attempt: Attempt, conn: ShelfConn) -> bool:
         """The attempt goes out on a connection that is up, if it still may; else the connection is kept for others."""
         now = self.clock()
-        if now <= attempt.begin_by_ms and conn.leads_on() and self.owner.wanted(attempt.taken):
+        if now <= attempt.begin_by_ms and conn.leads_on() and self.owner.wanted(attempt.pending):
             conn.send(attempt)
             if not attempt.written and attempt.begin_by_ms < attempt.until_ms:  # its last byte has to be gone by then
                 self.loop.call_later((attempt.begin_by_ms - now) / 1000.0, self._unwritten, attempt)
@@ -130,9 +130,9 @@
     async def _connect(self, attempt: Attempt) -> None:
         """Dials for an attempt, anew where the shelf is elsewhere by the time that its connection is up."""
         try:
-            while attempt.taken.attempt is attempt:
+            while attempt.pending.attempt is attempt:
                 conn = await self._dial(attempt.shelf, attempt)
-                if attempt.taken.attempt is not attempt:
+                if attempt.pending.attempt is not attempt:
                     self.keep(conn)
                 elif conn.transport.is_closing():
                     self.over(attempt, Outcome.CONNECT_FAILED)
@@ -186,7 +186,7 @@
 
     def _unwritten(self, attempt: Attempt) -> None:
         """Its time to begin is over, and part of it is still here: without it, it never runs."""
-        if not attempt.written and attempt.taken.attempt is attempt:
+        if not attempt.written and attempt.pending.attempt is attempt:
             self._cut(attempt)
             self.over(attempt, Outcome.NOT_SENT)
 
@@ -196,7 +196,7 @@
             attempt.conn.transport.abort()
 
     def _end(self, attempt: Attempt) -> None:
-        attempt.taken.attempt = None
+        attempt.pending.attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -10,7 +10,7 @@
 
 from msgspec import field
 
-from pebblehinge.interface import DeduplicationScope, Idempotency, Plan, Profile, Settings
+from pebblehinge.interface import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings
 from pebblehinge.settings.policy import PlanBlock, ProfileBlock, RulesBlock, VolumeBlock
 from pebblehinge.settings.rsync import ModuleBlock, RsyncBlock, UserBlock
 from pebblehinge.settings.stand_ins import (
@@ -150,8 +150,8 @@
         """What the decision module is handed at its start."""
         r = self.rules
         return Settings(
-            profiles=tuple(
-                Profile(
+            request_classes=tuple(
+                RequestClass(
                     name,
                     p.importance,
                     p.expected,
@@ -164,14 +164,14 @@
                 )
                 for name, p in self.profile.items()
             ),
-            plans=tuple(
-                Plan(name, p.rate, p.reserve, p.limit, p.burst, p.slack, p.weight, p.worth)
+            quota_plans=tuple(
+                QuotaPlan(name, p.rate, p.reserve, p.limit, p.burst, p.slack, p.weight, p.worth)
                 for name, p in self.plan.items()
             ),
             mean_units=r.mean_units,
             most_units=r.most_units,
-            share_worth=r.share_worth,
-            idle_worth=r.spare_worth,
+            share_value=r.share_worth,
+            excess_value=r.spare_worth,
             asks_for_list=self.listing.mode == "ask",
             marks_repeats=r.marks_repeats,
             may_cancel=r.recall,
--- a/pebblehinge/shelf/server.py
+++ b/pebblehinge/shelf/server.py
@@ -9,10 +9,10 @@
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
+from pebblehinge.shelf.accesses import Requests
 from pebblehinge.shelf.connection import ShelfConn
 from pebblehinge.shelf.contents import Contents
 from pebblehinge.shelf.registration import Registration
-from pebblehinge.shelf.requests import Requests
 from pebblehinge.wire import Kind, Session
 
 STRIKES = {  # control verbs and the machine's settings while they act, with their values at rest
--- a/pebblehinge/account/books.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class TrackedAttempt:
     """One attempt that is out: for which volume, since when, and how long it kept each volume's requests waiting."""
 
     volume: str
@@ -32,16 +32,16 @@
 
 
 @dataclass(slots=True)
-class Desk:
+class NodeWaits:
     """One shelf as this head uses it."""
 
     held: dict[str, int] = field(default_factory=dict)
-    out: dict[int, Attempt] = field(default_factory=dict)
+    out: dict[int, TrackedAttempt] = field(default_factory=dict)
     at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
+class WaitShare:
     """What part of a volume's time went to a cause."""
 
     cause: str
@@ -49,12 +49,12 @@
     part: float
 
 
-class Books:
+class WaitAccounting:
     """Fed with what becomes of requests, by their key. Keys of requests that are over are forgotten."""
 
     def __init__(self, most: int = MOST_PAIRS) -> None:
         self.most = most
-        self.desks: dict[str, Desk] = {}
+        self.desks: dict[str, NodeWaits] = {}
         self.where: dict[int, tuple[str, str, float]] = {}  # held requests: shelf, volume, units
         self.usual = 0.0  # ms of a unit's attempt, over all shelfs
         self.waits: dict[tuple[str, str], float] = {}
@@ -75,7 +75,7 @@
         shelf, volume, units = self.where[key]
         desk = self._pass(now, shelf)
         self._less(desk, volume)
-        desk.out[key] = Attempt(volume, units, now, first)
+        desk.out[key] = TrackedAttempt(volume, units, now, first)
 
     def ended(self, now: float, key: int) -> None:
         """Its attempt is over."""
@@ -126,14 +126,14 @@
 
     # ---- the arithmetic
 
-    def _less(self, desk: Desk, volume: str) -> None:
+    def _less(self, desk: NodeWaits, volume: str) -> None:
         desk.held[volume] -= 1
         if not desk.held[volume]:
             del desk.held[volume]
 
-    def _pass(self, now: float, shelf: str) -> Desk:
+    def _pass(self, now: float, shelf: str) -> NodeWaits:
         """Time has passed at a shelf: each that is held there waited for each that is out, in equal parts."""
-        desk = self.desks.setdefault(shelf, Desk(at=now))
+        desk = self.desks.setdefault(shelf, NodeWaits(at=now))
         passed, desk.at = now - desk.at, now
         if passed <= 0:
             return desk
@@ -165,11 +165,11 @@
 
     # ---- what is known
 
-    def why(self, volume: str) -> list[Share]:
+    def why(self, volume: str) -> list[WaitShare]:
         """Where a volume's time went, the largest part first. An attempt that is still out is not in it yet."""
         rows = [(cause, ms) for (v, cause), ms in self.waits.items() if v == volume]
         whole = sum(ms for _, ms in rows) or 1.0
-        return [Share(cause, ms, ms / whole) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0]))]
+        return [WaitShare(cause, ms, ms / whole) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0]))]
 
     def words(self, volume: str) -> list[str]:
         """The same in plain words."""
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblehinge import stated
+from pebblehinge import platform_settings
 from pebblehinge.interface import Entry, Final, ListCall, ListKind, Outcome, Settings
 
 OUTCOMES = {
@@ -103,7 +103,7 @@
         ("generation_hw", anything),
         ("shelf", name),
         ("born_s", millis_or_0),
-        ("status", one_of(stated.STANDINGS)),
+        ("status", one_of(platform_settings.STANDINGS)),
         ("pod", whole),
         ("capacity_hint", number_or_0),
         ("campus", anything),
@@ -196,8 +196,8 @@
 def read_settings(text: str) -> Settings:
     """The settings of an instance, from the object that HELLO holds."""
     try:
-        return stated.read_settings(msgspec.json.decode(text))
+        return platform_settings.read_settings(msgspec.json.decode(text))
     except msgspec.DecodeError as error:
         raise WireError(f"HELLO: env: {error}: expected a JSON object") from None
-    except stated.StatedError as error:
+    except platform_settings.PlatformSettingsError as error:
         raise WireError(str(error)) from None
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -4,7 +4,7 @@
 
 from typing import Any, BinaryIO, TextIO
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, Entry, ListKind
 from pebblehinge.wirehost import codec
 from pebblehinge.wirehost.codec import WireError
@@ -13,7 +13,7 @@
 class Instance:
     """One head of this process, with the handles of its requests that may still get events."""
 
-    def __init__(self, head: Head) -> None:
+    def __init__(self, head: Scheduler) -> None:
         self.head = head
         self.requests: dict[int, Request] = {}
         self.wake_ms: float | None = None  # the earliest timer that is set
@@ -60,7 +60,7 @@
             raise WireError(f"{word} is addressed to no instance: expected FOR before it")
         now = self.clock
         if word == "HELLO":
-            head = Head(codec.read_settings(values[1]), values[0], now)
+            head = Scheduler(codec.read_settings(values[1]), values[0], now)
             self.instances[self.at] = Instance(head)
             self._encode(self.instances[self.at], head.start(now))
             return
@@ -77,14 +77,17 @@
     def _call(self, instance: Instance, word: str, values: list[Any], now: float) -> Changes | None:
         head = instance.head
         if word == "ARRIVAL":
-            tid, extent, profile, plan, options, *where = values
-            for kind, name, known in (("tier_class", profile, head.given.profiles), ("tier", plan, head.given.plans)):
+            tid, extent, request_class, quota_plan, options, *where = values
+            for kind, name, known in (
+                ("tier_class", request_class, head.given.request_classes),
+                ("tier", quota_plan, head.given.quota_plans),
+            ):
                 if name not in known:
                     raise WireError(f"ARRIVAL: {kind} is {name!r}: expected one of {', '.join(known)}")
-            set_size, slot, units, volume, abandon = where
+            set_size, slot, units, volume, deadline_ms = where
             repeat = bool(options & codec.RETRY_BIT) if head.given.cfg.marks_repeats else None
             request, changes = head.take(
-                now, tid, extent, profile, plan, volume, set_size, slot, units, abandon, repeat
+                now, tid, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, repeat
             )
             instance.requests[tid] = request
             return changes
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -17,9 +17,9 @@
 
 from service_rig import SETTINGS
 
-from pebblehinge.decide import Head
+from pebblehinge.decide import Scheduler
 from pebblehinge.interface import Changes, Entry, Final, ListKind, Outcome, Settings, Standing
-from pebblehinge.stated import read_settings
+from pebblehinge.platform_settings import read_settings
 
 SCENES = ("even", "skewed", "hot extent", "queue released", "late lists", "suspected", "returns at once")
 START_MS, END_MS = 8_000.0, 28_000.0  # when the cold shelf starts, in the middle of service
@@ -30,12 +30,12 @@
 def settings(rng: random.Random) -> Settings:
     """Drawn as deployments differ."""
     share, multiple = rng.uniform(0.25, 0.5), rng.choice((1.5, 2.0, 3.0))
-    stated: dict[str, Any] = {
+    platform_settings: dict[str, Any] = {
         **SETTINGS,
         "rules": {"cold_share": share, "fall_multiple": multiple, "warm_after_s": rng.uniform(6.0, 17.0)},
         "classes": [{**c, "give_up_s": 2.5} for c in SETTINGS["classes"]],
     }
-    return read_settings(stated)
+    return read_settings(platform_settings)
 
 
 class Fleet:
@@ -48,7 +48,7 @@
         self.units_s = self.rng.uniform(8.0, 60.0)  # that the warm shelf can do
         self.rate = asked * self.units_s / cfg.mean_units / 1000.0  # requests a ms for this shelf
         self.now, self.order, self.events = 0.0, itertools.count(), []  # type: ignore[var-annotated]
-        self.heads = [Head(cfg, self.rng.randrange(1 << 30), 0.0) for _ in range(heads)]
+        self.heads = [Scheduler(cfg, self.rng.randrange(1 << 30), 0.0) for _ in range(heads)]
         self.wakes = [math.inf] * heads
         self.up: dict[str, bool] = {"old": True, "new": True}
         self.sends: list[tuple[float, float]] = []  # to the cold shelf, from its start on
@@ -131,7 +131,7 @@
         number, left = request.sent - 1, self.now
         up = self.up.get(attempt.shelf, True)
         shelfs = self.heads[h].shelfs
-        knows = shelfs.cold_ms[request.shelf] is not None  # told, or suspected: no other head can hold back
+        knows = shelfs.slow_start_ms[request.shelf] is not None  # told, or suspected: no other head can hold back
         if up and self.now >= START_MS and knows:
             self.sends.append((self.now, request.units / self.cfg.mean_units))
         if not up and self.scene == "queue released":
--- a/tests/drawn_world.py
+++ b/tests/drawn_world.py
@@ -10,7 +10,7 @@
 
 from drawn import GRACE_MS, HEADS, RUNNING, SHELFS, Life, end_of
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, Entry, Final, ListKind, Outcome, Standing
 from pebblehinge.lab.check import Day
 from pebblehinge.settings import Config
@@ -19,7 +19,7 @@
 class World:
     """Plays a run. What crosses between clients, heads, list and shelfs goes into a `Day` for the oracles."""
 
-    def __init__(self, config: Config, seed: int, rule: str, kind: type[Head] = Head) -> None:
+    def __init__(self, config: Config, seed: int, rule: str, kind: type[Scheduler] = Scheduler) -> None:
         self.config, self.seed, self.rule, self.kind = config, seed, rule, kind
         self.now, self.count, self.order = 1000.0, 0, 0
         self.truth = {f"s{i}": Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)}
@@ -250,9 +250,11 @@
 
     def _adopt(self, name: str, r: float, _: bool) -> None:
         life = self.lives[name]
-        plans = tuple(replace(p, limit_rate=p.limit_rate * (0.5 if r < 0.5 else 1.0)) for p in life.settings.plans)
+        plans = tuple(
+            replace(p, limit_rate=p.limit_rate * (0.5 if r < 0.5 else 1.0)) for p in life.settings.quota_plans
+        )
         self.seen["adopted"] += 1
-        life.settings = replace(life.settings, plans=plans)
+        life.settings = replace(life.settings, quota_plans=plans)
         self._done(name, life, life.head.adopt(self.now, life.settings))
 
     def _early(self, name: str, *_: Any) -> None:
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -11,16 +11,16 @@
 
 from service_rig import CONFIG, SETTINGS, ask, entry, listing
 
-from pebblehinge.core import REJECTED, Core, PendingRequest
+from pebblehinge.core import REJECTED, PendingRequest, RequestTable
 from pebblehinge.decide import NEVER_RAN
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
+from pebblehinge.platform_settings import read_settings
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import read_config
 from pebblehinge.service.door import Door
 from pebblehinge.service.life import Life, Stage
 from pebblehinge.service.lists import Told
-from pebblehinge.stated import read_settings
 
 SLOW = {**SETTINGS, "classes": [{**c, "on_time_s": 2.0, "give_up_s": 9.0} for c in SETTINGS["classes"]]}
 LATE_MS = 90.0  # the longest turn
@@ -118,7 +118,7 @@
         self.never = 0  # attempts that were not begun, since their client had gone
         self.risky: set[str] = set()  # ids of what may have run
         self.door, self.life, self.done = Door(self), Life(self), False  # type: ignore[arg-type]
-        self.core = Core(self.config.settings, seed, self.now, self)  # type: ignore[arg-type]
+        self.core = RequestTable(self.config.settings, seed, self.now, self)  # type: ignore[arg-type]
         told = Told(listing(1, entry("s0", 1, 0), entry("s1", 1, 1)))
         self.core.listed(self.now, ListKind.WHOLE, told.entries)
 
@@ -132,34 +132,34 @@
         self.at(self.now, lambda: what(*args))
 
     # what the core has done
-    def send_attempt(self, taken: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
-        taken.attempt = token = object()
-        if not self.door.wanted(taken):
+    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+        pending.attempt = token = object()
+        if not self.door.wanted(pending):
             self.never += 1
             self.at(
                 self.now,
-                lambda: taken.attempt is token and self.core.ended(self.now, taken, attempt, Outcome.NOT_SENT, 0.0),
+                lambda: pending.attempt is token and self.core.ended(self.now, pending, attempt, Outcome.NOT_SENT, 0.0),
             )
             return
-        assert not taken.conn.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
+        assert not pending.conn.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
         outcome = self.rng.choices(*zip(*ENDS, strict=True))[0]
         when = until_ms if outcome is Outcome.TIMED_OUT else min(until_ms, self.now + self.rng.expovariate(0.004))
 
         def ends() -> None:
-            if taken.attempt is token:
-                self.risky.add(taken.id) if outcome not in NEVER_RAN else None
-                self.core.ended(self.now, taken, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
+            if pending.attempt is token:
+                self.risky.add(pending.id) if outcome not in NEVER_RAN else None
+                self.core.ended(self.now, pending, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
 
         self.at(when, ends)
 
-    def drop_attempt(self, taken: PendingRequest) -> None:
-        self.risky.add(taken.id)
+    def drop_attempt(self, pending: PendingRequest) -> None:
+        self.risky.add(pending.id)
 
-    def answer(self, taken: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        assert self.now <= taken.request.abandon_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
-        if final == REJECTED and taken.request.profile.name == "save":  # type: ignore[union-attr]
-            assert taken.attempt is None and taken.id not in self.risky, "rule 2"
-        self.door.answer(taken, final, stay_ms, data)
+    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        assert self.now <= pending.request.deadline_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
+        if final == REJECTED and pending.request.request_class.name == "save":  # type: ignore[union-attr]
+            assert pending.attempt is None and pending.id not in self.risky, "rule 2"
+        self.door.answer(pending, final, stay_ms, data)
 
     def wake_at(self, at_ms: float) -> None:
         self.at(at_ms, lambda: self.core.woken(self.now))
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -7,17 +7,17 @@
 
 from test_scenarios import PLANS, PROFILES, SETTINGS
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, Entry, ListKind, Outcome, Standing
 
-SAFE = replace(SETTINGS, profiles=PROFILES, plans=PLANS, warm_ms=10.0)
+SAFE = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS, warm_ms=10.0)
 
 
-def listed(head: Head, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES) -> Changes:
+def listed(head: Scheduler, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES) -> Changes:
     return head.listed(now, kind, [Entry(name, Standing.READY, slot, started) for name, slot, started in rows])
 
 
-def take(head: Head, now: float, slot: int = 0, **more: Any) -> Request:
+def take(head: Scheduler, now: float, slot: int = 0, **more: Any) -> Request:
     given: dict[str, Any] = {
         "extent": None,
         "profile": "look",
@@ -29,7 +29,7 @@
     }
     given |= more
     left = given.pop("left")
-    return head.take(now, 1, slot=slot, abandon_ms=now + left, **given)[0]
+    return head.take(now, 1, slot=slot, deadline_ms=now + left, **given)[0]
 
 
 def went(a: Request) -> bool:
@@ -37,7 +37,7 @@
     return bool(attempts)
 
 
-def served(head: Head, now: float, slot: int, took: float) -> None:
+def served(head: Scheduler, now: float, slot: int, took: float) -> None:
     """A request goes and is succeeded."""
     a = take(head, now, slot)
     assert went(a), "it was to be sent"
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -9,6 +9,7 @@
 import asyncio
 from typing import Any
 
+from pebblehinge.http1.messages import ResponseStream
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
@@ -21,7 +22,7 @@
 from pebblehinge.rsync.options import parse
 from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
-from pebblehinge.rsync.stream import ResponseStream, RsyncError
+from pebblehinge.rsync.stream import RsyncError
 from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
 from pebblehinge.rsync.transfer import Transfer
@@ -31,7 +32,7 @@
 from pebblehinge.settings.schema import ModuleBlock
 from pebblehinge.wire.frames import APPENDED
 
-BOUND = 8 << 20  # bytes that one input may make a decoder give
+CONCURRENCY_LIMIT = 8 << 20  # bytes that one input may make a decoder give
 
 
 def drive(coro: Any) -> Any:
@@ -73,7 +74,7 @@
 
 async def _tokens(stream: ResponseStream, tokens: Any) -> None:
     given = 0
-    while (token := await tokens.next(stream)) is not None and given < BOUND:
+    while (token := await tokens.next(stream)) is not None and given < CONCURRENCY_LIMIT:
         if isinstance(token, bytes):
             assert 0 < len(token) <= 1 << 15, len(token)
             given += len(token)
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pebblehinge.account import Books
-from pebblehinge.account.books import AGAIN, HEAD, OTHERS, SELF, SHELF
 from pebblehinge.lab import blame
+from pebblehinge.wait_accounting import WaitAccounting
+from pebblehinge.wait_accounting.accounting import AGAIN, HEAD, OTHERS, SELF, SHELF
 
 
 def test_each_wait_goes_to_what_was_out() -> None:
-    books = Books()
+    books = WaitAccounting()
     books.held(0.0, 1, "a", "s", 1.0)
     books.sent(0.0, 1, True)
     books.held(0.0, 2, "b", "s", 1.0)
@@ -38,7 +38,7 @@
 @given(EVENTS)
 def test_every_millisecond_has_one_cause(events: list[tuple[str, int, float]]) -> None:
     """Against a plain count of held and out time."""
-    books, now, held, out, spent = Books(), 0.0, {}, {}, 0.0
+    books, now, held, out, spent = WaitAccounting(), 0.0, {}, {}, 0.0
     for what, key, passed in events:
         now += passed
         spent += passed * (len(held) + len(out))
@@ -66,7 +66,7 @@
 
 
 def test_the_books_are_bounded_and_lose_no_time() -> None:
-    books, rng, now, spent = Books(most=64), random.Random(1), 0.0, 0.0
+    books, rng, now, spent = WaitAccounting(most=64), random.Random(1), 0.0, 0.0
     for n in range(4000):
         books.held(now, n, f"v{n % 300}", f"s{n % 5}", 1.0)
         books.sent(now, n, n % 7 != 0)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,18 +9,28 @@
 from drawn import CONFIG
 from helpers import FLEET, Rig, on_rig
 from lone_head import SAFE, listed, served, take, went
-from test_core_properties import Client, Doing
+from test_core_properties import Client, Effects
 from test_scenarios import PLANS
 
 from pebblehinge.console.view import View
-from pebblehinge.decide import BOUND, REMEMBERED, Head, Request
+from pebblehinge.decide import CONCURRENCY_LIMIT, REMEMBERED, Request, Scheduler
 from pebblehinge.head import HeadCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
-def sizes(head: Head) -> dict[str, int]:
+def sizes(head: Scheduler) -> dict[str, int]:
     path = head.path
-    parts = (head, head.given, head.notes, head.shelfs, path, path.worth, path.limits, path.limits.lines, path.refusal)
+    parts = (
+        head,
+        head.given,
+        head.notes,
+        head.shelfs,
+        path,
+        path.valuation,
+        path.limits,
+        path.limits.lines,
+        path.refusal,
+    )
     return {
         f"{type(part).__name__}.{name}": len(value)
         for part in parts
@@ -31,7 +41,7 @@
 
 def test_shelfs_that_never_come_back_leave_nothing() -> None:
     """Seen: a column's place for each name ever listed, for as long as the head ran."""
-    head, now = Head(SAFE, 1, 0.0), 0.0
+    head, now = Scheduler(SAFE, 1, 0.0), 0.0
     head.recall(
         0.0,
         {
@@ -51,13 +61,13 @@
             served(head, now, slot, 5.0)
     head.woken(now + 10_000.0)
     found = sizes(head)
-    bounded_otherwise = ("Limits.takes", "Given.profiles", "Given.plans")
+    bounded_otherwise = ("Limits.takes", "Given.request_classes", "Given.quota_plans")
     assert len(found) > 30 and max(n for name, n in found.items() if name not in bounded_otherwise) <= 20, found
     served(head, now, 3, 5.0)
 
 
 def test_a_place_is_not_given_away_while_an_attempt_is_out_or_the_name_is_still_listed() -> None:
-    head = Head(SAFE, 1, 0.0)
+    head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     a = take(head, 0.0, profile="save")
     head.listed(1.0, ListKind.CHANGES, [Entry("A", Standing.GONE, 0, 0.0)])
@@ -65,7 +75,7 @@
     assert head.shelfs.index["A"] != head.shelfs.index["B"]
     b = take(head, 3.0)
     a.ended(4.0, 0, Outcome.CONNECTION_LOST, False, 4.0)
-    assert head.shelfs.away[head.shelfs.index["B"]] == [b]
+    assert head.shelfs.in_flight[head.shelfs.index["B"]] == [b]
     head.listed(5.0, ListKind.CHANGES, [Entry("B", Standing.DRAINING, 0, 0.0)])
     listed(head, 6.0, ("C", 0, 0.0))
     assert "B" in head.shelfs.index and head.shelfs.names[head.shelfs.index["C"]] == "C"
@@ -73,11 +83,11 @@
 
 def test_wakes_are_not_asked_for_by_each_request_that_is_held() -> None:
     """Seen: an entry for every held request and every new time."""
-    head = Head(SAFE, 1, 0.0)
+    head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     for n in range(1000):
         take(head, n * 0.1, profile="bulk", left=500.0 + n * 1.4)
-    assert sum(len(h) for h in head.shelfs.held) > 900
+    assert sum(len(h) for h in head.shelfs.queued) > 900
     assert len(head.notes.wakes) < 50
 
 
@@ -101,16 +111,16 @@
         __hash__ = float.__hash__
 
     def looks(count: int) -> int:
-        head = Head(SAFE, 1, 0.0)
+        head = Scheduler(SAFE, 1, 0.0)
         listed(head, 0.0, ("A", 0, 0.0))
         for _ in range(count):
             a = take(head, 0.0, profile="bulk")
-            a.density = Counted(a.density)
+            a.value_per_unit = Counted(a.value_per_unit)
         # Of a sudden half can't be in time.
-        head.shelfs.mean_ms[0], head.shelfs.seen_ms[0] = 2000.0 * BOUND / (count / 2), 1.0
+        head.shelfs.mean_latency_ms[0], head.shelfs.mean_updated_ms[0] = 2000.0 * CONCURRENCY_LIMIT / (count / 2), 1.0
         Counted.looks = 0
         head.path.serve(0, 1.0, None)
-        assert count * 0.4 < len(head.shelfs.held[0]) < count * 0.6
+        assert count * 0.4 < len(head.shelfs.queued[0]) < count * 0.6
         return Counted.looks
 
     assert looks(400) < 2.6 * looks(200)
@@ -119,25 +129,25 @@
 def test_a_volume_at_rest_does_not_get_back_more_of_its_limit_than_has_filled() -> None:
     """Seen: a volume forgotten after a minute began again as if it had filled since the head's start."""
     plans = (replace(PLANS[2], limit_rate=0.5, limit_burst=100.0, limit_slack=0.0), PLANS[0])
-    head = Head(replace(SAFE, plans=plans, most_units=100.0), 1, 0.0)
+    head = Scheduler(replace(SAFE, quota_plans=plans, most_units=100.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     first = take(head, 300_000.0, plan="capped", units=100.0, volume="v")
     assert went(first)
     first.ended(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
     for n in range(REMEMBERED + 10):
         take(head, 361_000.0 + n / 100, slot=9, volume=f"w{n}")  # refused: nobody has that slot
-    assert "v" not in head.path.worth.stores, "it was to be forgotten"
+    assert "v" not in head.path.valuation.stores, "it was to be forgotten"
     again = take(head, 362_000.0, plan="capped", units=60.0, volume="v", profile="bulk")
     assert not went(again), "62 s fill 31 units"
 
 
 def test_a_limit_that_was_raised_in_service_fills_from_then_on() -> None:
     plans = (replace(PLANS[2], limit_rate=1.0, limit_burst=10.0, limit_slack=0.0), PLANS[0])
-    settings = replace(SAFE, plans=plans, most_units=100.0)
-    head = Head(settings, 1, 0.0)
+    settings = replace(SAFE, quota_plans=plans, most_units=100.0)
+    head = Scheduler(settings, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     raised = replace(plans[0], limit_rate=50.0, limit_burst=100.0)
-    head.adopt(100_000.0, replace(settings, plans=(raised, plans[1])))
+    head.adopt(100_000.0, replace(settings, quota_plans=(raised, plans[1])))
     # A volume that this head has not seen had 10 units at the most, and since then 50 a second.
     assert not went(take(head, 100_010.0, plan="capped", units=90.0, volume="new", profile="bulk"))
 
@@ -145,7 +155,7 @@
 @pytest.mark.parametrize("left", [float("nan"), float("inf"), 1e300])
 def test_a_request_with_no_sound_time_is_refused_and_hurts_no_other(left: float) -> None:
     """Seen: one request with a time that is no number made every later call for its shelf fail."""
-    doing = Doing()
+    doing = Effects()
     core = HeadCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
     core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
 
@@ -185,13 +195,13 @@
 
     def given_up(count: int) -> int:
         nonlocal looks
-        head = Head(SAFE, 1, 0.0)
+        head = Scheduler(SAFE, 1, 0.0)
         listed(head, 0.0, ("A", 0, 0.0))
         for _ in range(count):
             take(head, 0.0, profile="bulk")
         looks = 0
         changes = head.listed(1.0, ListKind.CHANGES, [Entry("A", Standing.GONE, 0, 0.0)])
-        assert len(changes.handles) == count - BOUND
+        assert len(changes.handles) == count - CONCURRENCY_LIMIT
         return looks
 
     monkeypatch.setattr(Request, "__eq__", same)
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -15,8 +15,8 @@
 from test_service_life import connect, slow_reader, status
 
 from pebblehinge.http1 import HttpRequest
+from pebblehinge.platform_settings import read_settings
 from pebblehinge.service import clients, door, peek
-from pebblehinge.stated import read_settings
 
 
 def ends(raw: socket.socket, how: str) -> None:
@@ -30,7 +30,7 @@
 
 def at_rest(rig: Rig) -> bool:
     head, door = rig.head, rig.head.door
-    held = (head.core.open, head.core.taken, door.ids, head.shelfs.out, door.busy, door.fresh, door.idle)
+    held = (head.core.open, head.core.pending, door.ids, head.shelfs.out, door.busy, door.fresh, door.idle)
     return not any(held)
 
 
@@ -126,7 +126,7 @@
 def test_a_burst_of_clients_that_leave_gives_back_all_that_they_held(monkeypatch: pytest.MonkeyPatch) -> None:
     """Held for their plan's limit and for their turn by key: those that stay are served, each in turn, once."""
     plan = {"base_rate": 5.0, "ceiling_rate": 20.0, "limit_burst": 2.0, "cap_slack": 0.0, "name": "gold"}
-    stated = {
+    platform_settings = {
         **SETTINGS,
         "service_levels": [plan],
         "classes": [{**SETTINGS["classes"][0], "sequential": True}, SETTINGS["classes"][1]],
@@ -145,10 +145,10 @@
         await until(lambda: rig.head.core.open <= 2)
         assert [await status(raw) for raw in stay] == [b"200", b"200"]
         assert len(rig.shelfs[0].asked) <= sent + 3
-        assert not rig.head.core.taken and not rig.head.core.module.path.limits.lines.rows
-        assert not any(rig.head.core.module.shelfs.held) and not any(rig.head.core.module.shelfs.away)
+        assert not rig.head.core.pending and not rig.head.core.module.path.limits.lines.rows
+        assert not any(rig.head.core.module.shelfs.queued) and not any(rig.head.core.module.shelfs.in_flight)
 
-    on_rig(script, settings=read_settings(stated))
+    on_rig(script, settings=read_settings(platform_settings))
 
 
 def test_a_client_that_goes_as_its_answer_comes_is_settled_once() -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,9 +10,9 @@
 import pytest
 from helpers import FLEET, LOOPBACK, Rig, on_rig, until
 
-from pebblehinge.account import Books
 from pebblehinge.console import Console
 from pebblehinge.console import server as console_server
+from pebblehinge.wait_accounting import WaitAccounting
 
 ADDRESS = f"{LOOPBACK}:7300"
 URL = f"http://{ADDRESS}"
@@ -47,7 +47,7 @@
 def test_the_state_shows_what_happens_and_why() -> None:
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         assert "accounts yes" in await (await session.get(URL + "/why/v")).text()
-        rig.head.core.account = Books()
+        rig.head.core.account = WaitAccounting()
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK)).succeeded
         got = await client.read("v", "x", 1, slot=9, **LOOK)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -18,7 +18,7 @@
     inside = False
 
 
-class Doing:
+class Effects:
     """Stands where the sockets are: keeps what the core has done, and what the clients were told."""
 
     def __init__(self) -> None:
@@ -27,17 +27,17 @@
         self.wake = float("inf")
         self.faults: list[str] = []
 
-    def send_attempt(self, taken: Any, shelf: str, attempt: int, until_ms: float) -> None:
-        if self.finals[taken.id] or taken.attempt is not None:
-            self.faults.append(f"trip {attempt} of {taken.id}: answered, or out already")
-        taken.attempt = (taken, attempt, until_ms)
-        self.out.append(taken.attempt)
+    def send_attempt(self, pending: Any, shelf: str, attempt: int, until_ms: float) -> None:
+        if self.finals[pending.id] or pending.attempt is not None:
+            self.faults.append(f"trip {attempt} of {pending.id}: answered, or out already")
+        pending.attempt = (pending, attempt, until_ms)
+        self.out.append(pending.attempt)
 
-    def drop_attempt(self, taken: Any) -> None:
-        self.out.remove(taken.attempt)
+    def drop_attempt(self, pending: Any) -> None:
+        self.out.remove(pending.attempt)
 
-    def answer(self, taken: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.finals[taken.id] += 1
+    def answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        self.finals[pending.id] += 1
 
     def wake_at(self, at_ms: float) -> None:
         self.wake = min(self.wake, at_ms)
@@ -46,9 +46,9 @@
         self.faults.append("a list that is pushed was asked for")
 
 
-def through_the_core(seed: int, kind: type[HeadCore]) -> tuple[list[str], HeadCore, Doing]:
+def through_the_core(seed: int, kind: type[HeadCore]) -> tuple[list[str], HeadCore, Effects]:
     """One run of a head's core; what is wrong with it."""
-    rng, doing, now, left = random.Random(f"{seed}/core"), Doing(), 1000.0, set()
+    rng, doing, now, left = random.Random(f"{seed}/core"), Effects(), 1000.0, set()
     core = kind(CONFIG, CONFIG.head["h1"], now, doing)
     core.start(now)
     truth = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
@@ -75,7 +75,7 @@
         what = rng.random()
         if what < 0.5:
             count += 1
-            taken = core.take(
+            pending = core.take(
                 now,
                 Client(),
                 count,
@@ -94,16 +94,16 @@
                 10,
                 b"0123456789",
             )
-            takens += [taken] if taken is not None else []
+            takens += [pending] if pending is not None else []
         elif what < 0.85 and doing.out:
             row = doing.out.pop(rng.randrange(len(doing.out)))
             outcome = Outcome.SUCCEEDED if rng.random() < 0.4 else rng.choice(list(Outcome))
             core.ended(now, row[0], row[1], outcome, rng.uniform(1.0, 100.0))
         elif what < 0.93 and takens:
             open_ = [t for t in takens if not t.answered]
-            taken = rng.choice(open_ or takens)
-            left |= {taken.id} if not taken.answered else set()
-            core.left(now, taken)
+            pending = rng.choice(open_ or takens)
+            left |= {pending.id} if not pending.answered else set()
+            core.left(now, pending)
         elif what < 0.98:
             i = rng.randrange(SHELFS)
             standing = rng.choice((Standing.READY, *Standing))
@@ -116,8 +116,8 @@
     pass_until(now + 5000.0)
     told = {i: doing.finals[i] for i in range(1, count + 1)}
     faults = doing.faults + [f"{i}: {n} answers" for i, n in told.items() if n != (i not in left)]
-    if core.taken or core.open or core.bytes:
-        faults.append(f"{len(core.taken)} kept, {core.open} open, {core.bytes} bytes after all had ended")
+    if core.pending or core.open or core.bytes:
+        faults.append(f"{len(core.pending)} kept, {core.open} open, {core.bytes} bytes after all had ended")
     return faults, core, doing
 
 
@@ -134,8 +134,8 @@
 
 def test_a_core_that_keeps_what_is_over_is_caught() -> None:
     class Keeps(HeadCore):
-        def _forget(self, taken: Any) -> None:
-            if taken.key % 7:
-                super()._forget(taken)
+        def _forget(self, pending: Any) -> None:
+            if pending.key % 7:
+                super()._forget(pending)
 
     assert "kept" in through_the_core(0, Keeps)[0][-1]
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -13,7 +13,7 @@
 from service_rig import OK, SETTINGS, Client, Rig, Shelf, answers, ask, entry, listing, on_rig
 
 from pebblehinge.interface import Outcome
-from pebblehinge.stated import read_settings
+from pebblehinge.platform_settings import read_settings
 
 MAY_NOT_CANCEL = read_settings({**SETTINGS, "ceilings": {**SETTINGS["ceilings"], "cancel": False}})
 
@@ -32,7 +32,7 @@
     gate.opens.set()
     await asyncio.sleep(0.05)
     assert not any(s.asked for s in rig.shelfs)
-    assert rig.head.shelfs.out == rig.head.shelfs.dialling == 0 and not rig.head.core.taken
+    assert rig.head.shelfs.out == rig.head.shelfs.dialling == 0 and not rig.head.core.pending
 
 
 @pytest.mark.parametrize("cancellations", [True, False])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,11 +16,11 @@
 from service_rig import CONFIG, OK, SETTINGS, Rig, ShelfPeer, answers, ask, on_rig
 from test_service_life import connect, slow_reader, status
 
-from pebblehinge.decide import path, request, worth
+from pebblehinge.decide import dispatch, request, valuation
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
+from pebblehinge.platform_settings import read_settings
 from pebblehinge.service.server import Service
-from pebblehinge.stated import read_settings
 
 # ---- a timer and its event in one turn
 
@@ -57,16 +57,16 @@
         client = await rig.client()
         client.write(ask("save", 0, b"abc"))
         await until(lambda: held)
-        (taken,) = rig.head.core.taken.values()
+        (pending,) = rig.head.core.pending.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.shelfs._timed_out(taken.attempt)
+            rig.head.shelfs._timed_out(pending.attempt)
         else:
             time.sleep(0.02)
-            await until(lambda: not rig.head.core.taken)
+            await until(lambda: not rig.head.core.pending)
         assert (await client.answer()).status == (502 if first == "its time" else 200)
         await asyncio.sleep(0.02)
-        assert len(client.answers) == 1 and sum(rig.head.core.outcomes.values()) == 1 and not rig.head.core.taken
+        assert len(client.answers) == 1 and sum(rig.head.core.outcomes.values()) == 1 and not rig.head.core.pending
 
     on_rig(script)
 
@@ -132,7 +132,7 @@
         rig.shelfs[0].does = SPOILT[what]
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="400"))
         assert answer.status == 502 and answer.body == b"" and len(rig.shelfs[0].asked) == 1
-        await until(lambda: rig.head.shelfs.held == 0 and rig.head.shelfs.connections == 0)
+        await until(lambda: rig.head.shelfs.queued == 0 and rig.head.shelfs.connections == 0)
         rig.shelfs[0].does = lambda conn, request: conn.write(OK)
         assert (await rig.ask(ask("save", 0, b"abc"))).body == b"ok"
 
@@ -191,7 +191,7 @@
         assert await status(kept) == b"400"
         assert (await client.answer()).status == 503
         await rig.head.stopped
-        assert rig.head.core.open == 0 and not rig.head.core.taken
+        assert rig.head.core.open == 0 and not rig.head.core.pending
 
     on_rig(script, longest_ms=400.0)
 
@@ -237,8 +237,8 @@
 def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
     """More extents and volumes are open at once than are remembered: each has its answer, and nothing is left."""
     monkeypatch.setattr(request, "REMEMBERED", 4)
-    monkeypatch.setattr(path, "REMEMBERED", 4)
-    monkeypatch.setattr(worth, "REMEMBERED", 4)
+    monkeypatch.setattr(dispatch, "REMEMBERED", 4)
+    monkeypatch.setattr(valuation, "REMEMBERED", 4)
 
     async def script(rig: Rig) -> None:
         rig.head.core.module.path.extents.most = 4
@@ -249,6 +249,10 @@
         for client in callers:
             assert (await client.answer()).status in (200, 503)
         head = rig.head
-        assert not head.core.taken and not any(head.core.module.shelfs.held) and len(head.core.module.path.extents) <= 4
+        assert (
+            not head.core.pending
+            and not any(head.core.module.shelfs.queued)
+            and len(head.core.module.path.extents) <= 4
+        )
 
     on_rig(script)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -8,7 +8,7 @@
 from lone_head import SAFE, listed, served, take, went
 from test_rules_can_break import BASE
 
-from pebblehinge.decide import BOUND, Head
+from pebblehinge.decide import CONCURRENCY_LIMIT, Scheduler
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.lab.village import play
 from pebblehinge.settings.load import loads
@@ -17,7 +17,7 @@
 
 def test_a_first_answer_of_five_seconds_does_not_make_a_head_refuse_all_shelfs() -> None:
     """Seen: one slow first answer was the mean of all shelfs for 25 s, and with nothing sent nothing corrected it."""
-    head = Head(SAFE, 1, 0.0)
+    head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0), ("B", 1, 0.0))
     first = take(head, 0.0, 0, left=6000.0)
     first.ended(5000.0, 0, Outcome.SUCCEEDED, True, 5000.0)
@@ -25,7 +25,7 @@
 
 
 def test_a_first_answer_among_many_weighs_no_more_than_the_others() -> None:
-    head = Head(SAFE, 1, 0.0)
+    head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, *((f"s{i}", i, 0.0) for i in range(20)))
     served(head, 0.0, 0, 5000.0)
     for i in range(1, 20):
@@ -33,74 +33,82 @@
     assert head.shelfs.every(5000.0) == pytest.approx((5000.0 / 0.75 + 19 * 50.0) / 20, rel=0.4)
 
 
-def slow(head: Head, now: float) -> None:
+def slow(head: Scheduler, now: float) -> None:
     """B is quick for a while, A took two seconds and lost three attempts."""
     for n in range(40):
         served(head, now + n, 1, 20.0)
     for a in [take(head, now + 50, 0, left=2500.0) for _ in range(3)]:
         assert went(a)
         a.ended(now + 2050, 0, Outcome.SUCCEEDED, True, 2000.0)
-    head.shelfs.lost[head.shelfs.index["A"]] = 3
+    head.shelfs.consecutive_losses[head.shelfs.index["A"]] = 3
 
 
 @pytest.mark.parametrize("row", [("A", 0, 13_000.0), ("A", 0, 4_000.0), ("A", 0, 0.0), ("A", 7, 8_000.0)])
 def test_what_a_former_process_taught_does_not_judge_the_one_that_has_its_name(row: tuple[str, int, float]) -> None:
     """A later start, an earlier one, one that is not stated any more, another slot."""
-    head = Head(SAFE, 1, 10_000.0)
+    head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0))
     slow(head, 10_000.0)
-    assert head.shelfs.mean_ms[0] > 800.0
+    assert head.shelfs.mean_latency_ms[0] > 800.0
     listed(head, 13_100.0, row)
     s = head.shelfs.index["A"]
-    assert (head.shelfs.mean_ms[s], head.shelfs.lost[s], head.shelfs.dead[s]) == (0.0, 0, False)
+    assert (head.shelfs.mean_latency_ms[s], head.shelfs.consecutive_losses[s], head.shelfs.unreachable[s]) == (
+        0.0,
+        0,
+        False,
+    )
     assert went(take(head, 13_200.0, row[1], volume="x"))
 
 
 def test_a_list_that_lay_on_its_way_is_no_new_process() -> None:
     """Ages are told, so the start of one process moves by what a list takes: nothing learned may be lost by it."""
-    head = Head(SAFE, 1, 10_000.0)
+    head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0))
     slow(head, 10_000.0)
-    before = head.shelfs.mean_ms[head.shelfs.index["A"]]
+    before = head.shelfs.mean_latency_ms[head.shelfs.index["A"]]
     listed(head, 13_100.0, ("A", 0, 8_003.5), ("B", 1, 0.0), kind=ListKind.WHOLE)
-    assert head.shelfs.mean_ms[head.shelfs.index["A"]] == before > 0
+    assert head.shelfs.mean_latency_ms[head.shelfs.index["A"]] == before > 0
 
 
 def test_attempts_of_a_former_process_say_nothing_of_the_new_one() -> None:
-    head = Head(replace(SAFE, warm_ms=10_000.0), 1, 10_000.0)
+    head = Scheduler(replace(SAFE, warm_ms=10_000.0), 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 0.0))
-    attempts = [take(head, 10_000.0, profile="save") for _ in range(BOUND)]
+    attempts = [take(head, 10_000.0, profile="save") for _ in range(CONCURRENCY_LIMIT)]
     listed(head, 10_500.0, ("A", 0, 10_400.0))
     for a in attempts:
         a.ended(10_600.0, 0, Outcome.CONNECTION_LOST, False, 600.0)
     s = head.shelfs.index["A"]
-    assert (head.shelfs.lost[s], head.shelfs.dead[s], head.shelfs.cold_ms[s]) == (0, False, 10_400.0)
+    assert (head.shelfs.consecutive_losses[s], head.shelfs.unreachable[s], head.shelfs.slow_start_ms[s]) == (
+        0,
+        False,
+        10_400.0,
+    )
 
 
 def test_a_start_that_is_not_stated_any_more_counts_as_cold_from_now() -> None:
-    head = Head(replace(SAFE, warm_ms=10_000.0), 1, 50_000.0)
+    head = Scheduler(replace(SAFE, warm_ms=10_000.0), 1, 50_000.0)
     listed(head, 50_000.0, ("A", 0, 20_000.0))
-    assert head.shelfs.cold_ms[0] is None
+    assert head.shelfs.slow_start_ms[0] is None
     listed(head, 60_000.0, ("A", 0, 0.0))
-    assert head.shelfs.cold_ms[0] == 60_000.0
+    assert head.shelfs.slow_start_ms[0] == 60_000.0
 
 
 def test_a_dead_shelf_that_answers_is_cold_from_then_on_however_long_it_was_not_asked() -> None:
     """Seen: cold from the last failed connection on, and so nearly warm, though it may have started just now."""
-    head = Head(replace(SAFE, warm_ms=10_000.0, cold_share=1.0), 1, 0.0)
+    head = Scheduler(replace(SAFE, warm_ms=10_000.0, cold_share=1.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
     a = take(head, 9_000.0)
     assert went(a)
     a.ended(9_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
-    assert head.shelfs.cold_ms[0] == 9_000.0 and not head.shelfs.dead[0]
+    assert head.shelfs.slow_start_ms[0] == 9_000.0 and not head.shelfs.unreachable[0]
 
 
 def test_of_many_heads_that_could_not_reach_a_shelf_few_try_it_together() -> None:
     """Each sends one attempt at a time to a dead shelf; a hundred would still push over one just started."""
     tried = 0
     for seed in range(100):
-        head = Head(replace(SAFE, warm_ms=10_000.0, cold_share=0.02, fall_multiple=1.0), seed, 0.0)
+        head = Scheduler(replace(SAFE, warm_ms=10_000.0, cold_share=0.02, fall_multiple=1.0), seed, 0.0)
         listed(head, 0.0, ("A", 0, 0.0))
         take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
         tried += went(take(head, 300.0))
@@ -108,44 +116,44 @@
 
 
 def test_memory_of_a_former_process_or_slot_is_not_taken_up() -> None:
-    head = Head(SAFE, 1, 10_000.0)
+    head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0), ("C", 2, 0.0))
     served(head, 10_000.0, 2, 30.0)
     slow(head, 10_000.0)
     state = head.remembered(13_100.0)
-    later = Head(SAFE, 2, 500.0)
+    later = Scheduler(SAFE, 2, 500.0)
     later.recall(500.0, state, 1_000.0, True)
     # A started anew since, B has another slot, C is as it was.
     listed(later, 600.0, ("A", 0, 550.0), ("B", 5, 0.0), ("C", 2, 0.0))
-    means = {name: later.shelfs.mean_ms[later.shelfs.index[name]] for name in "ABC"}
+    means = {name: later.shelfs.mean_latency_ms[later.shelfs.index[name]] for name in "ABC"}
     assert means["A"] == means["B"] == 0.0 < means["C"]
 
 
 def test_memory_of_before_this_was_kept_is_still_taken_up() -> None:
-    head = Head(SAFE, 1, 10_000.0)
+    head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 0.0))
     served(head, 10_000.0, 0, 30.0)
     state = {k: v for k, v in head.remembered(10_100.0).items() if k != "lives"}
     data = memory.packed(memory.Kept("h1", "m", 1.0, 1.0, "b", True, state))
     kept, *_ = memory.recalled(data, "h1", "m", 5.0, 5.0, "b")
-    later = Head(SAFE, 2, 500.0)
+    later = Scheduler(SAFE, 2, 500.0)
     later.recall(500.0, kept, 4.0, True)
     listed(later, 600.0, ("A", 0, 0.0))
-    assert later.shelfs.mean_ms[0] > 0
+    assert later.shelfs.mean_latency_ms[0] > 0
 
 
 def test_a_head_that_knows_nothing_sends_no_more_than_the_bound_to_each_shelf() -> None:
-    head = Head(SAFE, 1, 0.0)
+    head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, *((f"s{i}", i, 0.0) for i in range(5)))
     requests = [take(head, 0.1 * n, n % 5, left=(40.0, 399.0, 3000.0)[n % 3]) for n in range(300)]
-    assert sum(a.out for a in requests) <= 5 * BOUND
+    assert sum(a.out for a in requests) <= 5 * CONCURRENCY_LIMIT
     head.woken(390.0)
-    late = [a for a in requests if a.abandon_ms < 100.0 and not a.out]
+    late = [a for a in requests if a.deadline_ms < 100.0 and not a.out]
     assert late and all(a.over for a in late), "their time is over: each has its answer"
 
 
 def test_a_head_that_knows_nothing_starts_limits_empty() -> None:
-    head = Head(SAFE, 1, 50_000.0)
+    head = Scheduler(SAFE, 1, 50_000.0)
     listed(head, 50_000.0, ("A", 0, 0.0))
     assert not went(take(head, 50_000.0, plan="capped", profile="bulk"))
 
@@ -163,20 +171,20 @@
 
 
 def test_memory_of_another_fleet_changes_nothing_for_the_shelfs_that_are_here() -> None:
-    other = Head(SAFE, 1, 10_000.0)
+    other = Scheduler(SAFE, 1, 10_000.0)
     listed(other, 10_000.0, ("X", 0, 0.0), ("Y", 1, 0.0))
     served(other, 10_000.0, 0, 30.0)
-    head = Head(SAFE, 2, 0.0)
+    head = Scheduler(SAFE, 2, 0.0)
     head.recall(0.0, other.remembered(10_100.0), 500.0, False)
     listed(head, 0.0, ("A", 0, 0.0))
-    assert head.shelfs.mean_ms[0] == 0.0 and went(take(head, 1.0, 0))
+    assert head.shelfs.mean_latency_ms[0] == 0.0 and went(take(head, 1.0, 0))
 
 
 def test_times_to_return_are_spread_over_heads_and_requests() -> None:
     """All heads told the same time: what 200 of them refused at once, a zone's loss for one, came back at once."""
     stays = []
     for seed in range(100):
-        head = Head(SAFE, seed, 0.0)
+        head = Scheduler(SAFE, seed, 0.0)
         listed(head, 0.0, ("A", 0, 0.0))
         for _ in range(2):  # its slot is not listed
             answer = take(head, 1.0, slot=5).drain()[2]
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -137,7 +137,7 @@
         conn = next(iter(rig.head.conns))
         assert conn.transport.get_write_buffer_size() < 40 * 900_000
         await until(lambda: not rig.head.conns, 6.0)
-        await until(lambda: not rig.head.core.taken)
+        await until(lambda: not rig.head.core.pending)
         assert rig.head.core.open == 0 and rig.head.core.bytes == 0
         writer.close()
 
@@ -192,7 +192,7 @@
         rig.head.adopt(new)
         got = await held
         assert got.succeeded and got.took_ms < 400
-        assert rig.head.core.module.given.plans["capped"].limit_rate == 100.0
+        assert rig.head.core.module.given.quota_plans["capped"].limit_rate == 100.0
 
     on_rig(script)
 
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -44,7 +44,7 @@
 
         world.come = comes  # type: ignore[method-assign]
         world.play()
-        assert world.done and not (world.core.open or world.core.taken or world.door.ids or world.queue)
+        assert world.done and not (world.core.open or world.core.pending or world.door.ids or world.queue)
         counts = world.core.counts
         assert counts["taken"] == sum(counts[how] for how in ("honoured", "pushed back", "terminated", "left"))
         for wire in world.wires:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -9,16 +9,16 @@
 import pytest
 from helpers import FLEET, Rig, config, on_rig, until
 
-from pebblehinge.decide import Head
+from pebblehinge.decide import Scheduler
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.store import memory
 from pebblehinge.store.disk import StorageError
 
 
-def learned(seed: int = 1, now: float = 10_000.0) -> Head:
+def learned(seed: int = 1, now: float = 10_000.0) -> Scheduler:
     """A head that has seen two shelfs, one of them slow."""
-    head = Head(config("", FLEET).module_settings(config("", FLEET).head["h1"]), seed, 0.0)
+    head = Scheduler(config("", FLEET).module_settings(config("", FLEET).head["h1"]), seed, 0.0)
     head.start(0.0)
     head.listed(0.0, ListKind.WHOLE, [Entry("A", Standing.READY, 0, 0.0), Entry("B", Standing.READY, 1, 0.0)])
     for n in range(20):
@@ -31,9 +31,9 @@
     return head
 
 
-def life(state: Any, age: float, whole: bool = False, now: float = 50_000.0) -> Head:
+def life(state: Any, age: float, whole: bool = False, now: float = 50_000.0) -> Scheduler:
     settings_ = config("", FLEET)
-    head = Head(settings_.module_settings(settings_.head["h1"]), 2, now)
+    head = Scheduler(settings_.module_settings(settings_.head["h1"]), 2, now)
     head.recall(now, state, age, whole)
     head.listed(now, ListKind.WHOLE, [Entry("A", Standing.READY, 0, 0.0), Entry("B", Standing.READY, 1, 0.0)])
     return head
@@ -44,20 +44,20 @@
     state = old.remembered(2_100.0)
     fresh_ = life(state, 100.0)
     known = {n: fresh_.shelfs.mean(s, 50_000.0) for s, n in enumerate(fresh_.shelfs.names)}
-    assert known["B"] > 1.5 * known["A"] > 0 and fresh_.shelfs.low_ms == old.shelfs.low_ms
+    assert known["B"] > 1.5 * known["A"] > 0 and fresh_.shelfs.low_quartile_ms == old.shelfs.low_quartile_ms
     aged = [life(state, age) for age in (100.0, 3_000.0, 30_000.0, 600_000.0)]
     gaps = [abs(h.shelfs.mean(0, 50_000.0) - h.shelfs.mean(1, 50_000.0)) for h in aged]
     assert gaps == sorted(gaps, reverse=True) and gaps[-1] < 1e-6
     counts = [sum(h.path.extents["x0"].counts.values()) if "x0" in h.path.extents else 0.0 for h in aged]
     assert counts == sorted(counts, reverse=True) and counts[0] > 0
-    assert aged[-1].shelfs.low_ms == 0.0 and aged[-1].path.worth.usual == 0.0
+    assert aged[-1].shelfs.low_quartile_ms == 0.0 and aged[-1].path.valuation.mean_value_per_unit == 0.0
 
 
 def test_units_of_a_limit_are_known_only_where_nothing_was_sent_since() -> None:
     state = learned().remembered(2_100.0) | {"limits": {"c": (7.0, 100.0)}}
-    assert "c" not in life(state, 1000.0, whole=False).path.worth.stores
+    assert "c" not in life(state, 1000.0, whole=False).path.valuation.stores
     head = life(state, 1000.0, whole=True)
-    assert head.path.worth.stores["c"].limit == 7.0 and head.path.worth.stores["c"].at_ms == 48_900.0
+    assert head.path.valuation.stores["c"].limit == 7.0 and head.path.valuation.stores["c"].at_ms == 48_900.0
 
 
 def snapshot(**more: Any) -> bytes:
@@ -127,12 +127,12 @@
         head.stop("the test says so")
         await asyncio.wait_for(head.stopped, 5.0)
         again = await start()
-        means = dict(zip(again.core.module.shelfs.names, again.core.module.shelfs.mean_ms, strict=True))
+        means = dict(zip(again.core.module.shelfs.names, again.core.module.shelfs.mean_latency_ms, strict=True))
         assert means["s2"] > 3 * means["s1"] > 0
         again.stop("the test says so")
         await asyncio.wait_for(again.stopped, 5.0)
         disk.files[memory.FILE][30] ^= 1
         none = await start()
-        assert not any(none.core.module.shelfs.mean_ms) and none.log.lines[0][2]["why"] == "it is damaged"
+        assert not any(none.core.module.shelfs.mean_latency_ms) and none.log.lines[0][2]["why"] == "it is damaged"
 
     on_rig(script)
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -40,7 +40,7 @@
     how = tomllib.loads(Path("deploy/balancer.toml").read_text())[key]
     assert how == f"exec .venv/bin/python -m {STARTS[key]}"
     names = loaded(STARTS[key] + ".__main__")
-    assert "pebblehinge.decide.path" in names and "pebblehinge.kept.notes" in names
+    assert "pebblehinge.decide.dispatch" in names and "pebblehinge.scheduler_state.change_set" in names
     assert not {n for n in names if n.split(".")[1] in TOGETHER}
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -17,12 +17,12 @@
 from drawn import COLD, CONFIG, RUNS, events_of
 from drawn_world import World
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, Entry, ListKind, Standing
 from pebblehinge.lab.check import RULES
 
 
-class Forgets(Head):
+class Forgets(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         give_up = self.path.refusal.give_up
@@ -35,49 +35,49 @@
         self.path.refusal.give_up = forgets  # type: ignore[method-assign]
 
 
-class Repeats(Head):
+class Repeats(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.path.limits.may_retry = lambda *_: True  # type: ignore[method-assign]
 
 
-class Drains(Head):
+class Drains(Scheduler):
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> Changes:
         return super().listed(now, kind, [replace(e, standing=Standing.READY) for e in entries])
 
 
-class Hot(Head):
+class Hot(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.shelfs.chill = lambda *_: None  # type: ignore[method-assign]
+        self.shelfs.begin_slow_start = lambda *_: None  # type: ignore[method-assign]
 
 
-class Rich(Head):
+class Rich(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        store = self.path.worth.store
+        store = self.path.valuation.store
 
         def rich(a: Request, now: float) -> Any:
             st = store(a, now)
             st.limit = max(st.limit, a.units)
             return st
 
-        self.path.worth.store = rich  # type: ignore[method-assign]
+        self.path.valuation.store = rich  # type: ignore[method-assign]
 
 
-class Mixes(Head):
+class Mixes(Scheduler):
     def __init__(self, settings: Any, seed: int, now: float) -> None:
-        profiles = tuple(replace(p, in_order=False) for p in settings.profiles)
-        super().__init__(replace(settings, profiles=profiles), seed, now)
+        profiles = tuple(replace(p, in_order=False) for p in settings.request_classes)
+        super().__init__(replace(settings, request_classes=profiles), seed, now)
 
 
-class Spends(Head):
+class Spends(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.path.limits.spare_retries = lambda now: 99.0  # type: ignore[method-assign]
 
 
-class Strays(Head):
+class Strays(Scheduler):
     """Takes a shelf for what its name was first listed as."""
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> Changes:
@@ -109,7 +109,7 @@
 }
 
 
-def offence(rule: str, seed: int, kind: type[Head], events: list[tuple[Any, ...]]) -> tuple[str, World, int]:
+def offence(rule: str, seed: int, kind: type[Scheduler], events: list[tuple[Any, ...]]) -> tuple[str, World, int]:
     world = World(COLD if rule == "cold" else CONFIG, seed, rule, kind)
     day = world.play(events)
     if rule == "data":
@@ -118,7 +118,7 @@
     return verdict.offence, world, verdict.cases
 
 
-def cut_down(rule: str, seed: int, kind: type[Head], events: list[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
+def cut_down(rule: str, seed: int, kind: type[Scheduler], events: list[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
     """The same offence's run with as many events left out as can be in a few hundred tries."""
     size, tries = len(events) // 2, 300
     while size and tries:
@@ -134,7 +134,7 @@
     return events
 
 
-def broken_run(rule: str, kind: type[Head], runs: int) -> tuple[str, Counter[str], int]:
+def broken_run(rule: str, kind: type[Scheduler], runs: int) -> tuple[str, Counter[str], int]:
     """The first run that breaks the rule, cut down and told; else what was met in all of them."""
     met: Counter[str] = Counter()
     cases = 0
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("rule", MET)
 def test_a_rule_holds_over_runs_of_events(rule: str) -> None:
-    said, met, cases = broken_run(rule, Head, RUNS)
+    said, met, cases = broken_run(rule, Scheduler, RUNS)
     assert not said, said
     assert set(MET) == {*RULES, "data"}
     assert cases > RUNS, cases
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -15,11 +15,12 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, one, stream_of
 
+from pebblehinge.http1.messages import ResponseStream
 from pebblehinge.rsync.digests import login, login_digest
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
 from pebblehinge.rsync.greeting import chosen, hello, read_hello
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.stream import ERROR_XFER, ResponseStream, RsyncError
+from pebblehinge.rsync.stream import ERROR_XFER, RsyncError
 from pebblehinge.rsync.tree import Entry, Folder, packed
 
 
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -108,26 +108,26 @@
 
 
 class AnswersTwice(HeadCore):
-    def _answer(self, taken: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        super()._answer(taken, final, stay_ms, reason, data)
-        taken.conn.send(Kind.ANSWER, taken.id, final, stay_ms, reason, taken.slot, data)
+    def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        super()._answer(pending, final, stay_ms, reason, data)
+        pending.conn.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
 
 class Forgets(HeadCore):
-    def _answer(self, taken: Any, final: int, *rest: Any) -> None:
+    def _answer(self, pending: Any, final: int, *rest: Any) -> None:
         if self.counts["taken"] % 50 == 0:
-            taken.answered = True
+            pending.answered = True
             self.open -= 1
-            taken.conn.open.pop(taken.id, None)
+            pending.conn.open.pop(pending.id, None)
         else:
-            super()._answer(taken, final, *rest)
+            super()._answer(pending, final, *rest)
 
 
 class SaysHarmless(HeadCore):
     """Tells a client that trying again is harmless though the write may have run."""
 
-    def _answer(self, taken: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        super()._answer(taken, 1 if final == 2 else final, stay_ms, reason, data)
+    def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        super()._answer(pending, 1 if final == 2 else final, stay_ms, reason, data)
 
 
 class IgnoresDrains(HeadCore):
@@ -142,10 +142,12 @@
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         super().listed(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
 
-    def ended(self, now: float, taken: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b"") -> None:
+    def ended(
+        self, now: float, pending: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
+    ) -> None:
         if outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
             outcome = Outcome.OVERLOADED
-        super().ended(now, taken, attempt, outcome, took_ms, data)
+        super().ended(now, pending, attempt, outcome, took_ms, data)
 
 
 def altered(**changes: Any) -> Any:
@@ -213,9 +215,9 @@
     class Watches(HeadCore):
         def _carry_out(self, first: Any, now: float) -> None:
             super()._carry_out(first, now)
-            for taken in self.taken.values():
-                assert (taken.attempt is not None) == taken.request.out
-                seen.append(taken.request)
+            for pending in self.pending.values():
+                assert (pending.attempt is not None) == pending.request.out
+                seen.append(pending.request)
 
     judge(RESETS, Watches, None, length="3s")
     assert len(seen) > 1000
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -34,7 +34,7 @@
         client.write("v", "x", b"1", **SAVE)
         await until(lambda: rig.shelfs[0].attempts)
         client.abort()
-        await until(lambda: not rig.head.core.taken)
+        await until(lambda: not rig.head.core.pending)
         assert rig.head.core.counts["left"] == 1 and rig.head.core.open == 0 and rig.head.core.bytes == 0
         assert rig.shelfs[0].recalled == [rig.shelfs[0].attempts[0].number]
         rig.shelfs[0].attempts[0].answer()  # an answer to nobody
--- a/tests/test_scale_small.py
+++ b/tests/test_scale_small.py
@@ -99,12 +99,12 @@
             self.members.append(MemberServer(node, self.clock_of(node), self.config, name, disk, Quiet(), n))
             await self.members[-1].start()
         for name in self.config.head:
-            node, taken = self.loop.node(name), Taking(name, self.config.group.floor)
+            node, pending = self.loop.node(name), Taking(name, self.config.group.floor)
 
-            def adopt(config: Config, mode: str, name: str = name, taken: Taking = taken) -> None:
-                self.acts[name] = (mode, taken.active)
+            def adopt(config: Config, mode: str, name: str = name, pending: Taking = pending) -> None:
+                self.acts[name] = (mode, pending.active)
 
-            feed = Feed(node, self.clock_of(node), self.config, taken, adopt, lambda data: None, Quiet())
+            feed = Feed(node, self.clock_of(node), self.config, pending, adopt, lambda data: None, Quiet())
             node.call_later(self.rng.uniform(0.0, 1.0), feed.start)
 
     async def until(self, what: Any, limit_s: float, most: float = float("inf")) -> bool:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -25,7 +25,7 @@
 
 import pytest
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import (
     Changes,
     DeduplicationScope,
@@ -33,8 +33,8 @@
     Idempotency,
     ListKind,
     Outcome,
-    Plan,
-    Profile,
+    QuotaPlan,
+    RequestClass,
     Settings,
     Standing,
 )
@@ -42,12 +42,12 @@
 FOLDER = Path(__file__).parent / "scenarios"
 KINDS = {"list": ListKind.WHOLE, "cached": ListKind.CACHED, "change": ListKind.CHANGES}
 SETTINGS = Settings(
-    profiles=(),
-    plans=(),
+    request_classes=(),
+    quota_plans=(),
     mean_units=2.0,
     most_units=8.0,
-    share_worth=0.3,
-    idle_worth=0.1,
+    share_value=0.3,
+    excess_value=0.1,
     asks_for_list=False,
     marks_repeats=False,
     may_cancel=True,
@@ -66,8 +66,8 @@
 
 def profile(
     name: str, repeat: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, due: float = 400.0, **more: bool
-) -> Profile:
-    return Profile(name, 2.0, due, 3000.0, 0.1, repeat, group, 1000.0, more.get("in_order", False))
+) -> RequestClass:
+    return RequestClass(name, 2.0, due, 3000.0, 0.1, repeat, group, 1000.0, more.get("in_order", False))
 
 
 PROFILES = (
@@ -79,9 +79,9 @@
     profile("line", Idempotency.IDEMPOTENT, in_order=True),
 )
 PLANS = (
-    Plan("gold", 20.0, 20.0, 0.0, 0.0, 0.0, 1.0, 1.0),
-    Plan("tin", 2.0, 0.0, 0.0, 0.0, 0.0, 1.0, 0.5),
-    Plan("capped", 5.0, 0.0, 20.0, 20.0, 2.0, 1.0, 1.0),
+    QuotaPlan("gold", 20.0, 20.0, 0.0, 0.0, 0.0, 1.0, 1.0),
+    QuotaPlan("tin", 2.0, 0.0, 0.0, 0.0, 0.0, 1.0, 0.5),
+    QuotaPlan("capped", 5.0, 0.0, 20.0, 20.0, 2.0, 1.0, 1.0),
 )
 
 
@@ -89,8 +89,8 @@
     """One case: a head, the handles of its requests, and what the last line made it do."""
 
     def __init__(self) -> None:
-        self.settings = replace(SETTINGS, profiles=PROFILES, plans=PLANS)
-        self.head: Head | None = None
+        self.settings = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS)
+        self.head: Scheduler | None = None
         self.handles: dict[int, Request] = {}
         self.entries: dict[str, Entry] = {}
         self.show_until = False
@@ -125,7 +125,7 @@
     def step(self, now: float, verb: str, words: list[str]) -> list[str]:
         first: list[str] = []
         if self.head is None or verb == "restart":
-            self.head, self.handles = Head(self.settings, 7, now), {}
+            self.head, self.handles = Scheduler(self.settings, 7, now), {}
             first = self.told(self.head.start(now))
             if verb == "restart":
                 return first + self.told(self.head.listed(now, ListKind.CACHED, list(self.entries.values())))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
         assert (request.method, request.target, request.body) == (b"PUT", b"/save/x?a=1", b"a\nb")
         assert request.all(b"x-request-id") == [b"9b1f03aa5c7e2d41"]
         assert 0 < int(request.all(b"x-deadline-ms")[0]) <= 900
-        assert rig.head.core.open == 0 and not rig.head.core.taken and not rig.head.door.ids
+        assert rig.head.core.open == 0 and not rig.head.core.pending and not rig.head.door.ids
 
     on_rig(script)
 
@@ -177,7 +177,7 @@
         client.transport.abort()
         await until(lambda: rig.shelfs[0].conns[0].lost)
         core = rig.head.core
-        assert core.counts["left"] == 1 and not core.taken and not rig.head.door.ids and rig.head.shelfs.out == 0
+        assert core.counts["left"] == 1 and not core.pending and not rig.head.door.ids and rig.head.shelfs.out == 0
 
     on_rig(script)
 
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -12,9 +12,9 @@
 from helpers import LOOPBACK, until
 from service_rig import SETTINGS, Rig, ask, entry, listing, on_rig
 
+from pebblehinge.platform_settings import read_settings
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.life import Life, Stage
-from pebblehinge.stated import read_settings
 
 
 def test_after_sigterm_open_connections_are_served_and_all_that_was_taken_is_answered() -> None:
@@ -217,7 +217,7 @@
         await until(lambda: head.door.count == 0)
         door = head.door
         assert len(head.shelfs.table) == 2 and len(head.core.module.shelfs.names) <= 4
-        assert not (head.core.taken or door.ids or door.fresh or door.idle or door.busy or door.closing)
+        assert not (head.core.pending or door.ids or door.fresh or door.idle or door.busy or door.closing)
         await until(lambda: head.shelfs.connections <= 1)
 
     on_rig(script)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -15,11 +15,11 @@
 
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
+from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service.__main__ import main
 from pebblehinge.service.config import ServiceConfig, read_config
 from pebblehinge.service.lists import Told
 from pebblehinge.service.server import Service
-from pebblehinge.stated import StatedError
 
 
 def test_a_late_loop_does_not_blame_the_shelf() -> None:
@@ -52,9 +52,9 @@
 
         loop = asyncio.get_running_loop()
         loop.call_soon(long_turn) if where == "between turns" else loop.call_later(0.001, long_turn)
-        await until(lambda: rig.head.core.taken)
-        (taken,) = rig.head.core.taken.values()
-        assert 300.0 < taken.request.abandon_ms - taken.came_ms < 520.0
+        await until(lambda: rig.head.core.pending)
+        (pending,) = rig.head.core.pending.values()
+        assert 300.0 < pending.request.deadline_ms - pending.came_ms < 520.0
         await asyncio.sleep(0.1)
         assert rig.head.late_ms < 100.0
 
@@ -110,7 +110,7 @@
 def test_starts_are_told_on_the_heads_own_clock_and_what_can_not_be_read_is_left_out() -> None:
     told = Told(listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"}))
     assert [(e.shelf, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(told.faults) == 2
-    with pytest.raises(StatedError):
+    with pytest.raises(PlatformSettingsError):
         Told([1, 2])
 
     async def script(rig: Rig) -> None:
@@ -158,7 +158,10 @@
         file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{other.port}", "settings": settings}))
         rig.head.reload()
         await until(lambda: rig.head.watch.version == 5 and old.lost)
-        assert rig.head.core.module.given.profiles["look"].expected_ms == 300.0 and rig.head.config.sockets == 256
+        assert (
+            rig.head.core.module.given.request_classes["look"].latency_objective_ms == 300.0
+            and rig.head.config.sockets == 256
+        )
         held[0].write(OK)
         assert (await client.answer()).status == 200
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -11,11 +11,11 @@
 from service_rig import OK, SETTINGS, Rig, ShelfPeer, answers, ask, on_rig
 from test_service_life import connect, status
 
-from pebblehinge.decide import Head, Request
+from pebblehinge.decide import Request, Scheduler
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Entry, Final, ListKind, Outcome, Standing
+from pebblehinge.platform_settings import read_settings
 from pebblehinge.service import pool
-from pebblehinge.stated import read_settings
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
 # what a shelf does: the outcome, the attempts it takes, and what the client of an non-idempotent request is told
@@ -96,7 +96,7 @@
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
         assert (await rig.ask(ask())).body == b"ok"
-        assert not rig.head.core.taken and rig.head.shelfs.out == 0 and rig.head.shelfs.held == 0
+        assert not rig.head.core.pending and rig.head.shelfs.out == 0 and rig.head.shelfs.queued == 0
 
     on_rig(script)
 
@@ -106,7 +106,7 @@
         rig.shelfs[0].server.close()
         answer = await rig.ask(ask("save", 0, b"abc"))
         assert answer.status == 503 and 0.25 <= float(answer.all(b"retry-after")[0]) <= 0.5
-        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.taken
+        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.pending
 
     on_rig(script)
 
@@ -151,9 +151,9 @@
 
             loop.call_later(0.1, answer)
 
-        def seen(taken: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+        def seen(pending: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
             took.append(took_ms)
-            ended(taken, attempt, outcome, took_ms, data)
+            ended(pending, attempt, outcome, took_ms, data)
 
         rig.head.ended = seen  # type: ignore[method-assign]
         rig.shelfs[0].does = does
@@ -161,7 +161,7 @@
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.shelfs.out == 3 == len(rig.head.core.module.shelfs.away[0])
+        assert rig.head.shelfs.out == 3 == len(rig.head.core.module.shelfs.in_flight[0])
         assert rig.head.shelfs.connections == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
@@ -189,9 +189,9 @@
         rig.shelfs[0].does = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 299_000)
         first = await rig.client()
         first.write(ask("save", 0, b"abc"))
-        await until(lambda: rig.head.shelfs.held > 290_000)
+        await until(lambda: rig.head.shelfs.queued > 290_000)
         assert (await rig.ask(ask("save", 0, b"abc"))).status == 502
-        assert rig.head.shelfs.held < 400_000
+        assert rig.head.shelfs.queued < 400_000
 
     on_rig(script)
 
@@ -199,7 +199,7 @@
 def test_a_connection_that_could_not_be_made_makes_no_answering_shelf_cold() -> None:
     """Where new connections break here and there, each made its shelf cold and most of its requests were refused.
     One that has been silent is still found gone at once, and from then on counts as restarted."""
-    head = Head(read_settings(SETTINGS), 1, 0.0)
+    head = Scheduler(read_settings(SETTINGS), 1, 0.0)
     head.start(0.0)
     head.listed(0.0, ListKind.WHOLE, [Entry("s", Standing.READY, 0, 0.0)])
 
@@ -211,9 +211,14 @@
     request = take(40.0)
     for attempt in range(2):
         request.ended(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
-    assert request.sent == 3 and not request.over and head.shelfs.cold_ms[0] is None and not head.shelfs.dead[0]
+    assert (
+        request.sent == 3
+        and not request.over
+        and head.shelfs.slow_start_ms[0] is None
+        and not head.shelfs.unreachable[0]
+    )
     request.ended(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
     request = take(900.0)
     request.ended(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
     assert request.over and request.answer.final is Final.REJECTED
-    assert head.shelfs.dead[0] and head.shelfs.cold_ms[0] == 901.0
+    assert head.shelfs.unreachable[0] and head.shelfs.slow_start_ms[0] == 901.0
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -74,8 +74,8 @@
 def test_decisions_know_of_nothing_that_could_ask_a_socket_or_a_clock() -> None:
     allowed = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "random", "typing"}
     for name, file in MODULES.items():
-        if name.startswith(("pebblehinge.decide", "pebblehinge.kept")) or name == "pebblehinge.interface":
-            ours = ("pebblehinge.decide", "pebblehinge.kept", "pebblehinge.interface")
+        if name.startswith(("pebblehinge.decide", "pebblehinge.scheduler_state")) or name == "pebblehinge.interface":
+            ours = ("pebblehinge.decide", "pebblehinge.scheduler_state", "pebblehinge.interface")
             if not name.startswith("pebblehinge.decide"):
                 ours = ours[1:]
             odd = {i for i in imported(file.read_text()) if not i.startswith(ours)} - allowed
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -10,13 +10,13 @@
 from helpers import Rig
 from test_console import ADDRESS, with_console
 
-from pebblehinge.account import Books
-from pebblehinge.account.books import OTHERS
 from pebblehinge.console import Console
 from pebblehinge.console import server as console_server
 from pebblehinge.lab.faults.ground import RELEASES, names_of
 from pebblehinge.lab.fleet import release_address, released
 from pebblehinge.settings.load import loads
+from pebblehinge.wait_accounting import WaitAccounting
+from pebblehinge.wait_accounting.accounting import OTHERS
 
 SHELFS = 2048
 FILE = f"""\
@@ -85,7 +85,7 @@
 
 def test_accounts_of_two_thousand_volumes_keep_five_causes_of_each() -> None:
     """Before, 4,096 pairs were kept: the smaller causes of most volumes were added up under others."""
-    books, now = Books(), 0.0
+    books, now = WaitAccounting(), 0.0
     for n in range(2000):
         first, second = 2 * n, 2 * n + 1
         books.held(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
--- a/tests/test_unfinished_packages.py
+++ b/tests/test_unfinished_packages.py
@@ -95,7 +95,7 @@
 
 
 def test_an_added_a_forgotten_and_a_one_sided_entry_are_found() -> None:
-    both = {"pebblehinge/lab", "pebblehinge/stated.py"}
+    both = {"pebblehinge/lab", "pebblehinge/platform_settings.py"}
     assert differences(both, both, both) == []
     assert differences(both | {"pebblehinge/raft"}, both | {"pebblehinge/raft"}, both) == [
         "pebblehinge/raft: added, but the list only gets shorter"
@@ -108,15 +108,15 @@
 
 
 def test_both_lists_are_read_as_the_tools_read_them() -> None:
-    ignores = {NO_PACKAGES: ["D"], "pebblehinge/lab/**": ["D"], "pebblehinge/stated.py": ["D"]}
+    ignores = {NO_PACKAGES: ["D"], "pebblehinge/lab/**": ["D"], "pebblehinge/platform_settings.py": ["D"]}
     overrides = [
-        {"module": ["pebblehinge.lab.*", "pebblehinge.stated"], "ignore_errors": True},
+        {"module": ["pebblehinge.lab.*", "pebblehinge.platform_settings"], "ignore_errors": True},
         {"module": ["pebblehinge.raft.*"], "disallow_untyped_defs": False},
         {"module": ["hdrh.*"], "ignore_missing_imports": True},
     ]
     tools = {"ruff": {"lint": {"per-file-ignores": ignores}}, "mypy": {"overrides": overrides}}
-    assert linter_list(tools) == {"pebblehinge/lab", "pebblehinge/stated.py"}
-    assert type_checker_list(tools) == {"pebblehinge/lab", "pebblehinge/stated.py", "pebblehinge/raft"}
+    assert linter_list(tools) == {"pebblehinge/lab", "pebblehinge/platform_settings.py"}
+    assert type_checker_list(tools) == {"pebblehinge/lab", "pebblehinge/platform_settings.py", "pebblehinge/raft"}
 
 
 def test_no_setting_lets_more_through_than_the_list() -> None:
