--- a/benchmarks/caps_shared.py
+++ b/benchmarks/caps_shared.py
@@ -20,7 +20,10 @@
 from pebblehinge.settings.schema import GroupBlock, LimitsBlock
 
 LINES, LOAD, SCHEMA, UNITS = (f"pebblehinge/settings/{n}.py" for n in ("lines", "load", "schema", "units"))
-MESSAGES, NODE, STORAGE = (f"pebblehinge/raft/{n}.py" for n in ("messages", "node", "storage"))
+LEADER, PROGRESS, READ_INDEX, RECORDS, REPLICATION, STORAGE, TRANSPORT = (
+    f"pebblehinge/raft/{n}.py"
+    for n in ("leader", "progress", "read_index", "records", "replication", "storage", "transport")
+)
 SERVER, STATE, ASKING, ASK, FEED, LEASES, RENEWALS, PROPOSALS = (
     f"pebblehinge/agreed/{n}.py"
     for n in ("server", "state", "asking", "ask", "feed", "leases", "renewals", "proposals")
@@ -68,34 +71,42 @@
     Cap("questions that wait", ASKING, "MOST_ASKED = ", constant("pebblehinge.agreed.asking", "MOST_ASKED"),
         "questions", "proposals and reads of operators that wait; all renewals of heads are one read among them", 8,
         "some operators at once", "operators are told *too much is asked at once*, exit 1", ENOUGH),
-    Cap("reads that wait", MESSAGES, "MOST_READS = ", constant("pebblehinge.raft.messages", "MOST_READS"), "reads",
+    Cap("reads that wait", READ_INDEX, "MAX_PENDING_READS = ",
+        constant("pebblehinge.raft.read_index", "MAX_PENDING_READS"), "reads",
         "reads that wait for a round of the majority; 256, one for each renewal, before rounds were shared", HEADS + 64,
         "more than a renewal of each head and some operators' looks", "the read is refused", RAISED, "36 bytes each"),
     Cap("renewals that wait", RENEWALS, "MOST_RENEWALS = ", constant("pebblehinge.agreed.renewals", "MOST_RENEWALS"),
         "renewals", "of heads that wait for their round, or for their acknowledgement in the log", HEADS + 64,
         "a renewal of each head: all renew after NEWS", "the head keeps its connection and comes back after a spread "
         "pause", ENOUGH, "about 500 bytes each, 2 MB"),
-    Cap("proposals that wait", MESSAGES, "MOST_WAITING = ", constant("pebblehinge.raft.messages", "MOST_WAITING"),
+    Cap("proposals that wait", LEADER, "MAX_UNCOMMITTED_ENTRIES = ",
+        constant("pebblehinge.raft.leader", "MAX_UNCOMMITTED_ENTRIES"),
         "entries", "entries of the log that are not committed", 64, "a command a tick holds what all heads "
         "acknowledge; some of operators", "refused; an acknowledgement comes again with the next tick", ENOUGH),
-    Cap("messages to one instance", NODE, "MOST_QUEUED = ", constant("pebblehinge.raft.node", "MOST_QUEUED"),
+    Cap("messages to one instance", TRANSPORT, "MAX_QUEUED_MESSAGES = ",
+        constant("pebblehinge.raft.transport", "MAX_QUEUED_MESSAGES"),
         "messages", "what waits for an instance that does not take it", 64,
         "appends under way, heartbeats, one round at a time for all renewals",
         "the oldest are dropped, unsaid; Raft sends again after a heartbeat", ENOUGH),
-    Cap("appends under way", MESSAGES, "INFLIGHT = ", constant("pebblehinge.raft.messages", "INFLIGHT"), "messages",
+    Cap("appends under way", PROGRESS, "MAX_INFLIGHT_APPENDS = ",
+        constant("pebblehinge.raft.progress", "MAX_INFLIGHT_APPENDS"), "messages",
         "appends to one follower with no answer", None, "at 40 ms there and back 16 give 400 a second", "later entries "
         "go together in the next", NAMED),
-    Cap("bytes of entries in a message", MESSAGES, "MOST_BYTES = ", constant("pebblehinge.raft.messages", "MOST_BYTES"),
+    Cap("bytes of entries in a message", REPLICATION, "MAX_APPEND_BYTES = ",
+        constant("pebblehinge.raft.replication", "MAX_APPEND_BYTES"),
         "bytes", "entries in one append", 1024 * 128, f"acknowledgements of {HEADS} heads",
         "the rest goes in the next; one "
         "entry always goes", ENOUGH),
-    Cap("bytes of a snapshot's piece", MESSAGES, "CHUNK = ", constant("pebblehinge.raft.messages", "CHUNK"), "bytes",
+    Cap("bytes of a snapshot's piece", REPLICATION, "SNAPSHOT_CHUNK_BYTES = ",
+        constant("pebblehinge.raft.replication", "SNAPSHOT_CHUNK_BYTES"), "bytes",
         "a snapshot goes piece by piece, one under way", None, "200 versions at size are "
         f"{200 * TEXT / 1e6:.0f} MB: {200 * TEXT / 65536 * 0.04:.0f} s at 40 ms a piece (reckoned)", "an instance that "
         "comes back across regions is behind for so long", NAMED),
-    Cap("bytes of a log's segment", STORAGE, "SEGMENT = ", constant("pebblehinge.raft.storage", "SEGMENT"), "bytes",
+    Cap("bytes of a log's segment", STORAGE, "SEGMENT_BYTES = ",
+        constant("pebblehinge.raft.storage", "SEGMENT_BYTES"), "bytes",
         "one file of the log", None, "four versions at size", "the next file begins", NAMED),
-    Cap("bytes of a record", STORAGE, "LARGEST = ", constant("pebblehinge.raft.storage", "LARGEST"), "bytes",
+    Cap("bytes of a record", RECORDS, "MAX_RECORD_BYTES = ",
+        constant("pebblehinge.raft.records", "MAX_RECORD_BYTES"), "bytes",
         "one entry, read back; not a snapshot", 3 << 20, "a version's text three times over", "the instance calls it "
         "damage and does not start", ENOUGH),
     Cap("entries before a snapshot", SCHEMA, "compact: Count = ", default(GroupBlock, "compact"), "entries",
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -33,8 +33,14 @@
 from pebblehinge.agreed.taking import Taking  # noqa: E402
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
-from pebblehinge.raft.storage import RealDisk  # noqa: E402
+from pebblehinge.raft import Raft  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
+from pebblehinge.store.disk import RealDisk  # noqa: E402
+
+
+def has_committed(raft: Raft) -> bool:
+    """Whether a leader's term has committed its first entry."""
+    return raft.commit_index >= raft.term_start_index
 
 
 async def rate(loop: Any, count: int, proposals: int, folder: Path) -> dict[str, float]:
@@ -48,7 +54,7 @@
     ]
     for m in members:
         await m.start()
-    while not (led := [m for m in members if m.node.leads and m.node.raft.commit >= m.node.raft.term_start]):
+    while not (led := [m for m in members if m.node.is_leader and has_committed(m.node.raft)]):
         await asyncio.sleep(0.02)
     leader, took = led[0], []
     sent = done = 0
@@ -140,7 +146,7 @@
         feeds[-1].start()
     took = []
     for serial in range(1, 22):
-        while not any(m.node.leads and m.node.raft.commit >= m.node.raft.term_start for m in members):
+        while not any(m.node.is_leader and has_committed(m.node.raft) for m in members):
             await asyncio.sleep(0.02)
         began = clock()
         ok, said = await ask_group(
--- a/benchmarks/raft_size.py
+++ b/benchmarks/raft_size.py
@@ -18,8 +18,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
 from pebblehinge.lab.disk import FaultyDisk  # noqa: E402
-from pebblehinge.raft import Raft, Role  # noqa: E402
-from pebblehinge.raft.storage import Storage, first_members  # noqa: E402
+from pebblehinge.raft import HardState, Raft, Role, initial_snapshot  # noqa: E402
+from pebblehinge.raft.storage import Storage  # noqa: E402
 
 NAMES = ["a", "b", "c"]
 BATCH, KEEP = 500, 10_000
@@ -31,25 +31,25 @@
     def __init__(self, name: str, seed: int) -> None:
         self.disk = FaultyDisk(random.Random(seed))
         self.storage = Storage(self.disk)
-        self.raft = Raft(name, first_members(NAMES), [], 0, None, random.Random(seed))
+        self.raft = Raft(name, initial_snapshot(NAMES), [], HardState(), random.Random(seed))
         self.count = self.at = 0
         self.up = True
 
     def work(self, way: list) -> None:
         while ready := self.raft.ready():
-            self.storage.store(ready.hard_state, ready.cut, ready.entries, ready.snapshot)
+            self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
             if ready.entries or ready.snapshot:
-                self.raft.stored(self.raft.log.last)
-            if ready.restored is not None:
-                self.count, self.at = int(ready.restored.data[:20]), ready.restored.index
-            for entry in ready.committed:
+                self.raft.persisted(self.raft.log.last_index)
+            if ready.snapshot_to_restore is not None:
+                self.count, self.at = int(ready.snapshot_to_restore.data[:20]), ready.snapshot_to_restore.index
+            for entry in ready.committed_entries:
                 self.count += entry.kind == 1
                 self.at = entry.index
             self.raft.applied(self.at)
-            way += [*ready.messages, *ready.after]
+            way += [*ready.messages, *ready.messages_after_persist]
 
     def compact(self) -> None:
-        snapshot = self.raft.snapshot_taken(b"%020d" % self.count, self.at)
+        snapshot = self.raft.compact(b"%020d" % self.count, self.at)
         if snapshot is not None:
             self.storage.store(None, None, [], snapshot)
 
@@ -92,7 +92,7 @@
                 leader.work(self.way)
                 self.deliver()
                 self.tick()
-                if keep and leader.at - leader.raft.log.at >= keep:
+                if keep and leader.at - leader.raft.log.snapshot_index >= keep:
                     for one in self.all.values():
                         one.compact()
 
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -20,11 +20,11 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.head import HeadServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.raft import Entry
-from pebblehinge.raft.log import DATA
-from pebblehinge.raft.storage import RealDisk, Storage, first_members
+from pebblehinge.raft import Entry, EntryKind, initial_snapshot
+from pebblehinge.raft.storage import Storage
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
+from pebblehinge.store.disk import RealDisk
 from pebblehinge.wire import Kind, Session, encode
 
 VOLUMES = 2000
@@ -185,7 +185,7 @@
         state.versions[number] = Version(number, body, "someone", "a note of a few words")
         state.active = number
     for n in range(heads):
-        assert state.apply(Entry(1, n + 1, DATA, command("acknowledge", f"h{n}", kept))) == ""
+        assert state.apply(Entry(1, n + 1, EntryKind.DATA, command("acknowledge", f"h{n}", kept))) == ""
     return state
 
 
@@ -213,7 +213,7 @@
         data, took = state_of(910, kept).dump(), []
         with tempfile.TemporaryDirectory(dir=ROOT) as folder:
             storage = Storage(RealDisk(folder))
-            base = first_members(["g1", "g2", "g3"])
+            base = initial_snapshot(["g1", "g2", "g3"])
             for n in range(1, 10):
                 snapshot = msgspec.structs.replace(base, index=n * 1000, term=1, data=data)
                 began = time.perf_counter()
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -37,8 +37,8 @@
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
-from pebblehinge.raft.storage import RealDisk  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
+from pebblehinge.store.disk import RealDisk  # noqa: E402
 from pebblehinge.wire import Kind  # noqa: E402
 
 COUNTED = (Kind.NEWS, Kind.RENEW, Kind.GRANT, Kind.RAFT)
@@ -126,7 +126,7 @@
         await group.until(lambda: active(1) == heads, 120.0)
         await asyncio.sleep(3.0)
         spread = Spread(
-            heads, group.clock, active, lambda: max(m.node.raft.log.last for m in group.members.values()),
+            heads, group.clock, active, lambda: max(m.node.raft.log.last_index for m in group.members.values()),
             lambda n: group.propose(document(100 + n, heads, heads), n), within_s, found,
         )  # fmt: skip
         return await spread.play(versions, pause_s)
@@ -159,7 +159,7 @@
                       "serial": number, "author": "spread"}  # fmt: skip
             return await ask_group(loop, [b.listen for b in config.member.values()], "propose", values, 10.0)
 
-        while not any(m.node.leads and m.node.raft.commit >= m.node.raft.term_start for m in servers):
+        while not any(m.node.is_leader and m.node.raft.commit_index >= m.node.raft.term_start_index for m in servers):
             await asyncio.sleep(0.02)
         ok, said = await propose(1)
         assert ok, said
@@ -181,7 +181,7 @@
             await asyncio.sleep(0.02)
         await asyncio.sleep(3.0)
         spread = Spread(
-            heads, clock, active, lambda: max(m.node.raft.log.last for m in servers), propose, within_s, found
+            heads, clock, active, lambda: max(m.node.raft.log.last_index for m in servers), propose, within_s, found
         )
         points = await spread.play(versions, pause_s)
         for thing in (*feeds, *servers):
--- a/pebblehinge/agreed/asking.py
+++ b/pebblehinge/agreed/asking.py
@@ -15,7 +15,7 @@
 from pebblehinge.agreed.reading import read
 from pebblehinge.agreed.state import State, command
 from pebblehinge.net import Peer
-from pebblehinge.raft import Membership
+from pebblehinge.raft import Membership, RaftError
 from pebblehinge.raft.node import Node
 from pebblehinge.settings import Config, SettingsError
 from pebblehinge.wire import Kind
@@ -54,7 +54,7 @@
         if verb == "status":
             tell(True, self._status_object() if values.get("json") else self._status())
             return
-        if not self.member.node.leads:
+        if not self.member.node.is_leader:
             leader = self.member.leader_address()
             conn.send(Kind.TOLD, token, False, "not the leader" if leader else "no leader is known", leader)
             return
@@ -128,7 +128,7 @@
 
     def _ask_members(self, tell: Callable[[bool, str], None], v: dict[str, str | int]) -> None:
         raft, what, name = self.member.node.raft, str(v.get("do", "list")), str(v.get("name", ""))
-        now = raft.members
+        now = raft.membership
         if what == "list":
             tell(True, f"voters {' '.join(now.voters)}\nlearners {' '.join(now.learners) or 'none'}")
             return
@@ -147,22 +147,30 @@
         if new == now:
             tell(True, "it is so already")
             return
-        refused = raft.change(new)
-        self.member.node.work()
-        tell(not refused, refused or f"voters {' '.join(new.voters)}; learners {' '.join(new.learners) or 'none'}")
+        try:
+            raft.change_membership(new)
+        except RaftError as error:
+            tell(False, str(error))
+            return
+        self.member.node.process_ready()
+        tell(True, f"voters {' '.join(new.voters)}; learners {' '.join(new.learners) or 'none'}")
 
     def _ask_transfer(self, tell: Callable[[bool, str], None], v: dict[str, str | int]) -> None:
-        refused = self.member.node.raft.transfer(str(v["to"]))
-        self.member.node.work()
-        tell(not refused, refused or "under way")
+        try:
+            self.member.node.raft.transfer_leadership(str(v["to"]))
+        except RaftError as error:
+            tell(False, str(error))
+            return
+        self.member.node.process_ready()
+        tell(True, "under way")
 
     def _status_object(self) -> str:
         raft, state, now = self.member.node.raft, self.member.state, self.member.clock()
         held = self.member.leases.holding if self.member.leases is not None else {}
         return msgspec.json.encode({
-            "instance": self.member.name, "role": raft.role.value, "leader": raft.leader, "term": raft.term,
-            "commit": raft.commit, "version": state.active, "pending": state.pending,
-            "members": list(raft.members.voters), "learners": list(raft.members.learners),
+            "instance": self.member.name, "role": raft.role.value, "leader": raft.leader_id, "term": raft.current_term,
+            "commit": raft.commit_index, "version": state.active, "pending": state.pending,
+            "members": list(raft.membership.voters), "learners": list(raft.membership.learners),
             "heads": [
                 {"id": n, "version": row.version,
                  "lag_ms": round(now - held[n].answered_ms, 1) if n in held else None}
@@ -173,8 +181,9 @@
     def _status(self) -> str:
         raft, state = self.member.node.raft, self.member.state
         lines = [
-            f"{self.member.name}: {raft.role.value}, term {raft.term}, leader {raft.leader or 'none'}",
-            f"log {raft.log.at}..{raft.log.last}, committed {raft.commit}, applied {raft.applied_to}",
+            f"{self.member.name}: {raft.role.value}, term {raft.current_term}, leader {raft.leader_id or 'none'}",
+            f"log {raft.log.snapshot_index}..{raft.log.last_index}, committed {raft.commit_index}, "
+            f"applied {raft.last_applied}",
             f"active {state.active}, pending {state.pending or 'none'}",
         ]
         lines += [f"head {row.name}: version {row.version}" for _, row in sorted(state.heads.items())]
--- a/pebblehinge/agreed/granting.py
+++ b/pebblehinge/agreed/granting.py
@@ -50,7 +50,7 @@
     def leads(self) -> bool:
         """Whether this instance leads in the term that `leases` and `renewals` are of."""
         node = self.member.node
-        return self.leases is not None and node.leads and self.term == node.raft.term
+        return self.leases is not None and node.is_leader and self.term == node.raft.current_term
 
     # ---- time
 
@@ -60,14 +60,14 @@
         if not self.leads:
             self.lost()
             self.leases = Leases(self.group.lease, self.group.drift, self.group.floor, now)
-            self.term = raft.term
+            self.term = raft.current_term
             self.member.on_its_way.clear()
-        if raft.applied_to >= raft.term_start:  # it knows all that was agreed before it
+        if raft.last_applied >= raft.term_start_index:  # it knows all that was agreed before it
             self._activate()
             fresh = self.renewals.commit_due(now)
             if fresh and (index := raft.propose(command("taken_up", fresh))) is not None:
                 self.renewals.proposed(now, index)
-                self.member.node.work()
+                self.member.node.process_ready()
         self._ask_majority()
         self._tell()
 
--- a/pebblehinge/agreed/server.py
+++ b/pebblehinge/agreed/server.py
@@ -16,11 +16,12 @@
 from pebblehinge.agreed.leases import Leases
 from pebblehinge.agreed.state import State, command
 from pebblehinge.net import Peer, parse_address
-from pebblehinge.raft import Raft
-from pebblehinge.raft.log import Entry
-from pebblehinge.raft.node import Node, PeerLink
-from pebblehinge.raft.storage import Disk, Storage, first_members
+from pebblehinge.raft import Entry, Raft, initial_snapshot
+from pebblehinge.raft.node import Node, NodeCallbacks
+from pebblehinge.raft.storage import Storage
+from pebblehinge.raft.transport import LinkSettings, PeerLink
 from pebblehinge.settings import Config
+from pebblehinge.store.disk import Disk, StorageError
 from pebblehinge.wire import Kind, Session, WireError
 
 BACKLOG = 2048  # connections that wait to be accepted: all heads come back after a leader's loss
@@ -50,7 +51,7 @@
         if self.session.peer_name.rpartition("@")[2] != self.member.config.group.id:
             raise WireError(f"this is group {self.member.config.group.id!r}: {self.session.peer_name!r} is of another")
         try:
-            self.member.node.came(data)
+            self.member.node.receive(data)
         except msgspec.DecodeError as error:
             raise WireError(f"RAFT: {error}") from None
 
@@ -78,19 +79,20 @@
         self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
         group, limits = config.group, config.limits
         storage = Storage(disk)
-        snapshot = storage.snapshot or first_members(list(config.member))
+        snapshot = storage.snapshot or initial_snapshot(list(config.member))
         rng = random.Random(f"{seed}/{name}")
-        raft = Raft(name, snapshot, storage.entries, storage.term, storage.vote, rng, group.election, group.heartbeat)
+        raft = Raft(name, snapshot, storage.entries, storage.hard_state, rng, group.election, group.heartbeat)
         self.state = State.restore(snapshot.data)
+        link_settings = LinkSettings(f"{name}@{group.id}", limits.frame, limits.stall, limits.keepalive)
         links = {
-            other: PeerLink(loop, f"{name}@{group.id}", block.listen, limits.frame, limits.stall, limits.keepalive)
+            other: PeerLink(loop, block.listen, link_settings)
             for other, block in config.member.items()
             if other != name
         }
-        self.node = Node(
-            loop, raft, storage, links, group.tick, group.compact, self._apply, self._restore,
-            lambda: self.state.dump(), self._read_done, self._failed,
-        )  # fmt: skip
+        callbacks = NodeCallbacks(
+            self._apply, self._restore, lambda: self.state.dump(), self._read_done, self._storage_failed
+        )
+        self.node = Node(loop, raft, storage, links, callbacks, group.tick, group.compact)
         self.conns: dict[MemberConn, None] = {}
         self.proposals: dict[int, tuple[int, Callable[[str], None]]] = {}  # index -> term, who waits
         self.reads: dict[int, Callable[[bool], None]] = {}
@@ -119,9 +121,9 @@
         if not self.stopped.done():
             self.stopped.set_result(None)
 
-    def _failed(self, reason: str) -> None:
-        self.failure = reason
-        self.log.error("stopped", why=reason)
+    def _storage_failed(self, error: StorageError) -> None:
+        self.failure = str(error)
+        self.log.error("stopped", why=self.failure)
         self.stop()
 
     # ---- the state machine
@@ -135,7 +137,7 @@
         for key in [k for k, index in self.on_its_way.items() if index <= entry.index]:
             del self.on_its_way[key]
         self.granting.applied(entry.index)
-        if self.node.leads:
+        if self.node.is_leader:
             self.asking.proposals.go_on()
 
     def _restore(self, data: bytes) -> None:
@@ -148,8 +150,8 @@
         index = self.node.raft.propose(data, session, serial)
         if index is None:
             return False
-        self.proposals[index] = (self.node.raft.term, tell)
-        self.node.work()
+        self.proposals[index] = (self.node.raft.current_term, tell)
+        self.node.process_ready()
         return True
 
     def own(self, *parts: Any) -> None:
@@ -160,14 +162,14 @@
         index = self.node.raft.propose(command(*parts))
         if index is not None:
             self.on_its_way[key] = index
-            self.node.work()
+            self.node.process_ready()
 
     def _look(self) -> None:
         """Every tick."""
         if not self.node.up:
             return
         self.timer = self.loop.call_later(self.config.group.tick / 1000.0, self._look)
-        if self.node.leads:
+        if self.node.is_leader:
             self.granting.look()
         else:
             self.granting.lost()
@@ -190,9 +192,9 @@
         """Calls back when a round of the majority that begins from now on is over; False where there was none."""
         context = next(self.contexts)
         self.reads[context] = call
-        if not self.node.raft.read(context):
+        if not self.node.raft.read_index(context):
             self.reads.pop(context)(False)
-        self.node.work()
+        self.node.process_ready()
 
     def _read_done(self, context: int, sound: bool) -> None:
         call = self.reads.pop(context, None)
@@ -200,7 +202,7 @@
             call(sound)
 
     def leader_address(self) -> str:
-        leader = self.node.raft.leader
+        leader = self.node.raft.leader_id
         block = self.config.member.get(leader or "")
         return block.listen if block is not None and leader != self.name else ""
 
--- a/pebblehinge/agreed/state.py
+++ b/pebblehinge/agreed/state.py
@@ -12,8 +12,7 @@
 import msgspec
 
 from pebblehinge.agreed.reading import read
-from pebblehinge.raft import Entry
-from pebblehinge.raft.log import DATA
+from pebblehinge.raft import Entry, EntryKind
 from pebblehinge.settings import SettingsError
 
 SESSIONS = 1024  # remembered: the one least recently used goes first
@@ -66,7 +65,7 @@
 
     def apply(self, entry: Entry) -> str:
         """Applies a committed entry; "" where it was done, else the reason why not."""
-        if entry.kind != DATA:
+        if entry.kind != EntryKind.DATA:
             return ""
         if entry.session:
             known = self.sessions.get(entry.session)
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -54,7 +54,8 @@
 ) -> int:
     from pebblehinge.agreed.server import MemberServer
     from pebblehinge.daemon.files import allow_files, files_of
-    from pebblehinge.raft.storage import RealDisk, StorageError, identify
+    from pebblehinge.raft.identity import identify
+    from pebblehinge.store.disk import RealDisk, StorageError
 
     if told := allow_files(files_of("group", heads=len(config.head))):
         log.warning("limits", why=told)
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -211,8 +211,8 @@
     from pebblehinge.agreed import Taking
     from pebblehinge.agreed.activation import cut_off
     from pebblehinge.agreed.feed import Feed
-    from pebblehinge.raft.storage import RealDisk
     from pebblehinge.store.beside import in_thread
+    from pebblehinge.store.disk import RealDisk
 
     floor = config.group.floor
     taking = Taking(name, floor)
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -67,17 +67,19 @@
 @QUIET
 def model(terms: int, proposals: int, crashes: int, beats: int, way: int, states: int, quiet: bool) -> None:
     """Every order of events of three Raft instances, within bounds."""
-    from pebblehinge.raft.model import Bounds, Broken, explore
+    from pebblehinge.raft.errors import SafetyViolationError
+    from pebblehinge.raft.model import Bounds, explore
 
     bounds = Bounds(3, terms, proposals, crashes, beats, states, way)
     try:
-        seen, tried, whole = explore(bounds, say_progress(quiet))
-    except Broken as broken:
-        click.echo(str(broken))
+        found = explore(bounds, say_progress(quiet))
+    except SafetyViolationError as error:
+        click.echo(str(error))
         sys.exit(1)
     except KeyboardInterrupt:
         give_up("interrupted: nothing broken so far")
-    click.echo(f"{seen} states, {tried} transitions, {'all within the bounds' if whole else 'as many as were asked'}")
+    extent = "all within the bounds" if found.complete else "as many as were asked"
+    click.echo(f"{found.states} states, {found.transitions} transitions, {extent}")
 
 
 @lab.command(name="crash")
--- a/pebblehinge/raft/log.py
+++ b/pebblehinge/raft/log.py
@@ -1,122 +1,108 @@
-"""A replicated log as one instance holds it: entries after a snapshot, and the membership that they state."""
-
-from __future__ import annotations
-
-import msgspec
-
-NOOP, DATA, MEMBERS = 0, 1, 2  # kinds of entries
+"""The replicated log in the memory of one member: a snapshot, and the entries after it.
 
+Indexes count from 1 over the group's whole life; `snapshot_index` is 0 until the first snapshot.
+"""
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry. `session` and `serial` name a proposal, so that one that is sent twice is applied once."""
-
-    term: int
-    index: int
-    kind: int
-    data: bytes = b""
-    session: str = ""
-    serial: int = 0
-
+from __future__ import annotations
 
-class Membership(msgspec.Struct, array_like=True, frozen=True):
-    """Who votes, and who only learns. Changed by one instance at a time (thesis 4.1)."""
+from dataclasses import dataclass
 
-    voters: tuple[str, ...]
-    learners: tuple[str, ...] = ()
+import msgspec
 
-    def all(self) -> tuple[str, ...]:
-        return self.voters + self.learners
+from pebblehinge.raft.entries import Entry, EntryKind, Membership, Snapshot
+from pebblehinge.raft.errors import LogError
 
-    def quorum(self) -> int:
-        return len(self.voters) // 2 + 1
+ENTRY_OVERHEAD_BYTES = 32  # of an entry beside its data, as `Log.slice` counts
+UNLIMITED_BYTES = 1 << 62
 
 
-class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state machine up to and including an index."""
+@dataclass(frozen=True, slots=True)
+class LoggedMembership:
+    """A membership, and the index of the entry (or snapshot) that states it."""
 
-    term: int
+    membership: Membership
     index: int
-    members: Membership
-    data: bytes
-
-
-class LogError(Exception):
-    """A log that contradicts itself: an instance stops rather than go on with it."""
 
 
 class Log:
-    """Entries after `snapshot.index`, which may be 0."""
+    """Entries after `snapshot`, without gaps."""
 
     def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
+        """Raises LogError if the entries do not follow the snapshot without gaps."""
         self.snapshot = snapshot
+        self.snapshot_index = snapshot.index
         self.entries = list(entries)
-        self.at = snapshot.index  # index before the first entry
-        for i, entry in enumerate(self.entries):
-            if entry.index != self.at + 1 + i:
-                raise LogError(f"entry {entry.index} stands where {self.at + 1 + i} should")
+        for expected, entry in enumerate(self.entries, snapshot.index + 1):
+            if entry.index != expected:
+                raise LogError(f"entry {entry.index} stands where {expected} should")
 
     @property
-    def last(self) -> int:
-        return self.at + len(self.entries)
+    def last_index(self) -> int:
+        """Index of the last entry, or of the snapshot if there is none."""
+        return self.snapshot_index + len(self.entries)
+
+    @property
+    def last_term(self) -> int:
+        """Term of the last entry, or of the snapshot if there is none."""
+        return self.term_at(self.last_index) or 0
 
-    def term(self, index: int) -> int | None:
-        """The term at an index; None where it is not known any more, or not yet."""
-        if index == self.at:
+    def term_at(self, index: int) -> int | None:
+        """Term of the entry at an index; None if it is compacted away, or not there yet."""
+        if index == self.snapshot_index:
             return self.snapshot.term
-        if self.at < index <= self.last:
-            return self.entries[index - self.at - 1].term
+        if self.snapshot_index < index <= self.last_index:
+            return self.entries[index - self.snapshot_index - 1].term
         return None
 
-    @property
-    def last_term(self) -> int:
-        return self.term(self.last) or 0
-
-    def between(self, low: int, high: int, most_bytes: int = 1 << 62) -> list[Entry]:
-        """Entries from low to high, both included, at least one and at most so many bytes."""
-        found, size = [], 0
-        for index in range(max(low, self.at + 1), min(high, self.last) + 1):
-            entry = self.entries[index - self.at - 1]
-            size += len(entry.data) + 32
-            if found and size > most_bytes:
+    def slice(self, low: int, high: int, max_bytes: int = UNLIMITED_BYTES) -> list[Entry]:
+        """Entries from `low` to `high`, both included: at most `max_bytes` of them, but always one if there is one."""
+        found: list[Entry] = []
+        size = 0
+        for index in range(max(low, self.snapshot_index + 1), min(high, self.last_index) + 1):
+            entry = self.entries[index - self.snapshot_index - 1]
+            size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if found and size > max_bytes:
                 break
             found.append(entry)
         return found
 
     def append(self, entry: Entry) -> None:
-        if entry.index != self.last + 1:
-            raise LogError(f"entry {entry.index} is to follow {self.last}")
+        """Adds the next entry. Raises LogError if its index does not follow the last."""
+        if entry.index != self.last_index + 1:
+            raise LogError(f"entry {entry.index} is to follow {self.last_index}")
         self.entries.append(entry)
 
-    def cut(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drops the entry at an index and all after it."""
-        del self.entries[max(0, index - self.at - 1) :]
+        del self.entries[max(0, index - self.snapshot_index - 1) :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Forgets what a snapshot holds; a snapshot beyond the log takes its place."""
-        keep = [e for e in self.entries if e.index > snapshot.index]
-        if self.term(snapshot.index) != snapshot.term:
-            keep = []
-        self.snapshot, self.at, self.entries = snapshot, snapshot.index, keep
-
-    def first_of_term(self, term: int, below: int) -> int:
-        """The first index of a term's run that ends below an index: what a conflict backs off to."""
-        index = below
-        while index > self.at + 1 and self.term(index - 1) == term:
+        """Drops what a snapshot covers; one that this log does not agree with takes the place of the whole log."""
+        remaining = [entry for entry in self.entries if entry.index > snapshot.index]
+        if self.term_at(snapshot.index) != snapshot.term:
+            remaining = []
+        self.snapshot = snapshot
+        self.snapshot_index = snapshot.index
+        self.entries = remaining
+
+    def first_index_of_run(self, term: int, index: int) -> int:
+        """First index of the run of entries of one term that ends at `index`: what a conflict backs off to."""
+        while index > self.snapshot_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def last_of_term(self, term: int) -> int:
-        """The last index of a term, or 0."""
+    def last_index_of_term(self, term: int) -> int | None:
+        """Last index of a term; None if the log has no entry of it."""
         for entry in reversed(self.entries):
             if entry.term == term:
                 return entry.index
             if entry.term < term:
-                return 0
-        return self.snapshot.index if self.snapshot.term == term else 0
+                return None
+        return self.snapshot.index if self.snapshot.term == term else None
 
-    def members(self, upto: int | None = None) -> tuple[Membership, int]:
-        """The newest membership in the log, committed or not (thesis 4.1), and the index that states it."""
+    def newest_membership(self, up_to: int | None = None) -> LoggedMembership:
+        """The newest membership in the log up to an index, committed or not (thesis, 4.1)."""
         for entry in reversed(self.entries):
-            if entry.kind == MEMBERS and (upto is None or entry.index <= upto):
-                return msgspec.msgpack.decode(entry.data, type=Membership), entry.index
-        return self.snapshot.members, self.snapshot.index
+            if entry.kind == EntryKind.MEMBERSHIP and (up_to is None or entry.index <= up_to):
+                return LoggedMembership(msgspec.msgpack.decode(entry.data, type=Membership), entry.index)
+        return LoggedMembership(self.snapshot.membership, self.snapshot.index)
--- a/pebblehinge/raft/messages.py
+++ b/pebblehinge/raft/messages.py
@@ -1,85 +1,101 @@
-"""What instances send each other, what a core wants done, and the bounds of both."""
+"""What members send each other, named as in the paper and in Ongaro's thesis. `codec` says how they look on the wire.
 
-from __future__ import annotations
+A message may be lost, repeated or overtaken; `term` is the sender's, but for the term that a PreVote asks for.
+"""
 
-from dataclasses import dataclass, field
-from enum import Enum
+from __future__ import annotations
 
 import msgspec
 
-from pebblehinge.raft.log import Entry, Membership, Snapshot
+from pebblehinge.raft.entries import Entry, Membership
 
-INFLIGHT = 16  # appends to one follower with no answer yet
-MOST_BYTES = 256 << 10  # of entries in one message
-CHUNK = 64 << 10  # of a snapshot in one message
-MOST_READS = 4096  # linearizable reads that wait for their round: 36 bytes each here, whoever asked keeps more
-MOST_WAITING = 1024  # proposals in the log that are not committed
 
+class Message(msgspec.Struct, frozen=True):
+    """Base of all messages: sender, receiver, term."""
 
-class Role(Enum):
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"
-    CANDIDATE = "candidate"
-    LEADER = "leader"
+    source: str
+    to: str
+    term: int
 
 
-class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One message between instances; `kind` says which of the values mean something.
+class VoteRequest(Message, frozen=True):
+    """Base of RequestVote and PreVote: the end of the candidate's log.
 
-    vote, pre-vote: `index`, `log_term` of the last entry, `hint` 1 where a leader asked for it; answers `ok`.
-    append: `index`, `log_term` before the entries, `commit`, `context` of a read round; its answer: `ok`, `index`
-    matched or rejected, `hint` and `log_term` to back off to, `context`.
-    snapshot: `index`, `log_term`, `offset` of `data`, `hint` total size, `members`; its answer: `offset` wanted next.
-    timeout: start an election now.
+    `leadership_transfer`: the leader asked for this election, so that it may unseat a leader that others still hear.
     """
 
-    kind: str
-    source: str
-    to: str
-    term: int
-    index: int = 0
-    log_term: int = 0
-    commit: int = 0
-    ok: bool = False
-    hint: int = 0
+    last_log_index: int
+    last_log_term: int
+    leadership_transfer: bool = False
+
+
+class RequestVote(VoteRequest, frozen=True):
+    """A candidate asks for a vote in `term` (paper, 5.2)."""
+
+
+class RequestVoteResponse(Message, frozen=True):
+    """Whether the vote is granted."""
+
+    granted: bool = False
+
+
+class PreVote(VoteRequest, frozen=True):
+    """Asks whether a vote in `term`, which nobody has entered yet, would be granted (thesis, 9.6)."""
+
+
+class PreVoteResponse(Message, frozen=True):
+    """Whether it would; `term` is the term asked for if so, and the sender's own if not."""
+
+    granted: bool = False
+
+
+class AppendEntries(Message, frozen=True):
+    """Entries after `prev_log_index`, or none: a heartbeat (paper, 5.3).
+
+    `read_round` is the number of the leader's newest round for reads; the response names it back.
+    """
+
+    prev_log_index: int
+    prev_log_term: int
+    leader_commit: int = 0
     entries: tuple[Entry, ...] = ()
+    read_round: int = 0
+
+
+class AppendEntriesResponse(Message, frozen=True):
+    """How far the follower's log is known to match the leader's, or where to try next.
+
+    `index` is the match index after a success. After a conflict it is the rejected `prev_log_index`, and
+    `conflict_index` is where to go on: the first index of the conflicting term's run (`conflict_term`), or the end of a
+    log that is too short (`conflict_term` 0). In answer to a leader of an old term, it is the last index.
+    """
+
+    success: bool = False
+    index: int = 0
+    conflict_index: int = 0
+    conflict_term: int = 0
+    read_round: int = 0
+
+
+class InstallSnapshot(Message, frozen=True):
+    """One piece of a snapshot of `total_bytes` (paper, 7)."""
+
+    last_included_index: int
+    last_included_term: int
+    leader_commit: int
+    total_bytes: int
+    offset: int
+    data: bytes
+    membership: Membership
+
+
+class InstallSnapshotResponse(Message, frozen=True):
+    """`installed`, or the `offset` of the piece that is wanted next."""
+
+    last_included_index: int
+    installed: bool = False
     offset: int = 0
-    data: bytes = b""
-    members: Membership | None = None
-    context: int = 0
-
-
-@dataclass(slots=True)
-class Ready:
-    """What is to be done now, in this order."""
-
-    hard_state: tuple[int, str | None] | None = None  # term and vote, to be stored
-    snapshot: Snapshot | None = None  # to be stored in place of all before it
-    cut: int | None = None  # entries from this index on are no longer true
-    entries: list[Entry] = field(default_factory=list)  # to be stored
-    messages: list[Message] = field(default_factory=list)  # at once
-    after: list[Message] = field(default_factory=list)  # when all above is stored
-    committed: list[Entry] = field(default_factory=list)  # to be applied, each once, in order
-    restored: Snapshot | None = None  # the state machine begins anew from here, before `committed`
-    reads: list[tuple[int, int]] = field(default_factory=list)  # context, index that must be applied first; -1: lost
-
-    def __bool__(self) -> bool:
-        return bool(
-            self.hard_state or self.snapshot or self.cut or self.entries or self.messages or self.after
-            or self.committed or self.restored or self.reads
-        )  # fmt: skip
-
-
-class Progress:
-    """What a leader knows of one other instance."""
-
-    __slots__ = ("match", "next", "inflight", "probing", "active", "snapshot", "offset", "quiet")
-
-    def __init__(self, next_: int) -> None:
-        self.match, self.next = 0, next_
-        self.inflight = 0  # appends on their way
-        self.probing = True  # one at a time until it is known where the logs meet
-        self.active = True  # heard of since the last look at the quorum
-        self.snapshot: Snapshot | None = None  # being sent
-        self.offset = 0
-        self.quiet = 0  # ticks since it was last heard of
+
+
+class TimeoutNow(Message, frozen=True):
+    """The leader asks the receiver to start an election at once (leadership transfer; thesis, 3.10)."""
--- a/pebblehinge/raft/node.py
+++ b/pebblehinge/raft/node.py
@@ -1,196 +1,142 @@
-"""Carries out what the core wants, on asyncio: stores, sends, applies, and keeps links to the other instances."""
+"""Drives one core on asyncio: ticks, storage, links to the other members, the state machine."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 
-import msgspec
+from pebblehinge.raft.codec import decode_message
+from pebblehinge.raft.core import Raft
+from pebblehinge.raft.entries import Entry, Snapshot
+from pebblehinge.raft.messages import Message
+from pebblehinge.raft.ready import ReadState, Ready
+from pebblehinge.raft.state import Role
+from pebblehinge.raft.storage import Storage
+from pebblehinge.raft.transport import PeerLink
+from pebblehinge.store.disk import StorageError
 
-from pebblehinge.net import Peer, dial
-from pebblehinge.raft.core import Message, Raft, Role
-from pebblehinge.raft.log import Entry
-from pebblehinge.raft.storage import Storage, StorageError
-from pebblehinge.wire import Kind, Session
 
-_encode = msgspec.msgpack.Encoder().encode
-decode_message = msgspec.msgpack.Decoder(Message).decode
-MOST_QUEUED = 256  # messages for one instance that does not take them; Raft sends again what matters
+@dataclass(frozen=True, slots=True)
+class NodeCallbacks:
+    """What a node calls: the state machine, whoever asked for a read, and whoever stops the program."""
 
-
-class _Link(Peer):
-    FRAMES = frozenset({Kind.TOLD})
-
-    def __init__(self, owner: PeerLink, session: Session) -> None:
-        super().__init__(owner.loop, session, owner.stall_ms, owner.keepalive_ms)
-        self.owner = owner
-
-    def ready(self) -> None:
-        self.owner.wire = self
-        self.owner.push()
-
-    def writable(self) -> None:
-        self.owner.push()
-
-    def gone(self, exc: Exception | None) -> None:
-        self.owner.lost(self)
-
-    def on_told(self, *_: Any) -> None:
-        pass
-
-
-class PeerLink:
-    """The way to one other instance. A slow one fills its own queue and holds up nobody."""
-
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, name: str, address: str, limit: int, stall_ms: float, keepalive_ms: float
-    ) -> None:
-        self.loop, self.name, self.address, self.limit = loop, name, address, limit
-        self.stall_ms, self.keepalive_ms = stall_ms, keepalive_ms
-        self.queue: deque[bytes] = deque(maxlen=MOST_QUEUED)
-        self.wire: _Link | None = None
-        self.task: asyncio.Task | None = None
-        self.again: asyncio.TimerHandle | None = None
-        self.closed = False
-
-    def send(self, message: Message) -> None:
-        self.queue.append(_encode(message))
-        if self.wire is None and self.task is None and self.again is None:
-            self._connect()
-        self.push()
-
-    def push(self) -> None:
-        while self.queue and self.wire is not None and not self.wire.paused:
-            self.wire.send(Kind.RAFT, self.queue.popleft())
-
-    def _connect(self) -> None:
-        self.again = None
-        if not self.closed:
-            self.task = self.loop.create_task(self._try())
-
-    async def _try(self) -> None:
-        link = _Link(self, Session("member", self.name, self.limit, 64, greets=True))
-        try:
-            async with asyncio.timeout(1.0):
-                await dial(self.loop, link, self.address)
-        except (OSError, TimeoutError):
-            self._later()
-        finally:
-            self.task = None
-
-    def _later(self) -> None:
-        if not self.closed and self.again is None:
-            self.again = self.loop.call_later(0.1, self._connect)
-
-    def lost(self, wire: _Link) -> None:
-        if self.wire is wire:
-            self.wire = None
-        self._later()
-
-    def close(self) -> None:
-        self.closed = True
-        for handle in (self.task, self.again):
-            if handle is not None:
-                handle.cancel()
-        if self.wire is not None:
-            self.wire.close()
+    apply: Callable[[Entry], None]  # a committed entry, each once, in order
+    restore: Callable[[bytes], None]  # the state machine starts anew from a snapshot's bytes
+    snapshot: Callable[[], bytes]  # the state machine's state, as of the last entry that was applied
+    read_done: Callable[[int, bool], None]  # a read's context, and whether it may be served now
+    storage_failed: Callable[[StorageError], None]  # once: the node has stopped
 
 
 class Node:
-    """One instance's core with its storage and links. `apply(entry)` and `restore(data)` feed the state machine,
-    `state()` gives its snapshot; `failed` hears of a storage that can't be trusted any more, once."""
+    """One member: the core, its storage, its links by member's name."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         raft: Raft,
         storage: Storage,
-        links: dict[str, PeerLink],
+        links: Mapping[str, PeerLink],
+        callbacks: NodeCallbacks,
         tick_ms: float,
-        compact: int,
-        apply: Callable[[Entry], None],
-        restore: Callable[[bytes], None],
-        state: Callable[[], bytes],
-        read: Callable[[int, bool], None],
-        failed: Callable[[str], None],
+        compact_after: int,
     ) -> None:
-        self.loop, self.raft, self.storage, self.links = loop, raft, storage, links
-        self.tick_ms, self.compact = tick_ms, compact
-        self.apply, self.restore, self.state, self.read_done, self.failed = apply, restore, state, read, failed
-        self.waiting_reads: list[tuple[int, int]] = []
+        """A snapshot is taken whenever `compact_after` entries have been applied since the last."""
+        self.loop = loop
+        self.raft = raft
+        self.storage = storage
+        self.links = links
+        self.callbacks = callbacks
+        self.tick_s = tick_ms / 1000.0
+        self.compact_after = compact_after
+        self.waiting_reads: list[ReadState] = []  # until their index is applied
         self.timer: asyncio.TimerHandle | None = None
         self.up = True
-        self.working = False
+        self.processing = False
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this member runs, and believes that it leads."""
+        return self.up and self.raft.role is Role.LEADER
 
     def start(self) -> None:
-        self.timer = self.loop.call_later(self.tick_ms / 1000.0, self._tick)
+        """Time begins to pass for the core."""
+        self.timer = self.loop.call_later(self.tick_s, self._tick)
 
     def stop(self) -> None:
+        """Stops for good: nothing is sent, stored or applied any more."""
         self.up = False
         if self.timer is not None:
             self.timer.cancel()
         for link in self.links.values():
             link.close()
 
-    def _tick(self) -> None:
-        if self.up:
-            self.timer = self.loop.call_later(self.tick_ms / 1000.0, self._tick)
-            self.raft.tick()
-            self.work()
-
-    def came(self, data: bytes) -> None:
-        """A message from another instance; raises msgspec.DecodeError where it is none."""
+    def receive(self, data: bytes) -> None:
+        """Takes a message from another member. Raises msgspec.DecodeError if these bytes are not one."""
         if self.up:
             self.raft.step(decode_message(data))
-            self.work()
+            self.process_ready()
 
-    def work(self) -> None:
-        """Store, then promise, then apply, until the core wants nothing more."""
-        if self.working:
+    def process_ready(self) -> None:
+        """Does what the core asks for, until it asks for nothing more. Called after each request to the core."""
+        if self.processing:
             return
-        self.working = True
+        self.processing = True
         try:
             while self.up and (ready := self.raft.ready()):
-                for message in ready.messages:
-                    self._send(message)
-                if ready.hard_state or ready.cut or ready.entries or ready.snapshot:
-                    self.storage.store(ready.hard_state, ready.cut, ready.entries, ready.snapshot)
-                    self.raft.stored(self.raft.log.last)
-                for message in ready.after:
-                    self._send(message)
-                if ready.restored is not None:
-                    self.restore(ready.restored.data)
-                    self.raft.applied(ready.restored.index)
-                for entry in ready.committed:
-                    self.apply(entry)
-                    self.raft.applied(entry.index)
-                for context, index in ready.reads:
-                    if index < 0:
-                        self.read_done(context, False)
-                    else:
-                        self.waiting_reads.append((context, index))
-                due = [c for c, i in self.waiting_reads if i <= self.raft.applied_to]
-                self.waiting_reads = [(c, i) for c, i in self.waiting_reads if i > self.raft.applied_to]
-                for context in due:
-                    self.read_done(context, True)
-                if self.raft.applied_to - self.raft.log.at >= self.compact:
-                    snapshot = self.raft.snapshot_taken(self.state(), self.raft.applied_to)
-                    if snapshot is not None:
-                        self.storage.store(None, None, [], snapshot)
+                self._process(ready)
         except StorageError as error:
             # What is on disk is not known: to go on would be to promise what may be lost.
             self.stop()
-            self.failed(str(error))
+            self.callbacks.storage_failed(error)
         finally:
-            self.working = False
-
-    def _send(self, message: Message) -> None:
-        link = self.links.get(message.to)
-        if link is not None:
-            link.send(message)
+            self.processing = False
 
-    @property
-    def leads(self) -> bool:
-        return self.up and self.raft.role is Role.LEADER
+    def _tick(self) -> None:
+        if self.up:
+            self.timer = self.loop.call_later(self.tick_s, self._tick)
+            self.raft.tick()
+            self.process_ready()
+
+    def _process(self, ready: Ready) -> None:
+        """Persists, then promises, then applies."""
+        self._send(ready.messages)
+        if ready.must_persist:
+            self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
+            self.raft.persisted(self.raft.log.last_index)
+        self._send(ready.messages_after_persist)
+        if ready.snapshot_to_restore is not None:
+            self._restore(ready.snapshot_to_restore)
+        for entry in ready.committed_entries:
+            self.callbacks.apply(entry)
+            self.raft.applied(entry.index)
+        self._finish_reads(ready.read_states)
+        if self.raft.last_applied - self.raft.log.snapshot_index >= self.compact_after:
+            self._compact()
+
+    def _send(self, messages: Iterable[Message]) -> None:
+        for message in messages:
+            link = self.links.get(message.to)
+            if link is not None:
+                link.send(message)
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        self.callbacks.restore(snapshot.data)
+        self.raft.applied(snapshot.index)
+
+    def _finish_reads(self, read_states: Iterable[ReadState]) -> None:
+        """Tells of reads that failed, and of those whose index is applied by now."""
+        for read in read_states:
+            if read.index is None:
+                self.callbacks.read_done(read.context, False)
+            else:
+                self.waiting_reads.append(read)
+        done = [read for read in self.waiting_reads if read.is_reached(self.raft.last_applied)]
+        self.waiting_reads = [read for read in self.waiting_reads if not read.is_reached(self.raft.last_applied)]
+        for read in done:
+            self.callbacks.read_done(read.context, True)
+
+    def _compact(self) -> None:
+        snapshot = self.raft.compact(self.callbacks.snapshot(), self.raft.last_applied)
+        if snapshot is not None:
+            self.storage.store(snapshot=snapshot)
--- a/tests/agreed_group.py
+++ b/tests/agreed_group.py
@@ -84,8 +84,8 @@
         self.acts[name] = (None, "dead", 0)
 
     def leader(self) -> MemberServer | None:
-        led = [m for n, m in self.members.items() if m.node.leads and not self.nodes[n].dead]
-        return max(led, key=lambda m: m.node.raft.term) if led else None
+        led = [m for n, m in self.members.items() if m.node.is_leader and not self.nodes[n].dead]
+        return max(led, key=lambda m: m.node.raft.current_term) if led else None
 
     async def ask(self, verb: str, **values: Any) -> tuple[bool, str]:
         return await ask_group(
--- a/tests/raft_client.py
+++ b/tests/raft_client.py
@@ -48,7 +48,7 @@
                 self.world.contexts += 1
                 context = self.world.contexts
                 instance.asked[context] = (self.world.top, self.serial, self)
-                if instance.raft.read(context):
+                if instance.raft.read_index(context):
                     instance.work()
                     return
                 del instance.asked[context]
--- a/tests/raft_instance.py
+++ b/tests/raft_instance.py
@@ -8,9 +8,10 @@
 import msgspec
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.raft import Raft
-from pebblehinge.raft.log import DATA, Entry
-from pebblehinge.raft.storage import Storage, StorageError, first_members
+from pebblehinge.raft import Entry, EntryKind, Raft, initial_snapshot
+from pebblehinge.raft.ready import ReadState
+from pebblehinge.raft.storage import Storage
+from pebblehinge.store.disk import StorageError
 
 if TYPE_CHECKING:
     from raft_client import Client
@@ -30,17 +31,16 @@
 
     def start(self) -> None:
         self.storage = Storage(self.disk)
-        snapshot = self.storage.snapshot or first_members(self.voters)
+        snapshot = self.storage.snapshot or initial_snapshot(self.voters)
         self.lives += 1
         self.raft = Raft(
             self.name,
             snapshot,
             self.storage.entries,
-            self.storage.term,
-            self.storage.vote,
+            self.storage.hard_state,
             random.Random(f"{self.world.seed}/{self.name}/{self.lives}"),
         )
-        self.reads: list[tuple[int, int]] = []
+        self.reads: list[ReadState] = []
         # context of a read -> what had been committed then, who asks, and for which of its questions
         self.asked: dict[int, tuple[int, int, Client | None]] = {}
         self.waiting: dict[tuple[str, int], Client] = {}  # session and serial -> who waits here for its outcome
@@ -64,24 +64,25 @@
         """Does what the core wants, in the order that it asks for."""
         while self.up and (ready := self.raft.ready()):
             try:
-                self.storage.store(ready.hard_state, ready.cut, ready.entries, ready.snapshot)
+                self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
             except StorageError:
                 self.up = False
                 return
             if ready.entries or ready.snapshot:
-                self.raft.stored(self.raft.log.last)
-            if ready.restored is not None:
-                self.restore(ready.restored.data, ready.restored.index)
-            for entry in ready.committed:
+                self.raft.persisted(self.raft.log.last_index)
+            if ready.snapshot_to_restore is not None:
+                self.restore(ready.snapshot_to_restore.data, ready.snapshot_to_restore.index)
+            for entry in ready.committed_entries:
                 self.apply(entry)
-            self.reads += ready.reads
-            for context, index in ready.reads:
-                floor, serial, client = self.asked.pop(context, (0, 0, None))
-                assert index < 0 or index >= floor, f"{self.name} reads at {index} what had reached {floor}"
-                if client is not None and index >= 0:
+            self.reads += ready.read_states
+            for read in ready.read_states:
+                floor, serial, client = self.asked.pop(read.context, (0, 0, None))
+                index = read.index
+                assert index is None or index >= floor, f"{self.name} reads at {index} what had reached {floor}"
+                if client is not None and index is not None:
                     texts = self.texts()
                     client.hears(serial, (len(texts), texts[-1] if texts else None))
-            for message in [*ready.messages, *ready.after]:
+            for message in [*ready.messages, *ready.messages_after_persist]:
                 self.world.post(message)
 
     def apply(self, entry: Entry) -> None:
@@ -90,7 +91,7 @@
         known = self.world.committed.setdefault(entry.index, entry)
         self.world.top = max(self.world.top, entry.index)
         assert known == entry, f"two entries committed at {entry.index}: {known} and {entry}"
-        if entry.kind == DATA:
+        if entry.kind == EntryKind.DATA:
             self.take(entry)
         self.raft.applied(entry.index)
 
@@ -119,6 +120,6 @@
 
     def compact(self) -> None:
         state = msgspec.json.encode((self.applied, dict(sorted(self.sessions.items()))))
-        snapshot = self.raft.snapshot_taken(state, self.applied_index)
+        snapshot = self.raft.compact(state, self.applied_index)
         if snapshot is not None:
             self.storage.store(None, None, [], snapshot)
--- a/tests/raft_scripts.py
+++ b/tests/raft_scripts.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
+import contextlib
 import random
 from collections.abc import Callable, Sequence
 
-from raft_world import FIVE, World, with_learner, with_voter
+from raft_world import FIVE, World, accepted, with_learner, with_voter
 
 from pebblehinge.lab.histories import order, register
 from pebblehinge.raft import Membership
+from pebblehinge.raft.errors import LeadershipTransferError
 
 SPARE = ["f", "g"]  # names that may join
 
@@ -62,15 +64,15 @@
     leader = world.leader()
     if leader is None:
         return
-    now = leader.raft.members
-    if verb == "learn" and name not in now.all() and name not in world.gone:
+    now = leader.raft.membership
+    if verb == "learn" and name not in now.all_members() and name not in world.gone:
         if name not in world.instances:
             world.add(name, FIVE)
-        leader.raft.change(with_learner(now, name))
+        accepted(leader.raft, with_learner(now, name))
     elif verb == "vote" and name in now.learners:
-        leader.raft.change(with_voter(now, name))
+        accepted(leader.raft, with_voter(now, name))
     elif verb == "drop" and name in now.voters and len(now.voters) > 3:
-        if leader.raft.change(Membership(tuple(n for n in now.voters if n != name), now.learners)) is None:
+        if accepted(leader.raft, Membership(tuple(n for n in now.voters if n != name), now.learners)):
             world.gone.add(name)
     leader.work()
 
@@ -113,7 +115,8 @@
     elif verb == "hand":
         leader = world.leader()
         if leader is not None:
-            leader.raft.transfer(words[0])
+            with contextlib.suppress(LeadershipTransferError):
+                leader.raft.transfer_leadership(words[0])
             leader.work()
 
 
@@ -135,7 +138,7 @@
         leader = world.until(world.leader)
         world.propose("last")
         world.run(80)
-        members = [world.instances[n] for n in leader.raft.members.all()]
+        members = [world.instances[n] for n in leader.raft.membership.all_members()]
         if all(i.applied[-1:] == ["last"] for i in members):
             break
     else:
--- a/tests/raft_world.py
+++ b/tests/raft_world.py
@@ -10,8 +10,9 @@
 from raft_client import Client
 from raft_instance import Instance
 
-from pebblehinge.raft import Membership, Message, Raft, Role
-from pebblehinge.raft.log import Entry
+from pebblehinge.raft import Entry, Membership, Message, Raft, Role
+from pebblehinge.raft.errors import MembershipChangeError, NotLeaderError
+from pebblehinge.raft.messages import PreVote, PreVoteResponse, RequestVote, RequestVoteResponse
 
 FIVE = ["a", "b", "c", "d", "e"]
 
@@ -95,11 +96,11 @@
             i = self.instances[name]
             if i.up and i.raft.role is Role.LEADER:
                 follow = sum(
-                    o.up and o.raft.term == i.raft.term and o.raft.leader == name
+                    o.up and o.raft.current_term == i.raft.current_term and o.raft.leader_id == name
                     for n, o in self.instances.items()
-                    if n in i.raft.members.voters
+                    if n in i.raft.membership.voters
                 )
-                if follow >= i.raft.members.quorum():
+                if follow >= i.raft.membership.quorum():
                     return i
         return None
 
@@ -115,7 +116,7 @@
         """All who are up have applied all that is committed."""
         some = [self.instances[n] for n in names or sorted(self.instances)]
         top = max(i.applied_index for i in some if i.up)
-        return all(i.applied_index == top and i.raft.commit == i.raft.log.last for i in some if i.up)
+        return all(i.applied_index == top and i.raft.commit_index == i.raft.log.last_index for i in some if i.up)
 
     def check(self) -> None:
         """Election safety, log matching, leader completeness; state machine safety is checked at each apply."""
@@ -124,18 +125,18 @@
                 continue
             r = i.raft
             if r.role is Role.LEADER:
-                assert self.leaders.setdefault(r.term, name) == name, f"two leaders in term {r.term}"
-                if r.term == max(self.leaders):
+                assert self.leaders.setdefault(r.current_term, name) == name, f"two leaders in term {r.current_term}"
+                if r.current_term == max(self.leaders):
                     for index, entry in self.committed.items():
-                        if index > r.log.at:
-                            assert r.log.term(index) == entry.term, f"{name} leads without {index}"
-            assert r.commit <= r.log.last
+                        if index > r.log.snapshot_index:
+                            assert r.log.term_at(index) == entry.term, f"{name} leads without {index}"
+            assert r.commit_index <= r.log.last_index
         up = [i.raft.log for i in self.instances.values() if i.up]
         for a, b in zip(up, up[1:], strict=False):
-            for index in range(min(a.last, b.last), max(a.at, b.at), -1):
-                if a.term(index) == b.term(index):
-                    low = max(a.at, b.at)
-                    assert a.between(low + 1, index) == b.between(low + 1, index), "logs do not match"
+            for index in range(min(a.last_index, b.last_index), max(a.snapshot_index, b.snapshot_index), -1):
+                if a.term_at(index) == b.term_at(index):
+                    low = max(a.snapshot_index, b.snapshot_index)
+                    assert a.slice(low + 1, index) == b.slice(low + 1, index), "logs do not match"
                     break
 
 
@@ -152,6 +153,17 @@
     while raft.role is not Role.LEADER:
         raft.tick()
         ready = raft.ready()
-        for m in [*ready.messages, *ready.after]:
-            if m.kind in ("pre-vote", "vote"):
-                raft.step(Message(m.kind + "-answer", m.to, raft.name, m.term, ok=True))
+        for m in [*ready.messages, *ready.messages_after_persist]:
+            if isinstance(m, PreVote):
+                raft.step(PreVoteResponse(m.to, raft.name, m.term, granted=True))
+            elif isinstance(m, RequestVote):
+                raft.step(RequestVoteResponse(m.to, raft.name, m.term, granted=True))
+
+
+def accepted(raft: Raft, membership: Membership) -> bool:
+    """Proposes a membership; whether it is taken."""
+    try:
+        raft.change_membership(membership)
+    except (MembershipChangeError, NotLeaderError):
+        return False
+    return True
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -130,7 +130,7 @@
         await g.start_member(others[1])
         await g.start_member(leader.name)
         await change()
-        await g.until(lambda: len({m.node.raft.applied_to for m in g.members.values()}) == 1)
+        await g.until(lambda: len({m.node.raft.last_applied for m in g.members.values()}) == 1)
         texts = [[v.text for v in m.state.versions.values()] for m in g.members.values()]
         assert all(t == texts[0] for t in texts) and len(texts[0]) == serial - 1
 
--- a/tests/test_agreed_faults.py
+++ b/tests/test_agreed_faults.py
@@ -118,7 +118,7 @@
         g.loop.net.partition(["h1"], others)
         cut_at = g.clock()
         await asyncio.sleep(0.3)
-        assert leader.node.leads
+        assert leader.node.is_leader
         await asyncio.sleep(1.0)
         assert g.feeds["h1"].taking.lease_until <= cut_at + 2000.0 + 5.0
 
@@ -127,12 +127,12 @@
 
 def test_instances_of_another_group_are_not_listened_to() -> None:
     async def script(g: Group) -> None:
-        term = g.leader().node.raft.term
+        term = g.leader().node.raft.current_term
         alien = g.loop.node("g9")
         strange = loads(document().replace("group {", "group {\n    id strangers"))
         server = MemberServer(alien, g.clock, strange, "g5", FaultyDisk(random.Random(1)), Quiet(), 9)
         server.node.start()
         await asyncio.sleep(5.0)
-        assert g.leader().node.raft.term == term and g.active() == 1
+        assert g.leader().node.raft.current_term == term and g.active() == 1
 
     on_group(script, 9)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,9 +8,10 @@
 from raft_scripts import rough
 from raft_world import FIVE, World, elect
 
-from pebblehinge.raft import Entry, Message, Raft, Role
-from pebblehinge.raft.core import CHUNK
-from pebblehinge.raft.storage import first_members
+from pebblehinge.raft import Entry, HardState, Raft, Role, initial_snapshot
+from pebblehinge.raft.messages import AppendEntries, AppendEntriesResponse, RequestVote, RequestVoteResponse
+from pebblehinge.raft.ready import ReadState
+from pebblehinge.raft.replication import SNAPSHOT_CHUNK_BYTES
 
 
 def test_one_leader_comes_and_what_it_is_given_is_applied_everywhere_once_in_order() -> None:
@@ -42,7 +43,7 @@
     for n in range(10, 20):
         change(n)
         world.run(1)
-    world.until(lambda: world.leader() and world.leader().applied_index == world.leader().raft.log.last)
+    world.until(lambda: world.leader() and world.leader().applied_index == world.leader().raft.log.last_index)
     before = list(world.leader().applied)
     leader.crash()  # no majority: the last agreed state stays, nothing new is agreed
     world.run(60)
@@ -70,26 +71,26 @@
 def test_a_partitioned_instance_comes_back_without_unseating_the_leader() -> None:
     world = World(FIVE, 3)
     leader = world.until(world.leader)
-    term = leader.raft.term
+    term = leader.raft.current_term
     lone = next(n for n in FIVE if n != leader.name)
     world.partition([lone], [n for n in FIVE if n != lone])
     world.run(200)
-    assert world.instances[lone].raft.term == term  # pre-vote: it asks, and its term stays
+    assert world.instances[lone].raft.current_term == term  # pre-vote: it asks, and its term stays
     world.heal()
     world.run(30)
-    assert world.leader() is leader and leader.raft.term == term
+    assert world.leader() is leader and leader.raft.current_term == term
 
 
 def test_a_leader_that_hears_no_majority_steps_down_and_its_reads_are_lost() -> None:
     world = World(FIVE, 4)
     leader = world.until(world.leader)
-    world.until(lambda: leader.raft.commit >= leader.raft.term_start)
+    world.until(lambda: leader.raft.commit_index >= leader.raft.term_start_index)
     world.partition([leader.name], [n for n in FIVE if n != leader.name])
-    assert leader.raft.read(77)
+    assert leader.raft.read_index(77)
     leader.work()
     world.run(40)
-    assert leader.raft.role is not Role.LEADER and leader.reads == [(77, -1)]
-    assert leader.raft.propose(b"x") is None and not leader.raft.read(78)
+    assert leader.raft.role is not Role.LEADER and leader.reads == [ReadState(77, None)]
+    assert leader.raft.propose(b"x") is None and not leader.raft.read_index(78)
 
 
 def test_reads_are_answered_by_a_round_of_the_majority_only() -> None:
@@ -98,38 +99,39 @@
     world.until(world.settled)
     world.propose("x")
     world.until(world.settled)
-    assert leader.raft.read(1)
-    assert leader.raft.ready().reads == []
-    leader.raft.read(2)
+    assert leader.raft.read_index(1)
+    assert leader.raft.ready().read_states == []
+    leader.raft.read_index(2)
     leader.work()
     world.until(lambda: leader.reads)
     world.run(5)
-    assert [c for c, _ in leader.reads] == [1, 2] and all(i == leader.raft.commit for _, i in leader.reads)
+    assert leader.reads == [ReadState(1, leader.raft.commit_index), ReadState(2, leader.raft.commit_index)]
 
 
 def test_an_entry_of_an_old_term_is_not_committed_by_counting() -> None:
     """Figure 8 of the paper: a majority that holds an old term's entry does not make it safe."""
-    raft = Raft("a", first_members(["a", "b", "c"]), [Entry(1, 1, 1, b"old")], 1, "a", random.Random(1))
+    raft = Raft("a", initial_snapshot(["a", "b", "c"]), [Entry(1, 1, 1, b"old")], HardState(1, "a"), random.Random(1))
     elect(raft)
     raft.ready()
-    raft.stored(1)  # its own no-op at 2 is not on disk yet
-    raft.step(Message("append-answer", "b", "a", raft.term, 1, ok=True))
-    assert raft.commit == 0
-    raft.stored(2)
-    raft.step(Message("append-answer", "b", "a", raft.term, 2, ok=True))
-    assert raft.commit == 2
+    raft.persisted(1)  # its own no-op at 2 is not on disk yet
+    raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=1))
+    assert raft.commit_index == 0
+    raft.persisted(2)
+    raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=2))
+    assert raft.commit_index == 2
 
 
 def test_nothing_is_promised_before_it_is_stored() -> None:
-    raft = Raft("b", first_members(["a", "b", "c"]), [], 0, None, random.Random(1))
-    raft.step(Message("vote", "a", "b", 1, 0, 0))
+    raft = Raft("b", initial_snapshot(["a", "b", "c"]), [], HardState(), random.Random(1))
+    raft.step(RequestVote("a", "b", 1, 0, 0))
     ready = raft.ready()
-    assert ready.hard_state == (1, "a") and ready.messages == [] and [m.kind for m in ready.after] == ["vote-answer"]
-    raft.step(Message("append", "a", "b", 1, 0, 0, 0, entries=(Entry(1, 1, 0),)))
+    assert ready.hard_state == HardState(1, "a") and ready.messages == []
+    assert [type(m) for m in ready.messages_after_persist] == [RequestVoteResponse]
+    raft.step(AppendEntries("a", "b", 1, 0, 0, 0, entries=(Entry(1, 1, 0),)))
     ready = raft.ready()
-    assert len(ready.entries) == 1 and ready.messages == [] and ready.after[0].ok
-    raft.step(Message("vote", "c", "b", 1, 9, 9))
-    assert [m.ok for m in raft.ready().after] == [False]  # one vote a term
+    assert len(ready.entries) == 1 and ready.messages == [] and ready.messages_after_persist[0].success
+    raft.step(RequestVote("c", "b", 1, 9, 9))
+    assert [m.granted for m in raft.ready().messages_after_persist] == [False]  # one vote a term
 
 
 def test_a_follower_far_behind_gets_the_snapshot_in_pieces() -> None:
@@ -140,11 +142,11 @@
     for i in range(40):
         world.propose(f"{i}-" + "y" * 6000)
         world.run(1)
-    world.until(lambda: leader.applied_index == leader.raft.log.last)
+    world.until(lambda: leader.applied_index == leader.raft.log.last_index)
     for i in world.instances.values():
         if i.up:
             i.compact()
-    assert leader.raft.log.entries == [] and len(leader.raft.log.snapshot.data) > 3 * CHUNK
+    assert leader.raft.log.entries == [] and len(leader.raft.log.snapshot.data) > 3 * SNAPSHOT_CHUNK_BYTES
     lone.start()
     world.lose = 0.2
     world.until(lambda: lone.applied == leader.applied, 2000)
@@ -165,7 +167,7 @@
         assert world.propose(f"x{i}") is not None
         world.run(1)
     world.until(lambda: leader.applied[-1:] == ["x99"])
-    progress = leader.raft.progress[slow]
+    progress = leader.raft.leader.replicator.progress[slow]
     assert progress.inflight <= 16  # nothing piles up for it
 
 
@@ -178,14 +180,18 @@
 
 def test_an_older_log_gets_no_vote_even_where_no_one_asked_before() -> None:
     """Pre-votes ask the same first, so only this shows that a vote itself is refused."""
-    raft = Raft("b", first_members(["a", "b", "c"]), [Entry(2, 1, 1), Entry(3, 2, 1)], 3, None, random.Random(1))
+    raft = Raft(
+        "b", initial_snapshot(["a", "b", "c"]), [Entry(2, 1, 1), Entry(3, 2, 1)], HardState(3), random.Random(1)
+    )
     for index, term, ok in ((5, 2, False), (1, 3, False), (2, 3, True)):
-        raft.step(Message("vote", "a", "b", raft.term + 1, index, term))
-        assert [m.ok for m in raft.ready().after] == [ok], (index, term)
+        raft.step(RequestVote("a", "b", raft.current_term + 1, index, term))
+        assert [m.granted for m in raft.ready().messages_after_persist] == [ok], (index, term)
 
 
 def test_a_follower_commits_no_further_than_what_it_was_shown() -> None:
     """Its own tail beyond the append may be an old leader's."""
-    raft = Raft("b", first_members(["a", "b", "c"]), [Entry(1, i, 1) for i in (1, 2, 3)], 2, None, random.Random(1))
-    raft.step(Message("append", "a", "b", 2, 1, 1, 3))
-    assert raft.commit == 1
+    raft = Raft(
+        "b", initial_snapshot(["a", "b", "c"]), [Entry(1, i, 1) for i in (1, 2, 3)], HardState(2), random.Random(1)
+    )
+    raft.step(AppendEntries("a", "b", 2, 1, 1, leader_commit=3))
+    assert raft.commit_index == 1
--- a/tests/test_raft_broken.py
+++ b/tests/test_raft_broken.py
@@ -9,57 +9,65 @@
 from raft_scripts import draw, play, rough, shrink
 from raft_world import elect
 
-from pebblehinge.raft import Entry, Membership, Message, Raft, Role
-from pebblehinge.raft.log import LogError
-from pebblehinge.raft.model import Bounds, Broken, explore
-from pebblehinge.raft.storage import Storage, StorageError, first_members
+from pebblehinge.raft import Entry, HardState, Membership, Raft, Role, initial_snapshot
+from pebblehinge.raft.election import Election
+from pebblehinge.raft.errors import LogError, SafetyViolationError
+from pebblehinge.raft.leader import Leader
+from pebblehinge.raft.messages import AppendEntriesResponse, RequestVote
+from pebblehinge.raft.model import Bounds, explore
+from pebblehinge.raft.ready import ReadState
+from pebblehinge.raft.storage import Storage
+from pebblehinge.store.disk import StorageError
 
 
 def test_every_order_of_events_of_a_small_group_is_sound() -> None:
-    states, tried, whole = explore(Bounds(terms=1, proposals=1, crashes=1, beats=0, way=4, states=6000))
-    assert states > 1000 and tried > states and (whole or states == 6000)
+    bounds = Bounds(terms=1, proposals=1, crashes=1, heartbeats=0, max_in_transit=4, max_states=6000)
+    found = explore(bounds)
+    assert found.states > 1000 and found.transitions > found.states and (found.complete or found.states == 6000)
 
 
 @pytest.mark.parametrize("how", ["two votes", "a quorum of one"])
 def test_exploration_finds_a_core_that_is_broken_on_purpose(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    real_vote = Raft._on_vote
+    real_vote = Election.on_request_vote
 
-    def two_votes(self: Raft, m: Message) -> None:
-        self.vote = None
-        real_vote(self, m)
+    def two_votes(self: Election, request: RequestVote) -> None:
+        self.state.voted_for = None
+        real_vote(self, request)
 
     if how == "two votes":
-        monkeypatch.setattr(Raft, "_on_vote", two_votes)
+        monkeypatch.setattr(Election, "on_request_vote", two_votes)
     else:
         monkeypatch.setattr(Membership, "quorum", lambda self: 1)
-    with pytest.raises(Broken, match="two leaders in term 1"):
-        explore(Bounds(terms=1, proposals=0, crashes=0, beats=0, way=5, states=30_000))
+    with pytest.raises(SafetyViolationError, match="two leaders in term 1"):
+        explore(Bounds(terms=1, proposals=0, crashes=0, heartbeats=0, max_in_transit=5, max_states=30_000))
 
 
 class Forgets(Storage):
     """A vote that is given and not stored."""
 
-    def store(self, hard_state, cut, entries, snapshot) -> None:
-        super().store(None, cut, entries, snapshot)
+    def store(self, hard_state, truncate_from, entries, snapshot) -> None:
+        super().store(None, truncate_from, entries, snapshot)
 
 
-class OldTerms(Raft):
+class OldTerms(Leader):
     """Commits by counting whatever the term."""
 
-    def _advance(self) -> None:
-        real, self.log.term = self.log.term, lambda index: self.term if index > self.commit else real(index)
+    def _advance_commit_index(self) -> None:
+        state = self.state
+        real = state.log.term_at
+        state.log.term_at = lambda index: state.current_term if index > state.commit_index else real(index)
         try:
-            super()._advance()
+            super()._advance_commit_index()
         finally:
-            del self.log.term
+            del state.log.term_at
 
 
 class OwnReads(Raft):
     """Answers a read with what it believes, without a round of the majority."""
 
-    def read(self, context: int) -> bool:
+    def read_index(self, context: int) -> bool:
         if self.role is Role.LEADER:
-            self.out.reads.append((context, self.commit))
+            self.state.pending.read_states.append(ReadState(context, self.commit_index))
         return self.role is Role.LEADER
 
 
@@ -74,12 +82,14 @@
             rough(seed)
 
 
-def test_a_commit_by_an_old_term_is_caught() -> None:
-    raft = OldTerms("a", first_members(["a", "b", "c"]), [Entry(1, 1, 1, b"old")], 1, "a", random.Random(1))
+def test_a_commit_by_an_old_term_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("pebblehinge.raft.core.Leader", OldTerms)
+    start = initial_snapshot(["a", "b", "c"])
+    raft = Raft("a", start, [Entry(1, 1, 1, b"old")], HardState(1, "a"), random.Random(1))
     elect(raft)
-    raft.stored(1)
-    raft.step(Message("append-answer", "b", "a", raft.term, 1, ok=True))
-    assert raft.commit == 1  # what test_an_entry_of_an_old_term_is_not_committed_by_counting forbids
+    raft.persisted(1)
+    raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=1))
+    assert raft.commit_index == 1  # what test_an_entry_of_an_old_term_is_not_committed_by_counting forbids
 
 
 class TwiceApplied(Instance):
--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -3,38 +3,47 @@
 from __future__ import annotations
 
 import random
+import re
 
+import pytest
 from raft_scripts import draw, play
-from raft_world import FIVE, World, elect, with_learner, with_voter
+from raft_world import FIVE, World, accepted, elect, with_learner, with_voter
 
-from pebblehinge.raft import Entry, Membership, Message, Raft
-from pebblehinge.raft.storage import first_members
+from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
+from pebblehinge.raft.errors import LeadershipTransferError, MembershipChangeError
+from pebblehinge.raft.messages import AppendEntriesResponse
+
+
+def rejected(raft: Raft, membership: Membership, reason: str) -> None:
+    """Proposes a membership that must be rejected for this reason."""
+    with pytest.raises(MembershipChangeError, match=f"^{re.escape(reason)}$"):
+        raft.change_membership(membership)
 
 
 def test_members_change_one_at_a_time_and_learn_first() -> None:
     world = World(["a", "b", "c"], 7)
     leader = world.until(world.leader)
-    world.until(lambda: leader.raft.commit >= leader.raft.term_start)
+    world.until(lambda: leader.raft.commit_index >= leader.raft.term_start_index)
     world.add("d", ["a", "b", "c"])
-    now = leader.raft.members
-    assert leader.raft.change(with_voter(now, "d")) == "d must learn first"
-    assert leader.raft.change(Membership(("a", "b", "c", "d", "e"))) == "more than one voter would change"
-    assert leader.raft.change(with_learner(now, "d")) is None
-    assert leader.raft.change(with_learner(now, "x")) == "another change is under way"
+    now = leader.raft.membership
+    rejected(leader.raft, with_voter(now, "d"), "d must learn first")
+    rejected(leader.raft, Membership(("a", "b", "c", "d", "e")), "more than one voter would change")
+    leader.raft.change_membership(with_learner(now, "d"))
+    rejected(leader.raft, with_learner(now, "x"), "another change is under way")
     leader.work()
-    world.until(lambda: world.instances["d"].raft.members.learners == ("d",))
-    world.until(lambda: leader.raft.change(with_voter(leader.raft.members, "d")) is None)
+    world.until(lambda: world.instances["d"].raft.membership.learners == ("d",))
+    world.until(lambda: accepted(leader.raft, with_voter(leader.raft.membership, "d")))
     leader.work()
-    world.until(lambda: world.settled() and world.instances["d"].raft.members.voters == ("a", "b", "c", "d"))
+    world.until(lambda: world.settled() and world.instances["d"].raft.membership.voters == ("a", "b", "c", "d"))
     for name in [n for n in ("a", "b", "c") if n != leader.name][:1]:
         world.instances[name].crash()
     assert world.propose("with three of four") is not None
     world.until(lambda: world.instances["d"].applied[-1:] == ["with three of four"])
-    rest = tuple(n for n in leader.raft.members.voters if n != leader.name)
-    world.until(lambda: leader.raft.change(Membership(rest)) is None)  # the leader removes itself
+    rest = tuple(n for n in leader.raft.membership.voters if n != leader.name)
+    world.until(lambda: accepted(leader.raft, Membership(rest)))  # the leader removes itself
     leader.work()
     world.until(lambda: world.leader() not in (None, leader), 2000)
-    assert world.leader().raft.members.voters == rest
+    assert world.leader().raft.membership.voters == rest
 
 
 def test_leadership_is_handed_over_at_once() -> None:
@@ -42,8 +51,9 @@
     leader = world.until(world.leader)
     world.until(world.settled)
     to = next(n for n in FIVE if n != leader.name)
-    assert leader.raft.transfer("z") == "z is no other voter"
-    assert leader.raft.transfer(to) is None
+    with pytest.raises(LeadershipTransferError, match="^z is no other voter$"):
+        leader.raft.transfer_leadership("z")
+    leader.raft.transfer_leadership(to)
     assert leader.raft.propose(b"meanwhile") is None
     leader.work()
     began = world.now
@@ -62,10 +72,10 @@
 
 def test_a_new_leader_changes_no_members_before_its_term_has_committed() -> None:
     """The published flaw of one-at-a-time changes: two leaders that change by one each need not meet."""
-    raft = Raft("a", first_members(["a", "b", "c", "d"]), [Entry(1, 1, 1)], 1, "a", random.Random(1))
+    raft = Raft("a", initial_snapshot(["a", "b", "c", "d"]), [Entry(1, 1, 1)], HardState(1, "a"), random.Random(1))
     elect(raft)
-    assert raft.change(Membership(("a", "b", "c"))) == "this term has committed nothing yet"
-    raft.stored(2)
+    rejected(raft, Membership(("a", "b", "c")), "this term has committed nothing yet")
+    raft.persisted(2)
     for name in "bc":
-        raft.step(Message("append-answer", name, "a", raft.term, 2, ok=True))
-    assert raft.change(Membership(("a", "b", "c"))) is None
+        raft.step(AppendEntriesResponse(name, "a", raft.current_term, success=True, index=2))
+    raft.change_membership(Membership(("a", "b", "c")))
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -8,9 +8,10 @@
 from raft_world import FIVE, World
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.raft import Entry, Membership, Snapshot
-from pebblehinge.raft.log import Log, LogError
-from pebblehinge.raft.storage import SEGMENT, RealDisk, Storage, StorageError, first_members
+from pebblehinge.raft import Entry, HardState, Log, Membership, Snapshot, initial_snapshot
+from pebblehinge.raft.errors import LogError, StorageDamagedError, StorageFailedError
+from pebblehinge.raft.storage import SEGMENT_BYTES, Storage
+from pebblehinge.store.disk import RealDisk
 
 
 def entries(low: int, high: int, term: int = 1) -> list[Entry]:
@@ -20,10 +21,10 @@
 def test_what_is_stored_is_read_back_and_cuts_hold() -> None:
     disk = FaultyDisk(random.Random(1))
     storage = Storage(disk)
-    storage.store((3, "b"), None, entries(1, 5), None)
+    storage.store(HardState(3, "b"), None, entries(1, 5), None)
     storage.store(None, 4, entries(4, 6, 2), None)
     again = Storage(disk)
-    assert (again.term, again.vote) == (3, "b")
+    assert again.hard_state == HardState(3, "b")
     assert again.entries == entries(1, 3) + entries(4, 6, 2)
 
 
@@ -41,12 +42,12 @@
     hurt = bytearray(whole)
     hurt[12] ^= 1
     disk.files[name] = hurt
-    with pytest.raises(StorageError, match="the record at byte 0 is damaged"):
+    with pytest.raises(StorageDamagedError, match="the record at byte 0 is damaged"):
         Storage(disk)
     disk.files[name] = bytearray(whole)
-    Storage(disk).store((1, "a"), None, [], None)
+    Storage(disk).store(HardState(1, "a"), None, [], None)
     disk.files["raft.state"][5] ^= 1
-    with pytest.raises(StorageError, match="raft.state is damaged"):
+    with pytest.raises(StorageDamagedError, match="raft.state is damaged"):
         Storage(disk)
 
 
@@ -56,10 +57,10 @@
     storage = Storage(disk)
     storage.store(None, None, entries(1, 2), None)
     disk.fail = how
-    with pytest.raises(StorageError, match="this instance has stopped"):
+    with pytest.raises(StorageFailedError, match="this instance has stopped"):
         storage.store(None, None, entries(3, 3), None)
     disk.fail = ""  # a later success says nothing of what was lost before
-    with pytest.raises(StorageError, match="this instance has stopped"):
+    with pytest.raises(StorageFailedError, match="this instance has stopped"):
         storage.store(None, None, entries(4, 4), None)
 
 
@@ -81,7 +82,7 @@
 def test_snapshots_reclaim_segments_on_a_real_disk(tmp_path) -> None:
     disk = RealDisk(tmp_path)
     storage = Storage(disk)
-    big = [Entry(1, i, 1, b"z" * (SEGMENT // 3)) for i in range(1, 8)]
+    big = [Entry(1, i, 1, b"z" * (SEGMENT_BYTES // 3)) for i in range(1, 8)]
     for entry in big:
         storage.store(None, None, [entry], None)
     assert len([n for n in disk.names() if n.startswith("log-")]) == 3
@@ -95,21 +96,21 @@
 
 def test_a_log_with_a_hole_is_refused() -> None:
     with pytest.raises(LogError):
-        Log(first_members(["a"]), [Entry(1, 2, 1)])
+        Log(initial_snapshot(["a"]), [Entry(1, 2, 1)])
     disk = FaultyDisk(random.Random(1))
     Storage(disk).store(None, None, [*entries(1, 2), *entries(4, 5)], None)
-    with pytest.raises(StorageError, match="entry 3 is missing"):
+    with pytest.raises(StorageDamagedError, match="entry 3 is missing"):
         Storage(disk)
 
 
 def lost_at_a_power_cut(seed: int) -> bool:
     disk = FaultyDisk(random.Random(seed))
     storage = Storage(disk)
-    storage.store((2, "a"), None, entries(1, 4), None)
+    storage.store(HardState(2, "a"), None, entries(1, 4), None)
     storage.store(None, 3, entries(3, 5, 2), None)
     disk.crash()
     again = Storage(disk)
-    return (again.term, again.vote, again.entries) != (2, "a", entries(1, 2) + entries(3, 5, 2))
+    return (again.hard_state, again.entries) != (HardState(2, "a"), entries(1, 2) + entries(3, 5, 2))
 
 
 def test_what_was_stored_survives_a_power_cut_and_without_fsync_it_would_not(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_read_rounds.py
+++ b/tests/test_read_rounds.py
@@ -8,49 +8,53 @@
 from raft_scripts import draw, play
 from raft_world import FIVE, World, elect
 
-from pebblehinge.raft import Message, Raft, Role
-from pebblehinge.raft.messages import MOST_READS
-from pebblehinge.raft.storage import first_members
+from pebblehinge.raft import HardState, Raft, Role, initial_snapshot
+from pebblehinge.raft.messages import AppendEntries, AppendEntriesResponse
+from pebblehinge.raft.read_index import MAX_PENDING_READS
+from pebblehinge.raft.ready import ReadState
 
 
 class JoinsTheRound(Raft):
-    """Broken on purpose: a read that comes while a round is out is served by it."""
+    """SafetyViolationError on purpose: a read that comes while a round is out is served by it."""
 
-    def read(self, context: int) -> bool:
-        if self.role is Role.LEADER and self.round_reads:
-            self.round_reads.append(context)
+    def read_index(self, context: int) -> bool:
+        if self.role is Role.LEADER and self.leader.reads.in_round:
+            self.leader.reads.in_round.append(context)
             return True
-        return super().read(context)
+        return super().read_index(context)
 
 
 def leading(kind: type[Raft] = Raft) -> Raft:
     """A leader of five whose term has committed its first entry; nothing is left to be done."""
-    raft = kind("a", first_members(FIVE), [], 0, None, random.Random(1))
+    raft = kind("a", initial_snapshot(FIVE), [], HardState(), random.Random(1))
     elect(raft)
-    raft.stored(raft.log.last)
+    raft.persisted(raft.log.last_index)
     for name in "bc":
-        raft.step(Message("append-answer", name, "a", raft.term, raft.log.last, ok=True))
-    assert raft.commit == raft.term_start
+        answer(raft, name, 0)
+    assert raft.commit_index == raft.term_start_index
     raft.ready()
     return raft
 
 
 def answer(raft: Raft, name: str, round_: int) -> None:
-    raft.step(Message("append-answer", name, "a", raft.term, raft.log.last, ok=True, context=round_))
+    response = AppendEntriesResponse(
+        name, "a", raft.current_term, success=True, index=raft.log.last_index, read_round=round_
+    )
+    raft.step(response)
 
 
 def served(raft: Raft) -> list[int]:
-    return [context for context, index in raft.ready().reads if index >= 0]
+    return [read.context for read in raft.ready().read_states if read.index is not None]
 
 
 def served_late(kind: type[Raft]) -> list[int]:
     """c has answered round 1, then voted for another leader that committed something with d and e; its answer is
     still on its way. Read 2 comes now. What is served once c's answer has come."""
     raft = leading(kind)
-    assert raft.read(1)
-    answer(raft, "b", raft.round)
+    assert raft.read_index(1)
+    answer(raft, "b", raft.state.read_round)
     assert served(raft) == []
-    assert raft.read(2)
+    assert raft.read_index(2)
     answer(raft, "c", 1)
     return served(raft)
 
@@ -64,67 +68,68 @@
     """Each had a round of its own before, with a heartbeat to every instance: 4,000 messages."""
     raft = leading()
     for context in range(1000):
-        assert raft.read(context)
+        assert raft.read_index(context)
     first = raft.ready().messages
-    assert len(first) == 4 and {m.context for m in first} == {raft.round}
+    assert len(first) == 4 and {m.read_round for m in first} == {raft.state.read_round}
     for name in "bc":
-        answer(raft, name, raft.round)
+        answer(raft, name, raft.state.read_round)
     ready = raft.ready()
-    assert [c for c, _ in ready.reads] == [0] and len(ready.messages) == 4
+    assert [read.context for read in ready.read_states] == [0] and len(ready.messages) == 4
     for name in "de":
-        answer(raft, name, raft.round)
+        answer(raft, name, raft.state.read_round)
     ready = raft.ready()
-    assert [c for c, _ in ready.reads] == list(range(1, 1000)) and ready.messages == []
+    assert [read.context for read in ready.read_states] == list(range(1, 1000)) and ready.messages == []
 
 
 def test_answers_to_older_rounds_and_of_learners_count_for_nothing() -> None:
     raft = leading()
-    raft.read(1)
-    old = raft.round
+    raft.read_index(1)
+    old = raft.state.read_round
     for name in "bc":
         answer(raft, name, old)
     assert served(raft) == [1]
-    raft.read(2)
+    raft.read_index(2)
     for name in "bcde":
         answer(raft, name, old)
-    raft.step(Message("append-answer", "x", "a", raft.term, raft.log.last, ok=True, context=raft.round))
+    answer(raft, "x", raft.state.read_round)
     assert served(raft) == []
-    answer(raft, "b", raft.round)
-    answer(raft, "b", raft.round)  # the same voter twice
+    answer(raft, "b", raft.state.read_round)
+    answer(raft, "b", raft.state.read_round)  # the same voter twice
     assert served(raft) == []
-    answer(raft, "e", raft.round)
+    answer(raft, "e", raft.state.read_round)
     assert served(raft) == [2]
 
 
 def test_a_round_whose_messages_are_lost_is_asked_again_with_the_next_heartbeat() -> None:
     raft = leading()
-    raft.read(1)
+    raft.read_index(1)
     raft.ready()  # lost
-    for _ in range(raft.heartbeat):
+    for _ in range(raft.state.heartbeat_interval):
         raft.tick()
-    again = [m for m in raft.ready().messages if m.kind == "append"]
-    assert {m.context for m in again} == {raft.round} and len(again) == 4
+    again = [m for m in raft.ready().messages if isinstance(m, AppendEntries)]
+    assert {m.read_round for m in again} == {raft.state.read_round} and len(again) == 4
 
 
 def test_reads_wait_for_the_terms_first_commit_and_are_lost_with_the_lead() -> None:
-    raft = Raft("a", first_members(FIVE), [], 0, None, random.Random(1))
+    raft = Raft("a", initial_snapshot(FIVE), [], HardState(), random.Random(1))
     elect(raft)
     raft.ready()
-    assert raft.read(1) and raft.read(2)
+    assert raft.read_index(1) and raft.read_index(2)
     assert raft.ready().messages == []
-    raft.stored(raft.log.last)
+    raft.persisted(raft.log.last_index)
     for name in "bc":
         answer(raft, name, 0)
-    assert raft.round_reads == [1, 2]
-    raft.read(3)
-    raft.step(Message("append", "b", "a", raft.term + 1, raft.log.last, raft.log.last_term))
-    assert sorted(raft.ready().reads) == [(1, -1), (2, -1), (3, -1)]
-    assert not raft.read(4)
+    assert raft.leader.reads.in_round == [1, 2]
+    raft.read_index(3)
+    raft.step(AppendEntries("b", "a", raft.current_term + 1, raft.log.last_index, raft.log.last_term))
+    lost = sorted(raft.ready().read_states, key=lambda read: read.context)
+    assert lost == [ReadState(1, None), ReadState(2, None), ReadState(3, None)]
+    assert not raft.read_index(4)
 
 
 def test_what_waits_is_bounded() -> None:
     raft = leading()
-    assert sum(raft.read(context) for context in range(MOST_READS + 10)) == MOST_READS
+    assert sum(raft.read_index(context) for context in range(MAX_PENDING_READS + 10)) == MAX_PENDING_READS
 
 
 # ---- drawn runs, with a read at every tick
@@ -160,9 +165,9 @@
     world = World(FIVE, 5)
     leader = world.until(world.leader)
     world.until(world.settled)
-    before = leader.raft.round
+    before = leader.raft.state.read_round
     for context in range(200):
-        assert leader.raft.read(context)
+        assert leader.raft.read_index(context)
     leader.work()
     world.until(lambda: len(leader.reads) == 200)
-    assert leader.raft.round - before == 2 and all(index >= 0 for _, index in leader.reads)
+    assert leader.raft.state.read_round - before == 2 and all(read.index is not None for read in leader.reads)
--- a/tests/test_scale_small.py
+++ b/tests/test_scale_small.py
@@ -145,7 +145,7 @@
 async def counts_of(fleet: Fleet) -> dict[str, dict[Kind, float]]:
     """Frames a second at rest, and of the worst of three versions beyond those."""
     await fleet.start()
-    assert await fleet.until(lambda: any(m.node.leads for m in fleet.members), 10.0)
+    assert await fleet.until(lambda: any(m.node.is_leader for m in fleet.members), 10.0)
     await fleet.version()
     rest = await fleet.rest()
     worst = dict.fromkeys(KINDS, 0.0)
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -6,7 +6,7 @@
 
 from pebblehinge.agreed.state import State, command
 from pebblehinge.agreed.taking import Taking
-from pebblehinge.raft.log import DATA, Entry
+from pebblehinge.raft import Entry, EntryKind
 from pebblehinge.settings import SettingsError, show
 from pebblehinge.settings.load import loads
 
@@ -47,7 +47,7 @@
 def test_it_is_agreed_on_and_taken_up() -> None:
     text = "\n".join(show(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
     state = State()
-    assert state.apply(Entry(1, 1, DATA, command("propose", 0, text, "a", ""))) == ""
+    assert state.apply(Entry(1, 1, EntryKind.DATA, command("propose", 0, text, "a", ""))) == ""
     taking = Taking("h1023", 0.25)
     assert taking.answered(taking.asked(0.0), 3000.0, 0, "", 1, state.text(1) or "", {})
     assert taking.refused is None and taking.acknowledges == 1
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -70,7 +70,7 @@
         granting.renewals.begin_round(g.clock())  # one that will not be over in this term
         granting.renewed(waiting, 1, "h1", 1, 1, 0, "")
         assert granting.leads and waiting.grants == []
-        raft.term += 1  # it lost the lead and has it again, within a tick
+        raft.state.current_term += 1  # it lost the lead and has it again, within a tick
         granting.renewed(later, 2, "h2", 1, 1, 0, "")
         assert later.grants == [(2, 0.0, 0, "", 0, "", {}, "")]
         was = granting.leases
@@ -78,7 +78,7 @@
         assert granting.leases is not was and granting.leases.elected_ms == g.clock()
         assert waiting.grants == [(1, 0.0, 0, "", 0, "", {}, "")]
         assert not granting.renewals.waiting and not granting.renewals.asked  # answered once, and not again
-        raft.term -= 1
+        raft.state.current_term -= 1
 
     on_group(script)
 
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -200,8 +200,8 @@
         return not self.nodes[name].dead and not self.nodes[name].frozen
 
     def leader(self) -> MemberServer | None:
-        led = [m for n, m in self.members.items() if m.node.leads and self.is_up(n)]
-        return max(led, key=lambda m: m.node.raft.term) if led else None
+        led = [m for n, m in self.members.items() if m.node.is_leader and self.is_up(n)]
+        return max(led, key=lambda m: m.node.raft.current_term) if led else None
 
     def active(self) -> int:
         return max((m.state.active for m in self.members.values()), default=0)
