--- a/benchmarks/raft_seeds.py
+++ b/benchmarks/raft_seeds.py
@@ -12,12 +12,12 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from raft_scripts import draw, play, rough, shrink  # noqa: E402
+from raft_scripts import draw_script, play_script, play_seed, shrink_script  # noqa: E402
 
 
 def one(seed: int) -> tuple[int, str]:
     try:
-        rough(seed)
+        play_seed(seed)
     except Exception as error:  # a find is whatever a run ends with
         return seed, f"{type(error).__name__}: {error}"
     return seed, ""
@@ -34,14 +34,18 @@
         print(f"  seed {seed}: {why}")
     if finds:
         seed, why = finds[0]
-        print(f"# seed {seed}: {why}", *shrink(draw(seed), lambda script: fails(script, seed, why)), sep="\n")
+        print(
+            f"# seed {seed}: {why}",
+            *shrink_script(draw_script(seed), lambda script: fails(script, seed, why)),
+            sep="\n",
+        )
     return 1 if finds else 0
 
 
 def fails(script: list[str], seed: int, why: str) -> bool:
     """In the same way: figures apart."""
     try:
-        play(script, seed)
+        play_script(script, seed)
     except Exception as error:
         return "".join(c for c in f"{type(error).__name__}: {error}" if not c.isdigit()) == "".join(
             c for c in why if not c.isdigit()
--- a/tests/raft_client.py
+++ b/tests/raft_client.py
@@ -5,76 +5,86 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from raft_instance import PendingRead
+
 from pebblehinge.lab.histories import Operation
 
 if TYPE_CHECKING:
     from raft_world import World
 
 
+RETRY_AFTER = 25  # ticks
+MAX_RETRIES = 4
+
+
 @dataclass
 class Client:
-    """Asks one thing at a time of whoever says that it leads; asks again elsewhere when it hears nothing."""
+    """Has one operation at a time, sent to an instance that believes it leads; retries elsewhere without a result."""
 
     world: World
     name: str
     serial: int = 0
     version: int = 0  # the newest that it knows
-    open: Operation | None = None
-    since: int = 0
-    tries: int = 0
+    operation: Operation | None = None
+    sent_at: int = 0
+    attempts: int = 0
     history: list[Operation] = field(default_factory=list)
 
-    def ask(self, what: str, at: str) -> None:
-        if self.open is not None:
+    def begin(self, what: str, at: str) -> None:
+        """Begins to `set` or `read`, at one instance first; nothing if an operation is open."""
+        if self.operation is not None:
             return
         self.serial += 1
         value = (self.version, f"{self.name}.{self.serial}") if what == "set" else None
-        self.open = Operation(self.name, what, value, self.world.clock())
-        self.history.append(self.open)
-        self.tries = 0
-        self.reach(at)
+        self.operation = Operation(self.name, what, value, self.world.clock())
+        self.history.append(self.operation)
+        self.attempts = 0
+        self.send(at)
 
-    def reach(self, at: str) -> None:
-        """Beginning with one instance, the first that takes it."""
-        assert self.open is not None
-        self.since, self.tries = self.world.now, self.tries + 1
+    def send(self, at: str) -> None:
+        """Sends the operation to the first instance that takes it, beginning with one."""
+        assert self.operation is not None
+        self.sent_at = self.world.now
+        self.attempts += 1
         names = sorted(self.world.instances)
         first = names.index(at) if at in names else 0
         for name in names[first:] + names[:first]:
             instance = self.world.instances[name]
             if not instance.up:
                 continue
-            if self.open.what == "read":
-                self.world.contexts += 1
-                context = self.world.contexts
-                instance.asked[context] = (self.world.top, self.serial, self)
+            if self.operation.what == "read":
+                self.world.read_contexts += 1
+                context = self.world.read_contexts
+                instance.pending_reads[context] = PendingRead(self.world.highest_applied, self, self.serial)
                 if instance.raft.read_index(context):
-                    instance.work()
+                    instance.process_ready()
                     return
-                del instance.asked[context]
+                del instance.pending_reads[context]
             else:
-                expected, text = self.open.value
+                expected, text = self.operation.value
                 index = instance.raft.propose(f"{expected}={text}".encode(), self.name, self.serial)
                 if index is not None:
-                    instance.waiting[(self.name, self.serial)] = self
-                    instance.work()
+                    instance.pending_proposals[(self.name, self.serial)] = self
+                    instance.process_ready()
                     return
 
-    def hears(self, serial: int, result: tuple[str | int, str | int | None]) -> None:
-        if self.open is None or serial != self.serial:
-            return  # two were asked, and the other has answered
-        self.open.back, self.open.result = self.world.clock(), result
-        if self.open.what == "read":
+    def on_result(self, serial: int, result: tuple[str | int, str | int | None]) -> None:
+        """A result of an operation has come."""
+        if self.operation is None or serial != self.serial:
+            return  # it was sent to two, and the other has answered
+        self.operation.back = self.world.clock()
+        self.operation.result = result
+        if self.operation.what == "read":
             self.version = max(self.version, int(result[0]))
         else:
             self.version = max(self.version, int(result[1] or 0))
-        self.open = None
+        self.operation = None
 
-    def wait(self) -> None:
-        """Time passes: after a while it asks again, and after some tries goes on without having heard."""
-        if self.open is None or self.world.now - self.since < 25:
+    def tick(self) -> None:
+        """Retries after a time-out, and after some attempts goes on without a result."""
+        if self.operation is None or self.world.now - self.sent_at < RETRY_AFTER:
             return
-        if self.open.what == "read" or self.tries > 4:
-            self.open = None  # its outcome stays unknown
+        if self.operation.what == "read" or self.attempts > MAX_RETRIES:
+            self.operation = None  # its outcome stays unknown
         else:
-            self.reach(sorted(self.world.instances)[(self.serial + self.tries) % len(self.world.instances)])
+            self.send(sorted(self.world.instances)[(self.serial + self.attempts) % len(self.world.instances)])
--- a/tests/raft_instance.py
+++ b/tests/raft_instance.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import msgspec
@@ -18,32 +19,44 @@
     from raft_world import World
 
 
+@dataclass(frozen=True)
+class PendingRead:
+    """A read that a core was asked for: the index that its answer must have reached, who asked, as which operation."""
+
+    floor: int
+    client: Client
+    serial: int
+
+
 class Instance:
-    """One instance with its disk and its state machine: a list of what was applied, and what sessions were told."""
+    """One instance with its disk and its state machine: texts that were applied, and each session's last outcome."""
 
     def __init__(self, world: World, name: str, voters: list[str]) -> None:
-        self.world, self.name, self.voters = world, name, voters
+        self.world = world
+        self.name = name
+        self.voters = voters
         self.disk = FaultyDisk(random.Random(f"{world.seed}/{name}/disk"))
-        self.lives = 0
+        self.incarnation = 0
         self.up = False
-        self.rate, self.part = 1.0, 0.0  # ticks of its clock in one of the world, and what is left of one
+        self.clock_rate = 1.0  # ticks of its clock in one of the world's
+        self.clock_remainder = 0.0  # part of a tick that has passed
         self.start()
 
     def start(self) -> None:
+        """Starts from what is on the disk."""
         self.storage = Storage(self.disk)
         snapshot = self.storage.snapshot or initial_snapshot(self.voters)
-        self.lives += 1
+        self.incarnation += 1
         self.raft = Raft(
             self.name,
             snapshot,
             self.storage.entries,
             self.storage.hard_state,
-            random.Random(f"{self.world.seed}/{self.name}/{self.lives}"),
+            random.Random(f"{self.world.seed}/{self.name}/{self.incarnation}"),
         )
         self.reads: list[ReadState] = []
-        # context of a read -> what had been committed then, who asks, and for which of its questions
-        self.asked: dict[int, tuple[int, int, Client | None]] = {}
-        self.waiting: dict[tuple[str, int], Client] = {}  # session and serial -> who waits here for its outcome
+        self.pending_reads: dict[int, PendingRead] = {}  # by context
+        self.pending_proposals: dict[tuple[str, int], Client] = {}  # by session and serial
         self.restore(snapshot.data, snapshot.index)
         self.up = True
 
@@ -57,10 +70,11 @@
         self.applied_index = index
 
     def crash(self) -> None:
+        """Stops, and loses what was not synced."""
         self.up = False
         self.disk.crash()
 
-    def work(self) -> None:
+    def process_ready(self) -> None:
         """Does what the core wants, in the order that it asks for."""
         while self.up and (ready := self.raft.ready()):
             try:
@@ -76,31 +90,37 @@
                 self.apply(entry)
             self.reads += ready.read_states
             for read in ready.read_states:
-                floor, serial, client = self.asked.pop(read.context, (0, 0, None))
-                index = read.index
-                assert index is None or index >= floor, f"{self.name} reads at {index} what had reached {floor}"
-                if client is not None and index is not None:
-                    texts = self.texts()
-                    client.hears(serial, (len(texts), texts[-1] if texts else None))
+                self.finish_read(read)
             for message in [*ready.messages, *ready.messages_after_persist]:
-                self.world.post(message)
+                self.world.send(message)
+
+    def finish_read(self, read: ReadState) -> None:
+        """Answers a read from what is applied, unless it is lost; it must see all that was committed when it came."""
+        pending = self.pending_reads.pop(read.context, None)
+        index = read.index
+        if pending is None or index is None:
+            return
+        assert index >= pending.floor, f"{self.name} reads at {index} what had reached {pending.floor}"
+        texts = self.texts()
+        pending.client.on_result(pending.serial, (len(texts), texts[-1] if texts else None))
 
     def apply(self, entry: Entry) -> None:
+        """Applies a committed entry; it must be the next one, and what anyone else has applied there."""
         assert entry.index == self.applied_index + 1, f"{self.name} applies {entry.index} after {self.applied_index}"
         self.applied_index = entry.index
         known = self.world.committed.setdefault(entry.index, entry)
-        self.world.top = max(self.world.top, entry.index)
+        self.world.highest_applied = max(self.world.highest_applied, entry.index)
         assert known == entry, f"two entries committed at {entry.index}: {known} and {entry}"
         if entry.kind == EntryKind.DATA:
-            self.take(entry)
+            self.apply_data(entry)
         self.raft.applied(entry.index)
 
     def texts(self) -> list[str]:
         """What sessions have set, in order: its length is the version."""
         return [t for t in self.applied if t != "last"]
 
-    def take(self, entry: Entry) -> None:
-        """A text, or `expected version=text` of a session: once each, with the outcome kept for who asks again."""
+    def apply_data(self, entry: Entry) -> None:
+        """A text, or `expected version=text` of a session: once each, with the outcome kept for retries."""
         if not entry.session:
             self.applied.append(entry.data.decode())
             return
@@ -114,11 +134,12 @@
             else:
                 outcome = ("refused", version)
             self.sessions[entry.session] = (entry.serial, outcome)
-        client = self.waiting.pop((entry.session, entry.serial), None)
+        client = self.pending_proposals.pop((entry.session, entry.serial), None)
         if client is not None and entry.serial >= serial:
-            client.hears(entry.serial, outcome)
+            client.on_result(entry.serial, outcome)
 
     def compact(self) -> None:
+        """Takes a snapshot, and stores it."""
         state = msgspec.json.encode((self.applied, dict(sorted(self.sessions.items()))))
         snapshot = self.raft.compact(state, self.applied_index)
         if snapshot is not None:
--- a/tests/raft_scripts.py
+++ b/tests/raft_scripts.py
@@ -15,7 +15,7 @@
 SPARE = ["f", "g"]  # names that may join
 
 
-def draw(seed: int) -> list[str]:
+def draw_script(seed: int) -> list[str]:
     """A script of troubles by seed, one line each; `play` says what each does."""
     rng = random.Random(seed)
     names = FIVE + SPARE
@@ -59,13 +59,13 @@
     return script
 
 
-def change(world: World, verb: str, name: str) -> None:
+def change_membership(world: World, verb: str, name: str) -> None:
     """Asks the leader for another membership, where that may be asked; it may refuse."""
     leader = world.leader()
     if leader is None:
         return
     now = leader.raft.membership
-    if verb == "learn" and name not in now.all_members() and name not in world.gone:
+    if verb == "learn" and name not in now.all_members() and name not in world.removed:
         if name not in world.instances:
             world.add(name, FIVE)
         accepted(leader.raft, with_learner(now, name))
@@ -73,11 +73,11 @@
         accepted(leader.raft, with_voter(now, name))
     elif verb == "drop" and name in now.voters and len(now.voters) > 3:
         if accepted(leader.raft, Membership(tuple(n for n in now.voters if n != name), now.learners)):
-            world.gone.add(name)
-    leader.work()
+            world.removed.add(name)
+    leader.process_ready()
 
 
-def act(world: World, line: str) -> None:
+def perform(world: World, line: str) -> None:
     """One line of a script. What can't be now (a crash beyond two, a name that has not joined) changes nothing."""
     verb, *words = line.split()
     if words == ["leader"] and (leader := world.leader()) is not None:
@@ -95,11 +95,11 @@
         bar = words.index("|")
         world.partition(words[:bar], words[bar + 1 :])
         if verb == "mute":  # the first part is not heard; it hears
-            world.cut = {(a, b) for a, b in world.cut if a in words[:bar]}
+            world.blocked = {(a, b) for a, b in world.blocked if a in words[:bar]}
     elif verb in ("set", "read"):
-        world.clients[int(words[0])].ask(verb, words[1])
+        world.clients[int(words[0])].begin(verb, words[1])
     elif verb in ("learn", "vote", "drop"):
-        change(world, verb, words[0])
+        change_membership(world, verb, words[0])
     elif instance is None:
         return
     elif verb == "crash" and instance.up and sum(not i.up for i in world.instances.values()) < 2:
@@ -109,28 +109,28 @@
     elif verb == "ahead" and instance.up:
         for _ in range(int(words[1])):
             instance.raft.tick()
-            instance.work()
+            instance.process_ready()
     elif verb == "rate":
-        instance.rate = float(words[1])
+        instance.clock_rate = float(words[1])
     elif verb == "hand":
         leader = world.leader()
         if leader is not None:
             with contextlib.suppress(LeadershipTransferError):
                 leader.raft.transfer_leadership(words[0])
-            leader.work()
+            leader.process_ready()
 
 
-def play(script: Sequence[str], seed: int) -> World:
+def play_script(script: Sequence[str], seed: int) -> World:
     """Plays a script with lost, repeated and reordered messages; then all is healed, every member must have applied
     the same, and what clients saw must have an order that explains it."""
-    world = World(FIVE, seed, lose=0.1, repeat=0.1)
-    world.delay = 6
+    world = World(FIVE, seed, loss_rate=0.1, duplicate_rate=0.1)
+    world.max_delay = 6
     for line in script:
-        act(world, line)
+        perform(world, line)
     world.heal()
-    world.lose = 0.0
+    world.loss_rate = 0.0
     for i in world.instances.values():
-        i.rate = 1.0
+        i.clock_rate = 1.0
         if not i.up:
             i.start()
     # A leader that is about to be replaced may take a proposal and lose it: the client asks again.
@@ -151,11 +151,11 @@
     return world
 
 
-def rough(seed: int) -> None:
-    play(draw(seed), seed)
+def play_seed(seed: int) -> None:
+    play_script(draw_script(seed), seed)
 
 
-def shrink(script: list[str], fails: Callable[[list[str]], bool]) -> list[str]:
+def shrink_script(script: list[str], fails: Callable[[list[str]], bool]) -> list[str]:
     """A shorter script that still fails: pieces are left out, halves first, then single lines (Zeller's ddmin)."""
     size = len(script) // 2
     while size:
--- a/tests/raft_world.py
+++ b/tests/raft_world.py
@@ -20,18 +20,20 @@
 class World:
     """Instances, the messages on their way, and what may happen to them."""
 
-    def __init__(self, names: list[str], seed: int = 0, lose: float = 0.0, repeat: float = 0.0) -> None:
-        self.seed, self.lose, self.repeat = seed, lose, repeat
+    def __init__(self, names: list[str], seed: int = 0, loss_rate: float = 0.0, duplicate_rate: float = 0.0) -> None:
+        self.seed = seed
+        self.loss_rate = loss_rate
+        self.duplicate_rate = duplicate_rate
         self.rng = random.Random(f"{seed}/world")
-        self.way: list[tuple[int, Message]] = []
+        self.in_transit: list[tuple[int, Message]] = []
         self.now = 0
-        self.delay = 3
-        self.cut: set[tuple[str, str]] = set()
+        self.max_delay = 3
+        self.blocked: set[tuple[str, str]] = set()
         self.committed: dict[int, Entry] = {}
-        self.top = 0  # the highest index that anyone has applied
-        self.contexts = 0
+        self.highest_applied = 0  # the highest index that anyone has applied
+        self.read_contexts = 0
         self.leaders: dict[int, str] = {}
-        self.gone: set[str] = set()  # names that were dropped, and don't come back
+        self.removed: set[str] = set()  # names that were dropped, and don't come back
         self.events = 0
         self.clients = [Client(self, f"c{n}") for n in range(4)]
         self.instances = {n: Instance(self, n, names) for n in names}
@@ -45,17 +47,17 @@
         self.instances[name] = Instance(self, name, voters)
         return self.instances[name]
 
-    def post(self, message: Message) -> None:
-        if (message.source, message.to) in self.cut or self.rng.random() < self.lose:
+    def send(self, message: Message) -> None:
+        if (message.source, message.to) in self.blocked or self.rng.random() < self.loss_rate:
             return
-        for _ in range(1 + (self.rng.random() < self.repeat)):
-            self.way.append((self.now + self.rng.randint(1, self.delay), message))
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+            self.in_transit.append((self.now + self.rng.randint(1, self.max_delay), message))
 
     def partition(self, *groups: list[str]) -> None:
-        self.cut = {(a, b) for g in groups for h in groups if g is not h for a in g for b in h}
+        self.blocked = {(a, b) for g in groups for h in groups if g is not h for a in g for b in h}
 
     def heal(self) -> None:
-        self.cut = set()
+        self.blocked = set()
 
     def run(self, steps: int) -> None:
         """So many ticks; messages in between, in an order that chance picks."""
@@ -63,22 +65,22 @@
             self.now += 1
             for name in sorted(self.instances):
                 instance = self.instances[name]
-                instance.part += instance.rate
-                while instance.part >= 1:
-                    instance.part -= 1
+                instance.clock_remainder += instance.clock_rate
+                while instance.clock_remainder >= 1:
+                    instance.clock_remainder -= 1
                     if instance.up:
                         instance.raft.tick()
-                        instance.work()
-            due = [m for at, m in self.way if at <= self.now]
-            self.way = [(at, m) for at, m in self.way if at > self.now]
+                        instance.process_ready()
+            due = [m for at, m in self.in_transit if at <= self.now]
+            self.in_transit = [(at, m) for at, m in self.in_transit if at > self.now]
             self.rng.shuffle(due)
             for message in due:
                 to = self.instances.get(message.to)
-                if to is not None and to.up and (message.source, message.to) not in self.cut:
+                if to is not None and to.up and (message.source, message.to) not in self.blocked:
                     to.raft.step(message)
-                    to.work()
+                    to.process_ready()
             for client in self.clients:
-                client.wait()
+                client.tick()
             self.check()
 
     def until(self, what, steps: int = 600):
@@ -109,7 +111,7 @@
         if leader is None:
             return None
         index = leader.raft.propose(text.encode())
-        leader.work()
+        leader.process_ready()
         return index
 
     def settled(self, names: list[str] | None = None) -> bool:
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from raft_scripts import rough
+from raft_scripts import play_seed
 from raft_world import FIVE, World, elect
 
 from pebblehinge.raft import Entry, HardState, Raft, Role, initial_snapshot
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("block", range(10))
 def test_nothing_of_the_paper_breaks_under_loss_repeats_partitions_and_crashes(block: int) -> None:
     for seed in range(30 * block, 30 * block + 30):
-        rough(seed)
+        play_seed(seed)
 
 
 def test_a_partitioned_instance_comes_back_without_unseating_the_leader() -> None:
@@ -87,7 +87,7 @@
     world.until(lambda: leader.raft.commit_index >= leader.raft.term_start_index)
     world.partition([leader.name], [n for n in FIVE if n != leader.name])
     assert leader.raft.read_index(77)
-    leader.work()
+    leader.process_ready()
     world.run(40)
     assert leader.raft.role is not Role.LEADER and leader.reads == [ReadState(77, None)]
     assert leader.raft.propose(b"x") is None and not leader.raft.read_index(78)
@@ -102,7 +102,7 @@
     assert leader.raft.read_index(1)
     assert leader.raft.ready().read_states == []
     leader.raft.read_index(2)
-    leader.work()
+    leader.process_ready()
     world.until(lambda: leader.reads)
     world.run(5)
     assert leader.reads == [ReadState(1, leader.raft.commit_index), ReadState(2, leader.raft.commit_index)]
@@ -148,9 +148,9 @@
             i.compact()
     assert leader.raft.log.entries == [] and len(leader.raft.log.snapshot.data) > 3 * SNAPSHOT_CHUNK_BYTES
     lone.start()
-    world.lose = 0.2
+    world.loss_rate = 0.2
     world.until(lambda: lone.applied == leader.applied, 2000)
-    world.lose = 0.0
+    world.loss_rate = 0.0
     world.propose("after")
     world.until(lambda: lone.applied[-1] == "after")
     lone.crash()
--- a/tests/test_raft_broken.py
+++ b/tests/test_raft_broken.py
@@ -6,7 +6,7 @@
 
 import pytest
 from raft_instance import Instance
-from raft_scripts import draw, play, rough, shrink
+from raft_scripts import draw_script, play_script, play_seed, shrink_script
 from raft_world import elect
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, Role, initial_snapshot
@@ -79,7 +79,7 @@
         monkeypatch.setattr("raft_instance.Raft", OwnReads)
     with pytest.raises((AssertionError, LogError, StorageError)):
         for seed in range(480, 880):
-            rough(seed)
+            play_seed(seed)
 
 
 def test_a_commit_by_an_old_term_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -95,27 +95,27 @@
 class TwiceApplied(Instance):
     """Keeps nothing of what a session was told: one that asks again is taken for a new one."""
 
-    def take(self, entry: Entry) -> None:
+    def apply_data(self, entry: Entry) -> None:
         self.sessions.pop(entry.session, None)
-        super().take(entry)
+        super().apply_data(entry)
 
 
 def test_a_find_shrinks_to_a_short_script_that_replays_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """A proposal that was asked for twice is applied once, or clients see it refused after it landed."""
     seed = 43
-    whole = draw(seed)
-    play(whole, seed)  # sound as it is
+    whole = draw_script(seed)
+    play_script(whole, seed)  # sound as it is
     monkeypatch.setattr("raft_world.Instance", TwiceApplied)
 
     def fails(script: list[str]) -> bool:
         try:
-            play(script, seed)
+            play_script(script, seed)
         except AssertionError as error:
             return "no order" in str(error)
         return False
 
     assert fails(whole)
-    short = shrink(whole, fails)
+    short = shrink_script(whole, fails)
     assert fails(short) and len(short) < len(whole) / 3
     monkeypatch.undo()
-    play(short, seed)
+    play_script(short, seed)
--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -6,7 +6,7 @@
 import re
 
 import pytest
-from raft_scripts import draw, play
+from raft_scripts import draw_script, play_script
 from raft_world import FIVE, World, accepted, elect, with_learner, with_voter
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
@@ -30,10 +30,10 @@
     rejected(leader.raft, Membership(("a", "b", "c", "d", "e")), "more than one voter would change")
     leader.raft.change_membership(with_learner(now, "d"))
     rejected(leader.raft, with_learner(now, "x"), "another change is under way")
-    leader.work()
+    leader.process_ready()
     world.until(lambda: world.instances["d"].raft.membership.learners == ("d",))
     world.until(lambda: accepted(leader.raft, with_voter(leader.raft.membership, "d")))
-    leader.work()
+    leader.process_ready()
     world.until(lambda: world.settled() and world.instances["d"].raft.membership.voters == ("a", "b", "c", "d"))
     for name in [n for n in ("a", "b", "c") if n != leader.name][:1]:
         world.instances[name].crash()
@@ -41,7 +41,7 @@
     world.until(lambda: world.instances["d"].applied[-1:] == ["with three of four"])
     rest = tuple(n for n in leader.raft.membership.voters if n != leader.name)
     world.until(lambda: accepted(leader.raft, Membership(rest)))  # the leader removes itself
-    leader.work()
+    leader.process_ready()
     world.until(lambda: world.leader() not in (None, leader), 2000)
     assert world.leader().raft.membership.voters == rest
 
@@ -55,7 +55,7 @@
         leader.raft.transfer_leadership("z")
     leader.raft.transfer_leadership(to)
     assert leader.raft.propose(b"meanwhile") is None
-    leader.work()
+    leader.process_ready()
     began = world.now
     world.until(lambda: world.leader() is world.instances[to])
     assert world.now - began < 15  # less than an election time-out
@@ -63,10 +63,10 @@
 
 def test_members_change_in_the_runs_and_clients_hear() -> None:
     """The runs would prove little of changes if none happened in them."""
-    worlds = [play(draw(seed), seed) for seed in range(40)]
+    worlds = [play_script(draw_script(seed), seed) for seed in range(40)]
     changes = sum(entry.kind == 2 for w in worlds for entry in w.committed.values())
     heard = sum(op.result is not None for w in worlds for c in w.clients for op in c.history)
-    dropped = sum(len(w.gone) for w in worlds)
+    dropped = sum(len(w.removed) for w in worlds)
     assert changes > 20 and dropped > 10 and heard > 250, (changes, dropped, heard)
 
 
--- a/tests/test_read_rounds.py
+++ b/tests/test_read_rounds.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from raft_scripts import draw, play
+from raft_scripts import draw_script, play_script
 from raft_world import FIVE, World, elect
 
 from pebblehinge.raft import HardState, Raft, Role, initial_snapshot
@@ -138,7 +138,7 @@
 def dense(seed: int) -> list[str]:
     """The troubles of `draw`, with all clients reading or setting all the time."""
     rng, script = random.Random(f"{seed}/dense"), []
-    for line in draw(seed):
+    for line in draw_script(seed):
         verb, *words = line.split()
         if verb != "run":
             script.append(line)
@@ -151,14 +151,14 @@
 @pytest.mark.parametrize("block", range(4))
 def test_dense_reads_have_an_order_under_loss_partitions_and_crashes(block: int) -> None:
     for seed in range(10 * block, 10 * block + 10):
-        play(dense(seed), seed)
+        play_script(dense(seed), seed)
 
 
 def test_runs_notice_a_read_that_joins_the_round_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("raft_instance.Raft", JoinsTheRound)
     with pytest.raises(AssertionError, match="what had reached"):
         for seed in range(10):
-            play(dense(seed), seed)
+            play_script(dense(seed), seed)
 
 
 def test_one_leader_serves_reads_of_every_client_in_few_rounds() -> None:
@@ -168,6 +168,6 @@
     before = leader.raft.state.read_round
     for context in range(200):
         assert leader.raft.read_index(context)
-    leader.work()
+    leader.process_ready()
     world.until(lambda: len(leader.reads) == 200)
     assert leader.raft.state.read_round - before == 2 and all(read.index is not None for read in leader.reads)
