--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -10,7 +10,7 @@
 from raft_world import FIVE, World, accepted, elect, with_learner, with_voter
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
-from pebblehinge.raft.errors import LeadershipTransferError, MembershipChangeError
+from pebblehinge.raft.errors import LeadershipTransferError, MembershipChangeError, NotLeaderError
 from pebblehinge.raft.messages import AppendEntriesResponse
 
 
@@ -79,3 +79,12 @@
     for name in "bc":
         raft.step(AppendEntriesResponse(name, "a", raft.current_term, success=True, index=2))
     raft.change_membership(Membership(("a", "b", "c")))
+
+
+def test_only_a_leader_changes_members_or_hands_over() -> None:
+    raft = Raft("b", initial_snapshot(["a", "b", "c"]), [], HardState(), random.Random(1))
+    with pytest.raises(NotLeaderError, match="^not the leader$"):
+        raft.change_membership(Membership(("a", "b")))
+    with pytest.raises(NotLeaderError, match="^not the leader$"):
+        raft.transfer_leadership("c")
+    assert not raft.ready()
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -9,7 +9,8 @@
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.raft import Entry, HardState, Log, Membership, Snapshot, initial_snapshot
-from pebblehinge.raft.errors import LogError, StorageDamagedError, StorageFailedError
+from pebblehinge.raft.errors import IdentityError, LogError, StorageDamagedError, StorageFailedError
+from pebblehinge.raft.identity import identify
 from pebblehinge.raft.storage import SEGMENT_BYTES, Storage
 from pebblehinge.store.disk import RealDisk
 
@@ -117,3 +118,17 @@
     assert not any(lost_at_a_power_cut(seed) for seed in range(50))
     monkeypatch.setattr(FaultyDisk, "sync", lambda self, name: None)
     assert any(lost_at_a_power_cut(seed) for seed in range(50))
+
+
+def test_a_folder_is_one_members_of_one_group() -> None:
+    disk = FaultyDisk(random.Random(1))
+    with pytest.raises(IdentityError, match="^the folder is empty: if a has never run before, say --begin"):
+        identify(disk, "grp", "a", begin=False)
+    identify(disk, "grp", "a", begin=True)
+    identify(disk, "grp", "a", begin=False)
+    with pytest.raises(IdentityError, match="^the folder is a's of group 'grp', not b's of 'grp'$"):
+        identify(disk, "grp", "b", begin=True)
+    disk.remove("raft.identity")
+    Storage(disk).store(HardState(1, "a"))
+    with pytest.raises(IdentityError, match="^the folder holds a log and no identity"):
+        identify(disk, "grp", "a", begin=True)
