--- a/benchmarks/caps_group.py
+++ b/benchmarks/caps_group.py
@@ -12,7 +12,7 @@
 
 from pebblehinge.settings.schema import LimitsBlock
 
-MESSAGES, NODE, STORAGE = (f"pebblehinge/raft/{n}.py" for n in ("messages", "node", "storage"))
+RAFT_LEADER, READ_INDEX = (f"pebblehinge/raft/{n}.py" for n in ("leader", "read_index"))
 
 
 ASKING, RENEWALS = (f"pebblehinge/agreed/{n}.py" for n in ("asking", "renewals"))
@@ -63,9 +63,9 @@
     ),
     Cap(
         "reads that wait",
-        MESSAGES,
-        "MOST_READS = ",
-        constant("pebblehinge.raft.messages", "MOST_READS"),
+        READ_INDEX,
+        "MAX_PENDING_READS = ",
+        constant("pebblehinge.raft.read_index", "MAX_PENDING_READS"),
         "reads",
         "reads that wait for a round of the majority; 256, one for each renewal, before rounds were shared",
         HEADS + 64,
@@ -89,9 +89,9 @@
     ),
     Cap(
         "proposals that wait",
-        MESSAGES,
-        "MOST_WAITING = ",
-        constant("pebblehinge.raft.messages", "MOST_WAITING"),
+        RAFT_LEADER,
+        "MAX_UNCOMMITTED_ENTRIES = ",
+        constant("pebblehinge.raft.leader", "MAX_UNCOMMITTED_ENTRIES"),
         "entries",
         "entries of the log that are not committed",
         64,
--- a/benchmarks/caps_log.py
+++ b/benchmarks/caps_log.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from caps_group import MESSAGES, NODE, STORAGE
 from caps_points import ENOUGH, NAMED, Cap, constant, default
 from caps_settings import SCHEMA, TEXT
 from caps_sizes import (
@@ -11,12 +10,16 @@
 
 from pebblehinge.settings.schema import GroupBlock
 
+PROGRESS, RECORDS, REPLICATION, STORAGE, TRANSPORT = (
+    f"pebblehinge/raft/{n}.py" for n in ("progress", "records", "replication", "storage", "transport")
+)
+
 LOG_CAPS = [
     Cap(
         "messages to one instance",
-        NODE,
-        "MOST_QUEUED = ",
-        constant("pebblehinge.raft.node", "MOST_QUEUED"),
+        TRANSPORT,
+        "MAX_QUEUED_MESSAGES = ",
+        constant("pebblehinge.raft.transport", "MAX_QUEUED_MESSAGES"),
         "messages",
         "what waits for an instance that does not take it",
         64,
@@ -26,9 +29,9 @@
     ),
     Cap(
         "appends under way",
-        MESSAGES,
-        "INFLIGHT = ",
-        constant("pebblehinge.raft.messages", "INFLIGHT"),
+        PROGRESS,
+        "MAX_INFLIGHT_APPENDS = ",
+        constant("pebblehinge.raft.progress", "MAX_INFLIGHT_APPENDS"),
         "messages",
         "appends to one follower with no answer",
         None,
@@ -38,9 +41,9 @@
     ),
     Cap(
         "bytes of entries in a message",
-        MESSAGES,
-        "MOST_BYTES = ",
-        constant("pebblehinge.raft.messages", "MOST_BYTES"),
+        REPLICATION,
+        "MAX_APPEND_BYTES = ",
+        constant("pebblehinge.raft.replication", "MAX_APPEND_BYTES"),
         "bytes",
         "entries in one append",
         1024 * 128,
@@ -50,9 +53,9 @@
     ),
     Cap(
         "bytes of a snapshot's piece",
-        MESSAGES,
-        "CHUNK = ",
-        constant("pebblehinge.raft.messages", "CHUNK"),
+        REPLICATION,
+        "SNAPSHOT_CHUNK_BYTES = ",
+        constant("pebblehinge.raft.replication", "SNAPSHOT_CHUNK_BYTES"),
         "bytes",
         "a snapshot goes piece by piece, one under way",
         None,
@@ -64,8 +67,8 @@
     Cap(
         "bytes of a log's segment",
         STORAGE,
-        "SEGMENT = ",
-        constant("pebblehinge.raft.storage", "SEGMENT"),
+        "SEGMENT_BYTES = ",
+        constant("pebblehinge.raft.storage", "SEGMENT_BYTES"),
         "bytes",
         "one file of the log",
         None,
@@ -75,9 +78,9 @@
     ),
     Cap(
         "bytes of a record",
-        STORAGE,
-        "LARGEST = ",
-        constant("pebblehinge.raft.storage", "LARGEST"),
+        RECORDS,
+        "MAX_RECORD_BYTES = ",
+        constant("pebblehinge.raft.records", "MAX_RECORD_BYTES"),
         "bytes",
         "one entry, read back; not a snapshot",
         3 << 20,
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -27,7 +27,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from test_agreed import DeduplicationScope, document  # noqa: E402
+from agreed_document import document  # noqa: E402
+from agreed_group import Group  # noqa: E402
 
 from pebblehinge.agreed.ask import ask_group  # noqa: E402
 from pebblehinge.agreed.feed import Feed  # noqa: E402
@@ -36,8 +37,8 @@
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
-from pebblehinge.raft.storage import RealDisk  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
+from pebblehinge.store.disk import RealDisk  # noqa: E402
 from pebblehinge.wire import Kind  # noqa: E402
 
 COUNTED = (Kind.NEWS, Kind.RENEW, Kind.GRANT, Kind.RAFT)
@@ -112,7 +113,7 @@
 
 
 def in_virtual_time(heads: int, members: int, versions: int, within_s: float, pause_s: float) -> list[dict[str, Any]]:
-    group = DeduplicationScope(1)
+    group = Group(1)
     group.config = loads(document(100, heads, heads))
     group.config.member = dict(list(group.config.member.items())[:members])
 
@@ -134,7 +135,7 @@
             heads,
             group.clock,
             active,
-            lambda: max(m.node.raft.log.last for m in group.members.values()),
+            lambda: max(m.node.raft.log.last_index for m in group.members.values()),
             lambda n: group.propose(document(100 + n, heads, heads), n),
             within_s,
             found,
@@ -174,7 +175,7 @@
             }
             return await ask_group(loop, [b.listen for b in config.member.values()], "propose", values, 10.0)
 
-        while not any(m.node.leads and m.node.raft.commit >= m.node.raft.term_start for m in servers):
+        while not any(m.node.is_leader and m.node.raft.commit_index >= m.node.raft.term_start_index for m in servers):
             await asyncio.sleep(0.02)
         ok, said = await propose(1)
         assert ok, said
@@ -196,7 +197,7 @@
             await asyncio.sleep(0.02)
         await asyncio.sleep(3.0)
         spread = Spread(
-            heads, clock, active, lambda: max(m.node.raft.log.last for m in servers), propose, within_s, found
+            heads, clock, active, lambda: max(m.node.raft.log.last_index for m in servers), propose, within_s, found
         )
         points = await spread.play(versions, pause_s)
         for thing in (*feeds, *servers):
--- a/tests/agreed_group.py
+++ b/tests/agreed_group.py
@@ -20,7 +20,7 @@
 from pebblehinge.settings.load import loads
 
 
-class DeduplicationScope:
+class Group:
     """Instances g1 to g5 and heads h1 to h4 on nodes of a virtual network."""
 
     def __init__(self, seed: int) -> None:
@@ -84,8 +84,8 @@
         self.acts[name] = (None, "dead", 0)
 
     def leader(self) -> MemberServer | None:
-        led = [m for n, m in self.members.items() if m.node.leads and not self.nodes[n].dead]
-        return max(led, key=lambda m: m.node.raft.term) if led else None
+        led = [m for n, m in self.members.items() if m.node.is_leader and not self.nodes[n].dead]
+        return max(led, key=lambda m: m.node.raft.current_term) if led else None
 
     async def ask(self, verb: str, **values: Any) -> tuple[bool, str]:
         return await ask_group(
@@ -134,9 +134,9 @@
 
 
 def on_group(
-    script: Callable[[DeduplicationScope], Any], seed: int = 1, heads: int = 4, rates: dict[str, float] | None = None
-) -> DeduplicationScope:
-    group = DeduplicationScope(seed)
+    script: Callable[[Group], Any], seed: int = 1, heads: int = 4, rates: dict[str, float] | None = None
+) -> Group:
+    group = Group(seed)
     group.rates = rates or {}
 
     async def main() -> None:
--- a/tests/raft_instance.py
+++ b/tests/raft_instance.py
@@ -3,47 +3,60 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import msgspec
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.raft import Raft
-from pebblehinge.raft.log import DATA, Entry
-from pebblehinge.raft.storage import Storage, StorageError, first_members
+from pebblehinge.raft import Entry, EntryKind, Raft, initial_snapshot
+from pebblehinge.raft.ready import ReadState
+from pebblehinge.raft.storage import Storage
+from pebblehinge.store.disk import StorageError
 
 if TYPE_CHECKING:
     from raft_client import Client
     from raft_world import World
 
 
+@dataclass(frozen=True)
+class PendingRead:
+    """A read that a core was asked for: the index that its answer must have reached, who asked, as which operation."""
+
+    floor: int
+    client: Client
+    serial: int
+
+
 class Instance:
-    """One instance with its disk and its state machine: a list of what was applied, and what sessions were told."""
+    """One instance with its disk and its state machine: texts that were applied, and each session's last outcome."""
 
     def __init__(self, world: World, name: str, voters: list[str]) -> None:
-        self.world, self.name, self.voters = world, name, voters
+        self.world = world
+        self.name = name
+        self.voters = voters
         self.disk = FaultyDisk(random.Random(f"{world.seed}/{name}/disk"))
-        self.lives = 0
+        self.incarnation = 0
         self.up = False
-        self.rate, self.part = 1.0, 0.0  # ticks of its clock in one of the world, and what is left of one
+        self.clock_rate = 1.0  # ticks of its clock in one of the world's
+        self.clock_remainder = 0.0  # part of a tick that has passed
         self.start()
 
     def start(self) -> None:
+        """Starts from what is on the disk."""
         self.storage = Storage(self.disk)
-        snapshot = self.storage.snapshot or first_members(self.voters)
-        self.lives += 1
+        snapshot = self.storage.snapshot or initial_snapshot(self.voters)
+        self.incarnation += 1
         self.raft = Raft(
             self.name,
             snapshot,
             self.storage.entries,
-            self.storage.term,
-            self.storage.vote,
-            random.Random(f"{self.world.seed}/{self.name}/{self.lives}"),
+            self.storage.hard_state,
+            random.Random(f"{self.world.seed}/{self.name}/{self.incarnation}"),
         )
-        self.reads: list[tuple[int, int]] = []
-        # context of a read -> what had been committed then, who asks, and for which of its questions
-        self.asked: dict[int, tuple[int, int, Client | None]] = {}
-        self.waiting: dict[tuple[str, int], Client] = {}  # session and serial -> who waits here for its outcome
+        self.reads: list[ReadState] = []
+        self.pending_reads: dict[int, PendingRead] = {}  # by context
+        self.pending_proposals: dict[tuple[str, int], Client] = {}  # by session and serial
         self.restore(snapshot.data, snapshot.index)
         self.up = True
 
@@ -57,49 +70,57 @@
         self.applied_index = index
 
     def crash(self) -> None:
+        """Stops, and loses what was not synced."""
         self.up = False
         self.disk.crash()
 
-    def work(self) -> None:
+    def process_ready(self) -> None:
         """Does what the core wants, in the order that it asks for."""
         while self.up and (ready := self.raft.ready()):
             try:
-                self.storage.store(ready.hard_state, ready.cut, ready.entries, ready.snapshot)
+                self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
             except StorageError:
                 self.up = False
                 return
             if ready.entries or ready.snapshot:
-                self.raft.stored(self.raft.log.last)
-            if ready.restored is not None:
-                self.restore(ready.restored.data, ready.restored.index)
-            for entry in ready.committed:
+                self.raft.persisted(self.raft.log.last_index)
+            if ready.snapshot_to_restore is not None:
+                self.restore(ready.snapshot_to_restore.data, ready.snapshot_to_restore.index)
+            for entry in ready.committed_entries:
                 self.apply(entry)
-            self.reads += ready.reads
-            for context, index in ready.reads:
-                floor, serial, client = self.asked.pop(context, (0, 0, None))
-                assert index < 0 or index >= floor, f"{self.name} reads at {index} what had reached {floor}"
-                if client is not None and index >= 0:
-                    texts = self.texts()
-                    client.hears(serial, (len(texts), texts[-1] if texts else None))
-            for message in [*ready.messages, *ready.after]:
-                self.world.post(message)
+            self.reads += ready.read_states
+            for read in ready.read_states:
+                self.finish_read(read)
+            for message in [*ready.messages, *ready.messages_after_persist]:
+                self.world.send(message)
+
+    def finish_read(self, read: ReadState) -> None:
+        """Answers a read from what is applied, unless it is lost; it must see all that was committed when it came."""
+        pending = self.pending_reads.pop(read.context, None)
+        index = read.index
+        if pending is None or index is None:
+            return
+        assert index >= pending.floor, f"{self.name} reads at {index} what had reached {pending.floor}"
+        texts = self.texts()
+        pending.client.on_result(pending.serial, (len(texts), texts[-1] if texts else None))
 
     def apply(self, entry: Entry) -> None:
+        """Applies a committed entry; it must be the next one, and what anyone else has applied there."""
         assert entry.index == self.applied_index + 1, f"{self.name} applies {entry.index} after {self.applied_index}"
         self.applied_index = entry.index
         known = self.world.committed.setdefault(entry.index, entry)
-        self.world.top = max(self.world.top, entry.index)
+        self.world.highest_applied = max(self.world.highest_applied, entry.index)
         assert known == entry, f"two entries committed at {entry.index}: {known} and {entry}"
-        if entry.kind == DATA:
-            self.take(entry)
+        if entry.kind == EntryKind.DATA:
+            self.apply_data(entry)
         self.raft.applied(entry.index)
 
     def texts(self) -> list[str]:
         """What sessions have set, in order: its length is the version."""
         return [t for t in self.applied if t != "last"]
 
-    def take(self, entry: Entry) -> None:
-        """A text, or `expected version=text` of a session: once each, with the outcome kept for who asks again."""
+    def apply_data(self, entry: Entry) -> None:
+        """A text, or `expected version=text` of a session: once each, with the outcome kept for retries."""
         if not entry.session:
             self.applied.append(entry.data.decode())
             return
@@ -113,12 +134,13 @@
             else:
                 outcome = ("refused", version)
             self.sessions[entry.session] = (entry.serial, outcome)
-        client = self.waiting.pop((entry.session, entry.serial), None)
+        client = self.pending_proposals.pop((entry.session, entry.serial), None)
         if client is not None and entry.serial >= serial:
-            client.hears(entry.serial, outcome)
+            client.on_result(entry.serial, outcome)
 
     def compact(self) -> None:
+        """Takes a snapshot, and stores it."""
         state = msgspec.json.encode((self.applied, dict(sorted(self.sessions.items()))))
-        snapshot = self.raft.snapshot_taken(state, self.applied_index)
+        snapshot = self.raft.compact(state, self.applied_index)
         if snapshot is not None:
             self.storage.store(None, None, [], snapshot)
--- a/tests/raft_world.py
+++ b/tests/raft_world.py
@@ -10,8 +10,9 @@
 from raft_client import Client
 from raft_instance import Instance
 
-from pebblehinge.raft import Membership, Message, Raft, Role
-from pebblehinge.raft.log import Entry
+from pebblehinge.raft import Entry, Membership, Message, Raft, Role
+from pebblehinge.raft.errors import MembershipChangeError, NotLeaderError
+from pebblehinge.raft.messages import PreVote, PreVoteResponse, RequestVote, RequestVoteResponse
 
 FIVE = ["a", "b", "c", "d", "e"]
 
@@ -19,18 +20,20 @@
 class World:
     """Instances, the messages on their way, and what may happen to them."""
 
-    def __init__(self, names: list[str], seed: int = 0, lose: float = 0.0, repeat: float = 0.0) -> None:
-        self.seed, self.lose, self.repeat = seed, lose, repeat
+    def __init__(self, names: list[str], seed: int = 0, loss_rate: float = 0.0, duplicate_rate: float = 0.0) -> None:
+        self.seed = seed
+        self.loss_rate = loss_rate
+        self.duplicate_rate = duplicate_rate
         self.rng = random.Random(f"{seed}/world")
-        self.way: list[tuple[int, Message]] = []
+        self.in_transit: list[tuple[int, Message]] = []
         self.now = 0
-        self.delay = 3
-        self.cut: set[tuple[str, str]] = set()
+        self.max_delay = 3
+        self.blocked: set[tuple[str, str]] = set()
         self.committed: dict[int, Entry] = {}
-        self.top = 0  # the highest index that anyone has applied
-        self.contexts = 0
+        self.highest_applied = 0  # the highest index that anyone has applied
+        self.read_contexts = 0
         self.leaders: dict[int, str] = {}
-        self.gone: set[str] = set()  # names that were dropped, and don't come back
+        self.removed: set[str] = set()  # names that were dropped, and don't come back
         self.events = 0
         self.clients = [Client(self, f"c{n}") for n in range(4)]
         self.instances = {n: Instance(self, n, names) for n in names}
@@ -44,17 +47,17 @@
         self.instances[name] = Instance(self, name, voters)
         return self.instances[name]
 
-    def post(self, message: Message) -> None:
-        if (message.source, message.to) in self.cut or self.rng.random() < self.lose:
+    def send(self, message: Message) -> None:
+        if (message.source, message.to) in self.blocked or self.rng.random() < self.loss_rate:
             return
-        for _ in range(1 + (self.rng.random() < self.repeat)):
-            self.way.append((self.now + self.rng.randint(1, self.delay), message))
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+            self.in_transit.append((self.now + self.rng.randint(1, self.max_delay), message))
 
     def partition(self, *groups: list[str]) -> None:
-        self.cut = {(a, b) for g in groups for h in groups if g is not h for a in g for b in h}
+        self.blocked = {(a, b) for g in groups for h in groups if g is not h for a in g for b in h}
 
     def heal(self) -> None:
-        self.cut = set()
+        self.blocked = set()
 
     def run(self, steps: int) -> None:
         """So many ticks; messages in between, in an order that chance picks."""
@@ -62,22 +65,22 @@
             self.now += 1
             for name in sorted(self.instances):
                 instance = self.instances[name]
-                instance.part += instance.rate
-                while instance.part >= 1:
-                    instance.part -= 1
+                instance.clock_remainder += instance.clock_rate
+                while instance.clock_remainder >= 1:
+                    instance.clock_remainder -= 1
                     if instance.up:
                         instance.raft.tick()
-                        instance.work()
-            due = [m for at, m in self.way if at <= self.now]
-            self.way = [(at, m) for at, m in self.way if at > self.now]
+                        instance.process_ready()
+            due = [m for at, m in self.in_transit if at <= self.now]
+            self.in_transit = [(at, m) for at, m in self.in_transit if at > self.now]
             self.rng.shuffle(due)
             for message in due:
                 to = self.instances.get(message.to)
-                if to is not None and to.up and (message.source, message.to) not in self.cut:
+                if to is not None and to.up and (message.source, message.to) not in self.blocked:
                     to.raft.step(message)
-                    to.work()
+                    to.process_ready()
             for client in self.clients:
-                client.wait()
+                client.tick()
             self.check()
 
     def until(self, what, steps: int = 600):
@@ -95,11 +98,11 @@
             i = self.instances[name]
             if i.up and i.raft.role is Role.LEADER:
                 follow = sum(
-                    o.up and o.raft.term == i.raft.term and o.raft.leader == name
+                    o.up and o.raft.current_term == i.raft.current_term and o.raft.leader_id == name
                     for n, o in self.instances.items()
-                    if n in i.raft.members.voters
+                    if n in i.raft.membership.voters
                 )
-                if follow >= i.raft.members.quorum():
+                if follow >= i.raft.membership.quorum():
                     return i
         return None
 
@@ -108,14 +111,14 @@
         if leader is None:
             return None
         index = leader.raft.propose(text.encode())
-        leader.work()
+        leader.process_ready()
         return index
 
     def settled(self, names: list[str] | None = None) -> bool:
         """All who are up have applied all that is committed."""
         some = [self.instances[n] for n in names or sorted(self.instances)]
         top = max(i.applied_index for i in some if i.up)
-        return all(i.applied_index == top and i.raft.commit == i.raft.log.last for i in some if i.up)
+        return all(i.applied_index == top and i.raft.commit_index == i.raft.log.last_index for i in some if i.up)
 
     def check(self) -> None:
         """Election safety, log matching, leader completeness; state machine safety is checked at each apply."""
@@ -124,18 +127,18 @@
                 continue
             r = i.raft
             if r.role is Role.LEADER:
-                assert self.leaders.setdefault(r.term, name) == name, f"two leaders in term {r.term}"
-                if r.term == max(self.leaders):
+                assert self.leaders.setdefault(r.current_term, name) == name, f"two leaders in term {r.current_term}"
+                if r.current_term == max(self.leaders):
                     for index, entry in self.committed.items():
-                        if index > r.log.at:
-                            assert r.log.term(index) == entry.term, f"{name} leads without {index}"
-            assert r.commit <= r.log.last
+                        if index > r.log.snapshot_index:
+                            assert r.log.term_at(index) == entry.term, f"{name} leads without {index}"
+            assert r.commit_index <= r.log.last_index
         up = [i.raft.log for i in self.instances.values() if i.up]
         for a, b in zip(up, up[1:], strict=False):
-            for index in range(min(a.last, b.last), max(a.at, b.at), -1):
-                if a.term(index) == b.term(index):
-                    low = max(a.at, b.at)
-                    assert a.between(low + 1, index) == b.between(low + 1, index), "logs do not match"
+            for index in range(min(a.last_index, b.last_index), max(a.snapshot_index, b.snapshot_index), -1):
+                if a.term_at(index) == b.term_at(index):
+                    low = max(a.snapshot_index, b.snapshot_index)
+                    assert a.slice(low + 1, index) == b.slice(low + 1, index), "logs do not match"
                     break
 
 
@@ -152,6 +155,17 @@
     while raft.role is not Role.LEADER:
         raft.tick()
         ready = raft.ready()
-        for m in [*ready.messages, *ready.after]:
-            if m.kind in ("pre-vote", "vote"):
-                raft.step(Message(m.kind + "-answer", m.to, raft.name, m.term, ok=True))
+        for m in [*ready.messages, *ready.messages_after_persist]:
+            if isinstance(m, PreVote):
+                raft.step(PreVoteResponse(m.to, raft.name, m.term, granted=True))
+            elif isinstance(m, RequestVote):
+                raft.step(RequestVoteResponse(m.to, raft.name, m.term, granted=True))
+
+
+def accepted(raft: Raft, membership: Membership) -> bool:
+    """Proposes a membership; whether it is taken."""
+    try:
+        raft.change_membership(membership)
+    except (MembershipChangeError, NotLeaderError):
+        return False
+    return True
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from agreed_document import document
-from agreed_group import DeduplicationScope, on_group
+from agreed_group import Group, on_group
 
 from pebblehinge.agreed.state import State
 from pebblehinge.agreed.state import command as packed
@@ -63,14 +63,14 @@
 def test_nothing_of_a_term_outlives_it_even_where_the_same_instance_leads_the_next() -> None:
     """Between its election and its first look a leader knows nothing of the leases that others granted meanwhile."""
 
-    async def script(g: DeduplicationScope) -> None:
+    async def script(g: Group) -> None:
         leader = g.leader()
         granting, raft = leader.granting, leader.node.raft
         waiting, later = Conn(), Conn()
         granting.renewals.begin_round(g.clock())  # one that will not be over in this term
         granting.renewed(waiting, 1, "h1", 1, 1, 0, "")
         assert granting.leads and waiting.grants == []
-        raft.term += 1  # it lost the lead and has it again, within a tick
+        raft.state.current_term += 1  # it lost the lead and has it again, within a tick
         granting.renewed(later, 2, "h2", 1, 1, 0, "")
         assert later.grants == [(2, 0.0, 0, "", 0, "", {}, "")]
         was = granting.leases
@@ -78,13 +78,13 @@
         assert granting.leases is not was and granting.leases.elected_ms == g.clock()
         assert waiting.grants == [(1, 0.0, 0, "", 0, "", {}, "")]
         assert not granting.renewals.waiting and not granting.renewals.asked  # answered once, and not again
-        raft.term -= 1
+        raft.state.current_term -= 1
 
     on_group(script)
 
 
 def test_a_lease_is_for_heads_alone_whose_word_for_what_is_to_come_is_in_the_log() -> None:
-    async def script(g: DeduplicationScope) -> None:
+    async def script(g: Group) -> None:
         granting = g.leader().granting
 
         async def lease(head: str, acknowledges: int) -> float:
