--- /dev/null
+++ b/tests/compatibility/exchange.py
@@ -0,0 +1,170 @@
+"""A group of four Raft members that exchange messages in a fixed order: all bytes sent, and one member's folder.
+
+Elections, proposals of every command, a leader that is cut off and whose last entry is replaced, a snapshot for a new
+learner, a linearizable read and a transfer of leadership. No clock; chance comes from fixed seeds.
+"""
+
+from __future__ import annotations
+
+import random
+from pathlib import Path
+
+import msgspec
+
+from pebblehinge.agreed.state import State, command
+from pebblehinge.raft import Entry, Membership, Raft
+from pebblehinge.raft.node import decode_message
+from pebblehinge.raft.storage import Storage, first_members, identify
+from pebblehinge.store.disk import RealDisk
+
+VERSION = """\
+profile look {{
+    importance 1
+    expected 400ms
+    patience 2s
+    repeat redoable
+}}
+plan capped {{
+    rate 5/s
+    limit {limit}/s
+    burst 20
+}}
+volume v {{
+    plan capped
+    heads 2
+    through h1 h2
+}}
+head h1 {{
+    listen 127.0.0.1:7001
+}}
+head h2 {{
+    listen 127.0.0.1:7002
+}}
+"""
+
+
+def version(limit: int) -> str:
+    """The text of one version of the configuration."""
+    return VERSION.format(limit=limit)
+
+
+class Member:
+    """One member: its core, its folder and its state machine."""
+
+    def __init__(self, name: str, folder: Path) -> None:
+        disk = RealDisk(folder)
+        identify(disk, "porto", name, True)
+        self.storage = Storage(disk)
+        snapshot = first_members(["a", "b", "c"])
+        self.raft = Raft(name, snapshot, [], 0, None, random.Random(f"exchange/{name}"))
+        self.state = State()
+        self.reads: list[tuple[int, int]] = []
+
+    def apply(self, entry: Entry) -> None:
+        self.state.apply(entry)
+        self.raft.applied(entry.index)
+
+    def compact(self) -> None:
+        snapshot = self.raft.snapshot_taken(self.state.dump(), self.raft.applied_to)
+        assert snapshot is not None
+        self.storage.store(None, None, [], snapshot)
+
+
+class Exchange:
+    """The members and the messages between them, delivered first in, first out."""
+
+    def __init__(self, folder: Path) -> None:
+        self.members = {name: Member(name, folder / name) for name in "abcd"}
+        self.sent: list[bytes] = []
+        self.queue: list[bytes] = []
+        self.isolated = ""
+
+    def settle(self) -> None:
+        """Carries out what the members want until they want nothing more."""
+        while True:
+            for member in self.members.values():
+                self._work(member)
+            if not self.queue:
+                return
+            message = decode_message(self.queue.pop(0))
+            if self.isolated not in (message.source, message.to):
+                self.members[message.to].raft.step(message)
+
+    def _work(self, member: Member) -> None:
+        while ready := member.raft.ready():
+            if ready.hard_state or ready.cut or ready.entries or ready.snapshot:
+                member.storage.store(ready.hard_state, ready.cut, ready.entries, ready.snapshot)
+                member.raft.stored(member.raft.log.last)
+            if ready.restored is not None:
+                member.state = State.restore(ready.restored.data)
+                member.raft.applied(ready.restored.index)
+            for entry in ready.committed:
+                member.apply(entry)
+            member.reads += ready.reads
+            for message in (*ready.messages, *ready.after):
+                data = msgspec.msgpack.encode(message)
+                self.sent.append(data)
+                self.queue.append(data)
+
+    def tick(self, names: str, count: int) -> None:
+        for _ in range(count):
+            for name in names:
+                self.members[name].raft.tick()
+            self.settle()
+
+    def propose(self, name: str, serial: int, *parts: object) -> None:
+        assert self.members[name].raft.propose(command(*parts), "operator", serial) is not None
+        self.settle()
+
+
+def play(folder: Path) -> Exchange:
+    """The whole exchange."""
+    group = Exchange(folder)
+    leader = group.members["a"]
+    group.tick("a", 20)
+    for serial, parts in enumerate((
+        ("propose", 0, version(100), "ana", "first"), ("acknowledge", "h1", 1), ("taken_up", {"h2": 1}),
+        ("activate", 1, {}, 3), ("propose", 1, version(60), "rui", "second"), ("acknowledge", "h1", 2),
+        ("refuse", 2, "h2: no"), ("propose", 2, version(80), "rui", ""), ("taken_up", {"h1": 3, "h3": 1}),
+        ("activate", 3, {"v": (10.0, 4.5)}, 9), ("activate", 3, {"v": (10.0, 4.5)}, 10), ("forget", "h9"),
+        ("propose", 0, version(1), "x", ""), ("propose", 3, "nonsense", "x", ""), ("acknowledge", "h1", 77),
+        ("activate", 9, {}, 11), ("refuse", 3, "late"),
+    ), 1):  # fmt: skip
+        group.propose("a", serial, *parts)
+    leader.compact()
+    assert leader.raft.read(7)
+    group.settle()
+    group.isolated = "a"
+    assert leader.raft.propose(command("forget", "h1"), "lost", 1) is not None
+    group.settle()
+    group.tick("bc", 30)
+    group.isolated = ""
+    group.tick("bc", 4)
+    new = next(n for n in "bc" if group.members[n].raft.leader == n)
+    group.propose(new, 18, "forget", "h3")
+    group.members[new].compact()
+    assert group.members[new].raft.change(Membership(("a", "b", "c"), ("d",))) is None
+    group.settle()
+    group.tick(new, 4)
+    assert group.members[new].raft.transfer("a") is None
+    group.settle()
+    leader.storage = Storage(leader.storage.disk)  # as after a restart: a new segment
+    group.propose("a", 19, "propose", 3, version(90), "ana", "after the transfer")
+    return group
+
+
+def one_of_each() -> list[tuple[object, ...]]:
+    """Messages of each kind by place, with every value that it may hold."""
+    entries = (Entry(3, 8, 1, b"\x01\xff", "s", 4), Entry(3, 9, 0))
+    members = Membership(("a", "b"), ("c",))
+    return [
+        ("vote", "a", "b", 4, 17, 3, 0, False, 1),
+        ("vote-answer", "b", "a", 4, 0, 0, 0, True),
+        ("pre-vote", "a", "b", 4, 17, 3, 0, False, 0),
+        ("pre-vote-answer", "b", "a", 4, 0, 0, 0, True),
+        ("append", "a", "b", 4, 7, 3, 6, False, 0, entries, 0, b"", None, 12),
+        ("append-answer", "b", "a", 4, 9, 3, 0, True, 5, (), 0, b"", None, 12),
+        ("snapshot", "a", "b", 4, 9, 3, 9, False, 70_000, (), 65_536, b"piece", members, 0),
+        ("snapshot-answer", "b", "a", 4, 9, 0, 0, False, 0, (), 65_536),
+        ("timeout", "a", "b", 4),
+    ]
--- /dev/null
+++ b/tests/compatibility/write_fixtures.py
@@ -0,0 +1,131 @@
+"""Writes the fixtures of this folder. It ran once, on commit 6837705; the tests read what it wrote, for good.
+
+PYTHONPATH=<checkout> python tests/compatibility/write_fixtures.py
+"""
+
+from __future__ import annotations
+
+import shutil
+import tempfile
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from exchange import one_of_each, play, version
+from plain import FIXTURES, plain, save
+from samples import FRAMES, JOURNAL, KEPT, MEMORY, ROWS, learned, rebuilt
+
+from pebblehinge.agreed.taking import KeptVersion, Taking
+from pebblehinge.capture.files import CaptureWriter, parse_capture
+from pebblehinge.raft import Message
+from pebblehinge.raft.storage import Storage
+from pebblehinge.settings import load
+from pebblehinge.store import memory
+from pebblehinge.store.disk import RealDisk
+from pebblehinge.store.journal import Barrier, Done, Journal, Write
+from pebblehinge.wire import Frames, Kind, Session, WireError, encode
+
+ROOT = Path(__file__).parent.parent.parent
+
+
+def refusal(kind: int, *values: Any) -> str:
+    """What a peer is told of a frame with these values."""
+    frames = Frames(1 << 20)
+    frames.feed(encode(Kind(kind), *values))
+    try:
+        frames.next()
+    except WireError as error:
+        return str(error)
+    raise AssertionError(f"kind {kind} takes {values}")
+
+
+def write_frames() -> None:
+    rows = []
+    for number, values in FRAMES:
+        rows.append({"kind": number, "values": plain(values), "bytes": encode(Kind(number), *values).hex(),
+                     "refused": refusal(number, *([None] * len(values)))})  # fmt: skip
+    assert sorted({row["kind"] for row in rows}) == sorted(Kind)
+    session = Session("head", "h1", 4096, 8, greets=False)
+    session.feed(encode(Kind.PING, 1))
+    try:
+        session.next()
+    except WireError as error:
+        early = str(error)
+    opening = Session("client", "c-1", 1 << 20, 64, greets=True).opening().hex()
+    save("frames", {"frames": rows, "opening": opening, "before_greeting": early})
+
+
+def write_group() -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        group = play(Path(folder))
+        shutil.copytree(Path(folder) / "a", FIXTURES / "member")
+    kinds = [{"values": plain(row), "bytes": msgspec.msgpack.encode(Message(*row)).hex()} for row in one_of_each()]
+    storage = Storage(RealDisk(FIXTURES / "member"))
+    member = group.members["a"]
+    save("raft", {
+        "sent": [data.hex() for data in group.sent], "kinds": kinds, "term": storage.term, "vote": storage.vote,
+        "snapshot": plain(storage.snapshot), "entries": plain(storage.entries),
+        "state": member.state.dump().hex(), "reads": plain(member.reads),
+    })  # fmt: skip
+
+
+def write_head() -> None:
+    folder = FIXTURES / "journal"
+    journal = Journal(RealDisk(folder), segment=600)
+    for batch_rows in JOURNAL:
+        records = [{"w": Write, "b": Barrier, "d": Done}[row[0]](*row[1:]) for row in batch_rows]
+        batch = journal.add(records)
+        journal.disk.append(batch.name, batch.data)
+        journal.disk.sync(batch.name)
+        journal.synced(batch)
+    journal.disk.append(batch.name, b"\xc5PB\x9e\0\0")  # the tail that a power cut left
+    with tempfile.TemporaryDirectory() as copy:
+        shutil.copytree(folder, copy, dirs_exist_ok=True)
+        again = Journal(RealDisk(copy), segment=600)
+        again.begin()
+    save("journal", {
+        "batches": plain(JOURNAL), "writes": plain(again.writes), "barriers": plain(again.barriers),
+        "number": again.number, "segment": again.segment, "cut": again.cut, "where": plain(again.where),
+        "files": sorted(p.name for p in folder.iterdir()),
+    })  # fmt: skip
+
+    config = load(str(ROOT / "examples" / "head.conf"))
+    mark = memory.mark_of(config.module_settings(config.head["h1"]))
+    head = learned(config)
+    kept = memory.Kept("h1", mark, *MEMORY, head.remembered(5_000.0))
+    (FIXTURES / "memory").write_bytes(memory.packed(kept))
+    read = memory.read(memory.packed(kept))
+    later = rebuilt(config, read.state)
+    save("memory", {"values": plain(read), "settings": mark, "later": plain(later.remembered(9_000.0))})
+
+    held = KeptVersion(*KEPT)
+    (FIXTURES / "kept_version").write_bytes(msgspec.msgpack.encode(held))
+    taking = Taking.restore("h1", 0.2, msgspec.msgpack.encode(held))
+    acts, mode = taking.config(0.0)
+    assert acts is not None
+    save("kept_version", {"values": plain(held), "mode": mode, "acknowledges": taking.acknowledges,
+                          "acts_on": plain(acts.plan), "texts": [version(100), version(80)]})  # fmt: skip
+
+
+def write_capture() -> None:
+    with open(FIXTURES / "capture", "wb") as file:
+        writer = CaptureWriter(file.write, "h1", 1_700_000_000_000.0, 1000.0)
+        for row in ROWS:
+            writer.add(*row)
+        writer.flush()
+    found = parse_capture((FIXTURES / "capture").read_bytes())
+    save("capture", {"head": found.head, "wall_ms": found.wall_ms, "clock_ms": found.clock_ms, "cut": found.cut,
+                     "rows": plain(found.rows), "given": plain(ROWS)})  # fmt: skip
+
+
+def main() -> None:
+    shutil.rmtree(FIXTURES, ignore_errors=True)
+    FIXTURES.mkdir()
+    write_frames()
+    write_group()
+    write_head()
+    write_capture()
+
+
+if __name__ == "__main__":
+    main()
