--- /dev/null
+++ b/tests/compatibility/test_decisions.py
@@ -0,0 +1,75 @@
+"""The module decides as commit 6837705 did: a few of the runs that benchmarks/same_decisions.py compares."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass, replace
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import drawn
+import pytest
+from same_decisions import RULES, by_rule, compare, digests, lines_of, valued
+
+from pebblehinge.interface import Answer, Final, Outcome, Trip
+
+SAVED = json.loads((Path(__file__).parent / "decisions.json").read_text())
+RUNS = 3 * len(RULES)
+
+
+def lines(runs: int) -> list[str]:
+    return [" ".join(map(str, row)) for row in digests(runs)]
+
+
+def test_decisions_are_those_of_before() -> None:
+    assert [len(SAVED[rule]) for rule in RULES] == [250] * len(RULES)
+    assert lines(RUNS) == lines_of(SAVED, RUNS)
+
+
+def test_another_figure_in_the_settings_is_seen(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    config = drawn.loads(drawn.TEXT.replace("importance 2", "importance 2.0001"))
+    assert config != drawn.CONFIG
+    monkeypatch.setattr(drawn, "CONFIG", config)
+    here = lines(RUNS)
+    assert compare(here, lines_of(SAVED, RUNS)) == 1
+    assert "differ" in capsys.readouterr().out
+    assert lines_of(by_rule(here), RUNS) == here
+
+
+def test_any_changed_value_changes_what_is_digested() -> None:
+    trip = Trip("s1", 100.0, 50.0)
+    for other in (Trip("s2", 100.0, 50.0), Trip("s1", 100.5, 50.0), Trip("s1", 100.0, 50.5)):
+        assert valued(other) != valued(trip)
+    answer = Answer(Final.PUSHED_BACK, 2.0, "why")
+    for other in (Answer(Final.TERMINATED, 2.0, "why"), replace(answer, stay_away_ms=3.0), replace(answer, why="")):
+        assert valued(other) != valued(answer)
+    assert len({repr(valued(outcome)) for outcome in Outcome}) == len(Outcome)
+    assert valued({"a": 1, "b": 2}) != valued({"b": 2, "a": 1})
+
+
+def test_names_do_not_count() -> None:
+    class Colour(Enum):
+        RED = "red"
+        BLUE = "blue"
+
+    class Farbe(Enum):
+        ROT = "rot"
+        BLAU = "blau"
+
+    @dataclass
+    class Here:
+        first: float
+        second: Any
+
+    @dataclass
+    class There:
+        one: float
+        two: Any
+
+    assert valued(Here(1.0, [Colour.BLUE])) == valued(There(1.0, (Farbe.BLAU,)))
+    assert valued(Here(1.0, Colour.BLUE)) != valued(There(1.0, Farbe.ROT))
+    with pytest.raises(TypeError):
+        valued(object())
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -11,7 +11,9 @@
 from typing import Any
 
 import msgspec
+from conversations import answered, asked, bad_lines, simulated
 from exchange import one_of_each, play, version
+from http_requests import configurations, outcome, refusal, requests
 from plain import FIXTURES, plain, save
 from samples import FRAMES, JOURNAL, KEPT, MEMORY, ROWS, learned, rebuilt
 
@@ -28,7 +30,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def refusal(kind: int, *values: Any) -> str:
+def refused_frame(kind: int, *values: Any) -> str:
     """What a peer is told of a frame with these values."""
     frames = Frames(1 << 20)
     frames.feed(encode(Kind(kind), *values))
@@ -43,7 +45,7 @@
     rows = []
     for number, values in FRAMES:
         rows.append({"kind": number, "values": plain(values), "bytes": encode(Kind(number), *values).hex(),
-                     "refused": refusal(number, *([None] * len(values)))})  # fmt: skip
+                     "refused": refused_frame(number, *([None] * len(values)))})  # fmt: skip
     assert sorted({row["kind"] for row in rows}) == sorted(Kind)
     session = Session("head", "h1", 4096, 8, greets=False)
     session.feed(encode(Kind.PING, 1))
@@ -118,6 +120,15 @@
                      "rows": plain(found.rows), "given": plain(ROWS)})  # fmt: skip
 
 
+def write_conversations() -> None:
+    lines = simulated(5)
+    save("simulated", {"lines": lines, "answered": answered(lines).splitlines(),
+                       "refused": [answered(bad).splitlines() for bad in bad_lines()]})  # fmt: skip
+    save("operators", asked())
+    save("requests", {"outcomes": [outcome(data) for data in requests()],
+                      "configurations": [refusal(data) for data in configurations()]})  # fmt: skip
+
+
 def main() -> None:
     shutil.rmtree(FIXTURES, ignore_errors=True)
     FIXTURES.mkdir()
@@ -125,6 +136,7 @@
     write_group()
     write_head()
     write_capture()
+    write_conversations()
 
 
 if __name__ == "__main__":
