--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -3,7 +3,8 @@
     python benchmarks/decision_cost.py [--against ../other-checkout]
 
 The module alone, with calls and no sockets. Times are of this machine and this hour; the ratios are what counts. With
---against only the way of an access is timed, in turn with another checkout's module, a process each time.
+--against only the way of an access is timed, in turn with another checkout's module, a process each time;
+each checkout runs its own copy of this script, so that their names may differ.
 """
 
 from __future__ import annotations
@@ -159,12 +160,14 @@
 def against(other: Path) -> None:
     """Pairs of runs, turn and turn about; the ratio of each pair, the median of all."""
     both = (Path(__file__).resolve().parent.parent, other.resolve())
+    scripts = {checkout: next(checkout.glob("benchmarks/**/decision_cost.py")) for checkout in both}
     rows: list[tuple[float, ...]] = []
     for n in range(15):
         pair = {}
         for checkout in both if n % 2 else both[::-1]:
             env = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONDONTWRITEBYTECODE": "1"}
-            done = subprocess.run([sys.executable, "-P", __file__, "--way"], env=env, capture_output=True, check=True)
+            command = [sys.executable, "-P", str(scripts[checkout]), "--way"]
+            done = subprocess.run(command, env=env, capture_output=True, check=True)
             pair[checkout] = float(done.stdout)
         rows.append(tuple(pair[checkout] for checkout in both))
     ratios = sorted(a / b for a, b in rows)
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -29,6 +29,7 @@
 from pebblehinge.net import parse_address
 from pebblehinge.wire import Session
 
+HERE = Path(__file__).resolve().parent.parent
 HZ = os.sysconf("SC_CLK_TCK")
 
 
@@ -45,7 +46,7 @@
     loop.run_forever()
 
 
-@main.command()
+@main.command(name="shelfs")
 @click.argument("count", type=int)
 @click.argument("loopback")
 @click.argument("size", type=int)
@@ -68,7 +69,7 @@
     serve(make)
 
 
-@main.command()
+@main.command(name="head")  # the words are fixed: another checkout's script may be called by them
 @click.argument("what", type=click.Choice(["real", "pass"]))
 @click.argument("count", type=int)
 @click.argument("loopback")
@@ -100,19 +101,21 @@
 
 
 class Heads:
-    """The processes of one measurement."""
+    """The processes of one measurement; the head may be another checkout's."""
 
-    def __init__(self, what: str, count: int, size: int, number: int) -> None:
+    def __init__(self, what: str, count: int, size: int, number: int, checkout: Path = HERE) -> None:
         self.loopback = f"127.{210 + number % 40}.{os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"
         self.count = count
-        self.processes = [self._start("shelfs", str(count), self.loopback, str(size))]
-        self.processes.append(self._start("head", what, str(count), self.loopback))
+        self.processes = [self._start(HERE, "shelfs", str(count), self.loopback, str(size))]
+        self.processes.append(self._start(checkout, "head", what, str(count), self.loopback))
         self.pid = self.processes[1].pid
         self.address = settings(count, self.loopback).head["h1"].listen
 
     @staticmethod
-    def _start(*words: str) -> subprocess.Popen[bytes]:
-        process = subprocess.Popen([sys.executable, __file__, *words], stdout=subprocess.PIPE)
+    def _start(checkout: Path, *words: str) -> subprocess.Popen[bytes]:
+        script = next(checkout.glob("benchmarks/**/head_cost.py"))
+        env = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONDONTWRITEBYTECODE": "1"}
+        process = subprocess.Popen([sys.executable, str(script), *words], stdout=subprocess.PIPE, env=env)
         assert process.stdout is not None
         assert process.stdout.readline() == b"ready\n", words
         return process
