--- a/tests/compatibility/plain.py
+++ b/tests/compatibility/plain.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 from enum import Enum
 from pathlib import Path
 from typing import Any
@@ -12,13 +13,15 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON: structs are arrays of their values, bytes are `{"hex": ...}`, keys are strings."""
+    """A value as JSON: structs and dataclasses are arrays, bytes are `{"hex": ...}`, keys are strings."""
     if isinstance(value, bytes | bytearray | memoryview):
         return {"hex": bytes(value).hex()}
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, msgspec.Struct):
         return [plain(part) for part in msgspec.structs.astuple(value)]
+    if dataclasses.is_dataclass(value):
+        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, dict):
         return {str(plain(key)): plain(part) for key, part in value.items()}
     if isinstance(value, list | tuple):
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -15,6 +15,7 @@
 from exchange import one_of_each, play, version
 from http_requests import configurations, outcome, refusal, requests
 from plain import FIXTURES, plain, save
+from recorded import facts, judged, played
 from samples import FRAMES, JOURNAL, KEPT, MEMORY, ROWS, learned, rebuilt
 
 from pebblehinge.agreed.taking import KeptVersion, Taking
@@ -129,6 +130,12 @@
                       "configurations": [refusal(data) for data in configurations()]})  # fmt: skip
 
 
+def write_records() -> None:
+    status, printed = played(FIXTURES / "records")
+    save("records", {"played": [status, printed], "judged": list(judged(FIXTURES / "records")),
+                     "facts": facts(FIXTURES / "records")})  # fmt: skip
+
+
 def main() -> None:
     shutil.rmtree(FIXTURES, ignore_errors=True)
     FIXTURES.mkdir()
@@ -137,6 +144,7 @@
     write_head()
     write_capture()
     write_conversations()
+    write_records()
 
 
 if __name__ == "__main__":
