--- a/benchmarks/unchanged.py
+++ b/benchmarks/unchanged.py
@@ -27,7 +27,7 @@
 from unchanged_live import live
 
 HERE = Path(__file__).resolve().parent.parent
-DAYS: dict[str, tuple[str, ...]] = {"quiet": (), "struck": ("--draw-faults", "4"), "silent-shelfs": ()}
+DAYS: dict[str, tuple[str, ...]] = {"struck": ("--draw-faults", "4"), "silent-shelfs": (), "rsync-tender": ()}
 SEEDS = range(1, 11)
 
 
