--- a/pebblehinge/store/memory.py
+++ b/pebblehinge/store/memory.py
@@ -16,6 +16,7 @@
 import xxhash
 
 from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.store.settings_mark import stored_text
 
 MAGIC, VERSION = b"pbhmemo\n", 1
 HEAD = struct.Struct(">8sHQ")
@@ -49,7 +50,7 @@
 
 def mark_of(settings: Any) -> str:
     """What tells one version of the settings from another, as far as the module is handed them."""
-    return xxhash.xxh3_64_hexdigest(repr(settings).encode())
+    return xxhash.xxh3_64_hexdigest(stored_text(settings).encode())
 
 
 def packed(kept: Kept) -> bytes:
--- /dev/null
+++ b/tests/compatibility/test_settings_mark.py
@@ -0,0 +1,44 @@
+"""The mark by which a memory file knows its settings, for settings of every shape."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+from drawn import COLD, CONFIG
+from plain import saved
+
+from pebblehinge.interface import Settings
+from pebblehinge.settings import Config, load
+from pebblehinge.store.memory import mark_of
+
+ROOT = Path(__file__).parent.parent.parent
+FILES = sorted([*(ROOT / "examples").glob("*.conf"), *(ROOT / "pebblehinge" / "lab" / "days").glob("*.conf")])
+
+
+def handed(config: Config) -> Settings:
+    return config.module_settings(next(iter(config.head.values())))
+
+
+def marks() -> dict[str, str]:
+    """The mark of each file's settings, and of some that are drawn from."""
+    found = {file.name: mark_of(handed(load(str(file)))) for file in FILES if load(str(file)).head}
+    drawn = handed(CONFIG)
+    found |= {"drawn": mark_of(drawn), "cold": mark_of(handed(COLD))}
+    found["no plans"] = mark_of(replace(drawn, plans=()))
+    found["one of each"] = mark_of(replace(drawn, plans=drawn.plans[:1], profiles=drawn.profiles[:1]))
+    found["no budget"] = mark_of(replace(drawn, budget_share=None))
+    return found
+
+
+def test_settings_have_the_marks_of_before() -> None:
+    assert marks() == saved("settings_marks")
+
+
+@pytest.mark.parametrize("changes", [
+    {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_recall": False}, {"profiles": ()},
+])  # fmt: skip
+def test_other_settings_have_another_mark(changes: dict[str, Any]) -> None:
+    assert mark_of(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -17,6 +17,7 @@
 from plain import FIXTURES, plain, save
 from recorded import facts, judged, played
 from samples import FRAMES, JOURNAL, KEPT, MEMORY, ROWS, learned, rebuilt
+from test_settings_mark import marks
 
 from pebblehinge.agreed.taking import KeptVersion, Taking
 from pebblehinge.capture.files import CaptureWriter, parse_capture
@@ -145,6 +146,7 @@
     write_capture()
     write_conversations()
     write_records()
+    save("settings_marks", marks())
 
 
 if __name__ == "__main__":
