--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -3,7 +3,8 @@
     python benchmarks/decision_cost.py [--against ../other-checkout]
 
 The module alone, with calls and no sockets. Times are of this machine and this hour; the ratios are what counts. With
---against only the way of a request is timed, in turn with another checkout's module, a process each time.
+--against only the way of a request is timed, in turn with another checkout's module, a process each time;
+each checkout runs its own copy of this script, so that their names may differ.
 """
 
 from __future__ import annotations
@@ -34,28 +35,12 @@
 )
 
 SETTINGS = Settings(
-    request_classes=(
-        RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),
-    ),
-    quota_plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
-    mean_units=2.0,
-    most_units=6.0,
-    share_value=0.3,
-    excess_value=0.1,
-    asks_for_list=False,
-    marks_repeats=False,
-    may_cancel=True,
-    stay_away_max_ms=500.0,
-    try_limit=3,
-    step_ms=1.0,
-    cold_share=0.3,
-    warm_ms=10_000.0,
-    fall_multiple=2.0,
-    order_settle_ms=0.0,
-    budget_share=None,
-    budget_free=0.0,
-    budget_window_ms=5_000.0,
-)
+    profiles=(RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),),
+    plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
+    mean_units=2.0, most_units=6.0, share_value=0.3, excess_value=0.1, asks_for_list=False, marks_repeats=False,
+    may_cancel=True, stay_away_max_ms=500.0, try_limit=3, step_ms=1.0, cold_share=0.3, warm_ms=10_000.0,
+    fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0, budget_window_ms=5_000.0,
+)  # fmt: skip
 ROUNDS = 2_000
 
 
@@ -185,20 +170,20 @@
 def against(other: Path) -> None:
     """Pairs of runs, turn and turn about; the ratio of each pair, the median of all."""
     both = (Path(__file__).resolve().parent.parent, other.resolve())
+    scripts = {checkout: next(checkout.glob("benchmarks/**/decision_cost.py")) for checkout in both}
     rows: list[tuple[float, ...]] = []
     for n in range(15):
         pair = {}
         for checkout in both if n % 2 else both[::-1]:
             env = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONDONTWRITEBYTECODE": "1"}
-            done = subprocess.run([sys.executable, "-P", __file__, "--way"], env=env, capture_output=True, check=True)
+            command = [sys.executable, "-P", str(scripts[checkout]), "--way"]
+            done = subprocess.run(command, env=env, capture_output=True, check=True)
             pair[checkout] = float(done.stdout)
         rows.append(tuple(pair[checkout] for checkout in both))
     ratios = sorted(a / b for a, b in rows)
     here, there = (statistics.median(column) for column in zip(*rows, strict=True))
-    print(
-        f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
-        f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}"
-    )
+    print(f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
+          f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")  # fmt: skip
 
 
 def main() -> None:
@@ -214,11 +199,9 @@
         return
     print("| | 40 shelfs, us | 400 shelfs, us | ratio | p99 40 | p99 400 |\n| --- | --- | --- | --- | --- | --- |")
     for what, call in (
-        ("a slot frees, 10 held", lambda n: freed(n, 10)),
-        ("a slot frees, 100 held", lambda n: freed(n, 100)),
-        ("one entry of the list changes", changed),
-        ("a new object is placed", picked),
-    ):
+        ("a slot frees, 10 held", lambda n: freed(n, 10)), ("a slot frees, 100 held", lambda n: freed(n, 100)),
+        ("one entry of the list changes", changed), ("a new object is placed", picked),
+    ):  # fmt: skip
         rows = [call(n) for n in (40, 400, 40, 400, 40, 400)]
         few, many = min(rows[0::2]), min(rows[1::2])
         print(f"| {what} | {few[0]:.1f} | {many[0]:.1f} | {many[0] / few[0]:.2f} | {few[1]:.1f} | {many[1]:.1f} |")
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -38,17 +38,17 @@
         """Each shelf with its health as this head sees it, and why."""
         module, found = self.head.core.module.shelfs, []
         for s, name in enumerate(module.names):
-            cold = module.cold_ms[s] is not None and now - module.cold_ms[s] < module.given.cfg.warm_ms
+            cold = module.slow_start_ms[s] is not None and now - module.slow_start_ms[s] < module.given.cfg.warm_ms
             if not module.ready[s]:
                 health, why = "away", "not ready in the list"
-            elif module.dead[s]:
+            elif module.unreachable[s]:
                 health, why = "down", "connections fail; one careful trip at a time"
-            elif module.down(s, now):
-                health, why = "down", f"{module.lost[s]} trips lost in a row, or silent with trips out"
+            elif module.is_down(s, now):
+                health, why = "down", f"{module.consecutive_losses[s]} trips lost in a row, or silent with trips out"
             elif cold:
-                health, why = "cold", f"{(now - module.cold_ms[s]) / 1000:.1f} s since its start"
-            elif module.bound[s] < CONCURRENCY_LIMIT:
-                health, why = "slow", f"trips take long: {module.bound[s]} at a time"
+                health, why = "cold", f"{(now - module.slow_start_ms[s]) / 1000:.1f} s since its start"
+            elif module.concurrency_limit[s] < CONCURRENCY_LIMIT:
+                health, why = "slow", f"trips take long: {module.concurrency_limit[s]} at a time"
             else:
                 health, why = "well", ""
             found.append(
@@ -57,8 +57,8 @@
                     "slot": module.slots[s],
                     "health": health,
                     "why": why,
-                    "held": len(module.held[s]),
-                    "out": len(module.away[s]),
+                    "held": len(module.queued[s]),
+                    "out": len(module.in_flight[s]),
                     "mean_ms": round(module.mean(s, now), 1),
                 }
             )
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -9,7 +9,7 @@
 import asyncio
 from typing import Any
 
-from pebblehinge.http1.messages import ResponseStream
+from pebblehinge.rsync.stream import Stream
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
@@ -53,15 +53,15 @@
     pass
 
 
-def stream_of(data: bytes, framed: bool = False) -> ResponseStream:
-    stream = ResponseStream(_never, lambda out: None, _at_once, _at_once)
+def stream_of(data: bytes, framed: bool = False) -> Stream:
+    stream = Stream(_never, lambda out: None, _at_once, _at_once)
     stream.feed(data)
     stream.end()
     stream.mux_in = framed
     return stream
 
 
-async def _numbers(stream: ResponseStream) -> None:
+async def _numbers(stream: Stream) -> None:
     index = IndexIn(31)
     while True:
         await read_varint(stream)
@@ -72,7 +72,7 @@
         await index(stream)
 
 
-async def _tokens(stream: ResponseStream, tokens: Any) -> None:
+async def _tokens(stream: Stream, tokens: Any) -> None:
     given = 0
     while (token := await tokens.next(stream)) is not None and given < CONCURRENCY_LIMIT:
         if isinstance(token, bytes):
@@ -82,14 +82,14 @@
             given += 4096  # a run stands for many: who takes them stops somewhere
 
 
-async def _sums(stream: ResponseStream, rest: bytes) -> None:
+async def _sums(stream: Stream, rest: bytes) -> None:
     digest = Digest("xxh64", 7, 31, True)
     search = Search(await read_sums(stream, digest), digest)
     given = sum(len(t) if isinstance(t, bytes) else 0 for t in (*search.feed(rest), *search.end()))
     assert given <= len(rest)
 
 
-async def _list(stream: ResponseStream, shape: Shape) -> None:
+async def _list(stream: Stream, shape: Shape) -> None:
     arranged(shape.version, await ListIn(shape, 1000).read(stream))
 
 
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, one, stream_of
 
-from pebblehinge.http1.messages import ResponseStream
+from pebblehinge.rsync.stream import Stream
 from pebblehinge.rsync.digests import login, login_digest
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
 from pebblehinge.rsync.greeting import chosen, hello, read_hello
@@ -50,7 +50,7 @@
 
 def test_frames() -> None:
     sent: list[bytes] = []
-    stream = ResponseStream(None, sent.append, None, None)  # type: ignore[arg-type]
+    stream = Stream(None, sent.append, None, None)  # type: ignore[arg-type]
     stream.start_frames_out()
     stream.put(b"abc")
     stream.message(ERROR_XFER, b"no\n")
