--- a/benchmarks/caps_service.py
+++ b/benchmarks/caps_service.py
@@ -31,8 +31,8 @@
     Cap(
         "trips of a head at a shelf",
         "pebblehinge/decide/node_health.py",
-        "BOUND = ",
-        constant("pebblehinge.decide.node_health", "BOUND"),
+        "CONCURRENCY_LIMIT = ",
+        constant("pebblehinge.decide.node_health", "CONCURRENCY_LIMIT"),
         "trips",
         "out at one shelf",
         None,
--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -14,8 +14,8 @@
 
 from decisions_fleet import HEADS, REQUESTS_S, SHELFS
 
+from pebblehinge.service.connection_pools import IDLE_PART
 from pebblehinge.service.server import OWN_SOCKETS, SHELF_PART
-from pebblehinge.service.shelfs import IDLE_PART
 
 IDLE_S = (5.0, 30.0)  # after which a shelf may close an idle connection: short, and that of the settings in tests
 ATTEMPT_S = 0.015
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -116,8 +116,8 @@
             raise Refusal(why)
         if pending.op not in (READ, WRITE, APPEND) or pending.offset < 0 or not 0 <= pending.length <= limits.frame:
             raise Refusal("no read or write of such a place")
-        if self.open >= limits.requests:
-            raise Refusal(f"{limits.requests} accesses are open here already")
+        if self.open >= limits.accesses:
+            raise Refusal(f"{limits.accesses} accesses are open here already")
         if self.bytes + len(pending.data) > limits.bytes:
             raise Refusal(f"{limits.bytes} bytes of accesses are held here already")
         return volume.plan, volume.heads
--- a/pebblehinge/head/door.py
+++ b/pebblehinge/head/door.py
@@ -26,7 +26,7 @@
         self.config: Config = server.config
         block = self.config.rsync
         self.rng = random.Random(f"{server.block.seed}/{server.name}/door")
-        self.sharing = Sharing(block.requests, block.each)
+        self.sharing = Sharing(block.accesses, block.each)
         self.turns = Turns(self.loop, self.clock, self.sharing)
         self.keeping = Keeping(block.parts, block.parts_for)
         self.places: dict[str, Place] = {}
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -67,7 +67,7 @@
         if final == SUCCEEDED:
             self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
         self.note(now, "answer", id=pending.trace, final=FINALS[final], stay=stay_ms)
-        if self.config.log.requests:
+        if self.config.log.accesses:
             took = round(now - pending.came_ms, 3)
             self.log.info("answer", id=pending.trace, final=FINALS[final], ms=took, reason=reason)
         if self.core.stopping and not self.core.open:
@@ -75,7 +75,7 @@
 
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         link = self.links[shelf]
-        if self.config.log.requests:
+        if self.config.log.accesses:
             self.log.info("trip", id=pending.trace, n=attempt, shelf=shelf)
         link.send(pending, attempt, until_ms, self.now)
 
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -100,7 +100,7 @@
         config,
         day={"trial": DayBlock(length=length, settle=2_500.0, at=at)},
         load=msgspec.structs.replace(config.load, processes=1),
-        log=msgspec.structs.replace(config.log, requests=False),
+        log=msgspec.structs.replace(config.log, accesses=False),
     )
     if trial.shelfs is None and world.speeds:
         config = as_fitted(config, world.speeds)
--- a/pebblehinge/plan/limits.py
+++ b/pebblehinge/plan/limits.py
@@ -64,8 +64,8 @@
         Limit(
             "accesses",
             "a head",
-            config.limits.requests / max(1e-9, busy),
-            f"{busy:.0f} accesses open at a head, {config.limits.requests} allowed",
+            config.limits.accesses / max(1e-9, busy),
+            f"{busy:.0f} accesses open at a head, {config.limits.accesses} allowed",
         )
     )
     rho = estimate(demand, config, slots).rho.max(axis=1)
--- a/pebblehinge/service/shelfs.py
+++ b/pebblehinge/service/connection_pools.py
@@ -31,7 +31,7 @@
     def wanted(self, pending: PendingRequest) -> bool: ...
 
 
-class Shelfs:
+class ConnectionPools:
     """All shelfs of the list."""
 
     def __init__(self, owner: Owner, idle_ms: float, connect_ms: float, most: int) -> None:
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -15,13 +15,13 @@
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
 from pebblehinge.service.config import ServiceConfig, load_config
+from pebblehinge.service.connection_pools import ConnectionPools
 from pebblehinge.service.discovery import Watch
 from pebblehinge.service.door import Door
 from pebblehinge.service.lateness import Lateness
 from pebblehinge.service.life import Life
 from pebblehinge.service.listener import Listener
 from pebblehinge.service.lists import Told
-from pebblehinge.service.shelfs import Shelfs
 
 LOOK_S = 0.1  # between looks at what has stood too long
 OWN_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
@@ -54,7 +54,7 @@
         self.lines = 0
         self.lateness = Lateness(loop)
         self.door = Door(self)
-        self.shelfs = Shelfs(self, config.idle_ms, config.connect_ms, 0)
+        self.pools = ConnectionPools(self, config.idle_ms, config.connect_ms, 0)
         self.listener = Listener(self)
         self.core = RequestTable(config.settings, config.seed, self.born, self)
         rng = random.Random(config.seed ^ 0x5EED)  # the module has one of its own
@@ -80,8 +80,8 @@
 
     def limit(self) -> None:
         """How many connections clients and shelfs may hold, by the descriptors that there are."""
-        self.shelfs.most = int(self.config.sockets * SHELF_PART)
-        self.listener.most = self.config.sockets - self.shelfs.most - OWN_SOCKETS
+        self.pools.most = int(self.config.sockets * SHELF_PART)
+        self.listener.most = self.config.sockets - self.pools.most - OWN_SOCKETS
 
     # ---- life
 
@@ -104,7 +104,7 @@
         """It listens and has a list: discovery's own, or after a while the one that it was started with. With none it
         is so later: what it takes is refused with a time to return, which is more than no answer."""
         lived = self.clock() - self.born
-        if not self.listener.listens or not self.shelfs.table:
+        if not self.listener.listens or not self.pools.table:
             return self.listener.listens and lived > BLIND_MS
         return self.told or lived > KNOWN_MS
 
@@ -117,7 +117,7 @@
             return
         old, self.config = self.config, config
         self.limit()
-        self.shelfs.idle_ms, self.shelfs.connect_ms = config.idle_ms, config.connect_ms
+        self.pools.idle_ms, self.pools.connect_ms = config.idle_ms, config.connect_ms
         if config.settings != old.settings:
             self.core.adopt(self.clock(), config.settings)
         self.watch.move(config.discovery)
@@ -157,7 +157,7 @@
         self._sum()
         self.say("over", open=self.core.open)
         self.watch.stop()
-        self.shelfs.stop()
+        self.pools.stop()
         if not self.stopped.done():
             self.stopped.set_result(None)
 
@@ -169,7 +169,7 @@
             **{o.value: n for o, n in core.outcomes.items()},
             **core.reasons,
             "errors": door.refused,
-            **self.shelfs.answers,
+            **self.pools.answers,
         }
         new = {k: n - self.summed.get(k, 0) for k, n in sums.items() if n != self.summed.get(k, 0)}
         self.summed = sums
@@ -178,14 +178,14 @@
                 "passed",
                 **new,
                 open=core.open,
-                out=self.shelfs.out,
+                out=self.pools.out,
                 clients=door.count,
                 fresh=len(door.fresh),
                 idle=len(door.idle),
                 spared=door.spared,
                 unserved=door.unserved,
                 gone=door.gone,
-                shelf_connections=self.shelfs.connections,
+                shelf_connections=self.pools.connections,
                 late_ms=round(self.late_ms),
             )
 
@@ -196,13 +196,13 @@
     # ---- what the core has done
 
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
-        self.shelfs.send(pending, shelf, attempt, until_ms)
+        self.pools.send(pending, shelf, attempt, until_ms)
 
     def wanted(self, pending: PendingRequest) -> bool:
         return self.door.wanted(pending)
 
     def drop_attempt(self, pending: PendingRequest) -> None:
-        self.shelfs.drop(pending.attempt)
+        self.pools.drop(pending.attempt)
 
     def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         self.door.answer(pending, final, stay_ms, data)
@@ -233,14 +233,14 @@
 
     def _listed(self, told: Told) -> None:
         ready = {e.shelf: e.standing is Standing.READY for e in told.entries}
-        self.shelfs.listed(ready, told.addresses, told.kind is ListKind.WHOLE)
+        self.pools.listed(ready, told.addresses, told.kind is ListKind.WHOLE)
         self.core.listed(self.clock(), told.kind, told.entries)
 
     def _look(self) -> None:
         self.loop.call_later(LOOK_S, self._look)
         now = self.clock()
         self.door.look(now)
-        self.shelfs.look(now)
+        self.pools.look(now)
         self.watch.look()
 
     @property
--- a/tests/compatibility/exchange.py
+++ b/tests/compatibility/exchange.py
@@ -13,9 +13,9 @@
 
 from pebblehinge.agreed.state import State, command
 from pebblehinge.raft import Entry, Membership, Raft
+from pebblehinge.raft.entries import initial_snapshot
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.node import decode_message
-from pebblehinge.raft.entries import initial_snapshot
 from pebblehinge.raft.storage import Storage
 from pebblehinge.store.disk import RealDisk
 
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -12,6 +12,8 @@
 
 SAFE = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS, warm_ms=10.0)
 
+KEYWORDS = {"profile": "request_class", "plan": "quota_plan"}  # the settings' words: the scheduler's
+
 
 def listed(head: Scheduler, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES) -> Changes:
     return head.listed(now, kind, [Entry(name, Standing.READY, slot, started) for name, slot, started in rows])
@@ -20,14 +22,14 @@
 def take(head: Scheduler, now: float, slot: int = 0, **more: Any) -> Request:
     given: dict[str, Any] = {
         "extent": None,
-        "profile": "look",
-        "plan": "gold",
+        "request_class": "look",
+        "quota_plan": "gold",
         "volume": "v",
         "set_size": 1,
         "units": 1.0,
         "left": 3000.0,
     }
-    given |= more
+    given |= {KEYWORDS.get(key, key): value for key, value in more.items()}
     left = given.pop("left")
     return head.take(now, 1, slot=slot, deadline_ms=now + left, **given)[0]
 
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -9,7 +9,6 @@
 import asyncio
 from typing import Any
 
-from pebblehinge.rsync.stream import Stream
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.rsync.delta import Search
 from pebblehinge.rsync.digests import Digest
@@ -22,7 +21,7 @@
 from pebblehinge.rsync.options import parse
 from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import Keeping, Sharing
-from pebblehinge.rsync.stream import RsyncError
+from pebblehinge.rsync.stream import RsyncError, Stream
 from pebblehinge.rsync.sums import read_sums
 from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
 from pebblehinge.rsync.transfer import Transfer
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -30,7 +30,7 @@
 
 def at_rest(rig: Rig) -> bool:
     head, door = rig.head, rig.head.door
-    held = (head.core.open, head.core.pending, door.ids, head.shelfs.out, door.busy, door.fresh, door.idle)
+    held = (head.core.open, head.core.pending, door.ids, head.pools.out, door.busy, door.fresh, door.idle)
     return not any(held)
 
 
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -21,7 +21,7 @@
 async def dialling(rig: Rig, request: bytes, shelf: int = 0) -> tuple[Client, Gate]:
     """A client whose request waits on a connection to its shelf."""
     gate = Gate(rig.head.loop)
-    rig.head.shelfs.loop = gate  # type: ignore[assignment]
+    rig.head.pools.loop = gate  # type: ignore[assignment]
     client = await rig.client()
     client.write(request)
     await until(lambda: rig.shelfs[shelf].conns)
@@ -32,7 +32,7 @@
     gate.opens.set()
     await asyncio.sleep(0.05)
     assert not any(s.asked for s in rig.shelfs)
-    assert rig.head.shelfs.out == rig.head.shelfs.dialling == 0 and not rig.head.core.pending
+    assert rig.head.pools.out == rig.head.pools.dialling == 0 and not rig.head.core.pending
 
 
 @pytest.mark.parametrize("cancellations", [True, False])
@@ -45,7 +45,7 @@
         client.transport.abort() if how == "a reset" else client.transport.write_eof()
         await until(lambda: rig.head.core.counts["left"] == 1)
         await nothing_is_sent(rig, gate)
-        rig.head.shelfs.loop = rig.head.loop
+        rig.head.pools.loop = rig.head.loop
         assert (await rig.ask(ask())).status == 200  # the connection was kept for others
         assert len(rig.shelfs[0].conns) == 1
 
@@ -57,7 +57,7 @@
 
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask("save", 0, b"abc"))
-        rig.head.shelfs.connect_ms = 5000.0
+        rig.head.pools.connect_ms = 5000.0
         rig.head.core.leaves(rig.head.clock(), rig.head.clock() + 20.0)
         answer = await client.answer()
         assert answer.status == 502  # the module does not know that its attempt only waits
@@ -87,7 +87,7 @@
         moved = Shelf()
         await moved.start()
         rig.discovery.conns[0].tell(listing(2, entry("s0", moved.port, 0), full=False))
-        await until(lambda: rig.head.shelfs.table["s0"].address[1] == moved.port)
+        await until(lambda: rig.head.pools.table["s0"].address[1] == moved.port)
         gate.opens.set()
         assert (await client.answer()).status == 200
         assert len(moved.asked) == 1 and not rig.shelfs[0].asked
@@ -107,8 +107,8 @@
         await until(lambda: rig.head.watch.newest == 3)
         gate.opens.set()
         await client.answer()
-        idle = rig.head.shelfs.table["s0"].idle
-        assert all(conn.shelf is rig.head.shelfs.table["s0"] for conn in idle)
+        idle = rig.head.pools.table["s0"].idle
+        assert all(conn.shelf is rig.head.pools.table["s0"] for conn in idle)
 
     on_rig(script)
 
@@ -118,7 +118,7 @@
         client, gate = await dialling(rig, ask(X_Deadline_Ms="100"))
         assert (await client.answer()).status == 503 and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
         await nothing_is_sent(rig, gate)
-        assert len(rig.head.shelfs.table["s0"].idle) == 1
+        assert len(rig.head.pools.table["s0"].idle) == 1
 
     on_rig(script)
 
@@ -128,7 +128,7 @@
         client, gate = await dialling(rig, ask(X_Deadline_Ms="600"))
         assert (await client.answer()).status == 503
         assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.shelfs[0].asked
-        assert rig.head.shelfs.out == rig.head.shelfs.dialling == 0
+        assert rig.head.pools.out == rig.head.pools.dialling == 0
         gate.opens.set()
         await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
 
@@ -160,7 +160,7 @@
         client.write(ask("save", 0, b"abc"))
         await until(lambda: rig.shelfs[0].asked)
         gate = Gate(rig.head.loop)
-        rig.head.shelfs.loop = gate  # type: ignore[assignment]
+        rig.head.pools.loop = gate  # type: ignore[assignment]
         rig.shelfs[0].does = answers(OK)
         rig.shelfs[0].conns[0].write(ERROR)
         await until(lambda: len(rig.shelfs[0].conns) == 2)  # the repeat's connection is up, and held back here
@@ -177,7 +177,7 @@
     """A shelf that does not read takes part of it: with its last byte, much later, it would have run again."""
 
     async def script(rig: Rig) -> None:
-        shelfs, sent = rig.head.shelfs, []
+        shelfs, sent = rig.head.pools, []
         begin: Callable[..., bool] = shelfs._begin
 
         def blocked(attempt: Any, conn: Any) -> bool:
@@ -199,7 +199,7 @@
         second, _ = await loop.sock_accept(raw)  # nobody reads there
         assert (await client.answer()).status == 503
         assert len(sent) == 1 and not sent[0].written and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
-        assert rig.head.shelfs.connections == 0 and rig.head.clock() < sent[0].until_ms
+        assert rig.head.pools.connections == 0 and rig.head.clock() < sent[0].until_ms
         for sock in (first, second, raw):
             sock.close()
 
@@ -212,17 +212,17 @@
 
     async def script(rig: Rig) -> None:
         gate = Gate(rig.head.loop)
-        rig.head.shelfs.loop = gate  # type: ignore[assignment]
-        rig.head.shelfs.most = 2
+        rig.head.pools.loop = gate  # type: ignore[assignment]
+        rig.head.pools.most = 2
         clients = [await rig.client() for _ in range(4)]
         for client in clients:
             client.write(ask())
         await asyncio.sleep(0.05)
-        assert rig.head.shelfs.dialling + rig.head.shelfs.connections - gate.dials <= 2 and gate.dials == 2
+        assert rig.head.pools.dialling + rig.head.pools.connections - gate.dials <= 2 and gate.dials == 2
         assert [(await c.answer()).status for c in clients[2:]] == [503, 503]
         gate.opens.set()
         assert [(await c.answer()).status for c in clients[:2]] == [200, 200]
         other = await rig.ask(ask(shard=1))  # idle ones give way
-        assert other.status == 200 and rig.head.shelfs.connections <= 3
+        assert other.status == 200 and rig.head.pools.connections <= 3
 
     on_rig(script)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("first", ["the connection", "its time"])
 def test_a_connection_that_comes_up_as_its_time_is_over_is_used_or_closed_once(first: str) -> None:
     async def script(rig: Rig) -> None:
-        shelfs, gate, dials = rig.head.shelfs, Gate(rig.head.loop), []
+        shelfs, gate, dials = rig.head.pools, Gate(rig.head.loop), []
         shelfs.loop = gate  # type: ignore[assignment]
         late = shelfs._late
         shelfs._late = lambda dial: dials.append(dial)  # type: ignore[method-assign]
@@ -60,7 +60,7 @@
         (pending,) = rig.head.core.pending.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.shelfs._timed_out(pending.attempt)
+            rig.head.pools._timed_out(pending.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.pending)
@@ -132,7 +132,7 @@
         rig.shelfs[0].does = SPOILT[what]
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="400"))
         assert answer.status == 502 and answer.body == b"" and len(rig.shelfs[0].asked) == 1
-        await until(lambda: rig.head.shelfs.queued == 0 and rig.head.shelfs.connections == 0)
+        await until(lambda: rig.head.pools.held == 0 and rig.head.pools.connections == 0)
         rig.shelfs[0].does = lambda conn, request: conn.write(OK)
         assert (await rig.ask(ask("save", 0, b"abc"))).body == b"ok"
 
@@ -216,7 +216,7 @@
         second = Service(rig.head.loop, config)
         second.say = lambda what, **facts: None  # type: ignore[method-assign]
         await second.start()
-        await until(lambda: second.shelfs.table)
+        await until(lambda: second.pools.table)
         assert second.listener.socket is not None
         first_port, second_port = rig.port, second.listener.socket.getsockname()[1]
         for _ in range(3):  # the second's limit is its own, its store empty: nothing goes
--- a/tests/test_full_of_clients.py
+++ b/tests/test_full_of_clients.py
@@ -36,7 +36,7 @@
         raws = [socket.create_connection((LOOPBACK, rig.port)) for _ in range(2 * SOCKETS)]
         await until(lambda: head.door.count >= head.listener.most)
         for _ in range(40):  # they stay, and more wait; discovery is asked for and is not there
-            held = head.door.count + head.shelfs.connections + head.shelfs.dialling + len(head.watch.connections)
+            held = head.door.count + head.pools.connections + head.pools.dialling + len(head.watch.connections)
             assert held <= SOCKETS and head.door.count <= head.listener.most
             await asyncio.sleep(0.02)
         again = await back(rig, port)
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -15,12 +15,11 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, one, stream_of
 
-from pebblehinge.rsync.stream import Stream
 from pebblehinge.rsync.digests import login, login_digest
 from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
 from pebblehinge.rsync.greeting import chosen, hello, read_hello
 from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.stream import ERROR_XFER, RsyncError
+from pebblehinge.rsync.stream import ERROR_XFER, RsyncError, Stream
 from pebblehinge.rsync.tree import Entry, Folder, packed
 
 
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -213,11 +213,11 @@
             new = entry(f"n{n}", rig.shelfs[0].port, 0)
             old = entry(f"n{n - 1}" if n else "s0", rig.shelfs[0].port, 0, "Gone")
             rig.discovery.conns[0].tell(listing(2 + n, old, new, full=False))
-            await until(lambda n=n: f"n{n}" in head.shelfs.table)
+            await until(lambda n=n: f"n{n}" in head.pools.table)
         await until(lambda: head.door.count == 0)
         door = head.door
-        assert len(head.shelfs.table) == 2 and len(head.core.module.shelfs.names) <= 4
+        assert len(head.pools.table) == 2 and len(head.core.module.shelfs.names) <= 4
         assert not (head.core.pending or door.ids or door.fresh or door.idle or door.busy or door.closing)
-        await until(lambda: head.shelfs.connections <= 1)
+        await until(lambda: head.pools.connections <= 1)
 
     on_rig(script)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -74,7 +74,7 @@
         watch.tell(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
         await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
         assert (await rig.ask(ask())).status == 200 and len(new.asked) == 1
-        assert "s0" not in rig.head.shelfs.table
+        assert "s0" not in rig.head.pools.table
         rig.discovery.list = listing(4, entry("s2", new.port, 0), entry("s1", rig.shelfs[1].port, 1))
         watch.transport.abort()
         await until(lambda: rig.head.watch.version == 4)
@@ -100,7 +100,7 @@
         port = rig.shelfs[1].port
         rig.discovery.conns[0].tell(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
         await until(lambda: len(rig.head.core.module.shelfs.at_slot) == 1500)
-        assert len(rig.head.shelfs.table) == 1500
+        assert len(rig.head.pools.table) == 1500
         io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
         assert (await rig.ask(ask(X_IO=io))).status == 200 and len(rig.shelfs[1].asked) == 1
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -96,7 +96,7 @@
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
         assert (await rig.ask(ask())).body == b"ok"
-        assert not rig.head.core.pending and rig.head.shelfs.out == 0 and rig.head.shelfs.queued == 0
+        assert not rig.head.core.pending and rig.head.pools.out == 0 and rig.head.pools.held == 0
 
     on_rig(script)
 
@@ -121,14 +121,14 @@
         client.write(ask())
         await client.answer()
         (first,) = rig.shelfs[0].conns
-        (conn,) = rig.head.shelfs.table["s0"].idle
+        (conn,) = rig.head.pools.table["s0"].idle
         assert conn.usable()
         first.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         deadline = time.monotonic() + 2.0
         while conn.usable() and time.monotonic() < deadline:
             time.sleep(0.001)  # the loop must not run: it is the socket that tells
         assert not conn.usable()
-        rig.head.shelfs.table["s0"].idle[:] = [conn]
+        rig.head.pools.table["s0"].idle[:] = [conn]
         client.write(ask())
         assert (await client.answer()).body == b"ok" and len(rig.shelfs[0].conns) == 2
 
@@ -161,12 +161,12 @@
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.shelfs.out == 3 == len(rig.head.core.module.shelfs.in_flight[0])
-        assert rig.head.shelfs.connections == 3 == len(rig.shelfs[0].conns)
+        assert rig.head.pools.out == 3 == len(rig.head.core.module.shelfs.in_flight[0])
+        assert rig.head.pools.connections == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
         assert len(took) == 3 and all(0.0 <= t - p < 60.0 for t, p in zip(took, peer, strict=True))
-        assert rig.head.shelfs.out == 0 and len(rig.head.shelfs.table["s0"].idle) == 3
+        assert rig.head.pools.out == 0 and len(rig.head.pools.table["s0"].idle) == 3
 
     on_rig(script)
 
@@ -189,9 +189,9 @@
         rig.shelfs[0].does = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 299_000)
         first = await rig.client()
         first.write(ask("save", 0, b"abc"))
-        await until(lambda: rig.head.shelfs.queued > 290_000)
+        await until(lambda: rig.head.pools.held > 290_000)
         assert (await rig.ask(ask("save", 0, b"abc"))).status == 502
-        assert rig.head.shelfs.queued < 400_000
+        assert rig.head.pools.held < 400_000
 
     on_rig(script)
 
