--- a/pebblehinge/net/__init__.py
+++ b/pebblehinge/net/__init__.py
@@ -1,5 +1,6 @@
-"""The thin layer between asyncio transports and the protocol: one class a connection, and addresses."""
+"""The layer between asyncio's transports and the framed protocol: one class a connection, and addresses."""
 
-from pebblehinge.net.peer import Peer, dial, parse_address
+from pebblehinge.net.address import AddressError, parse_address
+from pebblehinge.net.peer import Peer, dial
 
-__all__ = ["Peer", "dial", "parse_address"]
+__all__ = ["AddressError", "Peer", "dial", "parse_address"]
--- a/pebblehinge/net/peer.py
+++ b/pebblehinge/net/peer.py
@@ -1,24 +1,29 @@
-"""A connection that speaks the framed protocol. Subclasses say what each frame means by methods `on_<kind>`."""
+"""A connection that speaks the framed protocol. Subclasses handle frames in methods `on_<kind>`."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from collections.abc import Callable
+from typing import Any, cast
 
+from pebblehinge.net.address import parse_address
+from pebblehinge.net.handlers import COMMON_KINDS, HANDLERS
 from pebblehinge.wire import Kind, Session, WireError, encode
 
-
-def parse_address(text: str) -> tuple[str, int]:
-    """`host:port`; raises ValueError with what was expected."""
-    host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"{text!r} is no address: expected host:port")
-    return host.strip("[]"), int(port)
+SILENT_INTERVALS = 3
+"""A connection is cut after so many keepalive intervals without a byte, or without a complete greeting."""
 
 
 async def dial(loop: asyncio.AbstractEventLoop, peer: Peer, address: str) -> None:
-    """Connects a peer that greets. One whose dial fails, runs out of its caller's time or is cancelled writes nothing:
-    uvloop may have closed a connection that stood already without telling its protocol. Raises OSError, ValueError."""
+    """Connects a peer that greets to `address` (host:port).
+
+    A peer whose dial fails, is cancelled or runs out of its caller's time writes nothing from then on: uvloop may have
+    closed a connection that was established already without telling its protocol.
+
+    Raises:
+        OSError: The connection could not be made.
+        AddressError: `address` is none.
+    """
     host, port = parse_address(address)
     try:
         await loop.create_connection(lambda: peer, host, port)
@@ -28,44 +33,61 @@
 
 
 class Peer(asyncio.Protocol):
-    """Reads frames into calls, coalesces what is written in one turn of the loop, and keeps both bounded.
-
-    A peer that does not read is not read from either; one that stays so for `stall_ms` is cut. With a
-    `keepalive_ms`, a silent connection is asked, and cut when it stays silent for three times that.
+    """One end of a connection: dispatches frames to handlers, coalesces writes, and keeps both directions bounded.
+
+    What is sent within one turn of the loop goes out in one write. A peer that does not read is not read from either,
+    and is cut after `stall_ms`. With a `keepalive_ms` above 0, a silent connection is sent a PING after that time and
+    cut after `SILENT_INTERVALS` times that.
+
+    Attributes:
+        FRAMES: The kinds that the other end may send beside the common ones. For subclasses.
+        session: The protocol state.
+        transport: The transport, None before the connection is made.
+        paused: Whether the other end does not read.
+        closed: Whether this end has closed, or lost, the connection: nothing is read or written any more.
+        failed: Whether the connection ends with an ERROR of this end.
+        heard: When bytes last came, in seconds of the loop's clock.
     """
 
-    FRAMES: frozenset[Kind] = frozenset()  # what the other side may send
+    FRAMES: frozenset[Kind] = frozenset()
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, session: Session, stall_ms: float, keepalive_ms: float = 0.0
     ) -> None:
-        self.loop, self.session = loop, session
-        self.stall_ms, self.keepalive_ms = stall_ms, keepalive_ms
-        self.transport: Any = None
-        self.out: list[bytes] = []
-        self.flushing = self.paused = self.closed = self.failed = False
-        self.stall: asyncio.TimerHandle | None = None
-        self.alive: asyncio.TimerHandle | None = None
-        self.heard, self.asked = 0.0, 0
-        self.calls: dict[Kind, Any] = {
-            kind: getattr(self, "on_" + kind.name.lower())
-            for kind in self.FRAMES | {Kind.HELLO, Kind.ERROR, Kind.PING, Kind.PONG}
+        self.loop = loop
+        self.session = session
+        self.stall_ms = stall_ms
+        self.keepalive_ms = keepalive_ms
+        self.transport: asyncio.Transport | None = None
+        self.paused = False
+        self.closed = False
+        self.failed = False
+        self.heard = 0.0
+        self._unsent: list[bytes] = []
+        self._flush_scheduled = False
+        self._stall_timer: asyncio.TimerHandle | None = None
+        self._keepalive_timer: asyncio.TimerHandle | None = None
+        self._keepalive_checks = 0
+        self._handlers: dict[Kind, Callable[..., None]] = {
+            kind: getattr(self, HANDLERS[kind]) for kind in self.FRAMES | COMMON_KINDS
         }
 
-    # ---- from the transport
+    # ---- called by the transport
 
-    def connection_made(self, transport: Any) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is established: greets, if this end made it, and starts the keepalive."""
+        self.transport = cast(asyncio.Transport, transport)  # the virtual network's transports are no subclasses of it
         if self.closed:  # its dial was given up
-            transport.abort()
+            self.transport.abort()
             return
         self.heard = self.loop.time()
         if self.session.greets:
             self._write(self.session.opening())
         if self.keepalive_ms:
-            self.alive = self.loop.call_later(self.keepalive_ms / 1000.0, self._ask_alive)
+            self._keepalive_timer = self.loop.call_later(self.keepalive_ms / 1000.0, self._check_alive)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come: calls the handler of each complete frame, and fails the connection on a malformed one."""
         if self.closed:  # nothing more is read from a peer that was told why it is cut
             return
         self.heard = self.loop.time()
@@ -73,132 +95,147 @@
         session.feed(data)
         self.batch()
         try:
-            while not self.closed and (got := session.next()) is not None:
-                kind, values = got
-                call = self.calls.get(kind)
-                if call is None:
+            while not self.closed and (frame := session.next()) is not None:
+                kind, values = frame
+                handler = self._handlers.get(kind)
+                if handler is None:
                     raise WireError(f"{kind.name} is not for this connection")
-                call(*values)
+                handler(*values)
         except WireError as error:
             self.fail(str(error))
 
     def pause_writing(self) -> None:
+        """The other end does not read: it is not read from until it does, and cut if that takes too long."""
         self.paused = True
-        self.stall = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
+        self._stall_timer = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
         if not self.closed:
-            self.transport.pause_reading()
+            self._connected().pause_reading()
 
     def resume_writing(self) -> None:
+        """The other end reads again."""
         self.paused = False
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
         if not self.closed:
-            self.transport.resume_reading()
+            self._connected().resume_reading()
             self.writable()
 
     def eof_received(self) -> bool:
+        """The other end has closed its side; the transport closes the connection."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over, with an exception if it broke."""
         self.closed = True
-        for timer in (self.stall, self.alive):
+        for timer in (self._stall_timer, self._keepalive_timer):
             if timer is not None:
                 timer.cancel()
-        self.out.clear()
+        self._unsent.clear()
         self.gone(exc)
 
-    # ---- for subclasses
+    # ---- hooks for subclasses
 
     def batch(self) -> None:
-        """Bytes have come: what follows up to the next turn of the loop counts as one batch."""
+        """Called when bytes have come, before their frames are handled."""
 
     def ready(self) -> None:
-        """The greeting is over."""
+        """Called when the greeting is over."""
 
     def writable(self) -> None:
-        """The other side reads again."""
+        """Called when the other end reads again."""
 
     def gone(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Called when the connection is over, with an exception if it broke."""
 
     def refused(self, reason: str) -> None:
-        """The other side sent ERROR and will close."""
+        """Called when the other end sent ERROR, which it does before it closes."""
 
-    # ---- calls
+    # ---- operations
 
     def send(self, kind: Kind, *values: Any) -> None:
-        """Encodes a frame; all that is sent in one turn of the loop goes out in one write."""
+        """Sends a frame; nothing on a connection that is closed or has failed."""
         if not self.closed and not self.failed:
             self._write(encode(kind, *values))
 
-    def _write(self, data: bytes) -> None:
-        self.out.append(data)
-        if not self.flushing:
-            self.flushing = True
-            self.loop.call_soon(self.flush)
-
     def flush(self) -> None:
-        self.flushing = False
-        if self.out and not self.closed:
-            data = self.out[0] if len(self.out) == 1 else b"".join(self.out)
-            self.out.clear()
-            self.transport.write(data)
+        """Hands to the transport what was sent and not yet written."""
+        self._flush_scheduled = False
+        if self._unsent and not self.closed:
+            data = self._unsent[0] if len(self._unsent) == 1 else b"".join(self._unsent)
+            self._unsent.clear()
+            self._connected().write(data)
 
     def fail(self, reason: str) -> None:
-        """One ERROR frame with the reason, then the connection closes."""
+        """Sends one ERROR frame with the reason, then closes."""
         if self.closed or self.failed:
             return
         self.failed = True
-        self.out.append(encode(Kind.ERROR, reason))
+        self._unsent.append(encode(Kind.ERROR, reason))
         self.close()
 
     def close(self) -> None:
-        """Sends what stands and closes; a peer that does not take it in time is cut."""
+        """Writes what is left and closes; a peer that does not take it within `stall_ms` is cut."""
         if self.closed:
             return
         self.flush()
         self.closed = True
-        self.transport.close()
-        if self.stall is None:
-            self.stall = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
+        self._connected().close()
+        if self._stall_timer is None:
+            self._stall_timer = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
 
     def abort(self) -> None:
+        """Cuts the connection, if there is one; what was not written is dropped."""
         if self.transport is not None:
             self.transport.abort()
 
     def give_up(self) -> None:
-        """Its dial was given up: nothing is read or written, whatever stands or comes yet."""
+        """Ends a peer whose dial was given up: nothing is read or written, even if its connection is made yet."""
         self.closed = True
-        self.out.clear()
+        self._unsent.clear()
         self.abort()
 
-    def _ask_alive(self) -> None:
-        quiet = (self.loop.time() - self.heard) * 1000.0
-        self.asked += 1
-        if self.session.version is None and self.asked > 3:  # bytes that trickle in keep no greeting open
+    def _connected(self) -> asyncio.Transport:
+        """Returns the transport of a connection that was made."""
+        assert self.transport is not None, "the connection is not made yet"
+        return self.transport
+
+    def _write(self, data: bytes) -> None:
+        self._unsent.append(data)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self.loop.call_soon(self.flush)
+
+    def _check_alive(self) -> None:
+        silent_ms = (self.loop.time() - self.heard) * 1000.0
+        greeted = self.session.version is not None
+        self._keepalive_checks += 1
+        if not greeted and self._keepalive_checks > SILENT_INTERVALS:  # bytes that trickle in keep no greeting open
             self.abort()
             return
-        if quiet >= 3 * self.keepalive_ms and not self.paused:
+        if silent_ms >= SILENT_INTERVALS * self.keepalive_ms and not self.paused:
             self.abort()
             return
-        if quiet >= self.keepalive_ms and self.session.version is not None:
+        if silent_ms >= self.keepalive_ms and greeted:
             self.send(Kind.PING, 0)
-        self.alive = self.loop.call_later(self.keepalive_ms / 1000.0, self._ask_alive)
+        self._keepalive_timer = self.loop.call_later(self.keepalive_ms / 1000.0, self._check_alive)
 
-    # ---- frames that mean the same everywhere
+    # ---- handlers of the common kinds
 
     def on_hello(self, *_: Any) -> None:
+        """The other end's greeting, which the session has accepted: it is answered if this end did not greet."""
         if not self.session.greets:
             self._write(self.session.opening())
         self.ready()
 
     def on_error(self, reason: str) -> None:
+        """The other end rejects what was sent, and closes."""
         self.refused(reason)
         self.close()
 
     def on_ping(self, token: int) -> None:
+        """Answered with the same token, after all that came before."""
         self.send(Kind.PONG, token)
 
     def on_pong(self, token: int) -> None:
-        pass
+        """The answer to a PING; that it came is enough."""
--- a/pebblehinge/wire/__init__.py
+++ b/pebblehinge/wire/__init__.py
@@ -1,9 +1,11 @@
-"""The framed protocol between client and head, head and shelf, and with the listing. No I/O here.
+"""The framed protocol between clients, gateways, storage nodes, discovery and the replicated configuration. No I/O.
 
-`docs/protocol.md` describes every field. `frames` cuts bytes into checked frames, `session` adds the greeting.
+`docs/protocol.md` describes every field. `kinds` lists the kinds of frames, `frames` cuts bytes into checked frames,
+`session` adds the greeting.
 """
 
-from pebblehinge.wire.frames import Frames, Kind, WireError, encode
+from pebblehinge.wire.frames import Frames, WireError, encode
+from pebblehinge.wire.kinds import Kind
 from pebblehinge.wire.session import Session
 
 __all__ = ["Frames", "Kind", "Session", "WireError", "encode"]
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -1,4 +1,4 @@
-"""A framed connection whose dial is given up as it stands: what is still to be written goes nowhere, raises nothing."""
+"""A framed connection: its table of handlers, and a dial given up as the connection stands, which raises nothing."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 from pebblehinge import net
 from pebblehinge.net import Peer
-from pebblehinge.wire import Session
+from pebblehinge.net.handlers import HANDLERS
+from pebblehinge.wire import Kind, Session
 
 
 @pytest.mark.parametrize("runner", [asyncio.new_event_loop, uvloop.new_event_loop])
@@ -47,3 +48,8 @@
     assert not raised, raised[0]
     if runner is uvloop.new_event_loop:
         assert greeted == [True]  # else nothing was shown
+
+
+def test_every_kind_of_frame_has_a_handler_of_its_own() -> None:
+    assert list(HANDLERS) == list(Kind)
+    assert len(set(HANDLERS.values())) == len(Kind)
