--- a/pebblehinge/client/__init__.py
+++ b/pebblehinge/client/__init__.py
@@ -1,11 +1,14 @@
-"""The client library: requests over one connection to a head, each with exactly one `Result`.
+"""The client library: requests over one connection to a gateway, each with exactly one `Result`.
 
 client = await connect("127.0.0.1:7000", name="office")
 got = await client.write("vol-1", "tender/42", b"...", profile="bid-save", slot=3, units=2, patience_ms=4000)
 if got.final == "pushed back": ...   # harmless to try again, after got.stay_ms
 """
 
-from pebblehinge.client.conn import Client, Result, connect
-from pebblehinge.client.retry import Retries, with_retries
+from pebblehinge.client.connection import Client
+from pebblehinge.client.establish import connect
+from pebblehinge.client.observer import Observer
+from pebblehinge.client.result import Result
+from pebblehinge.client.retry import RetryPolicy, with_retries
 
-__all__ = ["Client", "Result", "Retries", "connect", "with_retries"]
+__all__ = ["Client", "Observer", "Result", "RetryPolicy", "connect", "with_retries"]
--- a/pebblehinge/client/retry.py
+++ b/pebblehinge/client/retry.py
@@ -1,4 +1,4 @@
-"""Further tries by a client: only where the answer says that they are harmless. No I/O of its own."""
+"""Retries by a client: only where the result says that they are harmless. No I/O of its own."""
 
 from __future__ import annotations
 
@@ -7,44 +7,75 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from pebblehinge.client.conn import LOST, Result
+from pebblehinge.client.result import LOST, REJECTED, Result
+
+IDEMPOTENT = "redoable"
+IDEMPOTENT_WITH_KEY = "labelled"
 
 
 @dataclass(slots=True)
-class Retries:
-    """How often and when. `repeat` is the profile's: what may follow an answer that promises nothing."""
+class RetryPolicy:
+    """How often and when to retry.
+
+    Attributes:
+        max_retries: How many attempts may follow the first.
+        backoff_ms: The mean wait before the first retry, in milliseconds; it doubles with each further one.
+        idempotency: The request class's `repeat` setting, which says what may follow a result that promises nothing:
+            `IDEMPOTENT`, `IDEMPOTENT_WITH_KEY`, or any other text for neither.
+    """
 
-    most: int = 1
+    max_retries: int = 1
     backoff_ms: float = 100.0
-    repeat: str = "redoable"
+    idempotency: str = IDEMPOTENT
+
+    def next_ms(self, attempts: int, last: Result, left_ms: float, draw: float) -> float | None:
+        """Returns how long to wait before the next attempt, in milliseconds, or None if there should be none.
 
-    def next_ms(self, tries: int, last: Result, left_ms: float, draw: float) -> float | None:
-        """How long to wait before try number `tries` + 1, or None. `draw` is one number from [0, 1)."""
-        if last.succeeded or tries > self.most or left_ms <= 0:
+        Args:
+            attempts: How many attempts were made.
+            last: The result of the last one.
+            left_ms: What is left of the caller's patience.
+            draw: A random number from [0, 1), for the jitter of the backoff.
+        """
+        if last.succeeded or attempts > self.max_retries or left_ms <= 0:
             return None
-        harmless = last.final == "pushed back" or self.repeat == "redoable"
-        if last.final == LOST and self.repeat == "labelled":
-            harmless = False  # its group and window can't be judged from here
-        if not harmless:
+        if not self._is_harmless(last):
             return None
-        wait = max(last.stay_ms, self.backoff_ms * 2 ** (tries - 1) * (0.5 + draw))
-        return wait if wait < left_ms else None
+        backoff_ms = self.backoff_ms * 2 ** (attempts - 1) * (0.5 + draw)
+        wait_ms = max(last.stay_ms, backoff_ms)
+        return wait_ms if wait_ms < left_ms else None
+
+    def _is_harmless(self, last: Result) -> bool:
+        if last.final == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
+            return False  # whether the key's scope and window still hold can't be judged from here
+        return last.final == REJECTED or self.idempotency == IDEMPOTENT
 
 
 async def with_retries(
     attempt: Callable[[int, float], Awaitable[Result]],
-    retries: Retries,
+    policy: RetryPolicy,
     patience_ms: float,
     loop: asyncio.AbstractEventLoop,
     rng: random.Random,
 ) -> tuple[Result, int]:
-    """Calls `attempt(try, patience left)` until it is succeeded or no further try is right; Result and tries."""
-    until = loop.time() + patience_ms / 1000.0
-    tries = 0
+    """Makes attempts until one has succeeded or the policy allows no more.
+
+    Args:
+        attempt: Called with the number of the attempt, from 0, and what is left of the patience in milliseconds.
+        policy: How often and when to retry.
+        patience_ms: The time that all attempts together may take.
+        loop: Its clock counts.
+        rng: For the jitter of the backoff.
+
+    Returns:
+        The last result, and how many attempts were made.
+    """
+    deadline = loop.time() + patience_ms / 1000.0
+    attempts = 0
     while True:
-        result = await attempt(tries, (until - loop.time()) * 1000.0)
-        tries += 1
-        wait = retries.next_ms(tries, result, (until - loop.time()) * 1000.0, rng.random())
-        if wait is None:
-            return result, tries
-        await asyncio.sleep(wait / 1000.0)
+        result = await attempt(attempts, (deadline - loop.time()) * 1000.0)
+        attempts += 1
+        wait_ms = policy.next_ms(attempts, result, (deadline - loop.time()) * 1000.0, rng.random())
+        if wait_ms is None:
+            return result, attempts
+        await asyncio.sleep(wait_ms / 1000.0)
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from pebblehinge.client import Client, Result, Retries, connect, with_retries
-from pebblehinge.client.conn import LOST
+from pebblehinge.client import Client, Result, RetryPolicy, connect, with_retries
+from pebblehinge.client.result import LOST
 from pebblehinge.lab.load import Ask, Draw, payload
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings import Config
@@ -65,7 +65,7 @@
                         limit=limits.frame,
                         streams=limits.streams,
                         keepalive_ms=limits.keepalive,
-                        noted=lambda e, **v: self.records.note(self.clock(), e, **v),
+                        observer=lambda e, **v: self.records.note(self.clock(), e, **v),
                     )
                     self.conns[head] = client
                     self.records.note(self.clock(), "connected", head=head)
@@ -156,7 +156,7 @@
         self.numbers += 1
         op = f"{self.name}-{self.numbers}"
         early = self.draw.leaves_early(at_ms - self.start_ms, profile.patience)
-        retries = Retries(config.load.retries, config.load.backoff, profile.repeat)
+        retries = RetryPolicy(config.load.retries, config.load.backoff, profile.repeat)
         honours = self.rng.random() < config.load.honours
         self.records.note(
             at_ms,
@@ -213,8 +213,10 @@
         now = self.clock()
         for head, client in sorted(self.conns.items()):
             if client is not None and not client.closed and self.rng.random() < chance:
-                self.records.note(now, "cut", head=head, open=[trace for _, _, trace, _ in client.open.values()])
-                client.why = "cut by the client"
+                self.records.note(
+                    now, "cut", head=head, open=[request.trace for request in client.open_requests.values()]
+                )
+                client.close_reason = "cut by the client"
                 client.abort()
         if now < until_ms:
             self._at(now + 250.0, self._cut, chance, until_ms)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -9,7 +9,7 @@
 import pytest
 from command_line import DAYS, command
 
-from pebblehinge.client import Result, Retries
+from pebblehinge.client import Result, RetryPolicy
 from pebblehinge.lab.days import DayError, timeline
 from pebblehinge.lab.load import Draw
 from pebblehinge.lab.verdict import kept, summary
@@ -113,7 +113,7 @@
 
 def test_clients_try_again_only_where_it_is_harmless() -> None:
     lost, back, ended = Result("lost"), Result("pushed back", stay_ms=300.0), Result("terminated")
-    save, look = Retries(1, 100.0, "irreversible"), Retries(1, 100.0, "redoable")
+    save, look = RetryPolicy(1, 100.0, "irreversible"), RetryPolicy(1, 100.0, "redoable")
     assert save.next_ms(1, lost, 1000.0, 0.5) is None and save.next_ms(1, ended, 1000.0, 0.5) is None
     assert save.next_ms(1, back, 1000.0, 0.5) == 300.0
     assert look.next_ms(1, lost, 1000.0, 0.5) == 100.0 and look.next_ms(2, lost, 1000.0, 0.5) is None
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -61,7 +61,7 @@
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = SILENT
         extra: list[str] = []
-        client = await rig.client(noted=lambda event, **_: extra.append(event))
+        client = await rig.client(observer=lambda event, **_: extra.append(event))
         got = await client.write("v", "x", b"1", **SAVE)
         rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.links["s1"].late == 1)
@@ -191,14 +191,14 @@
     async def script(rig: Rig) -> None:
         noted: list[str] = []
         rig.shelfs[0].does = SILENT
-        client = await rig.client(noted=lambda event, **_: noted.append(event))
+        client = await rig.client(observer=lambda event, **_: noted.append(event))
         future = client.read("v", "x", 1, **LOOK)
         await until(lambda: rig.shelfs[0].attempts)
         rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.core.counts["honoured"] == 1)
         future.cancel()
         await asyncio.sleep(0.05)
-        assert "extra" not in noted and not client.open
+        assert "extra" not in noted and not client.open_requests
 
     on_rig(script)
 
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -82,7 +82,7 @@
     async def script(rig: Rig) -> None:
         await buffered(rig, OnDisk())
         client, seen = await rig.client(), []
-        client.noted = lambda event, **values: seen.append((event, values.get("id"), values.get("final")))
+        client.observer = lambda event, **values: seen.append((event, values.get("id"), values.get("final")))
         for n, (volume, left) in enumerate([("b", math.inf), ("b", math.nan), ("v", math.inf), ("v", math.nan)]):
             rest = (None, "save", "x", 0, 1.0, left, None, None, 1, 0, 1, b"1")
             client.send(Kind.TAKE, 900 + n, f"t{n}", volume, *rest)
@@ -142,7 +142,7 @@
         disk.hold.set_result(None)
         disk.hold = None
         await asyncio.sleep(0.05)
-        assert client.open == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
+        assert client.open_requests == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
 
     on_rig(script, BUFFERED)
 
