--- a/benchmarks/caps_clients.py
+++ b/benchmarks/caps_clients.py
@@ -11,7 +11,7 @@
     SHELFS,
 )
 
-from pebblehinge.daemon.files import files_of
+from pebblehinge.daemon.open_files import needed_open_files
 from pebblehinge.settings.schema import LimitsBlock, RsyncBlock
 
 SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/head/server.py"
@@ -53,8 +53,8 @@
     Cap(
         "open files of a framed head",
         CLI,
-        'files_of("head"',
-        lambda: files_of("head", connections=default(LimitsBlock, "connections")()),
+        'needed_open_files("head"',
+        lambda: needed_open_files("head", connections=default(LimitsBlock, "connections")()),
         "files",
         "the soft limit is raised to so many",
         CONNECTIONS + SHELFS + 64,
--- a/benchmarks/caps_list.py
+++ b/benchmarks/caps_list.py
@@ -11,10 +11,10 @@
     list_bytes,
 )
 
-from pebblehinge.daemon.files import files_of
+from pebblehinge.daemon.open_files import needed_open_files
 from pebblehinge.settings.schema import LimitsBlock
 
-LISTING, FILES = "pebblehinge/listing/server.py", "pebblehinge/daemon/files.py"
+LISTING, FILES = "pebblehinge/listing/server.py", "pebblehinge/daemon/open_files.py"
 
 
 OPENED = "none until they are open"
@@ -50,8 +50,8 @@
     Cap(
         "open files of the list",
         FILES,
-        'role == "head"',
-        lambda: files_of("listing"),
+        "role == GATEWAY",
+        lambda: needed_open_files("listing"),
         "files",
         "connections to the list",
         HEADS + SHELFS + 64,
@@ -64,8 +64,8 @@
     Cap(
         "open files of a shelf",
         "pebblehinge/cli/stand_ins.py",
-        'files_of("shelf"',
-        lambda: files_of("shelf"),
+        'needed_open_files("shelf"',
+        lambda: needed_open_files("shelf"),
         "files",
         "connections of heads",
         HEADS + 64,
@@ -77,8 +77,8 @@
     Cap(
         "open files of an instance",
         "pebblehinge/cli/group.py",
-        'files_of("group"',
-        lambda: files_of("group"),
+        'needed_open_files("group"',
+        lambda: needed_open_files("group"),
         "files",
         "connections of heads, instances, operators",
         HEADS + 64,
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -53,11 +53,11 @@
     loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Any
 ) -> int:
     from pebblehinge.agreed.server import MemberServer
-    from pebblehinge.daemon.files import allow_files, files_of
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.raft.identity import identify
     from pebblehinge.store.disk import RealDisk, StorageError
 
-    if told := allow_files(files_of("group", heads=len(config.head))):
+    if told := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
         log.warning("limits", why=told)
     try:
         disk = RealDisk(folder)
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -89,7 +89,7 @@
     from pebblehinge.capture.files import CaptureWriter, file_sink
     from pebblehinge.console import Console
     from pebblehinge.daemon import Notifier
-    from pebblehinge.daemon.files import allow_files, files_of
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.head import HeadServer
     from pebblehinge.head.metrics import serve_metrics
     from pebblehinge.store import StorageError
@@ -117,8 +117,8 @@
         notifier.ready(f"{name} serves {server.block.listen}")
 
     notifier = Notifier(loop, os.environ, os.getpid())
-    wanted = files_of("head", shelfs=len(config.shelf), connections=config.limits.connections)
-    if told := allow_files(wanted):
+    wanted = needed_open_files("head", storage_nodes=len(config.shelf), connections=config.limits.connections)
+    if told := raise_open_file_limit(wanted):
         log.warning("limits", why=f"{told}, or lower `connections`")
     notes = records_for(folder, f"head-{name}", loop, records_failed)
     server = HeadServer(loop, clock_of(loop), config, name, log, notes)
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -68,7 +68,7 @@
     cold: bool,
     log: Any,
 ) -> int:
-    from pebblehinge.daemon.files import allow_files, files_of
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.shelf import Contents, ShelfServer
     from pebblehinge.shelf.contents import JournalError
 
@@ -76,7 +76,7 @@
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
     except JournalError as error:
         give_up(str(error))
-    if told := allow_files(files_of("shelf", heads=len(config.head))):
+    if told := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
         log.warning("limits", why=told)
     notes = records_for(folder, f"shelf-{name}", loop)
     server = ShelfServer(loop, clock_of(loop), config, name, log, notes, contents, not cold, seed)
@@ -111,10 +111,12 @@
 
 
 async def _listing(loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any) -> int:
-    from pebblehinge.daemon.files import allow_files, files_of
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.listing import ListingServer
 
-    if told := allow_files(files_of("listing", heads=len(config.head), shelfs=len(config.shelf))):
+    if told := raise_open_file_limit(
+        needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
+    ):
         log.warning("limits", why=told)
     server = ListingServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
     return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
--- a/pebblehinge/daemon/__init__.py
+++ b/pebblehinge/daemon/__init__.py
@@ -1,5 +1,6 @@
-"""A head as a long-lived process: what it tells a supervisor, and that it is the only one of its name here."""
+"""A program as a long-lived process: messages to its supervisor, its pid file, its limit of open files."""
 
-from pebblehinge.daemon.notify import Notifier, PidFile, PidFileError
+from pebblehinge.daemon.notify import Notifier
+from pebblehinge.daemon.pid_file import PidFile, PidFileError
 
 __all__ = ["Notifier", "PidFile", "PidFileError"]
--- a/pebblehinge/daemon/notify.py
+++ b/pebblehinge/daemon/notify.py
@@ -1,103 +1,79 @@
-"""The supervisor's datagram (sd_notify, as published) and the pid file.
+"""Messages to a supervisor: the datagrams of sd_notify, as published.
 
 A supervisor names a socket in NOTIFY_SOCKET; lines `KEY=VALUE` are sent to it. With WATCHDOG_USEC it wants a sign of
-life at least that often: the loop itself gives it, so a head that hangs is seen. Without them nothing is sent.
+life at least that often: the event loop itself gives it, so a process that hangs is noticed. Without them nothing is
+sent.
 """
 
 from __future__ import annotations
 
 import asyncio
-import fcntl
 import os
 import socket
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
+
+WATCHDOG_SHARE = 0.5
+"""The part of the watchdog's time after which a sign of life is sent."""
 
 
 class Notifier:
-    """Tells a supervisor how the process is. What can't be sent is left: a supervisor's fault must not stop a head."""
+    """Tells a supervisor the state of the process.
+
+    What can't be sent is dropped: a supervisor's fault must not stop the process.
+
+    Attributes:
+        address: The supervisor's socket, empty where there is none; `@` begins an abstract one.
+        watchdog_s: Seconds between two signs of life, 0 for none.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, environment: Mapping[str, str], pid: int) -> None:
+        """Reads the supervisor's variables from `environment`; a watchdog meant for another process is ignored."""
         self.loop = loop
         self.address = environment.get("NOTIFY_SOCKET", "")
-        self.socket: socket.socket | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.every = 0.0
+        self.watchdog_s = 0.0
+        self._socket: socket.socket | None = None
+        self._timer: asyncio.TimerHandle | None = None
         if self.address:
-            self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
-            self.socket.setblocking(False)
-        limit = environment.get("WATCHDOG_USEC", "")
-        if limit.isdigit() and int(limit) > 0 and environment.get("WATCHDOG_PID", str(pid)) == str(pid):
-            self.every = int(limit) / 2e6
+            self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
+            self._socket.setblocking(False)
+        limit_us = environment.get("WATCHDOG_USEC", "")
+        is_own = environment.get("WATCHDOG_PID", str(pid)) == str(pid)
+        if is_own and limit_us.isdigit():
+            self.watchdog_s = int(limit_us) * WATCHDOG_SHARE / 1e6
 
     def tell(self, *lines: str) -> bool:
-        """Sends lines in one datagram; False where there is nobody to tell, or it did not go."""
-        if self.socket is None:
+        """Sends lines in one datagram; returns whether there was a supervisor and the datagram was sent."""
+        if self._socket is None:
             return False
-        where = "\0" + self.address[1:] if self.address.startswith("@") else self.address
+        address = "\0" + self.address[1:] if self.address.startswith("@") else self.address
         try:
-            self.socket.sendto("\n".join(lines).encode(), where)
+            self._socket.sendto("\n".join(lines).encode(), address)
         except OSError:
             return False
         return True
 
     def ready(self, status: str) -> None:
+        """The process serves, from the start or again after a reload; starts the signs of life."""
         self.tell("READY=1", f"STATUS={status}", f"MAINPID={os.getpid()}")
-        if self.every and self.timer is None and self.socket is not None:
-            self._alive()
+        if self.watchdog_s and self._timer is None and self._socket is not None:
+            self._send_sign_of_life()
 
     def reloading(self, now_us: int) -> None:
+        """The process reads its settings again; `now_us` is the monotonic clock in microseconds."""
         self.tell("RELOADING=1", f"MONOTONIC_USEC={now_us}")
 
     def stopping(self, status: str) -> None:
+        """The process is shutting down."""
         self.tell("STOPPING=1", f"STATUS={status}")
 
-    def _alive(self) -> None:
-        self.tell("WATCHDOG=1")
-        self.timer = self.loop.call_later(self.every, self._alive)
-
-    def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.socket is not None:
-            self.socket.close()
-            self.socket = None
-
-
-class PidFileError(Exception):
-    """Another process holds the file, or it can't be written: one line."""
-
-
-class PidFile:
-    """The process's id in a file, locked for as long as it lives: a second one of the name does not start."""
-
-    def __init__(self, path: str) -> None:
-        self.path = path
-        try:
-            self.fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
-        except OSError as error:
-            raise PidFileError(f"{path} can't be written ({error.strerror})") from None
-        try:
-            fcntl.flock(self.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            held = os.pread(self.fd, 20, 0).decode("ascii", "replace").strip()
-            os.close(self.fd)
-            raise PidFileError(f"{path} is held by process {held or 'unknown'}") from None
-        os.ftruncate(self.fd, 0)
-        os.pwrite(self.fd, f"{os.getpid()}\n".encode(), 0)
-
     def close(self) -> None:
-        """The file is emptied and stays: removing it could take away a successor's."""
-        os.ftruncate(self.fd, 0)
-        os.close(self.fd)
-
-
-def limits_told(wanted: int, getrlimit: Callable[[], tuple[int, int]], setrlimit: Callable[[int], None]) -> str:
-    """Raises the soft limit of open files to what the settings can need; a line where that is not possible."""
-    soft, hard = getrlimit()
-    if soft >= wanted:
-        return ""
-    if hard >= wanted or hard < 0:
-        setrlimit(wanted)
-        return ""
-    setrlimit(hard)
-    return f"{wanted} open files may be needed and {hard} are allowed: raise the hard limit"
+        """Ends the signs of life and closes the socket; nothing is sent from then on."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._socket is not None:
+            self._socket.close()
+            self._socket = None
+
+    def _send_sign_of_life(self) -> None:
+        self.tell("WATCHDOG=1")
+        self._timer = self.loop.call_later(self.watchdog_s, self._send_sign_of_life)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -14,7 +14,7 @@
 from helpers import FLEET, LOOPBACK
 
 from pebblehinge.daemon import Notifier, PidFile, PidFileError
-from pebblehinge.daemon.notify import limits_told
+from pebblehinge.daemon.open_files import raise_soft_limit
 
 
 def listen(path: Path) -> socket.socket:
@@ -49,9 +49,9 @@
         assert not Notifier(loop, {}, 1).tell("READY=1")
         gone = Notifier(loop, {"NOTIFY_SOCKET": str(tmp_path / "nothing"), "WATCHDOG_USEC": "x"}, 1)
         gone.ready("serving")
-        assert not gone.tell("READY=1") and gone.every == 0.0
+        assert not gone.tell("READY=1") and gone.watchdog_s == 0.0
         other = {"NOTIFY_SOCKET": "@abstract", "WATCHDOG_USEC": "1000000", "WATCHDOG_PID": "5"}
-        assert Notifier(loop, other, 1).every == 0.0  # the watch is another process's
+        assert Notifier(loop, other, 1).watchdog_s == 0.0  # the watch is another process's
         gone.close()
 
     asyncio.run(main())
@@ -70,9 +70,9 @@
 
 def test_limits_are_raised_as_far_as_may_be() -> None:
     done: list[int] = []
-    assert limits_told(500, lambda: (1024, 4096), done.append) == "" and done == []
-    assert limits_told(3000, lambda: (1024, 4096), done.append) == "" and done == [3000]
-    assert "4096 are allowed" in limits_told(9000, lambda: (1024, 4096), done.append) and done[-1] == 4096
+    assert raise_soft_limit(500, lambda: (1024, 4096), done.append) is None and done == []
+    assert raise_soft_limit(3000, lambda: (1024, 4096), done.append) is None and done == [3000]
+    assert "4096 are allowed" in (raise_soft_limit(9000, lambda: (1024, 4096), done.append) or "") and done[-1] == 4096
 
 
 def test_a_head_process_is_ready_reloads_and_stops_by_the_book(tmp_path: Path) -> None:
--- a/tests/test_sized_connections.py
+++ b/tests/test_sized_connections.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from pebblehinge.daemon.files import files_of
+from pebblehinge.daemon.open_files import needed_open_files
 from pebblehinge.settings.load import loads
 
 BEGINNING = 1024  # the soft limit that supervisors give
@@ -66,16 +66,18 @@
     process = begin(role, tmp_path)
     try:
         soft, hard = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
-        assert soft >= min(hard, files_of(role, connections=CLIENTS))
+        assert soft >= min(hard, needed_open_files(role, connections=CLIENTS))
     finally:
         process.kill()
         process.wait()
 
 
 def test_what_a_role_needs_grows_with_its_settings_and_is_never_under_the_coming_size() -> None:
-    assert files_of("listing") > 1024 + 2048 and files_of("shelf") > 1024 and files_of("group") > 1024
-    assert files_of("listing", heads=3000, shelfs=5000) >= 8000 and files_of("shelf", heads=3000) >= 3000
-    assert files_of("head", connections=CLIENTS) > CLIENTS + 2048
+    assert needed_open_files("listing") > 1024 + 2048
+    assert needed_open_files("shelf") > 1024 and needed_open_files("group") > 1024
+    assert needed_open_files("listing", gateways=3000, storage_nodes=5000) >= 8000
+    assert needed_open_files("shelf", gateways=3000) >= 3000
+    assert needed_open_files("head", connections=CLIENTS) > CLIENTS + 2048
 
 
 def test_a_head_takes_as_many_clients_as_come_to_it() -> None:
