--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -34,9 +34,9 @@
     ),
     Cap(
         "connections of a client library",
-        "pebblehinge/client/conn.py",
+        "pebblehinge/client/establish.py",
         "streams: int = ",
-        inline("pebblehinge/client/conn.py", r"streams: int = (\d+)"),
+        inline("pebblehinge/client/establish.py", r"streams: int = (\d+)"),
         "accesses",
         "open on a connection",
         16,
