--- a/benchmarks/caps_clients.py
+++ b/benchmarks/caps_clients.py
@@ -14,7 +14,7 @@
 from pebblehinge.daemon.open_files import needed_open_files
 from pebblehinge.settings.schema import LimitsBlock, RsyncBlock
 
-SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/head/server.py"
+SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/gateway/server.py"
 
 
 CLI = "pebblehinge/cli/head.py"
@@ -41,7 +41,7 @@
         "backlog of a framed head",
         HEAD,
         "BACKLOG = ",
-        constant("pebblehinge.head.server", "BACKLOG"),
+        constant("pebblehinge.gateway.server", "BACKLOG"),
         "connections",
         "connections not yet accepted: all clients after a restart",
         CONNECTIONS,
--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -11,7 +11,7 @@
     memory_bytes,
 )
 
-DOOR = "pebblehinge/head/door.py"
+DOOR = "pebblehinge/gateway/rsync_listener.py"
 
 
 HEAD_CAPS = [
--- a/benchmarks/caps_list.py
+++ b/benchmarks/caps_list.py
@@ -89,9 +89,9 @@
     ),
     Cap(
         "calls to the list that wait",
-        "pebblehinge/head/listing.py",
+        "pebblehinge/gateway/discovery_link.py",
         "del self.calls[",
-        inline("pebblehinge/head/listing.py", r"self\.calls\[:-(\d+)\]"),
+        inline("pebblehinge/gateway/discovery_link.py", r"self\.calls\[:-(\d+)\]"),
         "calls",
         "what the module asks while no list is there",
         1,
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -23,7 +23,7 @@
 from head_cost_ends import Asker, AtOnce, PassThrough, settings
 
 from pebblehinge.cli import clock_of
-from pebblehinge.head import HeadCore, HeadServer
+from pebblehinge.gateway import GatewayCore, GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.listing import ListingServer
 from pebblehinge.net import parse_address
@@ -78,8 +78,8 @@
     config = settings(count, loopback)
 
     async def make(loop: Any) -> None:
-        kind = HeadCore if what == "real" else PassThrough
-        server = HeadServer(loop, clock_of(loop), config, "h1", Quiet(), core=kind)
+        kind = GatewayCore if what == "real" else PassThrough
+        server = GatewayServer(loop, clock_of(loop), config, "h1", Quiet(), core=kind)
         await server.start()
         while len(server.core.module.shelfs.at_slot) < count:
             await asyncio.sleep(0.01)
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from pebblehinge.head import HeadCore
+from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import Changes, Outcome
 from pebblehinge.net import Peer
 from pebblehinge.settings import Config
@@ -112,7 +112,7 @@
         return handle, Changes([handle])
 
 
-class PassThrough(HeadCore):
+class PassThrough(GatewayCore):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.module = NoModule()
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -18,7 +18,7 @@
 
 from pebblehinge.agreed import taking
 from pebblehinge.cli import clock_of
-from pebblehinge.head.listing import ListingLink
+from pebblehinge.gateway.discovery_link import DiscoveryLink
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.settings import Config, load
@@ -36,7 +36,7 @@
         self.ready: set[str] = set()
         self.lives = self.wholes = 0
         self.feed: Any = None
-        self.listing: ListingLink | None = None
+        self.listing: DiscoveryLink | None = None
         self.attempts: Attempts | None = None
 
     def begin(self) -> None:
@@ -48,7 +48,7 @@
         pending = taking.Taking.restore(self.name, floor, self.kept) if self.kept else taking.Taking(self.name, floor)
         self.feed = Feed(self.loop, clock, self.config, pending, lambda new, mode: None, self._keep, Quiet())
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
-        self.listing = ListingLink(
+        self.listing = DiscoveryLink(
             self.loop,
             clock,
             self.name,
--- a/benchmarks/scale/hollow_links.py
+++ b/benchmarks/scale/hollow_links.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import Any
 
-from pebblehinge.head.link import ShelfLink
+from pebblehinge.gateway.node_link import NodeLink
 from pebblehinge.interface import Outcome
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire.frames import READ
@@ -37,7 +37,7 @@
     ) -> None:
         self.loop, self.clock, self.head, self.limits, self.rng = loop, clock, head, limits, rng
         self.spread, self.rate = spread, rate
-        self.links: list[ShelfLink] = []
+        self.links: list[NodeLink] = []
         self.ends: Counter[str] = Counter()
         self.sent = 0
         self.closed = False
@@ -48,7 +48,7 @@
         if self.links or not names or not self.spread or not self.rate:
             return
         for name in self.rng.sample(names, min(self.spread, len(names))):
-            link = ShelfLink(self.loop, self.clock, self.head, name, addresses[name], self.limits, self._ended, None)
+            link = NodeLink(self.loop, self.clock, self.head, name, addresses[name], self.limits, self._ended, None)
             self.links.append(link)
         self.loop.call_later(self.rng.uniform(0.0, 1.0 / self.rate), self._go)
 
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -12,7 +12,7 @@
 from slopes_version import HEADS, VOLUMES, head_of, kept_by, text, versions
 
 from pebblehinge.agreed.state import State, Version, command
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.raft import Entry, EntryKind, initial_snapshot
 from pebblehinge.raft.storage import Storage
 from pebblehinge.settings import Config
@@ -58,7 +58,7 @@
     return found
 
 
-def listed(config: Config, rows: list[Any]) -> HeadServer:
+def listed(config: Config, rows: list[Any]) -> GatewayServer:
     head = head_of(config)
     head.listing.came("whole", rows)
     return head
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -13,7 +13,7 @@
 from pebblehinge.agreed.activation import careful
 from pebblehinge.agreed.taking import Taking
 from pebblehinge.cli import clock_of
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
@@ -103,10 +103,10 @@
         """Nothing waits here."""
 
 
-def head_of(config: Config) -> HeadServer:
+def head_of(config: Config) -> GatewayServer:
     """A framed head with no sockets."""
     loop: Any = StillLoop()
-    return HeadServer(loop, clock_of(loop), config, "h1", Quiet())
+    return GatewayServer(loop, clock_of(loop), config, "h1", Quiet())
 
 
 def version(heads: int, volumes: int) -> dict[str, Any]:
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -90,8 +90,8 @@
     from pebblehinge.console import Console
     from pebblehinge.daemon import Notifier
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.head import HeadServer
-    from pebblehinge.head.metrics import serve_metrics
+    from pebblehinge.gateway import GatewayServer
+    from pebblehinge.gateway.metrics import serve_metrics
     from pebblehinge.store import StorageError
 
     failed: list[str] = []
@@ -121,7 +121,7 @@
     if told := raise_open_file_limit(wanted):
         log.warning("limits", why=f"{told}, or lower `connections`")
     notes = records_for(folder, f"head-{name}", loop, records_failed)
-    server = HeadServer(loop, clock_of(loop), config, name, log, notes)
+    server = GatewayServer(loop, clock_of(loop), config, name, log, notes)
     if capture:
         try:
             sink = file_sink(capture)
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -31,7 +31,7 @@
     return f"{left_ms:g} ms are left: a time of at most {MOST_LEFT_MS:g} is taken"
 
 
-class HeadCore(RequestTable):
+class GatewayCore(RequestTable):
     """The books of a head with settings of its own."""
 
     def __init__(self, config: Config, head: HeadBlock, now: float, doing: Effects) -> None:
--- a/pebblehinge/head/buffered_request.py
+++ b/pebblehinge/gateway/buffered_request.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Asked:
+class BufferedRequest:
     """One client's buffered write, barrier or flush, until it is answered."""
 
     __slots__ = ("conn", "id", "slot", "trace", "timer", "answered", "volume", "up_to")
--- a/pebblehinge/head/clients.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -5,19 +5,19 @@
 from typing import Any
 
 from pebblehinge.core import SUCCEEDED, PendingRequest
-from pebblehinge.head.house import House
+from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.net import Peer
 from pebblehinge.wire import Kind, Session, WireError
 
 STOP_TOKEN = 1
 
 
-class ClientConn(Peer):
+class ClientConnection(Peer):
     """One client's connection, with the requests it has open."""
 
     FRAMES = frozenset({Kind.TAKE, Kind.CANCEL})
 
-    def __init__(self, server: House) -> None:
+    def __init__(self, server: GatewayContext) -> None:
         limits = server.config.limits
         session = Session("head", server.name, limits.frame, limits.streams, greets=False)
         super().__init__(server.loop, session, limits.stall, limits.keepalive)
--- a/pebblehinge/head/landing.py
+++ b/pebblehinge/gateway/commit.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.head.house import House
-from pebblehinge.head.inside import Inside
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.internal_client import InternalClient
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.flushing import Flushing, next_step
@@ -17,12 +17,12 @@
 from pebblehinge.wire.frames import READ, WRITE
 
 
-class Landing:
+class NodeCommitter:
     """The way of dirty writes to their shelfs. Tells through `moved` whenever something is no longer under way."""
 
     def __init__(
         self,
-        house: House,
+        house: GatewayContext,
         journal: Journal,
         committer: Committer,
         dirty: Dirty,
@@ -33,7 +33,7 @@
         self.house, self.loop, self.clock, self.moved = house, house.loop, house.clock, moved
         self.block = house.config.buffer
         self.journal, self.committer, self.dirty, self.flushing = journal, committer, dirty, flushing
-        self.inside = Inside(house, "write-back")
+        self.inside = InternalClient(house, "write-back")
         self.landed: list[int] = []  # not yet noted as done
         self.tasks: dict[asyncio.Task[None], None] = {}
         self.timer: asyncio.TimerHandle | None = None
--- a/pebblehinge/head/house.py
+++ b/pebblehinge/gateway/context.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pebblehinge.head.admission import HeadCore
+from pebblehinge.gateway.admission import GatewayCore
 from pebblehinge.settings.schema import Config, HeadBlock
 
 
-class House(Protocol):
+class GatewayContext(Protocol):
     """Loop, clock (ms), settings in force, books; and what a part may tell the head."""
 
     loop: asyncio.AbstractEventLoop
@@ -19,7 +19,7 @@
     block: HeadBlock
     name: str
     log: Any
-    core: HeadCore
+    core: GatewayCore
     now: float  # the reading of the clock that serves the frames being looked at
     note: Callable[..., None]
     conns: dict[Any, None]
--- a/pebblehinge/head/dial.py
+++ b/pebblehinge/gateway/dialer.py
@@ -11,7 +11,7 @@
 EXTRA = 3  # how often the time to connect is given again where this process was late itself
 
 
-class Dial:
+class Dialer:
     """`peer()` makes the connection's protocol; `not connected()` is called where an attempt fails."""
 
     def __init__(
--- a/pebblehinge/head/listing.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -17,7 +17,7 @@
 class _Wire(Peer):
     FRAMES = frozenset({Kind.LIST})
 
-    def __init__(self, owner: ListingLink, session: Session) -> None:
+    def __init__(self, owner: DiscoveryLink, session: Session) -> None:
         super().__init__(owner.loop, session, owner.limits.stall, owner.limits.keepalive)
         self.owner = owner
 
@@ -31,7 +31,7 @@
         self.owner.came(kind, rows)
 
 
-class ListingLink:
+class DiscoveryLink:
     """`listed(now, kind, entries, addresses)` is called for each list; addresses are by shelf."""
 
     def __init__(
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -11,10 +11,10 @@
 from hdrh.histogram import HdrHistogram
 
 from pebblehinge.core import SUCCEEDED, PendingRequest
-from pebblehinge.head.admission import HeadCore
-from pebblehinge.head.inside import FINALS
-from pebblehinge.head.link import ShelfLink
-from pebblehinge.head.listing import ListingLink
+from pebblehinge.gateway.admission import GatewayCore
+from pebblehinge.gateway.discovery_link import DiscoveryLink
+from pebblehinge.gateway.internal_client import FINALS
+from pebblehinge.gateway.node_link import NodeLink
 from pebblehinge.interface import Entry, ListCall, ListKind
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config, HeadBlock
@@ -31,20 +31,20 @@
         name: str,
         log: Any,
         records: Records | NoRecords | None,
-        core: type[HeadCore],
+        core: type[GatewayCore],
     ) -> None:
         self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
         self.block: HeadBlock = config.head[name]
         self.records = records or NoRecords()
         self.note = self.records.note if self.records.on else _nothing
-        self.links: dict[str, ShelfLink] = {}
-        self.retired: list[ShelfLink] = []
+        self.links: dict[str, NodeLink] = {}
+        self.retired: list[NodeLink] = []
         self.now = clock()
         self.core = core(config, self.block, self.now, self)
         self.timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
         self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of succeeded requests
-        self.listing = ListingLink(
+        self.listing = DiscoveryLink(
             loop,
             clock,
             name,
@@ -113,7 +113,7 @@
                     self.retired = [r for r in self.retired if r.out or r.waiting]
                     self.retired.append(link)
                     link.retire()
-                self.links[shelf] = ShelfLink(
+                self.links[shelf] = NodeLink(
                     self.loop,
                     self.clock,
                     self.name,
--- a/pebblehinge/head/inside.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -5,12 +5,12 @@
 import asyncio
 
 from pebblehinge.core import PendingRequest
-from pebblehinge.head.house import House
+from pebblehinge.gateway.context import GatewayContext
 
 FINALS = ("honoured", "pushed back", "terminated")
 
 
-class Answered:
+class InternalResult:
     """How such a request ended."""
 
     __slots__ = ("final", "stay_ms", "reason", "data")
@@ -19,16 +19,16 @@
         self.final, self.stay_ms, self.reason, self.data = final, stay_ms, reason, data
 
 
-class Inside:
+class InternalClient:
     """To the head's core one more client. Its requests are taken while the head stops, too: what they belong to was let
     in before."""
 
     inside = True
 
-    def __init__(self, server: House, client: str) -> None:
+    def __init__(self, server: GatewayContext, client: str) -> None:
         self.server, self.client = server, client
         self.ids = 0
-        self.waiting: dict[int, asyncio.Future[Answered]] = {}
+        self.waiting: dict[int, asyncio.Future[InternalResult]] = {}
 
     async def request(
         self,
@@ -46,7 +46,7 @@
         length: int,
         data: bytes,
         label: str | None,
-    ) -> Answered:
+    ) -> InternalResult:
         """One request by the head's own core, like any client's. Called off, it is left."""
         server, future = self.server, self.server.loop.create_future()
         self.ids += 1
@@ -85,7 +85,4 @@
     def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         future = self.waiting.pop(pending.id, None)
         if future is not None and not future.done():
-            future.set_result(Answered(FINALS[final], stay_ms, reason, data))
-
-
-__all__ = ["Answered", "Inside"]
+            future.set_result(InternalResult(FINALS[final], stay_ms, reason, data))
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -8,14 +8,14 @@
 from prometheus_client import CollectorRegistry, start_http_server
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric, SummaryMetricFamily
 
-from pebblehinge.head.server import HeadServer
+from pebblehinge.gateway.server import GatewayServer
 from pebblehinge.net import parse_address
 
 
-class HeadMetrics:
+class GatewayMetrics:
     """A collector over one head."""
 
-    def __init__(self, head: HeadServer) -> None:
+    def __init__(self, head: GatewayServer) -> None:
         self.head = head
 
     def collect(self) -> Iterator[Metric]:
@@ -66,10 +66,10 @@
         yield quantiles
 
 
-def serve_metrics(head: HeadServer, address: str) -> Any:
+def serve_metrics(head: GatewayServer, address: str) -> Any:
     """Answers scrapes from a thread of its own; raises OSError where the address is taken."""
     registry = CollectorRegistry()
-    registry.register(HeadMetrics(head))
+    registry.register(GatewayMetrics(head))
     host, port = parse_address(address)
     server, _ = start_http_server(port, host, registry)
     return server
--- a/pebblehinge/head/connection.py
+++ b/pebblehinge/gateway/node_connection.py
@@ -6,34 +6,34 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.head.dial import Dial
+from pebblehinge.gateway.dialer import Dialer
 from pebblehinge.net import Peer
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session
 
 
-class Link(Protocol):
+class ConnectionOwner(Protocol):
     """What a connection needs of the link that it belongs to."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     limits: LimitsBlock
     now: float
-    dial: Dial
-    wire: Wire | None
+    dial: Dialer
+    wire: NodeConnection | None
 
-    def opened(self, wire: Wire) -> None: ...
+    def opened(self, wire: NodeConnection) -> None: ...
     def push(self) -> None: ...
-    def lost(self, wire: Wire) -> None: ...
+    def lost(self, wire: NodeConnection) -> None: ...
     def came(self, number: int, status: int, reason: str, data: bytes) -> None: ...
 
 
-class Wire(Peer):
+class NodeConnection(Peer):
     """The connection of a link, from its greeting to its end."""
 
     FRAMES = frozenset({Kind.OUTCOME, Kind.STOPPING})
 
-    def __init__(self, link: Link, session: Session) -> None:
+    def __init__(self, link: ConnectionOwner, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
         self.doubted_at: float | None = None  # when it was last heard of, while a ping is out
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/gateway/node_link.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 from pebblehinge.core import PendingRequest
-from pebblehinge.head.connection import Wire
-from pebblehinge.head.dial import Dial
+from pebblehinge.gateway.dialer import Dialer
+from pebblehinge.gateway.node_connection import NodeConnection
 from pebblehinge.interface import Outcome
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session
@@ -21,13 +21,13 @@
 STATUS = (Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.OVERLOADED)  # as OUTCOME numbers them
 
 
-class Out:
+class AttemptInFlight:
     """One attempt that has no outcome yet."""
 
     __slots__ = ("number", "pending", "attempt", "until_ms", "sent_ms", "timer", "link", "looked")
 
 
-class ShelfLink:
+class NodeLink:
     """`ended(now, taken, attempt, outcome, took_ms, data)` is called once for each attempt, never from within
     `send`."""
 
@@ -45,10 +45,10 @@
         self.loop, self.clock, self.head = loop, clock, head
         self.shelf, self.address, self.limits = shelf, address, limits
         self.ended, self.noted = ended, noted
-        self.wire: Wire | None = None
-        self.dial = Dial(loop, clock, address, limits, self._peer, self._connect_failed)
-        self.waiting: deque[Out] = deque()  # nothing of these was written
-        self.out: dict[int, Out] = {}  # these may have run
+        self.wire: NodeConnection | None = None
+        self.dial = Dialer(loop, clock, address, limits, self._peer, self._connect_failed)
+        self.waiting: deque[AttemptInFlight] = deque()  # nothing of these was written
+        self.out: dict[int, AttemptInFlight] = {}  # these may have run
         self.numbers = 0
         self.now = 0.0
         self.late = 0  # outcomes that came when nobody waited for them
@@ -57,7 +57,7 @@
     # ---- calls
 
     def send(self, pending: PendingRequest, attempt: int, until_ms: float, now: float) -> None:
-        out = Out()
+        out = AttemptInFlight()
         self.numbers += 1
         out.number, out.pending, out.attempt, out.until_ms, out.sent_ms = self.numbers, pending, attempt, until_ms, now
         out.link, out.looked = self, False
@@ -93,10 +93,10 @@
 
     # ---- the connection
 
-    def _peer(self) -> Wire:
-        return Wire(self, Session("head", self.head, self.limits.frame, self.limits.streams, greets=True))
+    def _peer(self) -> NodeConnection:
+        return NodeConnection(self, Session("head", self.head, self.limits.frame, self.limits.streams, greets=True))
 
-    def opened(self, wire: Wire) -> None:
+    def opened(self, wire: NodeConnection) -> None:
         if self.dial.connecting is None:  # given up meanwhile
             wire.abort()
             return
@@ -117,7 +117,7 @@
         while self.waiting and self.wire is not None and not self.wire.paused:
             self._write(self.waiting.popleft(), now)
 
-    def _write(self, out: Out, now: float) -> None:
+    def _write(self, out: AttemptInFlight, now: float) -> None:
         pending, wire = out.pending, self.wire
         assert wire is not None
         self.out[out.number] = out
@@ -138,7 +138,7 @@
         if self.noted is not None:
             self.noted(now, "trip", id=pending.trace, n=out.attempt, shelf=self.shelf, until=round(out.until_ms, 3))
 
-    def lost(self, wire: Wire) -> None:
+    def lost(self, wire: NodeConnection) -> None:
         now = self.clock()
         if self.dial.connecting is not None and self.wire is None:
             self.dial.fail("the connection broke before the greeting")
@@ -168,7 +168,7 @@
             return
         self._end(out, self.now, STATUS[status], data)
 
-    def _timed_out(self, out: Out) -> None:
+    def _timed_out(self, out: AttemptInFlight) -> None:
         if not out.looked:
             # A loop that was held up runs its timers before it reads: the outcome may lie in the socket.
             out.looked = True
@@ -184,7 +184,7 @@
             self.waiting.remove(out)
             self._end(out, now, Outcome.CONNECT_FAILED)
 
-    def _end(self, out: Out, now: float, outcome: Outcome, data: bytes = b"") -> None:
+    def _end(self, out: AttemptInFlight, now: float, outcome: Outcome, data: bytes = b"") -> None:
         out.timer.cancel()
         if self.noted is not None:
             self.noted(now, "outcome", id=out.pending.trace, n=out.attempt, shelf=self.shelf, what=outcome.value)
--- a/pebblehinge/head/door.py
+++ b/pebblehinge/gateway/rsync_listener.py
@@ -6,9 +6,9 @@
 import random
 from typing import Any
 
-from pebblehinge.head.guest import Guest
-from pebblehinge.head.house import House
-from pebblehinge.head.inside import Inside
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.internal_client import InternalClient
+from pebblehinge.gateway.rsync_session import RsyncSession
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.sharing import Keeping, Sharing
@@ -18,10 +18,10 @@
 LOOK_MS = 100.0  # how often the head's own lateness is looked at
 
 
-class Door:
+class RsyncListener:
     """All rsync clients of one head."""
 
-    def __init__(self, server: House) -> None:
+    def __init__(self, server: GatewayContext) -> None:
         self.server, self.loop, self.clock, self.log = server, server.loop, server.clock, server.log
         self.config: Config = server.config
         block = self.config.rsync
@@ -30,8 +30,8 @@
         self.turns = Turns(self.loop, self.clock, self.sharing)
         self.keeping = Keeping(block.parts, block.parts_for)
         self.places: dict[str, Place] = {}
-        self.guests: dict[Guest, None] = {}
-        self.inside = Inside(server, "rsync")
+        self.guests: dict[RsyncSession, None] = {}
+        self.inside = InternalClient(server, "rsync")
         self.transfers = 0
         self.counts = {"completed": 0, "failed": 0, "refused": 0, "saves": 0}
         self.stopping = False
@@ -42,7 +42,7 @@
     async def start(self) -> None:
         assert self.server.block.rsync is not None
         host, port = parse_address(self.server.block.rsync)
-        self.listener = await self.loop.create_server(lambda: Guest(self), host, port, backlog=1024)
+        self.listener = await self.loop.create_server(lambda: RsyncSession(self), host, port, backlog=1024)
         self._look(self.loop.time())
 
     def adopt(self, config: Config) -> None:
--- a/pebblehinge/head/guest.py
+++ b/pebblehinge/gateway/rsync_session.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pebblehinge.head.house import House
-from pebblehinge.head.inside import Inside
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.internal_client import InternalClient
 from pebblehinge.rsync.line import Line
 from pebblehinge.rsync.module_store import Place
 from pebblehinge.rsync.serve import Told, serve
@@ -23,17 +23,17 @@
 LINGER_S = 3.0  # for what a client sent before it went
 
 
-class GuestsDoor(Protocol):
+class SessionContext(Protocol):
     """What a client needs of the door that it came by."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     log: Any
-    server: House
+    server: GatewayContext
     config: Config
     rng: random.Random
-    guests: dict[Guest, None]
-    inside: Inside
+    guests: dict[RsyncSession, None]
+    inside: InternalClient
     transfers: int
     counts: dict[str, int]
     stopping: bool
@@ -42,10 +42,10 @@
     def place(self, name: str) -> Place: ...
 
 
-class Guest(Line):
+class RsyncSession(Line):
     """One connection, and the house that it sees."""
 
-    def __init__(self, door: GuestsDoor) -> None:
+    def __init__(self, door: SessionContext) -> None:
         super().__init__(door.loop, door.config.rsync.stall)
         self.door, self.told = door, Told()
         self.task: asyncio.Task[None] | None = None
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/gateway/server.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.head.admission import HeadCore
-from pebblehinge.head.clients import ClientConn
-from pebblehinge.head.door import Door
-from pebblehinge.head.effects import Effects
-from pebblehinge.head.remembering import Remembering
-from pebblehinge.head.writeback import Back
+from pebblehinge.gateway.admission import GatewayCore
+from pebblehinge.gateway.client_connection import ClientConnection
+from pebblehinge.gateway.effects import Effects
+from pebblehinge.gateway.rsync_listener import RsyncListener
+from pebblehinge.gateway.snapshots import SnapshotKeeper
+from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
@@ -20,7 +20,7 @@
 BACKLOG = 8192  # connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)
 
 
-class HeadServer(Effects):
+class GatewayServer(Effects):
     """A running head. Loop, clock (milliseconds) and records are handed in; nothing here reads others."""
 
     def __init__(
@@ -31,25 +31,25 @@
         name: str,
         log: Any,
         records: Records | NoRecords | None = None,
-        core: type[HeadCore] = HeadCore,
+        core: type[GatewayCore] = GatewayCore,
     ) -> None:
         super().__init__(loop, clock, config, name, log, records, core)
-        self.conns: dict[ClientConn, None] = {}  # in the order in which they came
+        self.conns: dict[ClientConnection, None] = {}  # in the order in which they came
         self.server: Any = None
         self.faults = 0
-        self.door: Door | None = None
-        self.memory: Remembering | None = None
+        self.door: RsyncListener | None = None
+        self.memory: SnapshotKeeper | None = None
         self.version_shown: dict[str, Any] = {}  # of the group's configuration, where there is one
-        self.back: Back | None = None
+        self.back: WriteBack | None = None
         self.stopped: asyncio.Future[None] = loop.create_future()
 
     async def start(self) -> None:
         host, port = parse_address(self.block.listen)
-        self.server = await self.loop.create_server(lambda: ClientConn(self), host, port, backlog=BACKLOG)
+        self.server = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
         if self.back is not None:
             self.back.begin()
         if self.block.rsync is not None:
-            self.door = Door(self)
+            self.door = RsyncListener(self)
             await self.door.start()
         self.listing.start()
         self.core.start(self.clock())
@@ -61,12 +61,12 @@
 
     def buffer(self, disk: Any, lasts: Any) -> None:
         """Before `start`: buffered volumes are confirmed from a journal on this disk."""
-        self.back = Back(self, disk, lasts)
+        self.back = WriteBack(self, disk, lasts)
 
     def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline) -> None:
         """Before `start`: takes up what an earlier life learned, and keeps what this one learns, beside the loop.
         `times` gives the wall clock and the machine's time since its start, in ms, and which start that was."""
-        self.memory = Remembering(self, disk, times, beside)
+        self.memory = SnapshotKeeper(self, disk, times, beside)
         self.memory.take_up()
 
     # ---- stopping
@@ -121,7 +121,7 @@
             self.records.close()
             self.stopped.set_result(None)
 
-    def gone(self, conn: ClientConn) -> None:
+    def gone(self, conn: ClientConnection) -> None:
         self.conns.pop(conn, None)
         now = self.clock()
         for pending in list(conn.open.values()):
--- a/pebblehinge/head/remembering.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.head.house import House
+from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.store import StorageError, memory
 from pebblehinge.store.beside import Beside, inline
 
 
-class Remembering:
+class SnapshotKeeper:
     """Takes up and keeps. A disk that fails costs the memory and nothing else."""
 
     def __init__(
-        self, house: House, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
+        self, house: GatewayContext, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
     ) -> None:
         self.house, self.disk, self.times, self.beside = house, disk, times, beside
         self.writing = threading.Lock()  # one at a time: the last of a life waits for the one before it
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/gateway/write_back.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from pebblehinge.core import FAILED, REJECTED, SUCCEEDED, PendingRequest
-from pebblehinge.head.admission import odd_time
-from pebblehinge.head.buffered_request import Asked
-from pebblehinge.head.house import House
-from pebblehinge.head.inside import FINALS
-from pebblehinge.head.landing import Landing
+from pebblehinge.gateway.admission import odd_time
+from pebblehinge.gateway.buffered_request import BufferedRequest
+from pebblehinge.gateway.commit import NodeCommitter
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.internal_client import FINALS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.disk import Disk
@@ -23,21 +23,21 @@
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 
-class Back:
+class WriteBack:
     """The write-back of one head. `lasts(batch)` appends and syncs."""
 
-    def __init__(self, server: House, disk: Disk, lasts: Callable[[Batch], Awaitable[None]]) -> None:
+    def __init__(self, server: GatewayContext, disk: Disk, lasts: Callable[[Batch], Awaitable[None]]) -> None:
         self.server, self.loop, self.clock = server, server.loop, server.clock
         block = self.block = server.config.buffer
         self.journal = Journal(disk, block.segment)
         self.committer = Committer(self.journal, lasts)
         self.dirty = Dirty()
         self.flushing = Flushing(block.most, block.age, block.delay, block.out)
-        self.flushes: list[Asked] = []
+        self.flushes: list[BufferedRequest] = []
         self.open = 0  # answers that are owed
         self.stopping = self.closed = False
         self.counts = {"confirmed": 0, "landed": 0, "stood already": 0, "refused": 0}
-        self.landing = Landing(
+        self.landing = NodeCommitter(
             server, self.journal, self.committer, self.dirty, self.flushing, self.counts, self._moved
         )
 
@@ -83,11 +83,11 @@
         if op == READ:
             found = self.dirty.newest(volume, extent, offset, length) if length else None
             if found is not None:
-                self._answer(Asked(conn, id_, slot, trace), SUCCEEDED, 0.0, "", found)
+                self._answer(BufferedRequest(conn, id_, slot, trace), SUCCEEDED, 0.0, "", found)
             return found is not None
         if op not in (WRITE, BARRIER, FLUSH):
             return False
-        asked = Asked(conn, id_, slot, trace)
+        asked = BufferedRequest(conn, id_, slot, trace)
         odd = odd_time(left_ms)
         why = (odd, 0.0) if odd else self._refuses(now, volume, profile, op, offset, units, data)
         if why is not None:
@@ -131,7 +131,7 @@
     def _on_the_way(self) -> int:
         return sum(len(getattr(record, "data", b"")) for record, _ in self.committer.waiting)
 
-    def _committed(self, asked: Asked, record: Write | Barrier, lasts: bool) -> None:
+    def _committed(self, asked: BufferedRequest, record: Write | Barrier, lasts: bool) -> None:
         if self.closed:
             return
         if not lasts:
@@ -146,11 +146,11 @@
         self._answer(asked, SUCCEEDED, 0.0, "", b"")
         self.pump()
 
-    def _too_late(self, asked: Asked) -> None:
+    def _too_late(self, asked: BufferedRequest) -> None:
         """Its time is up. What was asked goes on; it is claimed no longer."""
         self._answer(asked, FAILED, 0.0, "not confirmed in time", b"")
 
-    def _answer(self, asked: Asked, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def _answer(self, asked: BufferedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         if asked.answered:
             return
         asked.answered = True
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pebblehinge.client import Client, connect
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.lab.crash.verdict import judge
 from pebblehinge.lab.crash.writers import Books, Writer
@@ -34,7 +34,7 @@
         self.log = Quiet()
         self.stall_ms = 0.0
         self.node: Node | None = None
-        self.head: HeadServer | None = None
+        self.head: GatewayServer | None = None
         self.lives = 0
         self.shelfs: list[ShelfServer] = []
 
@@ -53,7 +53,7 @@
     async def start_head(self) -> None:
         self.lives += 1
         self.node = self.loop.node("h1")
-        head = self.head = HeadServer(self.node, self.clock, self.config, "h1", self.log, Memory())
+        head = self.head = GatewayServer(self.node, self.clock, self.config, "h1", self.log, Memory())
         head.buffer(self.disk, self.lasts)
         await head.start()
 
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -13,7 +13,7 @@
 
 from pebblehinge.agreed.server import MemberServer
 from pebblehinge.capture import CaptureWriter
-from pebblehinge.head import HeadCore, HeadServer
+from pebblehinge.gateway import GatewayCore, GatewayServer
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.clients import Crowd
 from pebblehinge.lab.faults.ground_in_memory import VillageGround, clock_of, join
@@ -42,7 +42,7 @@
         day: str,
         seed: int,
         said: Callable[[str], None] = lambda line: None,
-        head_core: type[HeadCore] = HeadCore,
+        head_core: type[GatewayCore] = GatewayCore,
         head_config: Config | None = None,
         draw: Any = None,
         fleet_seed: int | None = None,
@@ -93,7 +93,7 @@
             block = msgspec.structs.replace(config.head[name], seed=self.seed * 1000 + life)
             config = msgspec.structs.replace(config, head={**config.head, name: block})
             notes, clock = self._memory(f"head-{name}"), clock_of(node)
-            head = HeadServer(node, clock, config, name, self.log, notes, self.head_core)
+            head = GatewayServer(node, clock, config, name, self.log, notes, self.head_core)
             self.servers[name] = head
             if self.memory_age_ms is not None or self.script is not None:
                 disk = self.struck.disk(name, self.seed)
@@ -162,7 +162,7 @@
 
     async def stop_one(self, name: str) -> int:
         server, node = self.servers[name], self.nodes[name]
-        if isinstance(server, HeadServer):
+        if isinstance(server, GatewayServer):
             server.stop("told to")
             await server.stopped
         else:
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -24,19 +24,19 @@
     """What a connection needs of the door that it came through."""
 
     owner: Any
-    fresh: dict[ClientConn, None]
-    idle: dict[ClientConn, None]
-    closing: dict[ClientConn, None]
+    fresh: dict[ClientConnection, None]
+    idle: dict[ClientConnection, None]
+    closing: dict[ClientConnection, None]
     ids: set[str]
     refused: int
     closes: bool
 
-    def stands(self, conn: ClientConn, book: dict[ClientConn, None]) -> None: ...
-    def take(self, conn: ClientConn, asked: Asked, body: bytes) -> None: ...
-    def uncount(self, conn: ClientConn) -> None: ...
+    def stands(self, conn: ClientConnection, book: dict[ClientConnection, None]) -> None: ...
+    def take(self, conn: ClientConnection, asked: Asked, body: bytes) -> None: ...
+    def uncount(self, conn: ClientConnection) -> None: ...
 
 
-class ClientConn(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client's connection. At most one request of it is open; what was sent ahead waits for its answer."""
 
     __slots__ = (
@@ -66,7 +66,7 @@
         self.over = False  # more was sent ahead than is kept: what comes now is read and dropped
         self.full = self.closing = False
         self.since = self.until = 0.0  # until when the client of the last request waits for its answer
-        self.shelved: dict[ClientConn, None] | None = None  # the door's book that it stands in
+        self.shelved: dict[ClientConnection, None] | None = None  # the door's book that it stands in
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from pebblehinge.core import REJECTED, SUCCEEDED, PendingRequest, RequestTable
-from pebblehinge.service.clients import ClientConn
+from pebblehinge.service.clients import ClientConnection
 from pebblehinge.service.config import ServiceConfig
 from pebblehinge.service.requests import Asked, ServiceRequest
 
@@ -45,10 +45,10 @@
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
-        self.fresh: dict[ClientConn, None] = {}  # nothing yet, or part of a request
-        self.idle: dict[ClientConn, None] = {}
-        self.busy: dict[ClientConn, None] = {}  # a request is open
-        self.closing: dict[ClientConn, None] = {}
+        self.fresh: dict[ClientConnection, None] = {}  # nothing yet, or part of a request
+        self.idle: dict[ClientConnection, None] = {}
+        self.busy: dict[ClientConnection, None] = {}  # a request is open
+        self.closing: dict[ClientConnection, None] = {}
         self.ids: set[str] = set()  # of requests that are open
         self.count = 0
         self.refused = self.spared = self.unserved = 0
@@ -56,7 +56,7 @@
         self.leaving = False  # SIGTERM has come: none can come back that is sent away
         self.closes = False  # every answer ends its connection
 
-    def stands(self, conn: ClientConn, book: dict[ClientConn, None]) -> None:
+    def stands(self, conn: ClientConnection, book: dict[ClientConnection, None]) -> None:
         if conn.shelved is not None:
             conn.shelved.pop(conn, None)
         conn.shelved = book
@@ -65,7 +65,7 @@
         if book is self.idle:
             self.trim()
 
-    def take(self, conn: ClientConn, asked: Asked, body: bytes) -> None:
+    def take(self, conn: ClientConnection, asked: Asked, body: bytes) -> None:
         owner, now = self.owner, self.owner.clock()
         if owner.core.open >= owner.config.most_open:
             conn.reply(503, extra=retry_after(owner.config.settings.stay_away_max_ms))
@@ -100,7 +100,7 @@
         )
 
     def answer(self, pending: PendingRequest, final: int, stay_ms: float, data: bytes) -> None:
-        conn: ClientConn = pending.conn
+        conn: ClientConnection = pending.conn
         if conn.pending is not pending:
             return  # its client has gone
         if final == SUCCEEDED:
@@ -118,7 +118,7 @@
             return False
         return not pending.answered
 
-    def _lose(self, conn: ClientConn) -> None:
+    def _lose(self, conn: ClientConnection) -> None:
         conn.leave()
         conn.transport.abort()
 
@@ -138,7 +138,7 @@
         for conn in [c for c in self.idle if c.full and now > max(c.until, c.since + self.STALL_MS)]:
             conn.transport.abort()
 
-    def unfinished(self, conn: ClientConn) -> None:
+    def unfinished(self, conn: ClientConnection) -> None:
         """The end of a connection whose next request has not come whole in time."""
         if conn.requests.partial:
             conn.refuse(408, "the request did not come whole in time")
@@ -171,7 +171,7 @@
                 return True
         return False
 
-    def uncount(self, conn: ClientConn) -> None:
+    def uncount(self, conn: ClientConnection) -> None:
         if conn.counted:
             conn.counted = False
             self.count -= 1
--- a/pebblehinge/service/listener.py
+++ b/pebblehinge/service/listener.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.service.clients import ClientConn
+from pebblehinge.service.clients import ClientConnection
 from pebblehinge.service.door import Door
 from pebblehinge.service.peek import readable
 
@@ -101,7 +101,7 @@
             self.loop.add_reader(self.socket.fileno(), self._accept)
 
     async def _begin(self, sock: socket.socket) -> None:
-        conn = ClientConn(self.owner.door, sock)
+        conn = ClientConnection(self.owner.door, sock)
         try:
             await self.loop.connect_accepted_socket(lambda: conn, sock)
         except OSError:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,7 +11,7 @@
 
 from pebblehinge.cli import clock_of
 from pebblehinge.client import Client, connect
-from pebblehinge.head import HeadCore, HeadServer
+from pebblehinge.gateway import GatewayCore, GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.listing import ListingServer
 from pebblehinge.net import Peer, parse_address
@@ -188,10 +188,10 @@
         self.loop, self.config, self.clock = loop, config, clock_of(loop)
         self.listing = ListingServer(loop, self.clock, config, Quiet())
         self.shelfs = [ScriptShelf(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
-        self.head: HeadServer
+        self.head: GatewayServer
         self.clients: list[Client] = []
 
-    async def start(self, core: type[HeadCore] = HeadCore) -> Rig:
+    async def start(self, core: type[GatewayCore] = GatewayCore) -> Rig:
         await self.listing.start()
         for shelf in self.shelfs:
             await shelf.start()
@@ -200,8 +200,8 @@
         await self.start_head(core)
         return self
 
-    async def start_head(self, core: type[HeadCore] = HeadCore) -> None:
-        self.head = HeadServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
+    async def start_head(self, core: type[GatewayCore] = GatewayCore) -> None:
+        self.head = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
         await self.head.start()
         await until(lambda: len(self.head.core.module.shelfs.at_slot) == len(self.shelfs))
 
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -16,7 +16,7 @@
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service.clients import ClientConn
+from pebblehinge.service.clients import ClientConnection
 from pebblehinge.service.config import read_config
 from pebblehinge.service.door import Door
 from pebblehinge.service.life import Life, Stage
@@ -41,7 +41,7 @@
         self.unread, self.out, self.shut, self.lost = b"", b"", False, False
         self.goes_ms = math.inf  # when its client ends its sending and goes
         self.whole, self.halves, self.answers, self.got = 0, b"", 0, ResponseParser()
-        self.conn: ClientConn | None = None
+        self.conn: ClientConnection | None = None
 
     def write(self, data: bytes) -> None:
         if self.lost:
@@ -172,7 +172,7 @@
     def take_in(self) -> bool:
         came, self.queue = self.queue, []
         for wire in came:
-            wire.conn = ClientConn(self.door, wire)  # type: ignore[arg-type]
+            wire.conn = ClientConnection(self.door, wire)  # type: ignore[arg-type]
             self.door.count += 1
             wire.conn.connection_made(wire)
         return bool(came)
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.rsync_call import Call
 from pebblehinge.lab.rsync_client import call
 from pebblehinge.lab.village import Memory, Quiet
@@ -152,7 +152,7 @@
 
     async def start_head(self, name: str) -> None:
         node = self.nodes[name] = self.loop.node(name)
-        head = self.servers[name] = HeadServer(node, self.clock, self.config, name, self.log, Memory())
+        head = self.servers[name] = GatewayServer(node, self.clock, self.config, name, self.log, Memory())
         await head.start()
 
     def kill(self, name: str) -> None:
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -146,7 +146,7 @@
 
 def test_the_last_memory_of_a_life_is_the_one_that_stays(tmp_path: Path) -> None:
     """It is written at the end, in the loop; one of before may still be on its way in a thread."""
-    from pebblehinge.head.remembering import Remembering
+    from pebblehinge.gateway.snapshots import SnapshotKeeper
 
     order: list[str] = []
 
@@ -175,7 +175,7 @@
         threads.append(threading.Thread(target=inline, args=(call, done)))
         threads[-1].start()
 
-    keeper = Remembering(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
+    keeper = SnapshotKeeper(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
     keeper.keep()
     time.sleep(0.02)
     keeper.keep(whole=True)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -14,7 +14,7 @@
 
 from pebblehinge.console.view import View
 from pebblehinge.decide import CONCURRENCY_LIMIT, REMEMBERED, Request, Scheduler
-from pebblehinge.head import HeadCore
+from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
@@ -156,7 +156,7 @@
 def test_a_request_with_no_sound_time_is_refused_and_hurts_no_other(left: float) -> None:
     """Seen: one request with a time that is no number made every later call for its shelf fail."""
     doing = Effects()
-    core = HeadCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
+    core = GatewayCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
     core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
 
     def one(id_: int, left_ms: float) -> Any:
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -1,4 +1,4 @@
-"""What a head's `HeadCore` must keep, on drawn runs of its own: one answer each, and nothing left behind."""
+"""What a head's `GatewayCore` must keep, on drawn runs of its own: one answer each, and nothing left behind."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from drawn import CONFIG, PROFILES, RUNS, SHELFS
 
-from pebblehinge.head import HeadCore
+from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
@@ -46,7 +46,7 @@
         self.faults.append("a list that is pushed was asked for")
 
 
-def through_the_core(seed: int, kind: type[HeadCore]) -> tuple[list[str], HeadCore, Effects]:
+def through_the_core(seed: int, kind: type[GatewayCore]) -> tuple[list[str], GatewayCore, Effects]:
     """One run of a head's core; what is wrong with it."""
     rng, doing, now, left = random.Random(f"{seed}/core"), Effects(), 1000.0, set()
     core = kind(CONFIG, CONFIG.head["h1"], now, doing)
@@ -124,7 +124,7 @@
 def test_the_core_answers_each_request_once_and_keeps_nothing_of_it() -> None:
     met: Counter[str] = Counter()
     for seed in range(RUNS):
-        faults, core, _ = through_the_core(seed, HeadCore)
+        faults, core, _ = through_the_core(seed, GatewayCore)
         assert not faults, f"seed {seed}: {faults}"
         met.update({k: n for k, n in core.counts.items()})
         met.update({o.value: n for o, n in core.outcomes.items()})
@@ -133,7 +133,7 @@
 
 
 def test_a_core_that_keeps_what_is_over_is_caught() -> None:
-    class Keeps(HeadCore):
+    class Keeps(GatewayCore):
         def _forget(self, pending: Any) -> None:
             if pending.key % 7:
                 super()._forget(pending)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -69,7 +69,7 @@
 
 
 def test_a_replay_without_a_look_and_without_labels_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pebblehinge.head.landing.next_step", lambda write, risky, read_back: "write")
+    monkeypatch.setattr("pebblehinge.gateway.commit.next_step", lambda write, risky, read_back: "write")
     monkeypatch.setattr("pebblehinge.shelf.contents.Contents.done", lambda self, label, now, window: False)
     assert broken(range(10))["doubled"]
 
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -9,7 +9,7 @@
 import pytest
 from test_rules_can_break import CASES, stage_for
 
-from pebblehinge.head import HeadCore
+from pebblehinge.gateway import GatewayCore
 from pebblehinge.lab.faults.draw import cast_of, draw
 from pebblehinge.lab.faults.script import Fault, read
 from pebblehinge.lab.struck import Struck
@@ -77,7 +77,7 @@
                 at 8s kill h4 for 500ms empty"""
     learned: dict[str, list[int]] = {}
 
-    class Watches(HeadCore):
+    class Watches(GatewayCore):
         def start(self, now: float) -> None:
             learned.setdefault(self.block.listen, []).append(len(self.module.shelfs.past))
             super().start(now)
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -199,10 +199,10 @@
 
 def test_address_in_use_is_an_oserror_with_the_address() -> None:
     async def script(rig: Rig) -> None:
-        from pebblehinge.head import HeadServer
+        from pebblehinge.gateway import GatewayServer
         from pebblehinge.lab.village import Quiet
 
-        second = HeadServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+        second = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
         with pytest.raises(OSError):
             await second.start()
         assert LOOPBACK in rig.config.head["h1"].listen
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -104,13 +104,13 @@
 
 def test_a_head_that_stops_and_starts_knows_its_shelfs_and_one_with_a_bad_file_knows_none() -> None:
     async def script(rig: Rig) -> None:
-        from pebblehinge.head import HeadServer
+        from pebblehinge.gateway import GatewayServer
         from pebblehinge.lab.village import Quiet
 
         disk = FaultyDisk(random.Random(1))
 
-        async def start() -> HeadServer:
-            head = rig.head = HeadServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+        async def start() -> GatewayServer:
+            head = rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
             head.remember(disk, lambda: (rig.clock(), rig.clock(), "b"))
             await head.start()
             await until(lambda: len(head.core.module.shelfs.at_slot) == len(rig.shelfs))
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pebblehinge.decide import Request
-from pebblehinge.head import HeadCore
+from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.lab.check import RULES, Verdict
 from pebblehinge.lab.village import play
@@ -107,13 +107,13 @@
 """
 
 
-class AnswersTwice(HeadCore):
+class AnswersTwice(GatewayCore):
     def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         super()._answer(pending, final, stay_ms, reason, data)
         pending.conn.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
 
-class Forgets(HeadCore):
+class Forgets(GatewayCore):
     def _answer(self, pending: Any, final: int, *rest: Any) -> None:
         if self.counts["taken"] % 50 == 0:
             pending.answered = True
@@ -123,20 +123,20 @@
             super()._answer(pending, final, *rest)
 
 
-class SaysHarmless(HeadCore):
+class SaysHarmless(GatewayCore):
     """Tells a client that trying again is harmless though the write may have run."""
 
     def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         super()._answer(pending, 1 if final == 2 else final, stay_ms, reason, data)
 
 
-class IgnoresDrains(HeadCore):
+class IgnoresDrains(GatewayCore):
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         entries = [Entry(e.shelf, Standing.READY, e.slot, e.started_ms) for e in entries]
         super().listed(now, kind, entries)
 
 
-class IgnoresCold(HeadCore):
+class IgnoresCold(GatewayCore):
     """Knows of no start, neither from the list nor from broken connections, and holds nothing back."""
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
@@ -167,18 +167,18 @@
 CASES = {
     "final_answer, twice": ("final_answer", "", AnswersTwice, None),
     "final_answer, forgotten": ("final_answer", "", Forgets, None),
-    "no_double_effect, a second trip": ("no_double_effect", RESETS, HeadCore, altered(save={"repeat": "redoable"})),
+    "no_double_effect, a second trip": ("no_double_effect", RESETS, GatewayCore, altered(save={"repeat": "redoable"})),
     "no_double_effect, said to be harmless": ("no_double_effect", RESETS, SaysHarmless, None),
     "drains": ("drains", "at 1s drain s1 for 3s\n", IgnoresDrains, None),
     "cold": ("cold", "at 2s mass-restart s1 s2 for 300ms\n", IgnoresCold, altered(rules={"warm": 1.0})),
-    "limits": ("limits", "at 1s burst by 4x for 3s\n", HeadCore, altered(capped={"limit": 0.0})),
-    "order": ("order", "", HeadCore, altered(line={"in_order": False})),
-    "budget": ("budget", MORE_RESETS, HeadCore, altered(rules={"budget_share": None})),
+    "limits": ("limits", "at 1s burst by 4x for 3s\n", GatewayCore, altered(capped={"limit": 0.0})),
+    "order": ("order", "", GatewayCore, altered(line={"in_order": False})),
+    "budget": ("budget", MORE_RESETS, GatewayCore, altered(rules={"budget_share": None})),
 }
 
 
 def judge(
-    at: str, core: type[HeadCore], alter: Any, length: str = "6s", seed: int = 3, base: str = BASE
+    at: str, core: type[GatewayCore], alter: Any, length: str = "6s", seed: int = 3, base: str = BASE
 ) -> dict[str, Verdict]:
     config = loads(f"{base}\nday d {{\nlength {length}\n{at}}}\n")
     village, known = play(config, "d", seed, head_core=core, head_config=alter(config) if alter else None)
@@ -202,7 +202,7 @@
     at, base = stage_for(rule, at)
     broken = judge(at, core, alter, base=base)
     assert not broken[rule].kept and broken[rule].offence, case
-    sound = judge(at, HeadCore, None, base=base)
+    sound = judge(at, GatewayCore, None, base=base)
     assert all(v.kept for v in sound.values()), {r: v.offence for r, v in sound.items() if not v.kept}
     assert sound[rule].cases > 0
     assert set(sound) == set(RULES)
@@ -212,7 +212,7 @@
     """What the core relies on: the module never has two attempts of one request out at once."""
     seen: list[Request] = []
 
-    class Watches(HeadCore):
+    class Watches(GatewayCore):
         def _carry_out(self, first: Any, now: float) -> None:
             super()._carry_out(first, now)
             for pending in self.pending.values():
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -13,7 +13,7 @@
 from service_rig import SETTINGS, Rig, ask, entry, listing, on_rig
 
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service.clients import ClientConn
+from pebblehinge.service.clients import ClientConnection
 from pebblehinge.service.life import Life, Stage
 
 
@@ -112,7 +112,7 @@
     return raw
 
 
-async def slow_reader(rig: Rig) -> tuple[socket.socket, ClientConn]:
+async def slow_reader(rig: Rig) -> tuple[socket.socket, ClientConnection]:
     """A client that does not read, with little room on the way to it; and the head's end of its connection."""
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -62,8 +62,10 @@
 def test_a_circle_is_found() -> None:
     assert circle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
     assert circle({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
-    for_types = "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from pebblehinge.head import HeadServer\n"
-    assert imported(for_types) == {"typing", "pebblehinge.head"}
+    for_types = (
+        "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from pebblehinge.gateway import GatewayServer\n"
+    )
+    assert imported(for_types) == {"typing", "pebblehinge.gateway"}
 
 
 def test_all_decisions_of_a_request_are_named() -> None:
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import FLEET, Rig, config, on_rig, until
 
-from pebblehinge.head.writeback import Back
+from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.settings import SettingsError
 from pebblehinge.store.journal import (
@@ -58,14 +58,14 @@
         self.disk.sync(batch.name)
 
 
-async def buffered(rig: Rig, disk: OnDisk) -> Back:
+async def buffered(rig: Rig, disk: OnDisk) -> WriteBack:
     """Starts the rig's head anew, with a journal."""
-    from pebblehinge.head import HeadServer
+    from pebblehinge.gateway import GatewayServer
     from pebblehinge.lab.village import Quiet
 
     rig.kill_head()
     await asyncio.sleep(0.02)
-    rig.head = HeadServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+    rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
     rig.head.buffer(disk.disk, disk.lasts)
     await rig.head.start()
     await until(lambda: len(rig.head.core.module.shelfs.at_slot) == len(rig.shelfs))
