--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -38,18 +38,32 @@
 REQUESTS = 20_000
 WAIT_S = 20.0  # for a start
 SETTINGS: dict[str, Any] = {
-    "ceilings": {"cancel": True, "conn_idle_s": 30.0, "connect_timeout_s": 0.25, "max_open": 1000,
-                 "max_retry_after_s": 0.5, "retry_after": True, "try_limit": 3},
-    "classes": [{"effect": "safe", "give_up_s": 2.0, "late_worth": 0.1, "name": "look", "on_time_s": 0.4,
-                 "points": 2.0}],
+    "ceilings": {
+        "cancel": True,
+        "conn_idle_s": 30.0,
+        "connect_timeout_s": 0.25,
+        "max_open": 1000,
+        "max_retry_after_s": 0.5,
+        "retry_after": True,
+        "try_limit": 3,
+    },
+    "classes": [
+        {"effect": "safe", "give_up_s": 2.0, "late_worth": 0.1, "name": "look", "on_time_s": 0.4, "points": 2.0}
+    ],
     "client_habits": {"marks_retry": True},
-    "family_info": {"idle_worth": 0.05, "mean_units": 2.0, "most_units": 6, "shards": 4, "within_share": 0.35,
-                    "writes": [False]},
+    "family_info": {
+        "idle_worth": 0.05,
+        "mean_units": 2.0,
+        "most_units": 6,
+        "shards": 4,
+        "within_share": 0.35,
+        "writes": [False],
+    },
     "membership_mode": "push",
     "rules": {"cold_share": 0.3, "fall_multiple": 2.0, "warm_after_s": 5.0},
     "service_levels": [{"base_rate": 900.0, "name": "gold", "reserve": 900.0}],
     "step_s": 0.002,
-}  # fmt: skip
+}
 
 
 def environment(checkout: Path, **more: str) -> dict[str, str]:
@@ -58,8 +72,9 @@
 
 def decision(checkout: Path) -> float:
     script = next(checkout.glob("benchmarks/**/decision_cost.py"))
-    done = subprocess.run([sys.executable, "-P", str(script), "--way"], env=environment(checkout), capture_output=True,
-                          check=True)  # fmt: skip
+    done = subprocess.run(
+        [sys.executable, "-P", str(script), "--way"], env=environment(checkout), capture_output=True, check=True
+    )
     return float(done.stdout)
 
 
@@ -79,10 +94,27 @@
 
     def handle(self) -> None:
         self.request.recv(65536)
-        line = json.dumps({"version": 1, "full": True, "servers": [{
-            "id": "s1", "addr": "127.0.0.1:9", "zone": "a", "kind": "m", "cell": 0, "state": "Ready", "weight": 1.0,
-            "started_ms": 0,
-        }]}).encode() + b"\n"  # fmt: skip
+        line = (
+            json.dumps(
+                {
+                    "version": 1,
+                    "full": True,
+                    "servers": [
+                        {
+                            "id": "s1",
+                            "addr": "127.0.0.1:9",
+                            "zone": "a",
+                            "kind": "m",
+                            "cell": 0,
+                            "state": "Ready",
+                            "weight": 1.0,
+                            "started_ms": 0,
+                        }
+                    ],
+                }
+            ).encode()
+            + b"\n"
+        )
         self.request.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line))
         while self.request.recv(65536):
             pass
@@ -108,13 +140,24 @@
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
         file = Path(folder) / "config.json"
-        file.write_text(json.dumps({
-            "name": "n1", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.server_address[1]}",
-            "seed": "8c1f", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": SETTINGS,
-        }))  # fmt: skip
+        file.write_text(
+            json.dumps(
+                {
+                    "name": "n1",
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": f"127.0.0.1:{discovery.server_address[1]}",
+                    "seed": "8c1f",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+                    "settings": SETTINGS,
+                }
+            )
+        )
         began = time.perf_counter()
-        process = subprocess.Popen([sys.executable, "-P", "-m", "pebblehinge.service"], cwd=folder,
-                                   env=environment(checkout, RELAY_CONFIG=str(file)))  # fmt: skip
+        process = subprocess.Popen(
+            [sys.executable, "-P", "-m", "pebblehinge.service"],
+            cwd=folder,
+            env=environment(checkout, RELAY_CONFIG=str(file)),
+        )
         try:
             while not ready(port):
                 if time.perf_counter() - began > WAIT_S or process.poll() is not None:
@@ -128,8 +171,10 @@
 
 
 PARTS: dict[str, tuple[Callable[[Path], float], str]] = {
-    "decision": (decision, "us"), "gateway": (gateway, "us"), "start": (start, "ms"),
-}  # fmt: skip
+    "decision": (decision, "us"),
+    "gateway": (gateway, "us"),
+    "start": (start, "ms"),
+}
 
 
 def compare(part: str, other: Path, rounds: int) -> float:
@@ -144,8 +189,11 @@
     ratios = sorted(here / there for here, there in pairs)
     here, there = (statistics.median(column) for column in zip(*pairs, strict=True))
     ratio = statistics.median(ratios)
-    print(f"{part}: {here:.2f} {unit} here, {there:.2f} there; ratio of {rounds} pairs: median {ratio:.3f}, "
-          f"{ratios[0]:.3f} to {ratios[-1]:.3f}", flush=True)  # fmt: skip
+    print(
+        f"{part}: {here:.2f} {unit} here, {there:.2f} there; ratio of {rounds} pairs: median {ratio:.3f}, "
+        f"{ratios[0]:.3f} to {ratios[-1]:.3f}",
+        flush=True,
+    )
     return ratio
 
 
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -35,12 +35,28 @@
 )
 
 SETTINGS = Settings(
-    profiles=(RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),),
-    plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
-    mean_units=2.0, most_units=6.0, share_value=0.3, excess_value=0.1, asks_for_list=False, marks_repeats=False,
-    may_cancel=True, stay_away_max_ms=500.0, try_limit=3, step_ms=1.0, cold_share=0.3, warm_ms=10_000.0,
-    fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0, budget_window_ms=5_000.0,
-)  # fmt: skip
+    request_classes=(
+        RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),
+    ),
+    quota_plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
+    mean_units=2.0,
+    most_units=6.0,
+    share_value=0.3,
+    excess_value=0.1,
+    asks_for_list=False,
+    marks_repeats=False,
+    may_cancel=True,
+    stay_away_max_ms=500.0,
+    try_limit=3,
+    step_ms=1.0,
+    cold_share=0.3,
+    warm_ms=10_000.0,
+    fall_multiple=2.0,
+    order_settle_ms=0.0,
+    budget_share=None,
+    budget_free=0.0,
+    budget_window_ms=5_000.0,
+)
 ROUNDS = 2_000
 
 
@@ -182,8 +198,10 @@
         rows.append(tuple(pair[checkout] for checkout in both))
     ratios = sorted(a / b for a, b in rows)
     here, there = (statistics.median(column) for column in zip(*rows, strict=True))
-    print(f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
-          f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")  # fmt: skip
+    print(
+        f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
+        f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}"
+    )
 
 
 def main() -> None:
@@ -199,9 +217,11 @@
         return
     print("| | 40 shelfs, us | 400 shelfs, us | ratio | p99 40 | p99 400 |\n| --- | --- | --- | --- | --- | --- |")
     for what, call in (
-        ("a slot frees, 10 held", lambda n: freed(n, 10)), ("a slot frees, 100 held", lambda n: freed(n, 100)),
-        ("one entry of the list changes", changed), ("a new object is placed", picked),
-    ):  # fmt: skip
+        ("a slot frees, 10 held", lambda n: freed(n, 10)),
+        ("a slot frees, 100 held", lambda n: freed(n, 100)),
+        ("one entry of the list changes", changed),
+        ("a new object is placed", picked),
+    ):
         rows = [call(n) for n in (40, 400, 40, 400, 40, 400)]
         few, many = min(rows[0::2]), min(rows[1::2])
         print(f"| {what} | {few[0]:.1f} | {many[0]:.1f} | {many[0] / few[0]:.2f} | {few[1]:.1f} | {many[1]:.1f} |")
--- a/benchmarks/unchanged_live.py
+++ b/benchmarks/unchanged_live.py
@@ -72,10 +72,12 @@
     processes = []
     try:
         for words in (
-            ("listing",), ("shelf", "--name", "s1"), ("shelf", "--name", "s2"),
+            ("listing",),
+            ("shelf", "--name", "s1"),
+            ("shelf", "--name", "s2"),
             ("group", "--name", "g1", "--begin", "--store", str(program.folder / "g1")),
             ("head", "--agreed", str(program.folder / "agreed"), "--capture", str(program.folder / "capture")),
-        ):  # fmt: skip
+        ):
             processes.append(program.start(*words, str(file)))
         told = {"propose": program.run("config", "--group", str(file), "propose", str(file))[0]}
         told["load"] = program.run("lab", "load", "--day", "short", str(file))[0]
@@ -85,11 +87,13 @@
         state = json.loads(fetch(f"{host}:7301/state"))
         status = json.loads(program.run("config", "--group", str(file), "status", "--json")[1])
         return {
-            "exits": told, "metrics": metrics(fetch(f"{host}:7051/metrics")), "state": served(state),
+            "exits": told,
+            "metrics": metrics(fetch(f"{host}:7051/metrics")),
+            "state": served(state),
             "shelf": sorted(keys(json.loads(fetch(f"{host}:7301/shelf/s1")))),
             "volume": sorted(keys(json.loads(fetch(f"{host}:7301/volume/basico-1")))),
             "status": sorted(keys(status)),
-        }  # fmt: skip
+        }
     finally:
         for process in processes:
             process.terminate()
--- a/pebblehinge/store/settings_mark.py
+++ b/pebblehinge/store/settings_mark.py
@@ -13,14 +13,32 @@
 PROFILE = ("name", "importance", "expected_ms", "patience_ms", "late_share", "repeat", "group", "window_ms", "in_order")
 PLAN = ("name", "rate", "reserve", "limit_rate", "limit_burst", "limit_slack", "weight", "worth_factor")
 REST = (
-    "mean_units", "most_units", "share_worth", "idle_worth", "asks_for_list", "marks_repeats", "may_recall",
-    "stay_away_max_ms", "try_limit", "step_ms", "cold_share", "warm_ms", "fall_multiple", "order_settle_ms",
-    "budget_share", "budget_free", "budget_window_ms",
-)  # fmt: skip
+    "mean_units",
+    "most_units",
+    "share_worth",
+    "idle_worth",
+    "asks_for_list",
+    "marks_repeats",
+    "may_recall",
+    "stay_away_max_ms",
+    "try_limit",
+    "step_ms",
+    "cold_share",
+    "warm_ms",
+    "fall_multiple",
+    "order_settle_ms",
+    "budget_share",
+    "budget_free",
+    "budget_window_ms",
+)
 MEMBERS = {
-    "redoable": "Repeat.REDOABLE", "labelled": "Repeat.LABELLED", "irreversible": "Repeat.IRREVERSIBLE",
-    "all": "Group.ALL", "zone": "Group.ZONE", "cell": "Group.CELL",
-}  # fmt: skip
+    "redoable": "Repeat.REDOABLE",
+    "labelled": "Repeat.LABELLED",
+    "irreversible": "Repeat.IRREVERSIBLE",
+    "all": "Group.ALL",
+    "zone": "Group.ZONE",
+    "cell": "Group.CELL",
+}
 
 
 def stored_text(settings: Any) -> str:
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -17,24 +17,41 @@
 from pebblehinge.wirehost.loop import Process, serve
 
 SETTINGS: dict[str, Any] = {
-    "ceilings": {"cancel": True, "conn_idle_s": 30.0, "connect_timeout_s": 0.25, "max_open": 1000,
-                 "max_retry_after_s": 0.5, "retry_after": True, "try_limit": 3},
+    "ceilings": {
+        "cancel": True,
+        "conn_idle_s": 30.0,
+        "connect_timeout_s": 0.25,
+        "max_open": 1000,
+        "max_retry_after_s": 0.5,
+        "retry_after": True,
+        "try_limit": 3,
+    },
     "classes": [
         {"effect": "safe", "give_up_s": 2.0, "late_worth": 0.1, "name": "look", "on_time_s": 0.4, "points": 2.0},
         {"effect": "unsafe", "give_up_s": 1.0, "late_worth": 0.1, "name": "save", "on_time_s": 0.4, "points": 2.0},
     ],
     "client_habits": {"marks_retry": True},
-    "family_info": {"idle_worth": 0.05, "mean_units": 2.0, "most_units": 6, "shards": 4, "within_share": 0.35,
-                    "writes": [False, True]},
+    "family_info": {
+        "idle_worth": 0.05,
+        "mean_units": 2.0,
+        "most_units": 6,
+        "shards": 4,
+        "within_share": 0.35,
+        "writes": [False, True],
+    },
     "membership_mode": "ask",
     "rules": {"cold_share": 0.3, "fall_multiple": 2.0, "warm_after_s": 5.0},
     "service_levels": [{"base_rate": 900.0, "name": "gold", "reserve": 900.0}],
     "step_s": 0.002,
-}  # fmt: skip
+}
 CONFIG: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": SETTINGS,
-}  # fmt: skip
+    "name": "n1",
+    "listen": "127.0.0.1:8443",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+    "settings": SETTINGS,
+}
 ENDS = ("completed",) * 12 + ("errored", "saturated", "overdue", "refused_conn", "severed", "superseded")
 
 
@@ -66,8 +83,11 @@
             say("FOR h2", f"SYNC {number} 2 {'full' if number == 40 else 'cached'}", "SYNC - - failed")
         for head in ("h1", "h2"):
             tid, kind = str(number * 2 + (head == "h2")), rng.choice(("look", "save"))
-            say(f"FOR {head}", f"ARRIVAL {tid} {rng.choice(('x1', 'x2', '-'))} {kind} gold {rng.choice((0, 2))} 4 "
-                f"{rng.randrange(-1, 4)} {rng.choice((1, 2.5))} v{number % 3} {now + 1.5:.6f}")  # fmt: skip
+            say(
+                f"FOR {head}",
+                f"ARRIVAL {tid} {rng.choice(('x1', 'x2', '-'))} {kind} gold {rng.choice((0, 2))} 4 "
+                f"{rng.randrange(-1, 4)} {rng.choice((1, 2.5))} v{number % 3} {now + 1.5:.6f}",
+            )
             if number % 17 == 5:
                 say(f"HANGUP {tid}")
         say("GO")
@@ -81,8 +101,11 @@
                 due += (
                     [f"FOR {source}", f"HEADERS {values[0]} {attempt} {values[1]} 0.003"] if rng.random() < 0.3 else []
                 )
-                due += [f"FOR {source}", f"VERDICT {values[0]} {attempt} - {rng.choice(ENDS)} {rng.randrange(2)} - "
-                        f"{values[1]} {rng.choice(('0.004', '0.3', '-'))} -"]  # fmt: skip
+                due += [
+                    f"FOR {source}",
+                    f"VERDICT {values[0]} {attempt} - {rng.choice(ENDS)} {rng.randrange(2)} - "
+                    f"{values[1]} {rng.choice(('0.004', '0.3', '-'))} -",
+                ]
             elif word == "ABORT_ATTEMPT":
                 due += [f"FOR {source}", f"VERDICT {values[0]} {values[1]} - recalled 1 - s0 - -"]
             elif word == "TIMER":
@@ -91,14 +114,39 @@
     return lines
 
 
-WORDS = ("BATCH", "FOR", "HELLO", "DESTROY", "MANIFEST", "ROW", "SYNC", "ARRIVAL", "HEADERS", "VERDICT", "HANGUP",
-         "TICK_DUE", "ECHO", "FROM_PEER", "GO", "NOTHING")  # fmt: skip
+WORDS = (
+    "BATCH",
+    "FOR",
+    "HELLO",
+    "DESTROY",
+    "MANIFEST",
+    "ROW",
+    "SYNC",
+    "ARRIVAL",
+    "HEADERS",
+    "VERDICT",
+    "HANGUP",
+    "TICK_DUE",
+    "ECHO",
+    "FROM_PEER",
+    "GO",
+    "NOTHING",
+)
 GOOD = {
-    "BATCH": "1.5", "FOR": "h1", "HELLO": "1 {}", "MANIFEST": "1 1", "ROW": "1 s0 0.5 Ready 0 1.0 a",
+    "BATCH": "1.5",
+    "FOR": "h1",
+    "HELLO": "1 {}",
+    "MANIFEST": "1 1",
+    "ROW": "1 s0 0.5 Ready 0 1.0 a",
     "SYNC": "1 1 full",
-    "ARRIVAL": "1 x look gold 0 4 0 1.0 v 9.5", "HEADERS": "1 0 s0 0.1", "HANGUP": "1", "TICK_DUE": "1",
-    "VERDICT": "1 0 - completed 1 - s0 0.1 -", "ECHO": "completed 0.1 s0 -", "FROM_PEER": "1 x",
-}  # fmt: skip
+    "ARRIVAL": "1 x look gold 0 4 0 1.0 v 9.5",
+    "HEADERS": "1 0 s0 0.1",
+    "HANGUP": "1",
+    "TICK_DUE": "1",
+    "VERDICT": "1 0 - completed 1 - s0 0.1 -",
+    "ECHO": "completed 0.1 s0 -",
+    "FROM_PEER": "1 x",
+}
 
 
 def bad_lines() -> list[list[str]]:
@@ -115,8 +163,13 @@
         env = {k: v for k, v in SETTINGS.items() if k != key}
         found.append(["BATCH 1.0", "FOR h1", f"HELLO 1 {json.dumps(env)}"])
         found.append(["BATCH 1.0", "FOR h1", f"HELLO 1 {json.dumps({**SETTINGS, key: 'x'})}"])
-    found += [["ROW 1 s0 0.5 Ready 0 1.0 a"], ["MANIFEST 1 2", "GO"], ["BATCH 1.0", "HANGUP 1"],
-              ["BATCH 1.0", "FOR h1", "SYNC 4 1 full"], ["BATCH 1.0", "FOR h1", "HANGUP 1"]]  # fmt: skip
+    found += [
+        ["ROW 1 s0 0.5 Ready 0 1.0 a"],
+        ["MANIFEST 1 2", "GO"],
+        ["BATCH 1.0", "HANGUP 1"],
+        ["BATCH 1.0", "FOR h1", "SYNC 4 1 full"],
+        ["BATCH 1.0", "FOR h1", "HANGUP 1"],
+    ]
     env = json.dumps(SETTINGS)
     for line in ("SYNC 4 1 full", "ARRIVAL 1 x other gold 0 4 0 1.0 v 9.5", "ARRIVAL 1 x look other 0 4 0 1.0 v 9.5"):
         found.append(["BATCH 1.0", "FOR h1", f"HELLO 1 {env}", line])
@@ -131,16 +184,33 @@
 
 
 QUESTIONS: list[tuple[str, dict[str, Any]]] = [
-    ("history", {}), ("status", {"json": 1}), ("show", {}), ("show", {"version": 9}), ("members", {}),
-    ("propose", {"text": "nonsense", "base": 1}), ("propose", {"text": document(50), "base": 0}),
+    ("history", {}),
+    ("status", {"json": 1}),
+    ("show", {}),
+    ("show", {"version": 9}),
+    ("members", {}),
+    ("propose", {"text": "nonsense", "base": 1}),
+    ("propose", {"text": document(50), "base": 0}),
     ("propose", {"text": document(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
     ("propose", {"text": document(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
-    ("diff", {"a": 1, "b": 2}), ("diff", {"a": 1, "b": 7}), ("rollback", {"version": 1}), ("rollback", {"version": 8}),
-    ("history", {}), ("members", {"do": "remove", "name": "g5"}), ("members", {"do": "add", "name": "g5"}),
-    ("members", {"do": "add", "name": "g9"}), ("members", {"do": "other", "name": "g5"}), ("members", {}),
-    ("forget", {"head": "h9"}), ("transfer", {"to": "g9"}), ("propose", {}), ("nothing", {}),
-    ("rollback", {}), ("forget", {}), ("transfer", {}),
-]  # fmt: skip
+    ("diff", {"a": 1, "b": 2}),
+    ("diff", {"a": 1, "b": 7}),
+    ("rollback", {"version": 1}),
+    ("rollback", {"version": 8}),
+    ("history", {}),
+    ("members", {"do": "remove", "name": "g5"}),
+    ("members", {"do": "add", "name": "g5"}),
+    ("members", {"do": "add", "name": "g9"}),
+    ("members", {"do": "other", "name": "g5"}),
+    ("members", {}),
+    ("forget", {"head": "h9"}),
+    ("transfer", {"to": "g9"}),
+    ("propose", {}),
+    ("nothing", {}),
+    ("rollback", {}),
+    ("forget", {}),
+    ("transfer", {}),
+]
 
 
 def asked() -> list[list[Any]]:
--- a/tests/compatibility/exchange.py
+++ b/tests/compatibility/exchange.py
@@ -124,14 +124,28 @@
     group = Exchange(folder)
     leader = group.members["a"]
     group.tick("a", 20)
-    for serial, parts in enumerate((
-        ("propose", 0, version(100), "ana", "first"), ("acknowledge", "h1", 1), ("taken_up", {"h2": 1}),
-        ("activate", 1, {}, 3), ("propose", 1, version(60), "rui", "second"), ("acknowledge", "h1", 2),
-        ("refuse", 2, "h2: no"), ("propose", 2, version(80), "rui", ""), ("taken_up", {"h1": 3, "h3": 1}),
-        ("activate", 3, {"v": (10.0, 4.5)}, 9), ("activate", 3, {"v": (10.0, 4.5)}, 10), ("forget", "h9"),
-        ("propose", 0, version(1), "x", ""), ("propose", 3, "nonsense", "x", ""), ("acknowledge", "h1", 77),
-        ("activate", 9, {}, 11), ("refuse", 3, "late"),
-    ), 1):  # fmt: skip
+    for serial, parts in enumerate(
+        (
+            ("propose", 0, version(100), "ana", "first"),
+            ("acknowledge", "h1", 1),
+            ("taken_up", {"h2": 1}),
+            ("activate", 1, {}, 3),
+            ("propose", 1, version(60), "rui", "second"),
+            ("acknowledge", "h1", 2),
+            ("refuse", 2, "h2: no"),
+            ("propose", 2, version(80), "rui", ""),
+            ("taken_up", {"h1": 3, "h3": 1}),
+            ("activate", 3, {"v": (10.0, 4.5)}, 9),
+            ("activate", 3, {"v": (10.0, 4.5)}, 10),
+            ("forget", "h9"),
+            ("propose", 0, version(1), "x", ""),
+            ("propose", 3, "nonsense", "x", ""),
+            ("acknowledge", "h1", 77),
+            ("activate", 9, {}, 11),
+            ("refuse", 3, "late"),
+        ),
+        1,
+    ):
         group.propose("a", serial, *parts)
     leader.compact()
     assert leader.raft.read(7)
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -44,15 +44,17 @@
 
 # Batches of records: writes, barriers, done.
 JOURNAL: list[list[tuple[Any, ...]]] = [
-    [("w", 1, "vol-1", "x1", 0, 0, b"first" * 9, "l-1", "save", 1.5), ("w", 2, "vol-1", "x2", 1, 4096, b"\x00\x80", "",
-                                                                      "save", 2.0)],  # fmt: skip
+    [
+        ("w", 1, "vol-1", "x1", 0, 0, b"first" * 9, "l-1", "save", 1.5),
+        ("w", 2, "vol-1", "x2", 1, 4096, b"\x00\x80", "", "save", 2.0),
+    ],
     [("b", 3, "vol-1")],
     [("w", 4, "vol-1", "x1", 0, 5, b"second" * 20, "l-4", "save", 0.5), ("b", 5, "vol-2")],
     [("d", [2])],
     [("w", 6, "vol-2", "x3", 1, 0, b"third" * 70, "l-6", "mark", 3.0)],
     [("w", 7, "vol-2", "x3", 1, 350, b"fourth", "l-7", "mark", 1.0), ("b", 8, "vol-2")],
     [("w", 9, "vol-2", "x4", 0, 0, b"", "l-9", "mark", 1.0)],
-]  # fmt: skip
+]
 
 # Of a memory file: wall clock, time since the machine's start, which start, whether all was sent.
 MEMORY = (1_700_000_000_000.0, 86_400_000.0, "boot-1", True)
--- a/tests/compatibility/test_conversations.py
+++ b/tests/compatibility/test_conversations.py
@@ -12,8 +12,15 @@
     said = answered(expected["lines"]).splitlines()
     assert said == expected["answered"]
     assert {line.split()[0] for line in said} >= {
-        "SOURCE", "SUBMIT_TO", "ABORT_ATTEMPT", "REPORT_FAILURE", "NOT_NOW", "TIMER", "LISTEN", "READY",
-    }  # fmt: skip
+        "SOURCE",
+        "SUBMIT_TO",
+        "ABORT_ATTEMPT",
+        "REPORT_FAILURE",
+        "NOT_NOW",
+        "TIMER",
+        "LISTEN",
+        "READY",
+    }
 
 
 def test_another_line_is_answered_otherwise() -> None:
--- a/tests/compatibility/test_outside.py
+++ b/tests/compatibility/test_outside.py
@@ -49,8 +49,10 @@
     other["live"]["metrics"][0] = "renamed_total counter"
     found = differences(other, FIGURES)
     assert [line.split(":")[0] for line in found] == [
-        "/days/struck 3/records/head-h1.jsonl", "/days/struck 4/records/lab.jsonl", "/live/metrics",
-    ]  # fmt: skip
+        "/days/struck 3/records/head-h1.jsonl",
+        "/days/struck 4/records/lab.jsonl",
+        "/live/metrics",
+    ]
 
 
 def test_names_of_metrics_and_keys_are_told_apart() -> None:
@@ -59,7 +61,12 @@
     assert metrics(text.replace("left", "gone")) != metrics(text)
     state = {"refused_because": {"x": 1}, "events": [[1]], "shelfs": [{"name": "s1"}, {"name": "s2", "slot": 0}]}
     assert served(state) == [
-        " object", ".events list", ".refused_because object", ".shelfs list", ".shelfs[] object", ".shelfs[].name str",
+        " object",
+        ".events list",
+        ".refused_because object",
+        ".shelfs list",
+        ".shelfs[] object",
+        ".shelfs[].name str",
         ".shelfs[].slot int",
-    ]  # fmt: skip
+    ]
     assert keys({"a": 1}) != keys({"b": 1}) and keys({"a": 1}) != keys({"a": 1.0})
--- a/tests/compatibility/test_records.py
+++ b/tests/compatibility/test_records.py
@@ -32,11 +32,17 @@
 
 # What is written and not read again: for each event the keys.
 NOT_READ = {
-    "begin": {"day", "length", "seed"}, "answer": {"took"}, "connected": {"t"}, "said": {"status"},
-    "up": {"name", "role", "t"}, "down": {"e", "t", "name"}, "read": {"e", "t", "id", "n"},
+    "begin": {"day", "length", "seed"},
+    "answer": {"took"},
+    "connected": {"t"},
+    "said": {"status"},
+    "up": {"name", "role", "t"},
+    "down": {"e", "t", "name"},
+    "read": {"e", "t", "id", "n"},
     "told": {"kind"},  # it counts where a whole list leaves a name out, see below
-    "recalled": {"e", "t", "id", "n", "began"}, "control": {"e", "t", "verb", "values"},
-}  # fmt: skip
+    "recalled": {"e", "t", "id", "n", "began"},
+    "control": {"e", "t", "verb", "values"},
+}
 
 
 def test_each_changed_value_is_seen(tmp_path: Path) -> None:
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -37,8 +37,14 @@
     assert marks() == saved("settings_marks")
 
 
-@pytest.mark.parametrize("changes", [
-    {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_recall": False}, {"profiles": ()},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"mean_units": 2.5},
+        {"budget_window_ms": 1.0},
+        {"may_recall": False},
+        {"profiles": ()},
+    ],
+)
 def test_other_settings_have_another_mark(changes: dict[str, Any]) -> None:
     assert mark_of(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
