--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import copy
 import logging
 import os
 import signal
@@ -109,6 +110,14 @@
     """A storage gateway: schedules a host's reads and writes over storage nodes."""
 
 
+def hidden_alias(command: click.Command, name: str) -> None:
+    """Keeps a command callable by its former name, which the help does not list: units and scripts use it."""
+    alias = copy.copy(command)
+    alias.name = name
+    alias.hidden = True
+    main.add_command(alias)
+
+
 @main.command()
 def version() -> None:
     """Print the program's version."""
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -1,4 +1,4 @@
-"""`pebblehinge head`: a running head with all that its settings join to it."""
+"""`pebblehinge gateway`: a running gateway with all that its settings join to it."""
 
 from __future__ import annotations
 
@@ -21,6 +21,7 @@
     clock_of,
     describe,
     give_up,
+    hidden_alias,
     logger,
     main,
     pick,
@@ -35,7 +36,7 @@
 from pebblehinge.settings import Config, SettingsError, load
 
 
-@main.command()
+@main.command(name="gateway")
 @FILE
 @click.option("--name", help="Which head block of the file; not needed where it has one.")
 @LOOPBACK
@@ -45,7 +46,7 @@
 @click.option("--agreed", type=click.Path(dir_okay=False), help="Where to keep the last agreed version, with a group.")
 @click.option("--store", type=click.Path(file_okay=False), help="Folder of its journal; else the block's.")
 @click.option("--pid", "pid_path", type=click.Path(dir_okay=False), help="Holds its process id, and is held by it.")
-def head(
+def gateway(
     file: str,
     name: str | None,
     loopback: str | None,
@@ -56,7 +57,7 @@
     store: str | None,
     pid_path: str | None,
 ) -> None:
-    """Run a head. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
+    """Run a gateway. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
     config = read_settings(file, loopback)
     name = pick(config, "head", name)
     if seed is not None:
@@ -75,6 +76,9 @@
     run(lambda loop: _head(loop, config, file, name, loopback, records or config.records, capture, agreed, log))
 
 
+hidden_alias(gateway, "head")
+
+
 async def _head(
     loop: asyncio.AbstractEventLoop,
     config: Config,
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -1,4 +1,4 @@
-"""`pebblehinge shelf` and `listing`: the stand-ins."""
+"""`pebblehinge storage-node` and `discovery`: the stand-ins."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
     clock_of,
     describe,
     give_up,
+    hidden_alias,
     logger,
     main,
     pick,
@@ -28,7 +29,7 @@
 from pebblehinge.settings import Config
 
 
-@main.command()
+@main.command(name="storage-node")
 @FILE
 @click.option("--name", help="Which shelf block of the file.")
 @LOOPBACK
@@ -37,7 +38,7 @@
 @click.option("--store", type=click.Path(file_okay=False), help="Folder for contents and the journal of effects.")
 @click.option("--cold", is_flag=True, help="It comes back from a crash.")
 @click.option("--release", type=click.IntRange(1, 30), help="It replaces the named shelf, under a further name.")
-def shelf(
+def storage_node(
     file: str,
     name: str | None,
     loopback: str | None,
@@ -58,6 +59,9 @@
     run(lambda loop: _shelf(loop, config, name, records, seed, store, cold, log))
 
 
+hidden_alias(storage_node, "shelf")
+
+
 async def _shelf(
     loop: asyncio.AbstractEventLoop,
     config: Config,
@@ -98,18 +102,21 @@
     return 0
 
 
-@main.command()
+@main.command(name="discovery")
 @FILE
 @LOOPBACK
 @RECORDS
 @SEED
-def listing(file: str, loopback: str | None, records: str | None, seed: int) -> None:
+def discovery(file: str, loopback: str | None, records: str | None, seed: int) -> None:
     """Run the stand-in node list."""
     config = read_settings(file, loopback)
     log = logger(config.log, listing=config.listing.listen)
     run(lambda loop: _listing(loop, config, records, seed, log))
 
 
+hidden_alias(discovery, "listing")
+
+
 async def _listing(loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any) -> int:
     from pebblehinge.daemon.files import allow_files, files_of
     from pebblehinge.listing import ListingServer
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -95,7 +95,7 @@
         if self.script is not None:
             await self.struck.start(self.loopback)
         await asyncio.gather(*(self.start_one(name, False) for name in self.config.member))
-        await self._spawn("listing", self._command(["listing"], "", "--seed", str(self.seed)))
+        await self._spawn("listing", self._command(["discovery"], "", "--seed", str(self.seed)))
         await asyncio.gather(*(self.start_one(name, False) for name in self.config.shelf))
         await asyncio.gather(*(self.start_one(name, False) for name in self.config.head))
 
@@ -124,12 +124,12 @@
             more = ["--seed", str(self.seed * 1000 + life), "--capture", capture]
             if self.script is not None:
                 more += ["--store", str(self.state), "--agreed", str(self.state / name / "agreed")]
-            await self._spawn(name, self._command(["head"], name, *more))
+            await self._spawn(name, self._command(["gateway"], name, *more))
             return
         more = ["--seed", str(self.seed), "--store", str(self.folder / "store")]
         more += ["--cold"] if cold else []
         more += ["--release", str(self.releases[name])] if self.releases.get(name) else []
-        await self._spawn(name, self._command(["shelf"], name, *more))
+        await self._spawn(name, self._command(["storage-node"], name, *more))
 
     async def run_load(self, part: int, parts: int, start_ms: float) -> float:
         name = f"load{part + 1}"
