--- a/pebblehinge/http1/reader.py
+++ b/pebblehinge/http1/reader.py
@@ -1,12 +1,13 @@
-"""Whole messages out of bytes in any pieces, on llhttp's strict grammar.
+"""Complete HTTP messages from bytes in pieces of any size, by llhttp's strict grammar.
 
-A reader stops at a message's end and keeps what follows. llhttp bounds nothing and judges lengths leniently in
-places: bytes of the head, count of headers, body, and how a body's length is told are looked at here.
+A reader stops at the end of a message and keeps the bytes behind it. llhttp bounds nothing and is lenient about lengths
+in places, so the size of the head, the number of headers, the size of the body and its framing are checked here.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 import httptools
 
@@ -14,167 +15,209 @@
 HEAD_LIMIT = 16 * 1024  # bytes of a head, from its first byte, and of trailers
 HEADERS_LIMIT = 64
 BODY_LIMIT = 64 * 1024  # bytes of a request's body, as the platform's protocol states
-ANSWER_LIMIT = 1024 * 1024  # bytes of an answer's: shelfs in service send more than the protocol says
-FRAMING = 8  # times the most bytes of a body may come with its chunks' framing: those of one byte cost five more
-INFORMATIONAL_LIMIT = 8  # 1xx answers passed over in front of one answer
+RESPONSE_LIMIT = 1024 * 1024  # bytes of a response's body: storage nodes send more than the protocol says
+CHUNK_OVERHEAD = 8  # a chunked body may take this many times its limit on the wire: chunks of one byte take six
+LENGTH_DIGITS = 15  # of a Content-Length
 
 
 class HttpError(Exception):
-    """A message that can't be read further; `status` is what its sender may be told."""
+    """A message that can't be read further; `status` is what its sender may be answered."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-class _Message:
-    """One whole message. Names of headers are in small letters, values as they came."""
+class LlhttpParser(Protocol):
+    """What the parsers of httptools for requests and for responses have in common."""
 
-    __slots__ = ("headers", "body", "keep_alive")
+    def feed_data(self, data: bytes) -> None:
+        """Parse a piece, calling the reader's `on_` methods meanwhile."""
 
-    def __init__(self, headers: list[tuple[bytes, bytes]], body: bytes, keep_alive: bool) -> None:
-        self.headers, self.body, self.keep_alive = headers, body, keep_alive
+    def get_http_version(self) -> str:
+        """Return the version of the message, such as "1.1"."""
 
-    def all(self, name: bytes) -> list[bytes]:
-        return [v for n, v in self.headers if n == name]
+    def should_keep_alive(self) -> bool:
+        """Return whether the connection goes on after the message."""
 
 
-class _Reader:
-    """What both directions share: pieces are handed to the parser so that none goes past a message's end."""
+class MessageReader:
+    """Framing shared by both directions: llhttp gets pieces that never go past the end of a message.
+
+    Attributes:
+        buffer: Bytes received and not parsed yet.
+        body_size: Bytes of the body parsed so far.
+        length: Bytes of the body by Content-Length; 0 until the head is complete, and for a chunked body.
+        error: What is wrong with the message; raised once the piece is parsed.
+    """
 
     __slots__ = (
         "buffer",
         "parser",
         "headers",
         "parts",
-        "size",
-        "head",
-        "tail",
+        "body_size",
+        "head_size",
+        "head_tail",
+        "head_complete",
         "length",
         "chunked",
-        "began",
-        "done",
-        "keeps",
-        "fault",
-        "wire",
+        "begun",
+        "complete",
+        "keep_alive",
+        "error",
+        "wire_size",
     )
 
-    most = BODY_LIMIT
+    parser: LlhttpParser
+    body_limit = BODY_LIMIT  # bytes
 
-    def __init__(self, parser: Callable[[object], object]) -> None:
+    def __init__(self, parser_type: Callable[[object], LlhttpParser]) -> None:
         self.buffer = b""
-        self.parser = parser(self)
-        self._renew()
+        self.parser = parser_type(self)
+        self._reset()
 
-    def _renew(self) -> None:
+    def _reset(self) -> None:
         self.headers: list[tuple[bytes, bytes]] = []
         self.parts: list[bytes] = []
-        self.size = self.head = self.wire = 0
-        self.tail = b""
-        self.length = -1  # of the body; -1 until the head is whole
-        self.chunked = self.began = self.done = self.keeps = False
-        self.fault: tuple[int, str] | None = None
+        self.body_size = 0
+        self.head_size = 0
+        self.wire_size = 0  # bytes of a chunked body with its framing
+        self.head_tail = b""  # the last three bytes of an incomplete head
+        self.head_complete = False
+        self.length = 0
+        self.chunked = False
+        self.begun = False
+        self.complete = False
+        self.keep_alive = False
+        self.error: HttpError | None = None
 
     @property
     def partial(self) -> bool:
-        """Part of a message has come, and not all of it."""
-        return self.head > 0 or bool(self.buffer)
+        """Whether part of a message has come, and not all of it."""
+        return self.head_size > 0 or bool(self.buffer)
 
     def feed(self, data: bytes) -> None:
+        """Append received bytes to the buffer; they are parsed by `next` of the subclass."""
         self.buffer = self.buffer + data if self.buffer else data
 
-    def _next(self) -> bool:
-        """Reads on to the end of one message, if it is there; raises HttpError where it can't be read."""
-        buffer, at = self.buffer, 0
-        while at < len(buffer):
-            heading, end = self.length < 0, self._end(buffer, at)
-            if end == at:  # all of it has come by its length, and the parser waits for more: no piece would ever end it
+    def _read_message(self) -> bool:
+        """Parse up to the end of one message, if it has come; return whether it has, or raise HttpError."""
+        buffer = self.buffer
+        start = 0
+        while start < len(buffer):
+            in_head = not self.head_complete
+            end = self._piece_end(buffer, start)
+            if end == start:  # complete by its length, while llhttp waits for more: no piece would ever end it
                 self.buffer = b""
                 raise HttpError(502, "a message whose end can't be told")
-            piece, at = buffer[at:end], end
-            try:
-                self.parser.feed_data(piece)
-            except httptools.HttpParserUpgrade:
-                self.fault = self.fault or (400, "no other protocol is spoken here")
-            except httptools.HttpParserError as error:
-                self.fault = self.fault or (400, f"not HTTP/1.1: {str(error)[:80]}")
-            if self.fault is None:
-                self._bound(len(piece), heading)
-            if self.fault is not None:
+            piece = buffer[start:end]
+            start = end
+            self._parse(piece, in_head)
+            if self.error is not None:
                 self.buffer = b""
-                raise HttpError(*self.fault)
-            if self.done:
+                raise HttpError(self.error.status, str(self.error))  # a new one: its traceback would hold the reader
+            if self.complete:
                 break
-        self.buffer = buffer[at:]  # once a message, however many pieces it has
-        return self.done
-
-    def _end(self, buffer: bytes, at: int) -> int:
-        """Up to where the buffer, from here on, can't go past the end of this message."""
-        if self.length < 0:  # in the head
-            over = (self.tail + buffer[at : at + 3]).find(HEAD_END)  # it may have begun in what came before
-            found = at + over - len(self.tail) if over >= 0 else buffer.find(HEAD_END, at)
-            end = len(buffer) if over < 0 and found < 0 else found + len(HEAD_END)
-            self.tail = (self.tail + buffer[max(at, end - 3) : end])[-3:]
-            return end
+        self.buffer = buffer[start:]  # cut once a message, however many pieces it has
+        return self.complete
+
+    def _parse(self, piece: bytes, in_head: bool) -> None:
+        """Pass a piece to llhttp and check the sizes; what is wrong is left in `error`."""
+        try:
+            self.parser.feed_data(piece)
+        except httptools.HttpParserUpgrade:
+            self.error = self.error or HttpError(400, "no other protocol is spoken here")
+        except httptools.HttpParserError as error:
+            self.error = self.error or HttpError(400, f"not HTTP/1.1: {str(error)[:80]}")
+        if self.error is None:
+            self._check_size(len(piece), in_head)
+
+    def _piece_end(self, buffer: bytes, start: int) -> int:
+        """Return up to where the buffer, from `start` on, can't go past the end of this message."""
+        if not self.head_complete:
+            return self._head_piece_end(buffer, start)
         if self.chunked:  # a message's end is a line's end
-            end = buffer.find(b"\n", at)
+            end = buffer.find(b"\n", start)
             return len(buffer) if end < 0 else end + 1
-        return min(len(buffer), at + self.length - self.size)
-
-    def _bound(self, count: int, heading: bool) -> None:
-        if heading:
-            self.head += count
-            if self.head > HEAD_LIMIT:
-                self.fault = (431, f"a head of more than {HEAD_LIMIT} bytes")
+        return min(len(buffer), start + self.length - self.body_size)
+
+    def _head_piece_end(self, buffer: bytes, start: int) -> int:
+        """Return the end of the head, whose last line end may have begun in an earlier piece, or of the buffer."""
+        across = (self.head_tail + buffer[start : start + 3]).find(HEAD_END)
+        found = start + across - len(self.head_tail) if across >= 0 else buffer.find(HEAD_END, start)
+        end = len(buffer) if across < 0 and found < 0 else found + len(HEAD_END)
+        self.head_tail = (self.head_tail + buffer[max(start, end - 3) : end])[-3:]
+        return end
+
+    def _check_size(self, count: int, in_head: bool) -> None:
+        if in_head:
+            self.head_size += count
+            if self.head_size > HEAD_LIMIT:
+                self.error = HttpError(431, f"a head of more than {HEAD_LIMIT} bytes")
         elif self.chunked:
-            self.wire += count
-            if self.wire > FRAMING * self.most:
-                self.fault = (413, f"a body of more than {FRAMING * self.most} bytes with its framing")
-
-    def _frame(self, bodyless: bool) -> bool:
-        """How the body's length is told, and whether it is; two ways at once may hide a message in another."""
-        lengths = [v for n, v in self.headers if n == b"content-length"]
-        codings = [v for n, v in self.headers if n == b"transfer-encoding"]
+            self.wire_size += count
+            if self.wire_size > CHUNK_OVERHEAD * self.body_limit:
+                self.error = HttpError(
+                    413, f"a body of more than {CHUNK_OVERHEAD * self.body_limit} bytes with its framing"
+                )
+
+    def _read_framing(self, bodyless: bool) -> bool:
+        """Read how the body's length is given; return whether it is.
+
+        One that is given twice is an error (RFC 9112, 6.3): it may hide a message within another.
+        """
+        lengths = [value for name, value in self.headers if name == b"content-length"]
+        codings = [value for name, value in self.headers if name == b"transfer-encoding"]
+        self.head_complete = True
         self.length = 0
         if len(lengths) + len(codings) > 1:
-            self.fault = (400, "the body's length is told twice")
+            self.error = HttpError(400, "the body's length is told twice")
         elif codings:
             self.chunked = codings[0].strip().lower() == b"chunked"
             if not self.chunked or bodyless:
-                self.fault = (400, "a transfer coding that is not taken here")
+                self.error = HttpError(400, "a transfer coding that is not taken here")
         elif lengths:
-            if not lengths[0].isdigit() or len(lengths[0]) > 15:
-                self.fault = (400, "a content length that is no plain number")
-            else:
-                self.length = int(lengths[0])
-                if self.length > self.most:
-                    self.fault = (413, f"a body of more than {self.most} bytes")
+            self._read_length(lengths[0])
         return bool(lengths or codings)
 
-    # ---- what the parser calls
+    def _read_length(self, value: bytes) -> None:
+        """Read a Content-Length."""
+        if not value.isdigit() or len(value) > LENGTH_DIGITS:
+            self.error = HttpError(400, "a content length that is no plain number")
+            return
+        self.length = int(value)
+        if self.length > self.body_limit:
+            self.error = HttpError(413, f"a body of more than {self.body_limit} bytes")
+
+    # ---- called by llhttp
 
     def on_message_begin(self) -> None:
-        if self.began and self.fault is None:
-            self.fault = (400, "a message within a message")
-        self.began = True
+        """Begin a message."""
+        if self.begun and self.error is None:
+            self.error = HttpError(400, "a message within a message")
+        self.begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.length >= 0:  # a trailer
-            self.head += len(name) + len(value)
-            if self.head > HEAD_LIMIT and self.fault is None:
-                self.fault = (431, f"trailers of more than {HEAD_LIMIT} bytes")
+        """Keep a header; a trailer is only counted."""
+        if self.head_complete:
+            self.head_size += len(name) + len(value)
+            if self.head_size > HEAD_LIMIT and self.error is None:
+                self.error = HttpError(431, f"trailers of more than {HEAD_LIMIT} bytes")
         elif len(self.headers) < HEADERS_LIMIT:
             self.headers.append((name.lower(), value))
-        elif self.fault is None:
-            self.fault = (431, f"more than {HEADERS_LIMIT} headers")
+        elif self.error is None:
+            self.error = HttpError(431, f"more than {HEADERS_LIMIT} headers")
 
     def on_body(self, data: bytes) -> None:
-        self.size += len(data)
-        if self.size > self.most:
-            self.fault = self.fault or (413, f"a body of more than {self.most} bytes")
+        """Keep a piece of the body."""
+        self.body_size += len(data)
+        if self.body_size > self.body_limit:
+            self.error = self.error or HttpError(413, f"a body of more than {self.body_limit} bytes")
         else:
             self.parts.append(data)
 
     def on_message_complete(self) -> None:
-        self.done = True
-        self.keeps = self.parser.should_keep_alive()
+        """End the message."""
+        self.complete = True
+        self.keep_alive = self.parser.should_keep_alive()
--- a/pebblehinge/http1/writing.py
+++ b/pebblehinge/http1/writing.py
@@ -1,4 +1,4 @@
-"""The bytes of our own messages."""
+"""Requests and responses as bytes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,14 @@
 
 
 def write_request(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A request up to where its last headers go: the caller ends the head itself."""
+    """Return a request's head without its empty last line, so that the caller may add headers of its own.
+
+    Args:
+        method: Such as GET.
+        target: Path and query.
+        headers: Names and values, in their order; Content-Length is added to them.
+        body: What the caller sends behind the head; only its length goes into the result.
+    """
     lines = [method + b" " + target + b" HTTP/1.1\r\n"]
     lines += [name + b": " + value + b"\r\n" for name, value in headers]
     if body or method != b"GET":
@@ -24,8 +31,9 @@
     return b"".join(lines)
 
 
-def write_answer(status: int, body: bytes, keep_alive: bool, extra: bytes = b"") -> bytes:
-    """An answer, whole; `extra` are further lines of its head."""
+def write_response(status: int, body: bytes, keep_alive: bool, extra_headers: bytes = b"") -> bytes:
+    """Return a complete response; `extra_headers` are complete lines of its head."""
     reason = REASONS.get(status, "").encode()
     close = b"" if keep_alive else b"Connection: close\r\n"
-    return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b" % (status, reason, len(body), close, extra, body)
+    head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n" % (status, reason, len(body), close, extra_headers)
+    return head + body
--- a/pebblehinge/service/clients.py
+++ b/pebblehinge/service/clients.py
@@ -13,7 +13,7 @@
 import socket
 from typing import Any, Protocol
 
-from pebblehinge.http1 import BODY_LIMIT, HttpError, HttpRequest, RequestParser, write_answer
+from pebblehinge.http1 import BODY_LIMIT, HttpError, HttpRequest, RequestParser, write_response
 from pebblehinge.service.peek import ended, readable
 from pebblehinge.service.requests import Asked, ServiceRequest, read_request
 
@@ -97,8 +97,8 @@
                 if request is None and self.over:
                     raise HttpError(413, f"more than {AHEAD_LIMIT} bytes were sent ahead")
                 if request is None:
-                    if self.requests.told:
-                        self.requests.told = False
+                    if self.requests.expects_continue:
+                        self.requests.expects_continue = False
                         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                     break
                 self._take(request)
@@ -149,7 +149,7 @@
         if not self.closing:
             # While the head leaves, what came behind this request is owed an answer too.
             keeps = self.keeps and not (self.door.closes and not self.requests.buffer and self.quiet())
-            self.transport.write(write_answer(status, body, keeps, extra))
+            self.transport.write(write_response(status, body, keeps, extra))
             if not keeps:
                 self.close()
 
--- a/pebblehinge/service/pool.py
+++ b/pebblehinge/service/pool.py
@@ -104,7 +104,7 @@
         try:
             self.answers.feed(data)
             answer = self.answers.next()
-            self.hold(self.answers.size)
+            self.hold(self.answers.body_size)
         except HttpError:
             self.pool.note("unreadable")
             self.attempt = None
@@ -142,6 +142,6 @@
     """What a whole answer says. Only on 503 and 504 a shelf can say that it has not run the request."""
     if answer.status == 200:
         return Outcome.SUCCEEDED
-    if answer.status in (503, 504) and answer.all(b"x-not-run") == [b"1"]:
+    if answer.status in (503, 504) and answer.header_values(b"x-not-run") == [b"1"]:
         return Outcome.OVERLOADED
     return Outcome.SERVER_ERROR
--- a/pebblehinge/service/requests.py
+++ b/pebblehinge/service/requests.py
@@ -120,7 +120,7 @@
         raise HttpError(400, "X-IO: units or hosts beyond what there is")
     if config.shards and asked.slot >= config.shards:
         raise HttpError(400, "X-IO: no such shard")
-    named = {name.strip().lower() for value in request.all(b"connection") for name in value.split(b",")}
+    named = {name.strip().lower() for value in request.header_values(b"connection") for name in value.split(b",")}
     named -= PASSED_ON.keys()  # what the protocol itself needs is the shelf's, whatever a client calls it
     passed = [(PASSED_ON.get(n, n), v) for n, v in request.headers if n not in OF_THE_LINE and n not in named]
     asked.head = write_request(request.method, target, passed, request.body)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -12,10 +12,10 @@
     RequestParser,
     ResponseParser,
     ResponseStream,
-    write_answer,
     write_request,
+    write_response,
 )
-from pebblehinge.http1.reader import ANSWER_LIMIT, HEAD_LIMIT
+from pebblehinge.http1.reader import HEAD_LIMIT, RESPONSE_LIMIT
 
 
 def read(kind: type, data: bytes, cuts: list[int]) -> list[tuple]:
@@ -128,7 +128,7 @@
         b"noise\r\n\r\n",
         b"HTTP/1.1 200 OK\r\n\r\nno length told",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
-        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (ANSWER_LIMIT + 1),
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (RESPONSE_LIMIT + 1),
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"HTTP/1.1 101 Go\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n",
@@ -147,12 +147,12 @@
     for _ in range(40):
         stream.feed(b"8000\r\n" + b"x" * 0x8000 + b"\r\n")
         assert stream.next() is None
-    assert sum(map(len, pieces)) == 40 * 0x8000 > ANSWER_LIMIT
+    assert sum(map(len, pieces)) == 40 * 0x8000 > RESPONSE_LIMIT
 
 
 def test_own_messages_read_back_as_they_were_meant() -> None:
     request = write_request(b"PUT", b"/a?b", [(b"Host", b"h")], b"xyz") + b"X-Deadline-Ms: 5\r\n\r\nxyz"
     (got,) = read(RequestParser, request, [])
     assert got[:2] == (b"PUT", b"/a?b") and got[3] == b"xyz"
-    (got,) = read(ResponseParser, write_answer(503, b"", False, b"Retry-After: 0.5\r\n"), [])
+    (got,) = read(ResponseParser, write_response(503, b"", False, b"Retry-After: 0.5\r\n"), [])
     assert got[0] == 503 and (b"retry-after", b"0.5") in got[1] and got[3] is False
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -108,7 +108,7 @@
         _, port = heads.start(silent, known)
         assert await ready(port) < WITHIN_S
         answer = await asks(port, ask())
-        assert answer.status == 503 and answer.all(b"retry-after")
+        assert answer.status == 503 and answer.header_values(b"retry-after")
 
     asyncio.run(script())
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,8 +21,8 @@
         assert (answer.status, answer.body) == (200, b"a\nb") and not client.lost
         ((_, request),) = rig.shelfs[1].asked
         assert (request.method, request.target, request.body) == (b"PUT", b"/save/x?a=1", b"a\nb")
-        assert request.all(b"x-request-id") == [b"9b1f03aa5c7e2d41"]
-        assert 0 < int(request.all(b"x-deadline-ms")[0]) <= 900
+        assert request.header_values(b"x-request-id") == [b"9b1f03aa5c7e2d41"]
+        assert 0 < int(request.header_values(b"x-deadline-ms")[0]) <= 900
         assert rig.head.core.open == 0 and not rig.head.core.pending and not rig.head.door.ids
 
     on_rig(script)
@@ -35,8 +35,8 @@
         more = {"Idempotency-Key": "5f1c", "X-Odd": "ab", "Connection": "X-Mine, X-IO", "X-Mine": "1", "TE": "x"}
         assert (await rig.ask(ask("save", 0, b"abc", **more))).status == 200
         ((_, request),) = rig.shelfs[0].asked
-        assert request.all(b"idempotency-key") == [b"5f1c"] and request.all(b"x-odd") == [b"ab"]
-        assert request.all(b"x-io")
+        assert request.header_values(b"idempotency-key") == [b"5f1c"] and request.header_values(b"x-odd") == [b"ab"]
+        assert request.header_values(b"x-io")
         names = [name for name, _ in request.headers]
         assert not {b"connection", b"x-mine", b"te"} & set(names) and len(names) == len(set(names))
 
@@ -54,7 +54,7 @@
         for n in range(3):
             await until(lambda n=n: len(held) == n + 1)
             conn, request = held[n]
-            body = request.all(b"cookie")[0][-1:]
+            body = request.header_values(b"cookie")[0][-1:]
             conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + body)
         assert [(await client.answer()).body for _ in range(4)] == [b"0", b"1", b"2", b"ok"]
         assert len(rig.shelfs[0].conns) == 1  # one connection served them all
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -91,7 +91,7 @@
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="300"))
         assert answer.status == status and len(rig.shelfs[0].asked) == attempts
         assert {o: n for o, n in rig.head.core.outcomes.items() if n} == {outcome: attempts}
-        assert bool(answer.all(b"retry-after")) == (status == 503)
+        assert bool(answer.header_values(b"retry-after")) == (status == 503)
         if what not in KEEPS:  # its connection is of no further use
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
@@ -105,7 +105,7 @@
     async def script(rig: Rig) -> None:
         rig.shelfs[0].server.close()
         answer = await rig.ask(ask("save", 0, b"abc"))
-        assert answer.status == 503 and 0.25 <= float(answer.all(b"retry-after")[0]) <= 0.5
+        assert answer.status == 503 and 0.25 <= float(answer.header_values(b"retry-after")[0]) <= 0.5
         assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.pending
 
     on_rig(script)
