--- a/pebblehinge/service/__init__.py
+++ b/pebblehinge/service/__init__.py
@@ -1,3 +1,7 @@
-"""The head in service on the platform's protocol: another entrance and exit of the same core. `config` is what it is
-told, `clients` the door, `shelfs` the pool of connections and the attempts on them, `discovery` the watch of the list,
-`server` joins them. Decisions are in `pebblehinge/decide/` alone; what stands here are bounds of the protocol."""
+"""The gateway's front for the platform's HTTP/1.1 protocol.
+
+`config` reads the settings, `listener` and `client_connection` serve clients, `connection_registry` admits requests and
+bounds connections, `connection_pools` and `node_connection` carry attempts to storage nodes, `discovery` follows the
+list of nodes, `shutdown` orders the end, and `server` joins them. Scheduling decisions are made in
+`pebblehinge/decide/` alone; the limits in this package are those of the protocol.
+"""
--- a/pebblehinge/service/__main__.py
+++ b/pebblehinge/service/__main__.py
@@ -1,21 +1,24 @@
-"""What `run` starts: one head in the foreground, told all it needs by the file that RELAY_CONFIG names."""
+"""`python -m pebblehinge.service`: one gateway in the foreground, configured by the file that RELAY_CONFIG names."""
 
 import os
 import sys
 
 from pebblehinge.service import early
 
-if __name__ == "__main__":  # what is loaded below takes a while
+if __name__ == "__main__":  # before the imports below, which take a while
     early.hold()
 
-import uvloop  # noqa: E402
+import uvloop
 
-from pebblehinge.platform_settings import PlatformSettingsError  # noqa: E402
-from pebblehinge.service.config import load_config  # noqa: E402
-from pebblehinge.service.server import run  # noqa: E402
+from pebblehinge.platform_settings import PlatformSettingsError
+from pebblehinge.service.config import load_config
+from pebblehinge.service.server import run
+
+EXIT_CONFIGURATION = 2
 
 
 def main() -> int:
+    """Run until the gateway is stopped; return the exit code: 0, or 2 if it could not start."""
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
@@ -24,7 +27,7 @@
         uvloop.run(run(path, config))
     except (PlatformSettingsError, OSError) as error:
         print(f"pebblehinge: {error}", file=sys.stderr)
-        return 2
+        return EXIT_CONFIGURATION
     return 0
 
 
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -1,8 +1,8 @@
-"""The watch of discovery's list: a connection that is made anew when it ends, fails or falls silent.
+"""The watch of discovery's node list: a connection that is made anew when it ends, fails or falls silent.
 
-A change counts as told 6 s after discovery had it and could be reached, whatever failed before. So no wait is long:
-the longest way from there to a list is a connection that discovery never answered on (SILENT_S), the longest pause
-and one that never came up (CONNECT_S), and all of them lie well under those 6 s together (`longest_s`).
+A change counts as notified 6 s after discovery had it and could be reached, whatever failed before. So every wait is
+short: the longest way from there to a list is a connection that discovery never answered on (SILENT_S), the longest
+backoff and a connection that never came up (CONNECT_S), and together they are well under 6 s (`longest_s`).
 """
 
 from __future__ import annotations
@@ -10,53 +10,57 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import replace
 from typing import Any
 
 import msgspec
 
 from pebblehinge.http1 import HttpError, ResponseStream, write_request
-from pebblehinge.interface import Standing
 from pebblehinge.platform_settings import PlatformSettingsError
-from pebblehinge.service.lists import Objects, Told
+from pebblehinge.service.context import Log
+from pebblehinge.service.departures import Departures
+from pebblehinge.service.node_list import JsonObjectStream, NodeListUpdate
 
 SILENT_S = 2.5  # an empty line arrives every 2 s: after this without one, a further connection is opened ...
-GIVEN_UP_S = 5.0  # ... and after this the silent one is closed
+ABANDON_S = 5.0  # ... and after this the silent one is closed
 CONNECT_S = 1.0
-PAUSES_S = (0.05, 0.5)  # between tries: the first, doubled each time, and the longest; each is jittered by JITTER
-JITTER = (0.5, 1.5)
-LEFT_KEPT = 8192  # shelfs that left; the first to leave goes first
-LOG_S = 5.0  # a fault is told at most so often
+BACKOFF_S = (0.05, 0.5)  # between attempts to connect: the first, doubled each time, and the longest
+JITTER = (0.5, 1.5)  # each backoff is multiplied by a factor drawn from this range
+LOG_S = 5.0  # between log lines of faults
+STREAM_TARGET = b"/registry/instances?stream=1"
 
 
 def longest_s() -> float:
-    """From when discovery can be reached to a list, at the most: on a connection made just before nothing ever comes,
-    the next never comes up, and a pause before each."""
-    return SILENT_S + CONNECT_S + 2 * PAUSES_S[1] * JITTER[1]
+    """Return the longest time from discovery's being reachable to a list, in seconds.
 
+    On a connection made just before nothing ever comes, the next never comes up, and there is a backoff before each.
+    """
+    return SILENT_S + CONNECT_S + 2 * BACKOFF_S[1] * JITTER[1]
 
-class _Connection(asyncio.Protocol):
-    """One connection to discovery, with one watch on it."""
 
-    def __init__(self, watch: Watch, address: tuple[str, int]) -> None:
-        self.watch, self.address = watch, address
+class _WatchConnection(asyncio.Protocol):
+    """One connection to discovery, with one request for the stream of updates."""
+
+    def __init__(self, watch: DiscoveryWatch, address: tuple[str, int]) -> None:
+        self.watch = watch
+        self.address = address
         self.transport: Any = None
-        self.heard = watch.loop.time()
+        self.received_s = watch.loop.time()  # when bytes came last
         self.pieces: list[bytes] = []
-        self.objects = Objects()
+        self.objects = JsonObjectStream()
         self.stream = ResponseStream(self.pieces.append)
 
     def connection_made(self, transport: Any) -> None:
-        self.transport, self.heard = transport, self.watch.loop.time()
-        self.watch.came(self)  # before anything can be read: a first list that nobody knew of would be lost
-        target = b"/registry/instances?stream=1"
+        self.transport = transport
+        self.received_s = self.watch.loop.time()
+        self.watch.add_connection(self)  # before anything can be read: a first list would be lost otherwise
+        target = STREAM_TARGET
         if self.watch.version is not None:
             target += b"&index=%d" % self.watch.version
         host = f"{self.address[0]}:{self.address[1]}".encode()
         transport.write(write_request(b"GET", target, [(b"Host", host)], b"") + b"\r\n")
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self.watch.loop.time()
+        self.received_s = self.watch.loop.time()
         if self.transport.is_closing():
             return
         try:
@@ -67,136 +71,154 @@
             raw = b"".join(self.pieces)
             self.pieces.clear()
             for value in self.objects.feed(raw):
-                self.watch.line(self, value)
+                self.watch.receive(self, value)
             if ended:
                 self.transport.abort()
         except (HttpError, PlatformSettingsError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.watch.fault("discovery can't be read", error)
+            self.watch.log_fault("invalid message from discovery", error)
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.watch.lost(self)
+        self.watch.remove_connection(self)
+
+
+class DiscoveryWatch:
+    """Keeps one watch open, from the last version received on.
 
+    An old connection is kept until a new one has delivered an update, so that none is lost between them.
 
-class Watch:
-    """Keeps one watch standing, from the last version seen on. An old connection is kept until a new one has told
-    something: what it still tells is not lost. `told` is called with each object that counts."""
+    Attributes:
+        version: The watch is resumed from it; None asks for the complete list.
+        newest: The last version received, -1 before the first.
+        departures: Nodes that were reported to leave.
+        connections: Open connections, the newest last.
+        connecting: Makes a connection.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         rng: random.Random,
-        told: Callable[[Told], None],
-        say: Callable[..., None],
+        on_update: Callable[[NodeListUpdate], None],
+        log: Log,
     ) -> None:
-        self.loop, self.address, self.rng, self.told, self.say = loop, address, rng, told, say
-        self.version: int | None = None  # asked on from; None asks for the whole list
-        self.newest = -1  # version that was told
-        self.left: dict[str, tuple[int, float]] = {}  # shelfs told to have left: by which version, of which start
-        self.connections: list[_Connection] = []  # the newest last
-        self.trying: asyncio.Task[None] | None = None
+        self.loop = loop
+        self.address = address
+        self.rng = rng
+        self.on_update = on_update
+        self.log = log
+        self.version: int | None = None
+        self.newest = -1
+        self.departures = Departures()
+        self.connections: list[_WatchConnection] = []
+        self.connecting: asyncio.Task[None] | None = None
         self.stopped = False
-        self.pause_s = PAUSES_S[0]
-        self.said_s = -LOG_S
+        self.backoff_s = BACKOFF_S[0]
+        self.logged_s = -LOG_S
 
     def start(self) -> None:
-        self._try(0.0)
+        """Connect."""
+        self._connect_after(0.0)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere from now on."""
+        """Connect to another address, if it is another."""
         if address == self.address:
             return
-        self.address, self.pause_s = address, PAUSES_S[0]
-        if self.trying is not None:
-            self.trying.cancel()
-            self.trying = None
-        self._try(0.0)
+        self.address = address
+        self.backoff_s = BACKOFF_S[0]
+        if self.connecting is not None:
+            self.connecting.cancel()
+            self.connecting = None
+        self._connect_after(0.0)
 
     def stop(self) -> None:
+        """Close all connections for good."""
         self.stopped = True
-        if self.trying is not None:
-            self.trying.cancel()
+        if self.connecting is not None:
+            self.connecting.cancel()
         for connection in self.connections:
             connection.transport.abort()
 
-    def look(self) -> None:
-        """Now and then: beside a connection on which nothing comes another is opened, and it is given up later."""
+    def check_silence(self) -> None:
+        """Open a further connection beside a silent one, and close that one later; called now and then."""
         now = self.loop.time()
         for connection in list(self.connections):
-            if now - connection.heard > GIVEN_UP_S:
+            silent_s = now - connection.received_s
+            if silent_s > ABANDON_S:
                 connection.transport.abort()
-            elif now - connection.heard > SILENT_S and connection is self.connections[-1]:
-                self._try(0.0)
+            elif silent_s > SILENT_S and connection is self.connections[-1]:
+                self._connect_after(0.0)
 
-    def line(self, connection: _Connection, value: Any) -> None:
-        told = Told(value)
+    # ---- called by connections
+
+    def receive(self, connection: _WatchConnection, value: Any) -> None:
+        """Take an object from a connection; raises if it is no update or the list goes back."""
+        update = NodeListUpdate(value)
         if connection not in self.connections:
             return
-        if told.version < self.newest:
+        if update.version < self.newest:
             if connection is not self.connections[-1]:
-                return  # the newer one has told more
-            if self.version is not None:  # it goes back: what it has now is asked for as a whole, and then counts
+                return  # the newer connection has delivered more
+            if self.version is not None:  # the complete list is asked for, and then counts
                 self.version = None
-                raise HttpError(502, f"the list goes back from version {self.newest} to {told.version}")
-        self._keep_left(told)
-        self.pause_s = PAUSES_S[0]
+                raise HttpError(502, f"the list goes back from version {self.newest} to {update.version}")
+        self.departures.apply(update)
+        self.backoff_s = BACKOFF_S[0]
         for older in self.connections[: self.connections.index(connection)]:
             older.transport.abort()
-        if told.faults:
-            self.fault(f"{len(told.faults)} entries of the list can't be read", told.faults[0])
-        self.version = self.newest = told.version
-        self.told(told)
-
-    def _keep_left(self, told: Told) -> None:
-        """A process that a later version told to have left does not come back by an older one: only a new start, or
-        a later version, says that it is wanted again."""
-        for n, entry in enumerate(told.entries):
-            version, started = self.left.get(entry.shelf, (-1, 0.0))
-            if entry.standing is not Standing.READY:
-                self.left.pop(entry.shelf, None)
-                self.left[entry.shelf] = (max(version, told.version), entry.started_ms)
-            elif told.version < version and entry.started_ms == started:
-                told.entries[n] = replace(entry, standing=Standing.DRAINING)
-            else:
-                self.left.pop(entry.shelf, None)
-        while len(self.left) > LEFT_KEPT:
-            del self.left[next(iter(self.left))]
-
-    def fault(self, what: str, error: object) -> None:
-        if self.loop.time() - self.said_s >= LOG_S:
-            self.said_s = self.loop.time()
-            self.say(what, error=str(error)[:200])
-
-    def came(self, connection: _Connection) -> None:
+        if update.faults:
+            self.log_fault(f"{len(update.faults)} invalid entries in the node list", update.faults[0])
+        self.version = update.version
+        self.newest = update.version
+        self.on_update(update)
+
+    def log_fault(self, event: str, error: object) -> None:
+        """Log a fault, at most one each LOG_S."""
+        if self.loop.time() - self.logged_s >= LOG_S:
+            self.logged_s = self.loop.time()
+            self.log(event, error=str(error)[:200])
+
+    def add_connection(self, connection: _WatchConnection) -> None:
+        """Take in a connection that has come up."""
         self.connections.append(connection)
 
-    def lost(self, connection: _Connection) -> None:
+    def remove_connection(self, connection: _WatchConnection) -> None:
+        """Forget a connection that has ended; the newest is made anew."""
         if connection in self.connections:
             newest = connection is self.connections[-1]
             self.connections.remove(connection)
             if newest:
-                self._try(self._pause())
+                self._connect_after(self._next_backoff())
+
+    # ---- connecting
 
-    def _pause(self) -> float:
-        pause = self.pause_s * self.rng.uniform(*JITTER)
-        self.pause_s = min(PAUSES_S[1], self.pause_s * 2)
-        return pause
+    def _next_backoff(self) -> float:
+        backoff_s = self.backoff_s * self.rng.uniform(*JITTER)
+        self.backoff_s = min(BACKOFF_S[1], self.backoff_s * 2)
+        return backoff_s
 
-    def _try(self, pause_s: float) -> None:
-        if not self.stopped and self.trying is None:
-            self.trying = self.loop.create_task(self._connect(pause_s))
+    def _connect_after(self, delay_s: float) -> None:
+        if not self.stopped and self.connecting is None:
+            self.connecting = self.loop.create_task(self._connect(delay_s))
 
-    async def _connect(self, pause_s: float) -> None:
+    async def _connect(self, delay_s: float) -> None:
         while True:
-            await asyncio.sleep(pause_s)
-            address = self.address
-            try:
-                async with asyncio.timeout(CONNECT_S):
-                    _, made = await self.loop.create_connection(lambda a=address: _Connection(self, a), *address)
+            await asyncio.sleep(delay_s)
+            connection = await self._dial()
+            if connection is not None:
                 break
-            except OSError:  # a time-out is one of these
-                pause_s = self._pause()
-        self.trying = None
-        if made not in self.connections:  # it has ended already
-            self._try(self._pause())
+            delay_s = self._next_backoff()
+        self.connecting = None
+        if connection not in self.connections:  # it has ended already
+            self._connect_after(self._next_backoff())
+
+    async def _dial(self) -> _WatchConnection | None:
+        """Return a connection to the present address, or None if it does not come up in time."""
+        address = self.address
+        try:
+            async with asyncio.timeout(CONNECT_S):
+                _, connection = await self.loop.create_connection(lambda: _WatchConnection(self, address), *address)
+        except OSError:  # a time-out is one of these
+            return None
+        return connection
--- a/pebblehinge/service/early.py
+++ b/pebblehinge/service/early.py
@@ -1,14 +1,16 @@
-"""Signals that come before the head can act on them: kept until it can."""
+"""Signals that arrive before the gateway has its handlers: kept until it can act on them."""
 
 from __future__ import annotations
 
 import signal
 
-ACTED_ON = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-came: list[int] = []  # in their order; of the one process that called hold()
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+
+received: list[int] = []
+"""Numbers of the signals since `hold`, in the order of their arrival."""
 
 
 def hold() -> None:
-    """From now on such a signal ends nothing: while libraries are loaded, SIGHUP would have killed the process."""
-    for number in ACTED_ON:
-        signal.signal(number, lambda number, frame: came.append(number))
+    """Record the signals instead of acting on them: by default SIGHUP ends a process that still imports libraries."""
+    for number in HANDLED_SIGNALS:
+        signal.signal(number, lambda number, frame: received.append(number))
--- a/pebblehinge/service/lateness.py
+++ b/pebblehinge/service/lateness.py
@@ -1,39 +1,48 @@
-"""How late the loop runs: what is read now may have lain unread for as long."""
+"""How late the event loop runs, which is for how long bytes read now may have been waiting."""
 
 from __future__ import annotations
 
 import asyncio
 import math
 
-TICK_S = 0.02  # between measures
-KEPT = 0.8  # of the last lateness, at each measure
-MOST_MS = 100.0  # more than this is no longer taken off a client's time once its turn is over
+TICK_S = 0.02  # between measurements
+DECAY = 0.8  # what is left of the smoothed lateness at each measurement
+DECAY_MS = 0.1  # and less by this
+MAX_MS = 100.0  # bound of the smoothed lateness; within its own turn a greater one counts in full
+GRID_MS = 1.0  # resolution of the loop's timers
 
 
 class Lateness:
-    """Measured by a timer; while that is timed out itself, by so much."""
+    """Lateness of a loop, measured by a timer that repeats."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.turn_ms = self.usual_ms = 0.0
-        self.due = math.inf  # on the loop's clock, when it is measured next
+        self.turn_ms = 0.0  # as measured, until the turn of the measurement is over
+        self.smoothed_ms = 0.0
+        self.due_s = math.inf  # time of the next measurement by the loop's clock
 
     def start(self) -> None:
+        """Begin measuring."""
         self._tick()
 
     @property
-    def now_ms(self) -> float:
-        """How long what is read now may have lain unread: as long as the measure itself is timed out, and as it was
-        when it was last made, in the turn that it was made in."""
-        return max(self.turn_ms, self.usual_ms, (self.loop.time() - self.due) * 1000.0 - 1.0)
+    def current_ms(self) -> float:
+        """For how long what is read now may have been unread.
+
+        The greatest of the last measurement within its turn, the smoothed value, and how overdue the timer itself is.
+        """
+        return max(self.turn_ms, self.smoothed_ms, self._overdue_ms())
+
+    def _overdue_ms(self) -> float:
+        return (self.loop.time() - self.due_s) * 1000.0 - GRID_MS
 
     def _tick(self) -> None:
-        late = (self.loop.time() - self.due) * 1000.0 - 1.0  # the loop's own grid
-        self.usual_ms = min(MOST_MS, max(0.0, late, self.usual_ms * KEPT - 0.1))
-        self.turn_ms = max(0.0, late)
-        self.loop.call_soon(self.loop.call_soon, self._turned)  # a timer goes before the turn's reads: one turn later
-        self.due = self.loop.time() + TICK_S
+        late_ms = self._overdue_ms()
+        self.smoothed_ms = min(MAX_MS, max(0.0, late_ms, self.smoothed_ms * DECAY - DECAY_MS))
+        self.turn_ms = max(0.0, late_ms)
+        self.loop.call_soon(self.loop.call_soon, self._end_turn)  # timers run before a turn's reads: one turn later
+        self.due_s = self.loop.time() + TICK_S
         self.loop.call_later(TICK_S, self._tick)
 
-    def _turned(self) -> None:
+    def _end_turn(self) -> None:
         self.turn_ms = 0.0
--- a/pebblehinge/service/listener.py
+++ b/pebblehinge/service/listener.py
@@ -1,4 +1,4 @@
-"""Where clients come in: the listening socket, how many are let in, and what waits in its queue."""
+"""The listening socket: how many clients are accepted, and what waits in its queue."""
 
 from __future__ import annotations
 
@@ -7,41 +7,58 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.service.clients import ClientConn
-from pebblehinge.service.door import Door
-from pebblehinge.service.peek import readable
+from pebblehinge.service.client_connection import ClientConnection
+from pebblehinge.service.connection_registry import ConnectionRegistry
+from pebblehinge.service.context import Log
+from pebblehinge.service.socket_state import is_readable
 
-AT_ONCE = 16  # connections accepted in a turn
+ACCEPTS_PER_TURN = 16
 BACKLOG = 1024
-AGAIN_S = 0.02  # until it is looked anew whether there is room
+RETRY_S = 0.02  # until accepting is tried again
 
 
-class Owner(Protocol):
-    """What the listener needs of the head that owns it."""
+class ListenerContext(Protocol):
+    """What the listener needs of the gateway.
+
+    Attributes:
+        loop: The event loop.
+        clock: Returns the time in ms.
+        registry: Takes the connections.
+    """
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
-    door: Door
+    registry: ConnectionRegistry
 
-    def say(self, what: str, **facts: object) -> None: ...
+    @property
+    def log(self) -> Log:
+        """Writes an event to the log."""
 
 
 class Listener:
-    """The listening socket of one head."""
-
-    def __init__(self, owner: Owner) -> None:
-        self.owner, self.loop = owner, owner.loop
-        self.most = 0  # clients' connections
+    """The listening socket of one gateway.
+
+    Attributes:
+        max_connections: Bound of the clients' connections.
+        socket: None while closed.
+        paused: Nothing is accepted for now: those that come wait in the listen queue.
+    """
+
+    def __init__(self, context: ListenerContext) -> None:
+        self.context = context
+        self.loop = context.loop
+        self.max_connections = 0
         self.socket: socket.socket | None = None
-        self.full = False  # no room for a further client: those that come wait in the listen queue
+        self.paused = False
         self.accepting: set[asyncio.Task[None]] = set()
 
     @property
-    def listens(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether it listens."""
         return self.socket is not None
 
     def open(self, address: tuple[str, int]) -> None:
-        """Raises OSError where that can't be listened on."""
+        """Listen on an address; raises OSError if that is not possible."""
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening.setblocking(False)
@@ -50,60 +67,62 @@
         self.socket = listening
         self.loop.add_reader(listening.fileno(), self._accept)
 
-    def take_in(self) -> bool:
-        """What waits in the queue; returns whether anything did."""
-        waits = self.socket is not None and readable(self.socket.fileno())
-        if waits:
+    def accept_waiting(self) -> bool:
+        """Accept what waits in the queue; return whether anything did."""
+        waiting = self.socket is not None and is_readable(self.socket.fileno())
+        if waiting:
             self._accept()
-        return waits
+        return waiting
 
     def close(self) -> None:
+        """Listen no more."""
         if self.socket is not None:
-            self._deafen()
+            self._pause()
             self.socket.close()
             self.socket = None
 
-    # ---- inside
-
     def _accept(self) -> None:
-        door = self.owner.door
-        for n in range(AT_ONCE):
-            if self.socket is None or (n and door.count >= self.most):
+        registry = self.context.registry
+        for accepted in range(ACCEPTS_PER_TURN):
+            if self.socket is None or (accepted and registry.count >= self.max_connections):
                 return
-            if door.count >= self.most and not door.spare(self.owner.clock()):
-                self._deafen()  # nothing is closed unanswered: it waits in the queue until there is room
+            if registry.count >= self.max_connections and not registry.reclaim_one(self.context.clock()):
+                self._pause()  # nothing is closed unanswered: clients wait in the queue until there is capacity
                 return
             try:
                 sock, _ = self.socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                self.owner.say("can't accept", error=error)
-                self._deafen()
+                self.context.log("accept failed", error=error)
+                self._pause()
                 return
-            sock.setblocking(False)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            door.count += 1
-            task = self.loop.create_task(self._begin(sock))
-            self.accepting.add(task)
-            task.add_done_callback(self.accepting.discard)
-
-    def _deafen(self) -> None:
-        """Accepts no more for now; a turn later it is tried again."""
-        if not self.full and self.socket is not None:
-            self.full = True
-            self.loop.remove_reader(self.socket.fileno())
-            self.loop.call_later(AGAIN_S, self._accept_again)
-
-    def _accept_again(self) -> None:
-        self.full = False
-        if self.socket is not None:
-            self.loop.add_reader(self.socket.fileno(), self._accept)
-
-    async def _begin(self, sock: socket.socket) -> None:
-        conn = ClientConn(self.owner.door, sock)
+            self._begin(sock)
+
+    def _begin(self, sock: socket.socket) -> None:
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.context.registry.count += 1
+        task = self.loop.create_task(self._connect(sock))
+        self.accepting.add(task)
+        task.add_done_callback(self.accepting.discard)
+
+    async def _connect(self, sock: socket.socket) -> None:
+        conn = ClientConnection(self.context.registry, sock)
         try:
             await self.loop.connect_accepted_socket(lambda: conn, sock)
         except OSError:
-            self.owner.door.uncount(conn)
+            self.context.registry.uncount(conn)
             sock.close()
+
+    def _pause(self) -> None:
+        """Accept no more for RETRY_S."""
+        if not self.paused and self.socket is not None:
+            self.paused = True
+            self.loop.remove_reader(self.socket.fileno())
+            self.loop.call_later(RETRY_S, self._resume)
+
+    def _resume(self) -> None:
+        self.paused = False
+        if self.socket is not None:
+            self.loop.add_reader(self.socket.fileno(), self._accept)
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -1,4 +1,4 @@
-"""One head in service: joins the door, the core, the shelfs and discovery, and carries out what the core says."""
+"""One gateway in service: joins clients, core, storage nodes and discovery, and carries out the core's effects."""
 
 from __future__ import annotations
 
@@ -6,40 +6,44 @@
 import gc
 import random
 import signal
-import sys
 import time
 from collections.abc import Callable
+from typing import cast
 
 from pebblehinge.core import PendingRequest, RequestTable
 from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
+from pebblehinge.service.client_request import ClientRequest
 from pebblehinge.service.config import ServiceConfig, load_config
 from pebblehinge.service.connection_pools import ConnectionPools
-from pebblehinge.service.discovery import Watch
-from pebblehinge.service.door import Door
+from pebblehinge.service.connection_registry import ConnectionRegistry
+from pebblehinge.service.discovery import DiscoveryWatch
 from pebblehinge.service.lateness import Lateness
-from pebblehinge.service.life import Life
 from pebblehinge.service.listener import Listener
-from pebblehinge.service.lists import Told
+from pebblehinge.service.node_list import NodeListUpdate
+from pebblehinge.service.service_log import ServiceLog
+from pebblehinge.service.service_shutdown import ServiceShutdown
+from pebblehinge.service.summary import Summary
 
-LOOK_S = 0.1  # between looks at what has stood too long
+CHECK_S = 0.1  # between checks for connections that have lasted too long
 OWN_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
-SHELF_PART = 3 / 8  # of the descriptors, for connections to shelfs
-KNOWN_MS = 500.0  # so long a list from the configuration waits to be overtaken by a told one
-BLIND_MS = 5000.0  # and so long none at all; heads are to be ready within 10 s
-SUMS_S = 5.0  # between lines of the log that say what has passed
-MOST_LINES = 2000  # of the log, so that it can't grow for ever
+SHELF_FRACTION = 3 / 8  # of the descriptors, for connections to storage nodes
+KNOWN_LIST_MS = 500.0  # with the configured list alone, the gateway is ready after this
+NO_LIST_MS = 5000.0  # ... and without any list after this; the platform expects it within 10 s
+SUMMARY_S = 5.0  # between summaries in the log
+TIMER_GRID_S = 0.0005  # the loop rounds to its grid: without this a timer may fire just before its time
+SEED_MASK = 0x5EED  # the discovery watch draws from another sequence than the scheduler
 
 
 def make_clock() -> Callable[[], float]:
-    """Milliseconds of the monotonic clock, put on Unix time once."""
-    offset = time.time() - time.monotonic()
-    return lambda: (time.monotonic() + offset) * 1000.0
+    """Return a monotonic clock in ms that began at Unix time."""
+    offset_s = time.time() - time.monotonic()
+    return lambda: (time.monotonic() + offset_s) * 1000.0
 
 
 class Service:
-    """One running head."""
+    """One running gateway."""
 
     def __init__(
         self,
@@ -48,219 +52,183 @@
         path: str = "",
         clock: Callable[[], float] | None = None,
     ) -> None:
-        self.loop, self.config, self.path = loop, config, path
+        self.loop = loop
+        self.config = config
+        self.path = path
         self.clock = clock or make_clock()
-        self.born = self.clock()
-        self.lines = 0
+        self.started_ms = self.clock()
+        self.service_log = ServiceLog()
         self.lateness = Lateness(loop)
-        self.door = Door(self)
+        self.registry = ConnectionRegistry(self)
         self.pools = ConnectionPools(self, config.idle_ms, config.connect_ms, 0)
         self.listener = Listener(self)
-        self.core = RequestTable(config.settings, config.seed, self.born, self)
-        rng = random.Random(config.seed ^ 0x5EED)  # the module has one of its own
-        self.watch = Watch(loop, config.discovery, rng, self._told, self.say)
-        self.told = False  # discovery itself has told a list
+        self.core = RequestTable(config.settings, config.seed, self.started_ms, self)
+        self.summary = Summary(self.core, self.registry, self.pools)
+        rng = random.Random(config.seed ^ SEED_MASK)
+        self.watch = DiscoveryWatch(loop, config.discovery, rng, self._receive_update, self.log)
+        self.discovered = False  # discovery itself has sent a list
         self.timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
         self.stopped: asyncio.Future[None] = loop.create_future()
-        self.life = Life(self)
-        self.summed: dict[str, int] = {}
-        self.limit()
-
-    def say(self, what: str, **facts: object) -> None:
-        """A line of the log."""
-        self.lines += 1
-        if self.lines <= MOST_LINES:
-            more = "".join(f" {k.replace(' ', '-')}={str(v)[:300]!r}" for k, v in facts.items())
-            print(
-                f"pebblehinge {self.config.name} {(self.clock() - self.born) / 1000.0:.3f} {what}{more}",
-                file=sys.stderr,
-                flush=True,
-            )
-
-    def limit(self) -> None:
-        """How many connections clients and shelfs may hold, by the descriptors that there are."""
-        self.pools.most = int(self.config.sockets * SHELF_PART)
-        self.listener.most = self.config.sockets - self.pools.most - OWN_SOCKETS
-
-    # ---- life
+        self.shutdown = ServiceShutdown(self)
+        self._divide_sockets()
+
+    def log(self, event: str, **fields: object) -> None:
+        """Write an event to the log."""
+        self.service_log.write(self.config.name, (self.clock() - self.started_ms) / 1000.0, event, fields)
+
+    @property
+    def late_ms(self) -> float:
+        """For how long what is read now may have been unread."""
+        return self.lateness.current_ms
+
+    def _divide_sockets(self) -> None:
+        """Divide the descriptors among connections of clients and to storage nodes."""
+        self.pools.max_connections = int(self.config.sockets * SHELF_FRACTION)
+        self.listener.max_connections = self.config.sockets - self.pools.max_connections - OWN_SOCKETS
+
+    # ---- start and configuration
 
     async def start(self) -> None:
+        """Listen and begin to follow discovery; raises OSError if the address can't be listened on."""
         if self.config.known is not None:
             try:
-                self._listed(Told(self.config.known))
+                self._apply_list(NodeListUpdate(self.config.known))
             except PlatformSettingsError as error:
-                self.say("the known list can't be read", error=error)
+                self.log("configured node list is invalid", error=error)
         self.core.start(self.clock())
         self.watch.start()
         self.listener.open(self.config.listen)
-        self.loop.call_later(LOOK_S, self._look)
+        self.loop.call_later(CHECK_S, self._check)
         self.lateness.start()
-        self.loop.call_later(SUMS_S, self._sum_again)
+        self.loop.call_later(SUMMARY_S, self._summarize_again)
         gc.collect()
         gc.freeze()
 
     def ready(self) -> bool:
-        """It listens and has a list: discovery's own, or after a while the one that it was started with. With none it
-        is so later: what it takes is refused with a time to return, which is more than no answer."""
-        lived = self.clock() - self.born
-        if not self.listener.listens or not self.pools.table:
-            return self.listener.listens and lived > BLIND_MS
-        return self.told or lived > KNOWN_MS
+        """Return whether it listens and has a list: discovery's, or after a while the configured one.
+
+        Without any list it is ready later: requests are rejected with a Retry-After then, which is more than no answer.
+        """
+        uptime_ms = self.clock() - self.started_ms
+        if not self.listener.is_open or not self.pools.table:
+            return self.listener.is_open and uptime_ms > NO_LIST_MS
+        return self.discovered or uptime_ms > KNOWN_LIST_MS
 
     def reload(self) -> None:
-        """SIGHUP: the file is read again; one that can't be read leaves the old one in force."""
+        """Read the configuration file again (SIGHUP); if it is wrong, the old one stays in force."""
         try:
             config = load_config(self.path)
         except PlatformSettingsError as error:
-            self.say("the new configuration is not taken up", error=error)
+            self.log("new configuration rejected", error=error)
             return
-        old, self.config = self.config, config
-        self.limit()
-        self.pools.idle_ms, self.pools.connect_ms = config.idle_ms, config.connect_ms
+        old = self.config
+        self.config = config
+        self._divide_sockets()
+        self.pools.idle_ms = config.idle_ms
+        self.pools.connect_ms = config.connect_ms
         if config.settings != old.settings:
             self.core.adopt(self.clock(), config.settings)
         self.watch.move(config.discovery)
         if config.listen != old.listen:
-            self.say("another address to listen on holds from the next start")
-        self.say("a new configuration is in force")
-
-    # ---- the end, as Life tells it
-
-    def leave(self) -> None:
-        """SIGTERM: connections that are open are served on for as long as there is time to answer, then closed."""
-        at = self.life.leave(self.clock(), self.late_ms, self.config.longest_ms)
-        if at is not None:
-            self.say("leaving", open=self.core.open, clients=self.door.count)
-            self.loop.call_later(max(0.0, at - self.clock()) / 1000.0, self._step)
-
-    def _step(self) -> None:
-        at = self.life.step(self.clock())
-        if at is not None:
-            self.loop.call_later(max(0.0, at - self.clock()) / 1000.0, self._step)
+            self.log("listen address changes at the next start")
+        self.log("configuration reloaded")
 
-    def answer_by(self, end_ms: float) -> None:
-        self.door.leaving = True
-        self.core.leaves(self.clock(), end_ms)
-
-    def take_in(self) -> bool:
-        return self.listener.take_in()
-
-    def close_quiet(self, last: bool) -> None:
-        self.door.stop(last)
-
-    def unanswered(self) -> int:
-        return self.door.owed(self.clock())
-
-    def over(self) -> None:
+    def stop(self) -> None:
+        """Close everything at the end of the shutdown; `stopped` is done then."""
         self.listener.close()
-        self._sum()
-        self.say("over", open=self.core.open)
+        self._summarize()
+        self.log("stopped", open=self.core.open)
         self.watch.stop()
         self.pools.stop()
         if not self.stopped.done():
             self.stopped.set_result(None)
 
-    def _sum(self) -> None:
-        """A line on what has passed since the last."""
-        core, door = self.core, self.door
-        sums = {
-            **core.counts,
-            **{o.value: n for o, n in core.outcomes.items()},
-            **core.reasons,
-            "errors": door.refused,
-            **self.pools.answers,
-        }
-        new = {k: n - self.summed.get(k, 0) for k, n in sums.items() if n != self.summed.get(k, 0)}
-        self.summed = sums
-        if new:
-            self.say(
-                "passed",
-                **new,
-                open=core.open,
-                out=self.pools.out,
-                clients=door.count,
-                fresh=len(door.fresh),
-                idle=len(door.idle),
-                spared=door.spared,
-                unserved=door.unserved,
-                gone=door.gone,
-                shelf_connections=self.pools.connections,
-                late_ms=round(self.late_ms),
-            )
-
-    def _sum_again(self) -> None:
-        self.loop.call_later(SUMS_S, self._sum_again)
-        self._sum()
-
-    # ---- what the core has done
+    # ---- effects of the core; see `Effects`
 
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
-        self.pools.send(pending, shelf, attempt, until_ms)
-
-    def wanted(self, pending: PendingRequest) -> bool:
-        return self.door.wanted(pending)
+        """Begin an attempt."""
+        self.pools.send(cast(ClientRequest, pending), shelf, attempt, until_ms)
 
     def drop_attempt(self, pending: PendingRequest) -> None:
-        self.pools.drop(pending.attempt)
+        """Cancel the attempt that is out."""
+        self.pools.cancel(pending.attempt)
 
     def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.door.answer(pending, final, stay_ms, data)
+        """Send the final answer."""
+        self.registry.answer(pending, final, stay_ms, data)
 
     def call_list(self, call: ListCall) -> None:
-        """The watch stands always."""
+        """Do nothing: the watch is always open."""
 
     def wake_at(self, at_ms: float) -> None:
+        """Have the core woken at a time, or earlier if that was asked for before."""
         if at_ms < self.wake_ms:
             if self.timer is not None:
                 self.timer.cancel()
             self.wake_ms = at_ms
-            # The loop rounds to its grid: half a millisecond more, or it would call just before the time.
-            self.timer = self.loop.call_later(max(0.0, at_ms - self.clock()) / 1000.0 + 0.0005, self._woken)
+            self.timer = self.loop.call_later(max(0.0, at_ms - self.clock()) / 1000.0 + TIMER_GRID_S, self._wake)
 
-    def _woken(self) -> None:
-        self.timer, self.wake_ms = None, float("inf")
+    def _wake(self) -> None:
+        self.timer = None
+        self.wake_ms = float("inf")
         self.core.woken(self.clock())
 
-    # ---- shelfs, discovery and the clock
+    # ---- storage nodes, discovery and timers
+
+    def is_wanted(self, pending: PendingRequest) -> bool:
+        """Return whether an attempt may still be begun for a request."""
+        return self.registry.is_wanted(pending)
 
-    def ended(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def end_attempt(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+        """Pass the outcome of an attempt to the core."""
         self.core.ended(self.clock(), pending, attempt, outcome, took_ms, data)
 
-    def _told(self, told: Told) -> None:
-        self.told = True
-        self._listed(told)
+    def _receive_update(self, update: NodeListUpdate) -> None:
+        self.discovered = True
+        self._apply_list(update)
 
-    def _listed(self, told: Told) -> None:
-        ready = {e.shelf: e.standing is Standing.READY for e in told.entries}
-        self.pools.listed(ready, told.addresses, told.kind is ListKind.WHOLE)
-        self.core.listed(self.clock(), told.kind, told.entries)
+    def _apply_list(self, update: NodeListUpdate) -> None:
+        ready = {entry.shelf: entry.standing is Standing.READY for entry in update.entries}
+        self.pools.apply_list(ready, update.addresses, update.kind is ListKind.WHOLE)
+        self.core.listed(self.clock(), update.kind, update.entries)
 
-    def _look(self) -> None:
-        self.loop.call_later(LOOK_S, self._look)
+    def _check(self) -> None:
+        self.loop.call_later(CHECK_S, self._check)
         now = self.clock()
-        self.door.look(now)
-        self.pools.look(now)
-        self.watch.look()
+        self.registry.close_expired(now)
+        self.pools.close_expired(now)
+        self.watch.check_silence()
 
-    @property
-    def late_ms(self) -> float:
-        return self.lateness.now_ms
+    def _summarize(self) -> None:
+        increments = self.summary.increments()
+        if increments:
+            self.log("summary", **increments, **self.summary.gauges(self.late_ms))
+
+    def _summarize_again(self) -> None:
+        self.loop.call_later(SUMMARY_S, self._summarize_again)
+        self._summarize()
 
 
 async def run(path: str, config: ServiceConfig) -> None:
-    """Serves until SIGTERM or SIGINT, and what was taken is answered."""
+    """Serve until SIGTERM or SIGINT and the graceful shutdown that follows; raises OSError if it can't listen."""
     loop = asyncio.get_running_loop()
     service = Service(loop, config, path)
     loop.set_exception_handler(
-        lambda _, about: service.say("a fault in the loop", what=about["message"], error=repr(about.get("exception")))
+        lambda _, about: service.log(
+            "unhandled error in the event loop", what=about["message"], error=repr(about.get("exception"))
+        )
     )
-    acts = {signal.SIGHUP: service.reload, signal.SIGTERM: service.leave, signal.SIGINT: service.leave}
-    for number, act in acts.items():
-        loop.add_signal_handler(number, act)
+    handlers = {
+        signal.SIGHUP: service.reload,
+        signal.SIGTERM: service.shutdown.begin,
+        signal.SIGINT: service.shutdown.begin,
+    }
+    for number, handler in handlers.items():
+        loop.add_signal_handler(number, handler)
     await service.start()
-    for number in early.came:
-        acts[signal.Signals(number)]()
+    for received in early.received:
+        handlers[signal.Signals(received)]()
     await service.stopped
 
 
--- a/tests/compatibility/http_requests.py
+++ b/tests/compatibility/http_requests.py
@@ -8,8 +8,8 @@
 
 from pebblehinge.http1 import HttpError, RequestParser
 from pebblehinge.platform_settings import PlatformSettingsError
+from pebblehinge.service.client_request import read_request
 from pebblehinge.service.config import read_config
-from pebblehinge.service.requests import read_request
 
 VOLUME = "volume=00000003b4d60021"
 FIELDS = {
@@ -66,8 +66,8 @@
         a = read_request(request, read_config(json.dumps(CONFIG).encode()))
     except HttpError as error:
         return [error.status, str(error)]
-    return [a.id, a.profile, a.plan, a.extent, a.volume, a.units, a.slot, a.set_size, a.patience_ms, a.again,
-            a.head.decode("latin-1")]  # fmt: skip
+    placement = [a.extent, a.volume, a.units, a.slot, a.set_size]
+    return [a.id, a.request_class, a.quota_plan, *placement, a.max_wait_ms, a.is_retry, a.head.decode("latin-1")]
 
 
 def configurations() -> list[bytes]:
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -16,11 +16,11 @@
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service.clients import ClientConn
+from pebblehinge.service.client_connection import ClientConnection
 from pebblehinge.service.config import read_config
-from pebblehinge.service.door import Door
-from pebblehinge.service.life import Life, Stage
-from pebblehinge.service.lists import Told
+from pebblehinge.service.connection_registry import ConnectionRegistry
+from pebblehinge.service.node_list import NodeListUpdate
+from pebblehinge.service.shutdown import Shutdown, Stage
 
 SLOW = {**SETTINGS, "classes": [{**c, "on_time_s": 2.0, "give_up_s": 9.0} for c in SETTINGS["classes"]]}
 LATE_MS = 90.0  # the longest turn
@@ -41,7 +41,7 @@
         self.unread, self.out, self.shut, self.lost = b"", b"", False, False
         self.goes_ms = math.inf  # when its client ends its sending and goes
         self.whole, self.halves, self.answers, self.got = 0, b"", 0, ResponseParser()
-        self.conn: ClientConn | None = None
+        self.conn: ClientConnection | None = None
 
     def write(self, data: bytes) -> None:
         if self.lost:
@@ -117,9 +117,9 @@
         self.loop, self.late_ms, self.config = self, 0.0, read_config(json.dumps({**CONFIG, "settings": SLOW}).encode())
         self.never = 0  # attempts that were not begun, since their client had gone
         self.risky: set[str] = set()  # ids of what may have run
-        self.door, self.life, self.done = Door(self), Life(self), False  # type: ignore[arg-type]
+        self.registry, self.shutdown, self.done = ConnectionRegistry(self), Shutdown(self), False  # type: ignore[arg-type]
         self.core = RequestTable(self.config.settings, seed, self.now, self)  # type: ignore[arg-type]
-        told = Told(listing(1, entry("s0", 1, 0), entry("s1", 1, 1)))
+        told = NodeListUpdate(listing(1, entry("s0", 1, 0), entry("s1", 1, 1)))
         self.core.listed(self.now, ListKind.WHOLE, told.entries)
 
     def clock(self) -> float:
@@ -134,7 +134,7 @@
     # what the core has done
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         pending.attempt = token = object()
-        if not self.door.wanted(pending):
+        if not self.registry.is_wanted(pending):
             self.never += 1
             self.at(
                 self.now,
@@ -159,40 +159,40 @@
         assert self.now <= pending.request.deadline_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
         if final == REJECTED and pending.request.request_class.name == "save":  # type: ignore[union-attr]
             assert pending.attempt is None and pending.id not in self.risky, "rule 2"
-        self.door.answer(pending, final, stay_ms, data)
+        self.registry.answer(pending, final, stay_ms, data)
 
     def wake_at(self, at_ms: float) -> None:
         self.at(at_ms, lambda: self.core.woken(self.now))
 
     # the end
     def answer_by(self, end_ms: float) -> None:
-        self.door.leaving = True
+        self.registry.draining = True
         self.core.leaves(self.now, end_ms)
 
-    def take_in(self) -> bool:
+    def accept_waiting(self) -> bool:
         came, self.queue = self.queue, []
         for wire in came:
-            wire.conn = ClientConn(self.door, wire)  # type: ignore[arg-type]
-            self.door.count += 1
+            wire.conn = ClientConnection(self.registry, wire)  # type: ignore[arg-type]
+            self.registry.count += 1
             wire.conn.connection_made(wire)
         return bool(came)
 
-    def close_quiet(self, last: bool) -> None:
-        self.door.stop(last)
+    def close_inactive(self, last: bool) -> None:
+        self.registry.close_inactive(last)
 
-    def unanswered(self) -> int:
-        return self.door.owed(self.now)
+    def count_owed(self) -> int:
+        return self.registry.count_owed(self.now)
 
-    def over(self) -> None:
+    def finish(self) -> None:
         self.done = True
 
     def step(self) -> None:
-        at = self.life.step(self.now)
+        at = self.shutdown.step(self.now)
         if at is not None:
             self.at(at, self.step)
 
     def leave(self) -> None:
-        at = self.life.leave(self.now, 0.0, self.config.longest_ms)
+        at = self.shutdown.begin(self.now, 0.0, self.config.longest_wait_ms)
         if at is not None:
             self.at(at, self.step)
 
@@ -238,8 +238,8 @@
                 heapq.heappop(self.events)[2]()
             if self.now - looked > 100.0:
                 looked = self.now
-                self.door.look(self.now)
+                self.registry.close_expired(self.now)
             for wire in self.wires:
                 wire.turn()
-            if self.life.stage is not Stage.CLOSING:
-                self.take_in()
+            if self.shutdown.stage is not Stage.CLOSING:
+                self.accept_waiting()
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -142,7 +142,7 @@
         config = read_config(json.dumps({**CONFIG, "limits": {"sockets": sockets}}).encode())
         config = dataclasses.replace(config, listen=(LOOPBACK, 0), discovery=(LOOPBACK, self.discovery.port), **changes)
         self.head = Service(asyncio.get_running_loop(), config, "/nowhere")
-        self.head.say = lambda what, **facts: None  # type: ignore[method-assign]
+        self.head.log = lambda event, **facts: None  # type: ignore[method-assign]
         await self.head.start()
         assert self.head.listener.socket is not None
         self.port = self.head.listener.socket.getsockname()[1]
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -23,7 +23,7 @@
 from caps import CAPS  # noqa: E402
 
 from pebblehinge.agreed.state import VERSIONS  # noqa: E402
-from pebblehinge.service.door import Door  # noqa: E402
+from pebblehinge.service.connection_registry import ConnectionRegistry  # noqa: E402
 from pebblehinge.settings.schema import GroupBlock, LimitsBlock  # noqa: E402
 
 MEASURED = re.compile(r"(?<![\w.])\d[\d.,]*\s?(?:µs|ms|KB/s|MB/s|KB|MB|GB|KiB|MiB|frames)\b")
@@ -194,7 +194,7 @@
     assert common["frame_limit"] == limits.frame
     assert common["framed_clients"] == limits.connections
     assert common["keepalive_s"] * 1000 == limits.keepalive
-    assert common["service_idle_s"] * 1000 == Door.IDLE_MS
+    assert common["service_idle_s"] * 1000 == ConnectionRegistry.IDLE_MS
 
 
 def test_the_caps_of_the_page_are_those_of_the_code() -> None:
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -16,7 +16,7 @@
 
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service import clients, door, peek
+from pebblehinge.service import client_connection, connection_registry, socket_state
 
 
 def ends(raw: socket.socket, how: str) -> None:
@@ -29,8 +29,16 @@
 
 
 def at_rest(rig: Rig) -> bool:
-    head, door = rig.head, rig.head.door
-    held = (head.core.open, head.core.pending, door.ids, head.pools.out, door.busy, door.fresh, door.idle)
+    head, registry = rig.head, rig.head.registry
+    held = (
+        head.core.open,
+        head.core.pending,
+        registry.ids,
+        head.pools.attempts,
+        registry.active,
+        registry.incomplete,
+        registry.idle,
+    )
     return not any(held)
 
 
@@ -45,7 +53,7 @@
 ) -> None:
     """The request was sent on when it was read; the end came to light a read later."""
     if not tells:
-        monkeypatch.setattr(peek, "GONE", 0)
+        monkeypatch.setattr(socket_state, "HANGUP_EVENTS", 0)
 
     async def script(rig: Rig) -> None:
         assert (await rig.ask(ask())).status == 200  # a connection to the shelf is up: nothing has to be waited for
@@ -59,7 +67,7 @@
                 pass
             ends(raw, how)
             await asyncio.sleep(0.01)
-            await until(lambda: rig.head.door.count <= 1 and not rig.head.core.open)
+            await until(lambda: rig.head.registry.count <= 1 and not rig.head.core.open)
         assert len(rig.shelfs[0].asked) == 1
         assert rig.head.core.counts["left"] == rig.head.core.counts["taken"] - 1
 
@@ -74,7 +82,7 @@
         client = await rig.client()
         client.write(ask(X_Deadline_Ms="1900"))
         await until(lambda: rig.shelfs[0].asked)
-        client.write(ask() * 3 + b"x" * 4 * clients.AHEAD_LIMIT)
+        client.write(ask() * 3 + b"x" * 4 * client_connection.AHEAD_LIMIT)
         client.transport.write_eof()
         await until(lambda: rig.head.core.counts["left"] == 1, 1.5)
         await until(lambda: rig.shelfs[0].conns[0].lost, 1.5)
@@ -114,11 +122,11 @@
         await until(lambda: rig.shelfs[1].asked)
         assert conn.transport.get_write_buffer_size()
         raw.shutdown(socket.SHUT_WR)
-        await until(lambda: rig.head.core.open == 0 and not rig.head.door.ids, 1.5)
-        assert rig.head.door.count == 1
+        await until(lambda: rig.head.core.open == 0 and not rig.head.registry.ids, 1.5)
+        assert rig.head.registry.count == 1
         await until(lambda: rig.shelfs[1].conns[0].lost)
         raw.close()
-        await until(lambda: rig.head.door.count == 0)
+        await until(lambda: rig.head.registry.count == 0)
 
     on_rig(script)
 
@@ -174,7 +182,7 @@
 
 def test_one_that_asks_for_health_and_never_reads_is_bounded_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its answers were kept without bound, and so was what it sent behind them."""
-    monkeypatch.setattr(door.Door, "STALL_MS", 200.0)
+    monkeypatch.setattr(connection_registry.ConnectionRegistry, "STALL_MS", 200.0)
 
     async def script(rig: Rig) -> None:
         raw = socket.socket()
@@ -189,11 +197,11 @@
                 pass
             except OSError:
                 break
-            for conn in (*rig.head.door.idle, *rig.head.door.closing, *rig.head.door.fresh):
-                most = max(most, len(conn.requests.buffer) + conn.transport.get_write_buffer_size())
+            for conn in (*rig.head.registry.idle, *rig.head.registry.closing, *rig.head.registry.incomplete):
+                most = max(most, len(conn.parser.buffer) + conn.transport.get_write_buffer_size())
             await asyncio.sleep(0.005)
         assert most < 2_000_000
-        await until(lambda: rig.head.door.count == 0)
+        await until(lambda: rig.head.registry.count == 0)
 
     on_rig(script)
 
@@ -201,11 +209,11 @@
 def test_a_look_at_a_socket_tells_its_end_from_what_lies_before() -> None:
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     ours.setblocking(False)
-    assert not peek.ended(ours)
+    assert not socket_state.is_peer_closed(ours)
     theirs.sendall(b"x")
-    assert peek.readable(ours.fileno()) and not peek.ended(ours)
+    assert socket_state.is_readable(ours.fileno()) and not socket_state.is_peer_closed(ours)
     theirs.shutdown(socket.SHUT_WR)
-    assert peek.ended(ours)
+    assert socket_state.is_peer_closed(ours)
     for sock in (ours, theirs):
         sock.close()
 
@@ -220,6 +228,6 @@
         rig.shelfs[0].does = does
         client = await rig.client()
         client.write(ask() + ask() + ask())
-        assert [(await client.answer()).status for _ in range(3)] == [200] * 3 and rig.head.door.gone == 0
+        assert [(await client.answer()).status for _ in range(3)] == [200] * 3 and rig.head.registry.abandoned == 0
 
     on_rig(script)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -32,7 +32,7 @@
     gate.opens.set()
     await asyncio.sleep(0.05)
     assert not any(s.asked for s in rig.shelfs)
-    assert rig.head.pools.out == rig.head.pools.dialling == 0 and not rig.head.core.pending
+    assert rig.head.pools.attempts == rig.head.pools.dialling == 0 and not rig.head.core.pending
 
 
 @pytest.mark.parametrize("cancellations", [True, False])
@@ -128,7 +128,7 @@
         client, gate = await dialling(rig, ask(X_Deadline_Ms="600"))
         assert (await client.answer()).status == 503
         assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.shelfs[0].asked
-        assert rig.head.pools.out == rig.head.pools.dialling == 0
+        assert rig.head.pools.attempts == rig.head.pools.dialling == 0
         gate.opens.set()
         await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
 
@@ -213,7 +213,7 @@
     async def script(rig: Rig) -> None:
         gate = Gate(rig.head.loop)
         rig.head.pools.loop = gate  # type: ignore[assignment]
-        rig.head.pools.most = 2
+        rig.head.pools.max_connections = 2
         clients = [await rig.client() for _ in range(4)]
         for client in clients:
             client.write(ask())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,9 +15,9 @@
 from test_discovery_drawn import DAMAGED, HEAD, chunk
 
 from pebblehinge.http1 import HttpError, HttpRequest
-from pebblehinge.service import discovery
-from pebblehinge.service.discovery import Watch
-from pebblehinge.service.lists import Objects, Told
+from pebblehinge.service import departures, discovery
+from pebblehinge.service.discovery import DiscoveryWatch
+from pebblehinge.service.node_list import JsonObjectStream, NodeListUpdate
 
 
 class Seen:
@@ -29,7 +29,7 @@
         await self.peer.start()
         self.peer.list = listing(1, entry("s0", 5, 0))
         self.loop: Any = Gate(loop) if gated else loop
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             self.loop,
             (LOOPBACK, self.peer.port),
             random.Random(1),
@@ -62,7 +62,7 @@
         await until(lambda: seen.told)
         assert seen.told[0].version == 1
         seen.loop.opens.set()
-        await until(lambda: seen.watch.trying is None)
+        await until(lambda: seen.watch.connecting is None)
         assert len(seen.watch.connections) == 1
 
     on_sockets(script, gated=True)
@@ -88,7 +88,7 @@
         await until(lambda: seen.told)
         (old,), seen.peer.does = seen.peer.conns, lambda conn, request: conn.write(HEAD)
         await asyncio.sleep(0.25)
-        seen.watch.look()
+        seen.watch.check_silence()
         await until(lambda: len(seen.peer.conns) == 2 and len(seen.watch.connections) == 2)
         old.tell(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
         await until(lambda: seen.watch.newest == 2)
@@ -116,11 +116,11 @@
 
 
 def test_an_object_without_end_is_bounded() -> None:
-    objects = Objects()
+    objects = JsonObjectStream()
     with pytest.raises(HttpError, match="a list of more than"):
         for _ in range(60):
             objects.feed(b'{"a": [\n' + b" " * 100_000 + b"1,\n")
-    objects = Objects()
+    objects = JsonObjectStream()
     with pytest.raises(HttpError, match="a list of more than"):
         for _ in range(60):
             objects.feed(b"x" * 100_000)
@@ -169,12 +169,12 @@
 
 
 def test_what_left_is_kept_in_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "LEFT_KEPT", 10)
+    monkeypatch.setattr(departures, "DEPARTED_LIMIT", 10)
 
     async def script(seen: Seen) -> None:
         for n in range(40):
-            seen.watch._keep_left(Told(listing(n, entry(f"g{n}", 5, 0, "Gone"))))
-        assert list(seen.watch.left) == [f"g{n}" for n in range(30, 40)]
+            seen.watch.departures.apply(NodeListUpdate(listing(n, entry(f"g{n}", 5, 0, "Gone"))))
+        assert list(seen.watch.departures.nodes) == [f"g{n}" for n in range(30, 40)]
 
     on_sockets(script)
 
--- a/tests/test_discovery_drawn.py
+++ b/tests/test_discovery_drawn.py
@@ -13,7 +13,7 @@
 from pebblehinge.http1 import RequestParser
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.service import discovery
-from pebblehinge.service.discovery import Watch
+from pebblehinge.service.discovery import DiscoveryWatch
 
 TOLD_S = 6.0  # the operators' bound, and what a head needs to act on a list beside it
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -89,7 +89,7 @@
     async def play(self) -> None:
         self.listener: Any = None
         await self.turn("standing")
-        watch = Watch(
+        watch = DiscoveryWatch(
             self.head,
             ("10.0.0.9", 8500),
             random.Random(self.rng.random()),  # type: ignore[arg-type]
@@ -100,7 +100,7 @@
         watch.start()
 
         def look() -> None:
-            watch.look()
+            watch.check_silence()
             self.head.call_later(0.1, look)
 
         look()
@@ -130,6 +130,6 @@
 
 
 def test_the_bound_is_passed_where_the_waits_are_as_they_were(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SILENT_S", 6.5), ("GIVEN_UP_S", 6.5), ("CONNECT_S", 2.0), ("PAUSES_S", (0.05, 2.0))):
+    for name, value in (("SILENT_S", 6.5), ("ABANDON_S", 6.5), ("CONNECT_S", 2.0), ("BACKOFF_S", (0.05, 2.0))):
         monkeypatch.setattr(discovery, name, value)
     assert max(lateness(seed) for seed in range(60)) > TOLD_S
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,9 +1,8 @@
-"""Two events in one instant, each order forced: timers and what they time, the end of a life, settings that change."""
+"""Two events in one instant, each order forced: timers and what they time, and the shutdown."""
 
 from __future__ import annotations
 
 import asyncio
-import dataclasses
 import json
 import socket
 import struct
@@ -16,11 +15,8 @@
 from service_rig import CONFIG, OK, SETTINGS, Rig, ShelfPeer, answers, ask, on_rig
 from test_service_life import connect, slow_reader, status
 
-from pebblehinge.decide import dispatch, request, valuation
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
-from pebblehinge.platform_settings import read_settings
-from pebblehinge.service.server import Service
 
 # ---- a timer and its event in one turn
 
@@ -30,18 +26,18 @@
     async def script(rig: Rig) -> None:
         shelfs, gate, dials = rig.head.pools, Gate(rig.head.loop), []
         shelfs.loop = gate  # type: ignore[assignment]
-        late = shelfs._late
-        shelfs._late = lambda dial: dials.append(dial)  # type: ignore[method-assign]
+        late = shelfs._cancel_dial
+        shelfs._cancel_dial = lambda dial: dials.append(dial)  # type: ignore[method-assign]
         client = await rig.client()
         client.write(ask(X_Deadline_Ms="800"))
         await until(lambda: dials)
-        shelfs._late = late  # type: ignore[method-assign]
+        shelfs._cancel_dial = late  # type: ignore[method-assign]
         acts = [gate.opens.set, lambda: late(dials[0])]
         for act in acts if first == "the connection" else acts[::-1]:
             act()
         answer = await client.answer()
         assert answer.status in (200, 503)
-        await until(lambda: not shelfs.out and not shelfs.dialling)
+        await until(lambda: not shelfs.attempts and not shelfs.dialling)
         kept = len(shelfs.table["s0"].idle)
         await until(lambda: shelfs.connections == kept)
         assert rig.head.core.outcomes[Outcome.SUCCEEDED] == (answer.status == 200)
@@ -60,7 +56,7 @@
         (pending,) = rig.head.core.pending.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.pools._timed_out(pending.attempt)
+            rig.head.pools._time_out(pending.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.pending)
@@ -132,14 +128,14 @@
         rig.shelfs[0].does = SPOILT[what]
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="400"))
         assert answer.status == 502 and answer.body == b"" and len(rig.shelfs[0].asked) == 1
-        await until(lambda: rig.head.pools.held == 0 and rig.head.pools.connections == 0)
+        await until(lambda: rig.head.pools.buffered_bytes == 0 and rig.head.pools.connections == 0)
         rig.shelfs[0].does = lambda conn, request: conn.write(OK)
         assert (await rig.ask(ask("save", 0, b"abc"))).body == b"ok"
 
     on_rig(script)
 
 
-# ---- the end of a life
+# ---- the shutdown
 
 
 def test_an_answer_that_is_partly_written_goes_out_whole_before_the_end() -> None:
@@ -149,8 +145,8 @@
         raw, conn = await slow_reader(rig)
         assert conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         raw.sendall(ask())
-        await until(lambda: conn.full)
-        rig.head.leave()
+        await until(lambda: conn.write_paused)
+        rig.head.shutdown.begin()
         await asyncio.sleep(1.2)  # past the kill, which may come late
         assert not rig.head.stopped.done()
         raw.settimeout(5.0)
@@ -166,7 +162,7 @@
         assert got.endswith(body)
         raw.close()
 
-    on_rig(script, longest_ms=400.0)
+    on_rig(script, longest_wait_ms=400.0)
 
 
 def test_a_reload_beside_the_end_changes_neither_the_end_nor_what_is_owed(tmp_path: Path) -> None:
@@ -184,75 +180,13 @@
         file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{rig.discovery.port}", "settings": less}))
         rig.head.path = str(file)
         rig.head.reload()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         rig.head.reload()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         kept.sendall(ask())  # its class is gone
         assert await status(kept) == b"400"
         assert (await client.answer()).status == 503
         await rig.head.stopped
         assert rig.head.core.open == 0 and not rig.head.core.pending
 
-    on_rig(script, longest_ms=400.0)
-
-
-# ---- settings, and bounded tables
-
-
-def test_two_heads_in_one_process_share_nothing_of_their_settings() -> None:
-    """Classes, plans and volumes of equal names, another meaning in each."""
-    other = {
-        **SETTINGS,
-        "classes": [
-            {**SETTINGS["classes"][1], "name": "look", "give_up_s": 0.2},
-            {**SETTINGS["classes"][0], "name": "save", "give_up_s": 5.0},
-        ],
-        "service_levels": [{"base_rate": 1.0, "ceiling_rate": 0.001, "limit_burst": 6.0, "name": "gold"}],
-        "family_info": {**SETTINGS["family_info"], "writes": [False, True]},
-    }
-
-    async def script(rig: Rig) -> None:
-        config = dataclasses.replace(rig.head.config, settings=read_settings(other))
-        second = Service(rig.head.loop, config)
-        second.say = lambda what, **facts: None  # type: ignore[method-assign]
-        await second.start()
-        await until(lambda: second.pools.table)
-        assert second.listener.socket is not None
-        first_port, second_port = rig.port, second.listener.socket.getsockname()[1]
-        for _ in range(3):  # the second's limit is its own, its store empty: nothing goes
-            rig.port = first_port
-            assert (await rig.ask(ask())).status == 200
-            rig.port = second_port
-            assert (await rig.ask(ask(X_Deadline_Ms="150"))).status == 503
-        rig.port = first_port
-        rig.shelfs[0].does = answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        asked = len(rig.shelfs[0].asked)
-        assert (await rig.ask(ask("save", 0, b"abc"))).status == 502  # non-idempotent here, whatever it is there
-        assert len(rig.shelfs[0].asked) == asked + 1
-        second.watch.stop()
-
-    on_rig(script)
-
-
-def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """More extents and volumes are open at once than are remembered: each has its answer, and nothing is left."""
-    monkeypatch.setattr(request, "REMEMBERED", 4)
-    monkeypatch.setattr(dispatch, "REMEMBERED", 4)
-    monkeypatch.setattr(valuation, "REMEMBERED", 4)
-
-    async def script(rig: Rig) -> None:
-        rig.head.core.module.path.extents.most = 4
-        callers = [await rig.client() for _ in range(40)]
-        for n, client in enumerate(callers):
-            io = f"volume={n:016x},units=2,shard=0,hosts=1"
-            client.write(ask(X_IO=io, Cookie=f"block={n:016x}", X_Deadline_Ms="1900"))
-        for client in callers:
-            assert (await client.answer()).status in (200, 503)
-        head = rig.head
-        assert (
-            not head.core.pending
-            and not any(head.core.module.shelfs.queued)
-            and len(head.core.module.path.extents) <= 4
-        )
-
-    on_rig(script)
+    on_rig(script, longest_wait_ms=400.0)
--- a/tests/test_full_of_clients.py
+++ b/tests/test_full_of_clients.py
@@ -34,10 +34,10 @@
             conn.transport.abort()
         await until(lambda: not head.watch.connections)
         raws = [socket.create_connection((LOOPBACK, rig.port)) for _ in range(2 * SOCKETS)]
-        await until(lambda: head.door.count >= head.listener.most)
+        await until(lambda: head.registry.count >= head.listener.max_connections)
         for _ in range(40):  # they stay, and more wait; discovery is asked for and is not there
-            held = head.door.count + head.pools.connections + head.pools.dialling + len(head.watch.connections)
-            assert held <= SOCKETS and head.door.count <= head.listener.most
+            held = head.registry.count + head.pools.connections + head.pools.dialling + len(head.watch.connections)
+            assert held <= SOCKETS and head.registry.count <= head.listener.max_connections
             await asyncio.sleep(0.02)
         again = await back(rig, port)
         again.list = listing(9, entry("s0", rig.shelfs[0].port, 0), entry("s1", rig.shelfs[1].port, 1, "Terminating"))
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -1,6 +1,8 @@
-"""The end of a life as a property over drawn orders of events, from fixed seeds: clock, wire and shelfs are scripted,
-the door, the core, the module and the life are the real ones. Each turn is as unkind as a loop may be: timers go first,
-what came meanwhile lies unread, and some turns are long."""
+"""The shutdown as a property over drawn orders of events, from fixed seeds.
+
+Clock, wire and storage nodes are scripted; the registry, the core, the scheduler and the shutdown are the real ones.
+Each turn is as unkind as a loop may be: timers go first, what came meanwhile lies unread, and some turns are long.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,7 @@
 import pytest
 from life_world import World
 
-from pebblehinge.service import clients
+from pebblehinge.service import client_connection
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -17,8 +19,8 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     world = World(seed)
-    monkeypatch.setattr(clients, "readable", lambda number: bool(world.wires[number].unread))
-    monkeypatch.setattr(clients, "ended", lambda wire: wire.gone())
+    monkeypatch.setattr(client_connection, "is_readable", lambda number: bool(world.wires[number].unread))
+    monkeypatch.setattr(client_connection, "is_peer_closed", lambda wire: wire.gone())
     world.play()
     assert world.done and not world.core.open and not world.queue
     assert sum(w.whole for w in world.wires) > 60
@@ -33,8 +35,8 @@
     never = 0
     for seed in range(30):
         world = World(seed)
-        monkeypatch.setattr(clients, "readable", lambda number, w=world: bool(w.wires[number].unread))
-        monkeypatch.setattr(clients, "ended", lambda wire: wire.gone())
+        monkeypatch.setattr(client_connection, "is_readable", lambda number, w=world: bool(w.wires[number].unread))
+        monkeypatch.setattr(client_connection, "is_peer_closed", lambda wire: wire.gone())
         come = world.come
 
         def comes(world: World = world, come: Any = come) -> None:
@@ -44,7 +46,7 @@
 
         world.come = comes  # type: ignore[method-assign]
         world.play()
-        assert world.done and not (world.core.open or world.core.pending or world.door.ids or world.queue)
+        assert world.done and not (world.core.open or world.core.pending or world.registry.ids or world.queue)
         counts = world.core.counts
         assert counts["taken"] == sum(counts[how] for how in ("honoured", "pushed back", "terminated", "left"))
         for wire in world.wires:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -123,9 +123,10 @@
 
 def test_signals_are_kept_before_anything_else_is_loaded() -> None:
     lines = (Path(early.__file__).parent / "__main__.py").read_text().splitlines()
-    loads = [n for n, line in enumerate(lines) if line.startswith(("import", "from")) and "E402" in line]
-    assert 0 < next(n for n, line in enumerate(lines) if "early.hold()" in line) < loads[0]
-    before = [line for line in lines[: loads[0]] if line.startswith(("import", "from"))]
+    held = next(n for n, line in enumerate(lines) if "early.hold()" in line)
+    loads = [n for n, line in enumerate(lines) if line.startswith(("import", "from"))]
+    assert held < loads[-1]
+    before = [lines[n] for n in loads if n < held]
     assert before == ["import os", "import sys", "from pebblehinge.service import early"]
 
 
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -13,8 +13,8 @@
 from service_rig import SETTINGS, Rig, ask, entry, listing, on_rig
 
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service.clients import ClientConn
-from pebblehinge.service.life import Life, Stage
+from pebblehinge.service.client_connection import ClientConnection
+from pebblehinge.service.shutdown import Shutdown, Stage
 
 
 def test_after_sigterm_open_connections_are_served_and_all_that_was_taken_is_answered() -> None:
@@ -24,7 +24,7 @@
         client, began = await rig.client(), time.monotonic()
         client.write(ask())
         await client.answer()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         await asyncio.sleep(0.3)
         assert (await rig.ask(ask())).status == 200  # new connections still come
         client.write(ask())
@@ -36,11 +36,11 @@
         assert 0.5 < time.monotonic() - began < 1.2 and client.lost
         assert rig.head.core.open == 0 and client.answers[-1].status == 503
 
-    on_rig(script, longest_ms=400.0)
+    on_rig(script, longest_wait_ms=400.0)
 
 
-class ScriptedHeld:
-    """What a head holds at the end of its life, as a script sets it."""
+class ScriptedEffects:
+    """What a gateway does and holds at its shutdown, as a script sets it."""
 
     def __init__(self) -> None:
         self.queue, self.open, self.said = 0, 0, []  # type: ignore[var-annotated]
@@ -48,38 +48,38 @@
     def answer_by(self, end_ms: float) -> None:
         self.said.append(("answer by", end_ms))
 
-    def take_in(self) -> bool:
+    def accept_waiting(self) -> bool:
         came, self.queue, self.open = self.queue > 0, 0, self.open + self.queue
         return came
 
-    def close_quiet(self, last: bool) -> None:
+    def close_inactive(self, last: bool) -> None:
         self.said.append(("last" if last else "close",))
 
-    def unanswered(self) -> int:
+    def count_owed(self) -> int:
         return self.open
 
-    def over(self) -> None:
+    def finish(self) -> None:
         assert not self.open and not self.queue
         self.said.append(("over",))
 
 
 def test_a_life_ends_once_and_never_over_something_that_is_owed() -> None:
     """A head that ended shortly before its kill, whatever was open, lost what it had taken: 11 on one fleet day."""
-    held = ScriptedHeld()
-    life = Life(held)
-    assert life.leave(1000.0, 40.0, 24_000.0) == 960.0 + 3700.0 - 250.0  # it came 40 ms before it was seen
-    assert life.leave(1500.0, 0.0, 24_000.0) is None and held.said == [("answer by", 960.0 + 3700.0 - 120.0)]
+    held = ScriptedEffects()
+    shutdown = Shutdown(held)
+    assert shutdown.begin(1000.0, 40.0, 24_000.0) == 960.0 + 3700.0 - 250.0  # it came 40 ms before it was seen
+    assert shutdown.begin(1500.0, 0.0, 24_000.0) is None and held.said == [("answer by", 960.0 + 3700.0 - 120.0)]
     held.open, now = 2, 4410.0
     for _ in range(40):  # well past the kill, which may come late or not at all
-        at = life.step(now)
-        assert at is not None and life.stage is Stage.CLOSING
+        at = shutdown.step(now)
+        assert at is not None and shutdown.stage is Stage.CLOSING
         now = at
     assert ("last",) in held.said
     held.open, held.queue = 0, 1  # one more came while the last was answered
-    assert life.step(now) is not None
+    assert shutdown.step(now) is not None
     held.open = 0
-    assert life.step(now + 20.0) is None and life.stage is Stage.OVER
-    assert life.step(now + 40.0) is None and held.said.count(("over",)) == 1
+    assert shutdown.step(now + 20.0) is None and shutdown.stage is Stage.STOPPED
+    assert shutdown.step(now + 40.0) is None and held.said.count(("over",)) == 1
 
 
 SLOW = read_settings({**SETTINGS, "classes": [{**c, "on_time_s": 5.0, "give_up_s": 9.0} for c in SETTINGS["classes"]]})
@@ -98,12 +98,12 @@
             client.write(ask(kind, shard=1 if kind == "save" else 0, X_Deadline_Ms="9000"))
         await until(lambda: rig.head.core.open == 7 and len(rig.shelfs[0].asked) == 4)
         began = time.monotonic()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         await rig.head.stopped
         assert rig.head.core.open == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
         assert [(await client.answer()).status for client in callers] == [503] * 6 + [502]
 
-    on_rig(script, longest_ms=400.0, settings=SLOW)
+    on_rig(script, longest_wait_ms=400.0, settings=SLOW)
 
 
 def connect(rig: Rig) -> socket.socket:
@@ -112,13 +112,13 @@
     return raw
 
 
-async def slow_reader(rig: Rig) -> tuple[socket.socket, ClientConn]:
+async def slow_reader(rig: Rig) -> tuple[socket.socket, ClientConnection]:
     """A client that does not read, with little room on the way to it; and the head's end of its connection."""
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     raw.connect((LOOPBACK, rig.port))
-    await until(lambda: rig.head.door.fresh)
-    (conn,) = rig.head.door.fresh
+    await until(lambda: rig.head.registry.incomplete)
+    (conn,) = rig.head.registry.incomplete
     conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return raw, conn
 
@@ -138,7 +138,7 @@
             raw.sendall(ask())
             assert await status(raw) == b"200"
         rig.shelfs[0].does = lambda conn, r: None
-        rig.head.leave()
+        rig.head.shutdown.begin()
         request = ask(X_Deadline_Ms="9000")
         half.sendall(request[:40])
         ahead.write(ask(X_Deadline_Ms="9000") + ask() + ask())
@@ -147,27 +147,27 @@
         for raw, data in ((queued, ask()), (kept, ask()), (half, request[40:])):
             raw.sendall(data)
         time.sleep(0.1)
-        rig.head._step()  # one long turn: all of it lies unread when the head begins to close
+        rig.head.shutdown._step()  # one long turn: all of it lies unread when the head begins to close
         await rig.head.stopped
         assert await status(silent) == b""
         assert [await status(raw) for raw in (queued, kept, half)] == [b"503"] * 3
         assert [(await ahead.answer()).status for _ in range(3)] == [503] * 3
 
-    on_rig(script, longest_ms=400.0, settings=SLOW)
+    on_rig(script, longest_wait_ms=400.0, settings=SLOW)
 
 
 def test_what_comes_while_the_last_is_closed_is_answered() -> None:
     async def script(rig: Rig) -> None:
-        rig.head.leave()
+        rig.head.shutdown.begin()
         await asyncio.sleep(0.8)
         time.sleep(0.1)
         raw = connect(rig)
         raw.sendall(ask())
-        rig.head._step()  # nothing but what waits in the listen queue is left
+        rig.head.shutdown._step()  # nothing but what waits in the listen queue is left
         await rig.head.stopped
         assert await status(raw) in (b"200", b"503")
 
-    on_rig(script, longest_ms=400.0)
+    on_rig(script, longest_wait_ms=400.0)
 
 
 def test_a_close_does_not_take_the_answer_along() -> None:
@@ -183,7 +183,7 @@
             got += piece
         assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"ok")
         raw.close()
-        await until(lambda: rig.head.door.count == 0)
+        await until(lambda: rig.head.registry.count == 0)
 
     on_rig(script)
 
@@ -214,10 +214,17 @@
             old = entry(f"n{n - 1}" if n else "s0", rig.shelfs[0].port, 0, "Gone")
             rig.discovery.conns[0].tell(listing(2 + n, old, new, full=False))
             await until(lambda n=n: f"n{n}" in head.pools.table)
-        await until(lambda: head.door.count == 0)
-        door = head.door
+        await until(lambda: head.registry.count == 0)
+        registry = head.registry
         assert len(head.pools.table) == 2 and len(head.core.module.shelfs.names) <= 4
-        assert not (head.core.pending or door.ids or door.fresh or door.idle or door.busy or door.closing)
+        assert not (
+            head.core.pending
+            or registry.ids
+            or registry.incomplete
+            or registry.idle
+            or registry.active
+            or registry.closing
+        )
         await until(lambda: head.pools.connections <= 1)
 
     on_rig(script)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -18,7 +18,7 @@
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service.__main__ import main
 from pebblehinge.service.config import ServiceConfig, read_config
-from pebblehinge.service.lists import Told
+from pebblehinge.service.node_list import NodeListUpdate
 from pebblehinge.service.server import Service
 
 
@@ -44,7 +44,7 @@
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = lambda conn, r: None
         raw = connect(rig)
-        await until(lambda: rig.head.door.count == 1)
+        await until(lambda: rig.head.registry.count == 1)
 
         def long_turn() -> None:
             raw.sendall(ask(X_Deadline_Ms="900"))
@@ -108,10 +108,12 @@
 
 
 def test_starts_are_told_on_the_heads_own_clock_and_what_can_not_be_read_is_left_out() -> None:
-    told = Told(listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"}))
+    told = NodeListUpdate(
+        listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"})
+    )
     assert [(e.shelf, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(told.faults) == 2
     with pytest.raises(PlatformSettingsError):
-        Told([1, 2])
+        NodeListUpdate([1, 2])
 
     async def script(rig: Rig) -> None:
         assert abs(rig.head.clock() - time.time() * 1000.0) < 200.0
@@ -124,7 +126,7 @@
         port = rig.shelfs[0].port
         known = dataclasses.replace(rig.head.config, known=listing(1, entry("s0", port, 0)), discovery=(LOOPBACK, 1))
         head = Service(rig.head.loop, known)
-        head.say = lambda what, **facts: None  # type: ignore[method-assign]
+        head.log = lambda event, **facts: None  # type: ignore[method-assign]
         await head.start()
         assert head.listener.socket is not None and not head.ready()
         rig.port = head.listener.socket.getsockname()[1]
@@ -196,5 +198,5 @@
 def test_the_configuration_is_read_as_the_platform_writes_it() -> None:
     config = read_config(json.dumps(CONFIG).encode())
     assert isinstance(config, ServiceConfig)
-    assert config.writes == {"look": False, "save": True} and config.longest_ms == 2000.0
+    assert config.writes == {"look": False, "save": True} and config.longest_wait_ms == 2000.0
     assert (config.idle_ms, config.connect_ms, config.shards) == (30_000.0, 250.0, 4)
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -15,7 +15,7 @@
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Entry, Final, ListKind, Outcome, Standing
 from pebblehinge.platform_settings import read_settings
-from pebblehinge.service import pool
+from pebblehinge.service import node_connection
 
 NOT_RUN = b"Content-Length: 0\r\nX-Not-Run: 1\r\n\r\n"
 # what a shelf does: the outcome, the attempts it takes, and what the client of an non-idempotent request is told
@@ -57,15 +57,15 @@
         for raw in (old, young):
             raw.sendall(ask())
             assert await status(raw) == b"200"
-        door = rig.head.door
-        first = next(iter(door.idle))
-        first.since -= door.IDLE_MS
+        registry = rig.head.registry
+        first = next(iter(registry.idle))
+        first.since_ms -= registry.IDLE_MS
         old.sendall(ask())
-        door.look(rig.head.clock())
-        assert len(door.idle) == 2 and not door.closing
+        registry.close_expired(rig.head.clock())
+        assert len(registry.idle) == 2 and not registry.closing
         assert await status(old) == b"200"
-        first.since -= door.IDLE_MS
-        await until(lambda: len(door.idle) == 1)
+        first.since_ms -= registry.IDLE_MS
+        await until(lambda: len(registry.idle) == 1)
         assert await status(old) == b""
 
     on_rig(script)
@@ -96,7 +96,7 @@
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
         assert (await rig.ask(ask())).body == b"ok"
-        assert not rig.head.core.pending and rig.head.pools.out == 0 and rig.head.pools.held == 0
+        assert not rig.head.core.pending and rig.head.pools.attempts == 0 and rig.head.pools.buffered_bytes == 0
 
     on_rig(script)
 
@@ -122,12 +122,12 @@
         await client.answer()
         (first,) = rig.shelfs[0].conns
         (conn,) = rig.head.pools.table["s0"].idle
-        assert conn.usable()
+        assert conn.is_usable()
         first.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         deadline = time.monotonic() + 2.0
-        while conn.usable() and time.monotonic() < deadline:
+        while conn.is_usable() and time.monotonic() < deadline:
             time.sleep(0.001)  # the loop must not run: it is the socket that tells
-        assert not conn.usable()
+        assert not conn.is_usable()
         rig.head.pools.table["s0"].idle[:] = [conn]
         client.write(ask())
         assert (await client.answer()).body == b"ok" and len(rig.shelfs[0].conns) == 2
@@ -140,7 +140,7 @@
 
     async def script(rig: Rig) -> None:
         loop, took, peer = asyncio.get_running_loop(), [], []
-        ended = rig.head.ended
+        ended = rig.head.end_attempt
 
         def does(conn: ShelfPeer, request: HttpRequest) -> None:
             came = time.monotonic()
@@ -155,18 +155,18 @@
             took.append(took_ms)
             ended(pending, attempt, outcome, took_ms, data)
 
-        rig.head.ended = seen  # type: ignore[method-assign]
+        rig.head.end_attempt = seen  # type: ignore[method-assign]
         rig.shelfs[0].does = does
         open_ = [await rig.client() for _ in range(3)]
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.pools.out == 3 == len(rig.head.core.module.shelfs.in_flight[0])
+        assert rig.head.pools.attempts == 3 == len(rig.head.core.module.shelfs.in_flight[0])
         assert rig.head.pools.connections == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
         assert len(took) == 3 and all(0.0 <= t - p < 60.0 for t, p in zip(took, peer, strict=True))
-        assert rig.head.pools.out == 0 and len(rig.head.pools.table["s0"].idle) == 3
+        assert rig.head.pools.attempts == 0 and len(rig.head.pools.table["s0"].idle) == 3
 
     on_rig(script)
 
@@ -183,15 +183,15 @@
 
 
 def test_unfinished_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "HELD_LIMIT", 400_000)
+    monkeypatch.setattr(node_connection, "BUFFERED_LIMIT", 400_000)
 
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 299_000)
         first = await rig.client()
         first.write(ask("save", 0, b"abc"))
-        await until(lambda: rig.head.pools.held > 290_000)
+        await until(lambda: rig.head.pools.buffered_bytes > 290_000)
         assert (await rig.ask(ask("save", 0, b"abc"))).status == 502
-        assert rig.head.pools.held < 400_000
+        assert rig.head.pools.buffered_bytes < 400_000
 
     on_rig(script)
 
