--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -8,11 +8,10 @@
 from typing import Any
 
 from pebblehinge.head import HeadCore
-from pebblehinge.interface import Changes, Outcome
+from pebblehinge.interface import Attempt, Changes, Outcome
 from pebblehinge.net import Peer
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
-from pebblehinge.shelf.connection import Attempt
 from pebblehinge.wire import Kind, Session
 
 SETTINGS = """
@@ -97,18 +96,18 @@
         now: float,
         id_: int,
         extent: str,
-        profile: str,
-        plan: str,
+        request_class: str,
+        quota_plan: str,
         volume: str,
         set_size: int,
         slot: int,
         units: float,
-        abandon: float,
+        deadline_ms: float,
         again: bool | None,
     ) -> tuple[Any, Changes]:
         handle = self.Handle()
         handle.id, handle.over, handle.out = id_, False, True
-        handle.attempts = [Attempt(self.at_slot[slot], abandon)]
+        handle.attempts = [Attempt(self.at_slot[slot], deadline_ms)]
         return handle, Changes([handle])
 
 
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/head/metrics.py
@@ -51,8 +51,8 @@
         held = GaugeMetricFamily("pebblehinge_shelf_held", "Accesses held, by shelf", labels=["shelf"])
         away = GaugeMetricFamily("pebblehinge_shelf_away", "Trips out, by shelf", labels=["shelf"])
         for s, name in enumerate(list(module.names)):
-            held.add_metric([name], len(module.held[s]))
-            away.add_metric([name], len(module.away[s]))
+            held.add_metric([name], len(module.queued[s]))
+            away.add_metric([name], len(module.in_flight[s]))
         yield held
         yield away
         latency = head.latency
--- a/tests/compatibility/recorded.py
+++ b/tests/compatibility/recorded.py
@@ -49,8 +49,18 @@
     """A digest of each sort of facts that are read from records, by place."""
     day = Day.read(folder, settings((folder / "day.conf").read_text()))
     parts = {
-        "tries": day.tries, "operations": day.ops, "ends": day.done, "more answers": day.extra, "attempts": day.attempts,
-        "effects": day.effects, "lives": day.lives, "told": day.told, "away": day.away, "cuts": sorted(day.cuts),
-        "steps": day.steps, "times": [day.begin, day.end], "saves": day.saves,
-    }  # fmt: skip
+        "tries": day.tries,
+        "operations": day.ops,
+        "ends": day.done,
+        "more answers": day.extra,
+        "attempts": day.attempts,
+        "effects": day.effects,
+        "lives": day.lives,
+        "told": day.told,
+        "away": day.away,
+        "cuts": sorted(day.cuts),
+        "steps": day.steps,
+        "times": [day.begin, day.end],
+        "saves": day.saves,
+    }
     return {name: hashlib.sha256(json.dumps(plain(part)).encode()).hexdigest()[:16] for name, part in parts.items()}
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -27,8 +27,10 @@
     found = {file.name: mark_of(handed(load(str(file)))) for file in FILES if load(str(file)).head}
     drawn = handed(CONFIG)
     found |= {"drawn": mark_of(drawn), "cold": mark_of(handed(COLD))}
-    found["no plans"] = mark_of(replace(drawn, plans=()))
-    found["one of each"] = mark_of(replace(drawn, plans=drawn.plans[:1], profiles=drawn.profiles[:1]))
+    found["no plans"] = mark_of(replace(drawn, quota_plans=()))
+    found["one of each"] = mark_of(
+        replace(drawn, quota_plans=drawn.quota_plans[:1], request_classes=drawn.request_classes[:1])
+    )
     found["no budget"] = mark_of(replace(drawn, budget_share=None))
     return found
 
@@ -38,7 +40,7 @@
 
 
 @pytest.mark.parametrize("changes", [
-    {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_recall": False}, {"profiles": ()},
+    {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_cancel": False}, {"request_classes": ()},
 ])  # fmt: skip
 def test_other_settings_have_another_mark(changes: dict[str, Any]) -> None:
     assert mark_of(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
--- /dev/null
+++ b/tests/test_service_settings.py
@@ -0,0 +1,72 @@
+"""Settings of a service: heads of one process share none of them; bounded tables that are full drop nothing owed."""
+
+from __future__ import annotations
+
+import dataclasses
+
+import pytest
+from helpers import until
+from service_rig import SETTINGS, Rig, answers, ask, on_rig
+
+from pebblehinge.decide import dispatch, request, valuation
+from pebblehinge.platform_settings import read_settings
+from pebblehinge.service.server import Service
+
+
+def test_two_heads_in_one_process_share_nothing_of_their_settings() -> None:
+    """Classes, plans and volumes of equal names, another meaning in each."""
+    other = {
+        **SETTINGS,
+        "classes": [
+            {**SETTINGS["classes"][1], "name": "look", "give_up_s": 0.2},
+            {**SETTINGS["classes"][0], "name": "save", "give_up_s": 5.0},
+        ],
+        "service_levels": [{"base_rate": 1.0, "ceiling_rate": 0.001, "limit_burst": 6.0, "name": "gold"}],
+        "family_info": {**SETTINGS["family_info"], "writes": [False, True]},
+    }
+
+    async def script(rig: Rig) -> None:
+        config = dataclasses.replace(rig.head.config, settings=read_settings(other))
+        second = Service(rig.head.loop, config)
+        second.say = lambda what, **facts: None  # type: ignore[method-assign]
+        await second.start()
+        await until(lambda: second.pools.table)
+        assert second.listener.socket is not None
+        first_port, second_port = rig.port, second.listener.socket.getsockname()[1]
+        for _ in range(3):  # the second's limit is its own, its store empty: nothing goes
+            rig.port = first_port
+            assert (await rig.ask(ask())).status == 200
+            rig.port = second_port
+            assert (await rig.ask(ask(X_Deadline_Ms="150"))).status == 503
+        rig.port = first_port
+        rig.shelfs[0].does = answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        asked = len(rig.shelfs[0].asked)
+        assert (await rig.ask(ask("save", 0, b"abc"))).status == 502  # non-idempotent here, whatever it is there
+        assert len(rig.shelfs[0].asked) == asked + 1
+        second.watch.stop()
+
+    on_rig(script)
+
+
+def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """More extents and volumes are open at once than are remembered: each has its answer, and nothing is left."""
+    monkeypatch.setattr(request, "REMEMBERED", 4)
+    monkeypatch.setattr(dispatch, "REMEMBERED", 4)
+    monkeypatch.setattr(valuation, "REMEMBERED", 4)
+
+    async def script(rig: Rig) -> None:
+        rig.head.core.module.path.extents.most = 4
+        callers = [await rig.client() for _ in range(40)]
+        for n, client in enumerate(callers):
+            io = f"volume={n:016x},units=2,shard=0,hosts=1"
+            client.write(ask(X_IO=io, Cookie=f"block={n:016x}", X_Deadline_Ms="1900"))
+        for client in callers:
+            assert (await client.answer()).status in (200, 503)
+        head = rig.head
+        assert (
+            not head.core.pending
+            and not any(head.core.module.shelfs.queued)
+            and len(head.core.module.path.extents) <= 4
+        )
+
+    on_rig(script)
