--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -30,16 +30,14 @@
 FAR = 1.05  # a fit that is used further beyond its range than this is called extrapolated
 
 
-def cell(
-    data: Data, names: dict[str, float], platform_settings: Any, unit: str, used: list[str]
-) -> tuple[str, float | None]:
+def cell(data: Data, names: dict[str, float], stated: Any, unit: str, used: list[str]) -> tuple[str, float | None]:
     """A cell's text and value: an expression, or words that stand as they are, or nothing: not measured."""
-    if platform_settings is None:
+    if stated is None:
         return NOT_MEASURED, None
-    if isinstance(platform_settings, dict):
-        return platform_settings["words"], None
+    if isinstance(stated, dict):
+        return stated["words"], None
     reckoning = Reckoning(data, names)
-    value = reckoning.value(str(platform_settings))
+    value = reckoning.value(str(stated))
     used += [u for u in reckoning.used if u not in used]
     far = f" (x{number(reckoning.beyond)} beyond)" if reckoning.beyond > FAR else ""
     runs_used = [run for used_fit in reckoning.used for run in data.fits[used_fit].run.split(" + ")]
--- a/benchmarks/scale/report.py
+++ b/benchmarks/scale/report.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-DEDUPLICATION_SCOPES = ("instances", "list", "real heads", "hollow heads", "real shelfs", "hollow shelfs", "load")
+GROUPS = ("instances", "list", "real heads", "hollow heads", "real shelfs", "hollow shelfs", "load")
 
 
 def group_of(process: str) -> str:
@@ -84,7 +84,7 @@
     by_process = {name: line.between(begin, end) for name, line in lines.items()}
     length = max(1e-9, end - begin)
     groups = {}
-    for group in DEDUPLICATION_SCOPES:
+    for group in GROUPS:
         rows = [r for n, r in by_process.items() if group_of(n) == group]
         if rows:
             groups[group] = {
--- a/tests/test_rsync.py
+++ b/tests/test_rsync.py
@@ -47,9 +47,8 @@
 def test_what_a_client_may_see_and_do() -> None:
     async def script(t: Town) -> None:
         got = await t.call("modules", Call())
-        assert got.code == 0 and got.lines == [
-            "tenders        \tTender folders"
-        ]  # `scheduler_state` is not for this address
+        # `kept` is not for this address
+        assert got.code == 0 and got.lines == ["tenders        \tTender folders"]
         for wanted, code, why in [
             (Call("nothing"), START, "Unknown module 'nothing'"),
             (Call("kept"), START, "Unknown module 'kept'"),
--- a/tests/wide_faults.py
+++ b/tests/wide_faults.py
@@ -6,7 +6,8 @@
 import random
 from typing import Any
 
-from wide_world import LOOK_S, MEMBERS, WideGroup
+from wide_document import MEMBERS
+from wide_world import LOOK_S, WideGroup
 
 
 class Faults:
