--- a/tests/compatibility/http_requests.py
+++ b/tests/compatibility/http_requests.py
@@ -66,7 +66,7 @@
         a = read_request(request, read_config(json.dumps(CONFIG).encode()))
     except HttpError as error:
         return [error.status, str(error)]
-    return [a.id, a.profile, a.plan, a.extent, a.volume, a.units, a.slot, a.set_size, a.patience_ms, a.again,
+    return [a.id, a.request_class, a.quota_plan, a.extent, a.volume, a.units, a.slot, a.set_size, a.max_wait_ms, a.again,
             a.head.decode("latin-1")]  # fmt: skip
 
 
