--- a/tests/compatibility/http_requests.py
+++ b/tests/compatibility/http_requests.py
@@ -66,8 +66,8 @@
         a = read_request(request, read_config(json.dumps(CONFIG).encode()))
     except HttpError as error:
         return [error.status, str(error)]
-    return [a.id, a.request_class, a.quota_plan, a.extent, a.volume, a.units, a.slot, a.set_size, a.max_wait_ms, a.again,
-            a.head.decode("latin-1")]  # fmt: skip
+    io = [a.extent, a.volume, a.units, a.slot, a.set_size]
+    return [a.id, a.request_class, a.quota_plan, *io, a.max_wait_ms, a.again, a.head.decode("latin-1")]
 
 
 def configurations() -> list[bytes]:
