--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caps_points import ENOUGH, RAISED, Cap, constant, inline
+from caps_points import ENOUGH, RAISED, Cap, constant
 from caps_sizes import (
     HEADS,
     REQUESTS,
@@ -18,8 +18,8 @@
     Cap(
         "backlog for rsync",
         DOOR,
-        "backlog=",
-        inline(DOOR, r"backlog=([0-9_]+)"),
+        "BACKLOG = ",
+        constant("pebblehinge.gateway.rsync_listener", "BACKLOG"),
         "connections",
         "not yet accepted",
         HEADS,
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -65,12 +65,16 @@
 
     def kill(self) -> None:
         """As SIGKILL: sockets are reset, nothing is told."""
-        for link in (self.feed, self.listing):
-            if link is not None:
-                link.closed = True
-                if link.wire is not None:
-                    link.wire.abort()
-                link.close()
+        if self.feed is not None:
+            self.feed.closed = True
+            if self.feed.wire is not None:
+                self.feed.wire.abort()
+            self.feed.close()
+        if self.listing is not None:
+            self.listing.closed = True
+            if self.listing.connection is not None:
+                self.listing.connection.abort()
+            self.listing.close()
         if self.attempts is not None:
             self.attempts.close()
         self.feed = self.listing = self.attempts = None
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -50,8 +50,8 @@
                 change_bytes=len(encode(Kind.LIST, 0, "changes", rows[:1])),
                 write_ms=least_ms(lambda r=rows: encode(Kind.LIST, 1, "whole", r)),
                 read_ms=least_ms(read),
-                first_ms=least_ms(lambda f=fresh, t=told: next(f).listing.came("whole", t)),
-                again_ms=least_ms(lambda h=head, t=told: h.listing.came("whole", t)),
+                first_ms=least_ms(lambda f=fresh, t=told: next(f).discovery.on_list("whole", t)),
+                again_ms=least_ms(lambda h=head, t=told: h.discovery.on_list("whole", t)),
                 kept_bytes=kept_by(lambda t=told: listed(config, t)) - kept_by(lambda: head_of(config)),
             )
         )
@@ -60,7 +60,7 @@
 
 def listed(config: Config, rows: list[Any]) -> GatewayServer:
     head = head_of(config)
-    head.listing.came("whole", rows)
+    head.discovery.on_list("whole", rows)
     return head
 
 
--- a/pebblehinge/cli/head_storage.py
+++ b/pebblehinge/cli/head_storage.py
@@ -33,7 +33,7 @@
         return
     disk = RealDisk(config.head[name].store)
     disk.own()
-    server.remember(disk, times_of_machine, in_thread(loop))
+    server.keep_snapshots(disk, times_of_machine, in_thread(loop))
     if not buffered:
         return
     # A sync's thread asks for its turn when the disk is done: with the usual 5 ms each batch would wait that long.
@@ -50,4 +50,4 @@
             raise StorageError("another has taken this journal over")
         await loop.run_in_executor(None, write, batch)
 
-    server.buffer(disk, lasts)
+    server.enable_write_back(disk, lasts)
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -120,16 +120,16 @@
             "volumes": self.volumes(),
             "events": list(self.events.rows)[-40:],
         }
-        if head.door is not None:
-            door = head.door
+        if head.rsync_listener is not None:
+            door = head.rsync_listener
             told["transfers"] = {
                 "open": door.transfers,
                 **door.counts,
                 "window": round(door.sharing.window, 1),
                 "late_ms": round(door.late_ms, 1),
             }
-        if head.back is not None:
-            back = head.back
+        if head.write_back is not None:
+            back = head.write_back
             told["journal"] = {
                 "dirty": len(back.dirty),
                 "dirty_bytes": back.dirty.bytes,
--- a/pebblehinge/gateway/__init__.py
+++ b/pebblehinge/gateway/__init__.py
@@ -1,5 +1,8 @@
-"""The running head: `admission` says what may come into the core's books, `link` is the way to one shelf, `listing` the
-way to the node list, `server` the sockets. Decisions are in `pebblehinge/decide/` alone."""
+"""The running gateway of the framed protocol.
+
+`admission` says what may enter the request table, `node_link` leads to one storage node, `discovery_link` to the
+endpoint list, `server` holds the sockets. Scheduling decisions are in `pebblehinge/decide/` alone.
+"""
 
 from pebblehinge.gateway.admission import GatewayCore
 from pebblehinge.gateway.server import GatewayServer
--- a/pebblehinge/gateway/buffered_request.py
+++ b/pebblehinge/gateway/buffered_request.py
@@ -1,18 +1,40 @@
-"""A client's request that the journal of a head answers."""
+"""A client's request that the journal of a gateway answers."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import Protocol
+
+
+class BufferedOrigin(Protocol):
+    """The connection that a buffered request came by."""
+
+    def answer_buffered(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
+        """Sends the final answer."""
 
 
 class BufferedRequest:
-    """One client's buffered write, barrier or flush, until it is answered."""
+    """One client's buffered write, barrier or flush, until it is answered.
+
+    Attributes:
+        conn: Where it came from.
+        id: Its number there.
+        slot: The placement slot that it named.
+        trace: Names it in all logs.
+        timer: Ends it when its client's patience is over.
+        answered: Whether it has its final answer.
+        volume: For a flush: the volume.
+        up_to: For a flush: the number of the last write that it waits for.
+    """
 
     __slots__ = ("conn", "id", "slot", "trace", "timer", "answered", "volume", "up_to")
 
-    def __init__(self, conn: Any, id_: int, slot: int, trace: str) -> None:
-        self.conn, self.id, self.slot, self.trace = conn, id_, slot, trace
+    def __init__(self, conn: BufferedOrigin, id_: int, slot: int, trace: str) -> None:
+        self.conn = conn
+        self.id = id_
+        self.slot = slot
+        self.trace = trace
         self.timer: asyncio.TimerHandle | None = None
         self.answered = False
-        self.volume, self.up_to = "", 0
+        self.volume = ""
+        self.up_to = 0
--- a/pebblehinge/gateway/client_connection.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -2,101 +2,135 @@
 
 from __future__ import annotations
 
+import asyncio
 from typing import Any
 
-from pebblehinge.core import SUCCEEDED, PendingRequest
+from pebblehinge.core import SUCCEEDED
 from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.framed_request import FramedRequest
 from pebblehinge.net import Peer
+from pebblehinge.store.records import Write
 from pebblehinge.wire import Kind, Session, WireError
+from pebblehinge.wire.frames import READ
 
 STOP_TOKEN = 1
+"""The token of the PING that follows STOPPING."""
+
+MAX_TRACE_LENGTH, MAX_EXTENT_LENGTH = 200, 500
 
 
 class ClientConnection(Peer):
-    """One client's connection, with the requests it has open."""
+    """One client's connection, with the requests it has open.
+
+    Attributes:
+        open_requests: The open requests by their ids; None for one that the request table does not have.
+        settled: Whether the client has heard of the shutdown, and all that it sent before has come.
+    """
 
     FRAMES = frozenset({Kind.TAKE, Kind.CANCEL})
 
-    def __init__(self, server: GatewayContext) -> None:
-        limits = server.config.limits
-        session = Session("head", server.name, limits.frame, limits.streams, greets=False)
-        super().__init__(server.loop, session, limits.stall, limits.keepalive)
-        self.server = server
-        self.open: dict[int, PendingRequest | None] = {}
-        self.seen: dict[int, Any] = {}  # reads of buffered volumes: what they must show
-        self.settled = False  # has heard of the stop, and all that it sent before has come
+    def __init__(self, context: GatewayContext) -> None:
+        limits = context.config.limits
+        session = Session("head", context.name, limits.frame, limits.streams, greets=False)
+        super().__init__(context.loop, session, limits.stall, limits.keepalive)
+        self.context = context
+        self.open_requests: dict[int, FramedRequest | None] = {}
+        self.settled = False
+        self._dirty_writes: dict[int, tuple[Write, ...]] = {}  # what reads of buffered volumes must show, by their ids
+
+    # ---- the connection
 
-    def connection_made(self, transport: Any) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is established; it fails if there are too many."""
         super().connection_made(transport)
-        self.server.conns[self] = None
-        if len(self.server.conns) > self.server.config.limits.connections:
-            self.fail(f"{self.server.config.limits.connections} connections are open here already")
+        self.context.conns[self] = None
+        limit = self.context.config.limits.connections
+        if len(self.context.conns) > limit:
+            self.fail(f"{limit} connections are open here already")
 
     def batch(self) -> None:
-        self.server.now = self.server.clock()  # one reading for all that came together
+        """Bytes have come: one reading of the clock serves all requests that came together."""
+        self.context.now = self.context.clock()
 
     def ready(self) -> None:
-        if self.server.core.stopping:
+        """The greeting is over."""
+        if self.context.core.stopping:
             self.tell_stopping()
 
+    def gone(self, exc: Exception | None) -> None:
+        """The connection is over."""
+        self.context.connection_closed(self)
+
+    def fail(self, reason: str) -> None:
+        """Sends one ERROR frame with the reason, then closes."""
+        if not self.failed:
+            self.context.log.warning("client cut", peer=self.session.peer_name, reason=reason)
+            self.context.faults += 1
+        super().fail(reason)
+
+    # ---- graceful shutdown
+
     def tell_stopping(self) -> None:
-        """What the client sent before it heard of the stop is on its way yet: closing now would lose it. It
-        answers the ping after the last of them, and sends nothing more."""
+        """Tells the client of the shutdown.
+
+        What it sent before it hears of that is on its way yet: closing now would lose it. It answers the PING after the
+        last of them, and sends nothing more.
+        """
         self.send(Kind.STOPPING, "this head is stopping")
         self.send(Kind.PING, STOP_TOKEN)
 
     def on_pong(self, token: int) -> None:
-        if token == STOP_TOKEN and self.server.core.stopping:
+        """The client has heard of the shutdown."""
+        if token == STOP_TOKEN and self.context.core.stopping:
             self.settled = True
-            self.server.stop_if_done()
+            self.context.stop_if_done()
 
-    def gone(self, exc: Exception | None) -> None:
-        self.server.gone(self)
-
-    def fail(self, reason: str) -> None:
-        if not self.failed:
-            self.server.log.warning("client cut", peer=self.session.peer_name, reason=reason)
-            self.server.faults += 1
-        super().fail(reason)
+    # ---- requests
 
     def on_take(
-        self, id_: int, trace: str, volume: str, plan: str | None, profile: str, extent: str, *rest: Any
+        self, id_: int, trace: str, volume: str, plan: str | None, profile: str, extent: str, *values: Any
     ) -> None:
-        if id_ in self.open:
+        """A request has come; `values` are the rest of the frame, from the slot on."""
+        if id_ in self.open_requests:
             raise WireError(f"TAKE: id {id_} is open already")
-        if len(self.open) >= self.session.streams:
+        if len(self.open_requests) >= self.session.streams:
             raise WireError(f"TAKE: more than {self.session.streams} accesses open on one connection")
-        if len(trace) > 200 or len(extent) > 500 or not extent:
+        if len(trace) > MAX_TRACE_LENGTH or len(extent) > MAX_EXTENT_LENGTH or not extent:
             raise WireError("TAKE: an id of at most 200 and an extent of 1 to 500 characters are taken")
-        server = self.server
-        self.open[id_] = None  # until the module has it: its answer may come within the call
-        server.note(server.now, "take", id=trace, client=self.session.peer_name)
-        back, seen = server.back, ()
-        if back is not None and back.buffers(volume):
-            slot, units, left_ms, _, label, op, offset, length, data = rest
-            more = (slot, units, left_ms, label, op, offset, length, data)
-            if back.take(self, id_, trace, volume, profile, extent, *more):
+        context = self.context
+        self.open_requests[id_] = None  # until the request table has it: its answer may come within the call
+        context.note(context.now, "take", id=trace, client=self.session.peer_name)
+        write_back = context.write_back
+        dirty_writes: tuple[Write, ...] = ()
+        if write_back is not None and write_back.buffers(volume):
+            slot, units, left_ms, _, label, op, offset, length, data = values
+            place = (slot, units, left_ms, label, op, offset, length, data)
+            if write_back.take(self, id_, trace, volume, profile, extent, *place):
                 return
-            seen = back.before_read(volume, extent)
-        pending = server.core.take(server.now, self, id_, trace, volume, plan, profile, extent, *rest)
-        if pending is not None and seen:
-            self.seen[id_] = seen
+            dirty_writes = write_back.before_read(volume, extent)
+        pending = context.core.take(context.now, self, id_, trace, volume, plan, profile, extent, *values)
+        if pending is not None and dirty_writes:
+            self._dirty_writes[id_] = dirty_writes
         if pending is not None and not pending.answered:
-            self.open[id_] = pending
+            self.open_requests[id_] = pending
 
-    def tell(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
-        """An answer to what the core never saw."""
-        if self.open.pop(id_, self) is not self:
-            self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
-
-    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.open.pop(pending.id, None)
-        back, seen = self.server.back, self.seen.pop(pending.id, ())
-        if back is not None and final == SUCCEEDED and pending.op == 0 and back.buffers(pending.volume):
-            data = back.after_read(pending, seen, data)
+    def on_cancel(self, id_: int) -> None:
+        """The client has left a request. An answer that crossed the frame on its way stands."""
+        pending = self.open_requests.pop(id_, None)
+        if pending is not None:
+            self.context.core.left(self.context.now, pending)
+
+    def answered(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        """Sends the final answer to a request that the request table had."""
+        self.open_requests.pop(pending.id, None)
+        dirty_writes = self._dirty_writes.pop(pending.id, ())
+        write_back = self.context.write_back
+        if write_back is not None and final == SUCCEEDED and pending.op == READ and write_back.buffers(pending.volume):
+            data = write_back.after_read(pending, dirty_writes, data)
         self.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
-    def on_cancel(self, id_: int) -> None:
-        pending = self.open.pop(id_, None)
-        if pending is not None:  # an answer that crossed it on the way stands
-            self.server.core.left(self.server.now, pending)
+    def answer_buffered(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
+        """Sends the final answer to a request that the request table never had."""
+        if id_ in self.open_requests:
+            del self.open_requests[id_]
+            self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
--- a/pebblehinge/gateway/commit.py
+++ b/pebblehinge/gateway/commit.py
@@ -1,14 +1,17 @@
-"""Brings confirmed writes to their shelfs, and notes in the journal what landed."""
+"""Commits confirmed writes to their storage nodes, and records in the journal which are committed."""
 
 from __future__ import annotations
 
 import asyncio
+import math
 import traceback
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from typing import Any
 
+from pebblehinge.core import REJECTED, SUCCEEDED
 from pebblehinge.gateway.context import GatewayContext
-from pebblehinge.gateway.internal_client import InternalClient
+from pebblehinge.gateway.framed_request import FINAL_WORDS
+from pebblehinge.gateway.internal_client import InternalClient, InternalResult
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.flushing import Flushing, next_step
@@ -16,81 +19,115 @@
 from pebblehinge.store.records import Done, Write
 from pebblehinge.wire.frames import READ, WRITE
 
+MIN_WAIT_MS = 0.5
+"""The least wait until the dirty writes are looked at again, in milliseconds."""
+
 
 class NodeCommitter:
-    """The way of dirty writes to their shelfs. Tells through `moved` whenever something is no longer under way."""
+    """Commits the dirty writes of a gateway.
+
+    Attributes:
+        client: Makes its requests.
+        committed: Numbers of writes that are committed, and not yet recorded as done.
+        gave_up: Whether a graceful shutdown has ended it: what is dirty stays in the journal.
+        closed: Whether it was closed.
+    """
 
     def __init__(
         self,
-        house: GatewayContext,
+        context: GatewayContext,
         journal: Journal,
         committer: Committer,
         dirty: Dirty,
         flushing: Flushing,
         counts: dict[str, int],
-        moved: Callable[[], None],
+        progressed: Callable[[], None],
     ) -> None:
-        self.house, self.loop, self.clock, self.moved = house, house.loop, house.clock, moved
-        self.block = house.config.buffer
-        self.journal, self.committer, self.dirty, self.flushing = journal, committer, dirty, flushing
-        self.inside = InternalClient(house, "write-back")
-        self.landed: list[int] = []  # not yet noted as done
-        self.tasks: dict[asyncio.Task[None], None] = {}
-        self.timer: asyncio.TimerHandle | None = None
-        self.noting: asyncio.TimerHandle | None = None
-        self.given_up = self.closed = False
+        """Calls `progressed` whenever something is no longer under way, and counts ends in `counts`."""
+        self.context = context
+        self.loop = context.loop
+        self.clock = context.clock
+        self.block = context.config.buffer
+        self.journal = journal
+        self.committer = committer
+        self.dirty = dirty
+        self.flushing = flushing
         self.counts = counts
+        self.progressed = progressed
+        self.client = InternalClient(context, "write-back")
+        self.committed: list[int] = []
+        self.gave_up = False
+        self.closed = False
+        self._tasks: dict[asyncio.Task[None], None] = {}
+        self._timer: asyncio.TimerHandle | None = None
+        self._record_timer: asyncio.TimerHandle | None = None
 
     def pump(self) -> None:
-        """Starts what is due, and comes again."""
-        if self.given_up or self.closed:
+        """Starts the writes that are due, and comes again when others are."""
+        if self.gave_up or self.closed:
             return
         now = self.clock()
         for write in self.flushing.due(now, self.dirty):
             self.dirty.out[write.number] = None
-            self.spawn(self._land(write))
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        at = self.flushing.wake_ms(now, self.dirty)
-        if at < float("inf"):
-            self.timer = self.loop.call_later(max(0.5, at - now) / 1000.0, self.pump)
-
-    async def _land(self, write: Write) -> None:
+            self.spawn(self._commit(write))
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        wake_ms = self.flushing.wake_ms(now, self.dirty)
+        if wake_ms < math.inf:
+            self._timer = self.loop.call_later(max(MIN_WAIT_MS, wake_ms - now) / 1000.0, self.pump)
+
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine as a task of its own; a fault in it is logged."""
+        task = self.loop.create_task(coroutine)
+        self._tasks[task] = None
+        task.add_done_callback(self._on_task_done)
+
+    def close(self) -> None:
+        """Cancels what is under way."""
+        self.closed = True
+        for handle in (self._timer, self._record_timer):
+            if handle is not None:
+                handle.cancel()
+        for task in list(self._tasks):
+            task.cancel()
+
+    async def _commit(self, write: Write) -> None:
         step = next_step(write, write.number in self.dirty.risky, None)
         if step == "look":
-            answer = await self._request(write, READ, b"")
-            if answer.final == "honoured":
-                step = next_step(write, True, answer.data)
+            result = await self._request(write, READ, b"")
+            if result.final == FINAL_WORDS[SUCCEEDED]:
+                step = next_step(write, True, result.data)
         if step == "write":
-            answer = await self._request(write, WRITE, write.data)
-            if answer.final != "pushed back":
+            result = await self._request(write, WRITE, write.data)
+            if result.final != FINAL_WORDS[REJECTED]:
                 self.dirty.risky[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
         self.dirty.out.pop(write.number, None)
-        final, stay = ("honoured", 0.0) if step == "done" else (answer.final, answer.stay_ms)
-        self.flushing.ended(now, self.dirty, write, final, stay)
-        if step == "done" or (step == "write" and final == "honoured"):
-            self.counts["stood already" if step == "done" else "landed"] += 1
+        is_there = step == "done"
+        final, stay_ms = (FINAL_WORDS[SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
+        self.flushing.ended(now, self.dirty, write, final, stay_ms)
+        if is_there or (step == "write" and final == FINAL_WORDS[SUCCEEDED]):
+            self.counts["stood already" if is_there else "landed"] += 1
             self.dirty.landed(write)
-            self.landed.append(write.number)
-            self._note_soon()
+            self.committed.append(write.number)
+            self._record_soon()
         self.pump()
-        self.moved()
+        self.progressed()
 
-    async def _request(self, write: Write, op: int, data: bytes) -> Any:
-        volume = self.house.config.volume.get(write.volume)
-        back = volume.back if volume is not None and volume.back else write.profile
-        number = self.inside.ids + 1
-        return await self.inside.request(
+    async def _request(self, write: Write, op: int, data: bytes) -> InternalResult:
+        volume = self.context.config.volume.get(write.volume)
+        request_class = volume.back if volume is not None and volume.back else write.profile
+        number = self.client.ids + 1
+        return await self.client.request(
             write.volume,
             op=op,
             extent=write.extent,
             slot=write.slot,
-            profile=back,
+            profile=request_class,
             units=write.units,
             patience_ms=self.block.patience,
-            trace=f"{self.house.name}.w{write.number}.{number}",
+            trace=f"{self.context.name}.w{write.number}.{number}",
             again=False,
             offset=write.offset,
             length=len(write.data),
@@ -98,43 +135,32 @@
             label=f"wb.{write.label}.{write.number}",
         )
 
-    def _note_soon(self) -> None:
-        if self.noting is None and not self.closed:
-            self.noting = self.loop.call_later(self.block.done / 1000.0, self._note)
+    def _record_soon(self) -> None:
+        if self._record_timer is None and not self.closed:
+            self._record_timer = self.loop.call_later(self.block.done / 1000.0, self._record)
 
-    def _note(self) -> None:
-        """What landed is noted, so that it is not brought again after a crash; then segments may go."""
-        self.noting = None
-        if not self.landed or self.committer.failed or self.closed:
+    def _record(self) -> None:
+        """Records what is committed, so that it is not written again after a crash; then segments may go."""
+        self._record_timer = None
+        if not self.committed or self.committer.failed or self.closed:
             return
-        numbers, self.landed = self.landed, []
-        self.committer.add(Done(numbers), lambda lasts: self._noted(lasts))
+        numbers, self.committed = self.committed, []
+        self.committer.add(Done(numbers), self._on_recorded)
         if not self.committer.running:
             self.spawn(self.committer.run())
 
-    def _noted(self, lasts: bool) -> None:
-        if lasts and not self.closed:
+    def _on_recorded(self, is_durable: bool) -> None:
+        if is_durable and not self.closed:
             self.journal.reclaim()
             for record in self.journal.sparse():
+                assert not isinstance(record, Done)
                 self.committer.move(record)
 
-    def spawn(self, coro: Any) -> None:
-        task = self.loop.create_task(coro)
-        self.tasks[task] = None
-        task.add_done_callback(self._ended)
-
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self.tasks.pop(task, None)
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.pop(task, None)
         if not self.closed:
-            self.moved()
-        if not task.cancelled() and task.exception() is not None:
-            where = "".join(traceback.format_exception(task.exception(), limit=-4))
-            self.house.log.error("fault", error=repr(task.exception()), where=where)
-
-    def close(self) -> None:
-        self.closed = True
-        for handle in (self.timer, self.noting):
-            if handle is not None:
-                handle.cancel()
-        for task in list(self.tasks):
-            task.cancel()
+            self.progressed()
+        error = None if task.cancelled() else task.exception()
+        if error is not None:
+            where = "".join(traceback.format_exception(error, limit=-4))
+            self.context.log.error("fault", error=repr(error), where=where)
--- a/pebblehinge/gateway/dialer.py
+++ b/pebblehinge/gateway/dialer.py
@@ -1,4 +1,4 @@
-"""Connecting to a shelf: one attempt at a time, and how long it may take."""
+"""Connecting to a storage node: one dial at a time, and how long it may take."""
 
 from __future__ import annotations
 
@@ -8,11 +8,20 @@
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings.schema import LimitsBlock
 
-EXTRA = 3  # how often the time to connect is given again where this process was late itself
+MAX_EXTENSIONS = 3
+"""How often the time to connect is given again if this process was late itself."""
+
+LATE_SHARE = 0.25
+"""The part of the time to connect by which this process must be late for that."""
 
 
 class Dialer:
-    """`peer()` makes the connection's protocol; `not connected()` is called where an attempt fails."""
+    """Dials one address, and reports a dial that failed.
+
+    Attributes:
+        connecting: The dial that is under way.
+        refusal: Why the last connection failed, where that is known.
+    """
 
     def __init__(
         self,
@@ -20,38 +29,65 @@
         clock: Callable[[], float],
         address: str,
         limits: LimitsBlock,
-        peer: Callable[[], Peer],
+        make_peer: Callable[[], Peer],
         connect_failed: Callable[[], None],
     ) -> None:
-        self.loop, self.clock, self.address, self.limits = loop, clock, address, limits
-        self.peer, self.connect_failed = peer, connect_failed
-        self.connecting: asyncio.Task | None = None
-        self.deadline: asyncio.TimerHandle | None = None
-        self.refusal, self.patience, self.deadline_ms = "", 0, 0.0
+        """Connects peers that `make_peer` makes; `connect_failed` is called when a dial fails."""
+        self.loop = loop
+        self.clock = clock
+        self.address = address
+        self.limits = limits
+        self.make_peer = make_peer
+        self.connect_failed = connect_failed
+        self.connecting: asyncio.Task[None] | None = None
+        self.refusal = ""
+        self._deadline: asyncio.TimerHandle | None = None
+        self._deadline_ms = 0.0
+        self._extensions = 0
 
     def connect(self) -> None:
+        """Begins a dial, if none is under way."""
         if self.connecting is not None:
             return
         self.refusal = ""
-        self.connecting = self.loop.create_task(self._try())
-        self.patience = EXTRA
-        self._allow()
+        self.connecting = self.loop.create_task(self._dial())
+        self._extensions = MAX_EXTENSIONS
+        self._set_deadline()
 
     def close(self) -> None:
+        """Cancels the dial that is under way."""
         if self.connecting is not None:
             self.connecting.cancel()
-        if self.deadline is not None:
-            self.deadline.cancel()
+        if self._deadline is not None:
+            self._deadline.cancel()
 
-    def _allow(self) -> None:
-        self.deadline_ms = self.clock() + self.limits.connect
-        self.deadline = self.loop.call_later(self.limits.connect / 1000.0, self._too_long)
+    def connected(self) -> None:
+        """The connection is established, its greeting is over."""
+        if self._deadline is not None:
+            self._deadline.cancel()
+            self._deadline = None
+        self.connecting = None
+
+    def fail(self, reason: str) -> None:
+        """Ends the dial that is under way, if any."""
+        task = self.connecting
+        if task is None:
+            return
+        self.connected()
+        if not task.done():
+            task.cancel()
+        self.refusal = self.refusal or reason
+        self.connect_failed()
 
-    async def _try(self) -> None:
-        peer = None
+    def _set_deadline(self) -> None:
+        self._deadline_ms = self.clock() + self.limits.connect
+        self._deadline = self.loop.call_later(self.limits.connect / 1000.0, self._time_out)
+
+    async def _dial(self) -> None:
+        peer: Peer | None = None
         try:
             host, port = parse_address(self.address)
-            _, peer = await self.loop.create_connection(self.peer, host, port)
+            _, peer = await self.loop.create_connection(self.make_peer, host, port)
         except (OSError, ValueError) as error:
             self.fail(str(error))
         except asyncio.CancelledError:
@@ -59,30 +95,15 @@
                 peer.abort()
             raise
 
-    def _too_long(self) -> None:
+    def _time_out(self) -> None:
         """No connection, or no greeting on it: a stopped process may well have its connections accepted.
 
-        Where this head itself was late (a burst of thousands, a stop by signal), the shelf had no fair chance
-        to be heard: the time is given again, a few times."""
-        if self.clock() - self.deadline_ms > self.limits.connect / 4 and self.patience > 0:
-            self.patience -= 1
-            self._allow()
+        If this gateway itself was late (a burst of thousands, a stop by signal), the storage node had no fair chance to
+        be heard: the time is given again, a few times.
+        """
+        late_ms = self.clock() - self._deadline_ms
+        if late_ms > self.limits.connect * LATE_SHARE and self._extensions > 0:
+            self._extensions -= 1
+            self._set_deadline()
             return
         self.fail("no greeting in time")
-
-    def connected(self) -> None:
-        if self.deadline is not None:
-            self.deadline.cancel()
-            self.deadline = None
-        self.connecting = None
-
-    def fail(self, why: str) -> None:
-        """Ends the attempt that is under way, if any."""
-        task = self.connecting
-        if task is None:
-            return
-        self.connected()
-        if not task.done():
-            task.cancel()
-        self.refusal = self.refusal or why
-        self.connect_failed()
--- a/pebblehinge/gateway/discovery_link.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -1,4 +1,4 @@
-"""The head's way to the node list: one connection, kept up; what comes is passed on as the list says it."""
+"""The link to discovery: one connection, kept up; the endpoint lists that come on it are passed on."""
 
 from __future__ import annotations
 
@@ -10,107 +10,149 @@
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session, WireError
+from pebblehinge.wire.kinds import ENDPOINT_ROW
 
-KINDS = {"changes": ListKind.CHANGES, "whole": ListKind.WHOLE, "failed": ListKind.FAILED}
+LIST_KINDS = {"changes": ListKind.CHANGES, "whole": ListKind.WHOLE, "failed": ListKind.FAILED}
+"""The kinds of an endpoint list, by their words in LIST frames."""
 
+REDIAL_S = (0.2, 0.6)
+"""The range of the wait before another dial, in seconds."""
+
+MAX_QUOTED_WORD, MAX_QUOTED_NAME = 20, 60
+"""Characters of a wrong word or its node's name that the text of an error repeats."""
+
+ListReceived = Callable[[float, ListKind, list[Entry], dict[str, str]], None]
+"""Takes the time, the kind of a list, its entries, and the addresses of its storage nodes by name."""
+
+
+class _DiscoveryConnection(Peer):
+    """The connection of a link."""
 
-class _Wire(Peer):
     FRAMES = frozenset({Kind.LIST})
 
-    def __init__(self, owner: DiscoveryLink, session: Session) -> None:
-        super().__init__(owner.loop, session, owner.limits.stall, owner.limits.keepalive)
-        self.owner = owner
+    def __init__(self, link: DiscoveryLink, session: Session) -> None:
+        super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
+        self.link = link
 
     def ready(self) -> None:
-        self.owner.opened(self)
+        """The greeting is over."""
+        self.link.on_connected(self)
 
     def gone(self, exc: Exception | None) -> None:
-        self.owner.lost(self)
+        """The connection is over."""
+        self.link.on_connection_lost(self)
 
-    def on_list(self, token: int, kind: str, rows: list[tuple[str, str, str, int, float]]) -> None:
-        self.owner.came(kind, rows)
+    def on_list(self, token: int, kind: str, rows: list[ENDPOINT_ROW]) -> None:
+        """An endpoint list, whole or its changes."""
+        self.link.on_list(kind, rows)
 
 
 class DiscoveryLink:
-    """`listed(now, kind, entries, addresses)` is called for each list; addresses are by shelf."""
+    """The link to discovery.
+
+    Attributes:
+        connection: The connection, while there is one that has greeted.
+        polls: Whether the list is polled (as the settings say); otherwise discovery pushes it.
+        calls: Requests for the list that wait for a connection.
+        closed: Whether the link is closed.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        head: str,
+        gateway: str,
         address: str,
         limits: LimitsBlock,
         rng: random.Random,
-        listed: Callable[[float, ListKind, list[Entry], dict[str, str]], None],
-        asks: bool,
+        list_received: ListReceived,
+        polls: bool,
     ) -> None:
-        self.loop, self.clock, self.head, self.address, self.limits = loop, clock, head, address, limits
-        self.rng, self.listed, self.asks = rng, listed, asks
-        self.wire: _Wire | None = None
-        self.task: asyncio.Task | None = None
-        self.again: asyncio.TimerHandle | None = None
+        """Links `gateway` to discovery at `address`; `list_received` is called for each list."""
+        self.loop = loop
+        self.clock = clock
+        self.gateway = gateway
+        self.address = address
+        self.limits = limits
+        self.rng = rng
+        self.list_received = list_received
+        self.polls = polls
+        self.connection: _DiscoveryConnection | None = None
         self.calls: list[ListCall] = []
-        self.whole = False  # a new connection brings the whole list before its changes
         self.closed = False
+        self._dialing: asyncio.Task[None] | None = None
+        self._redial_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        self.task = self.loop.create_task(self._connect())
+        """Begins a dial."""
+        self._dialing = self.loop.create_task(self._connect())
 
     def call(self, call: ListCall) -> None:
-        if self.wire is None:
+        """Asks for the list, at once or when there is a connection."""
+        if self.connection is None:
             self.calls.append(call)
             del self.calls[:-4]
         else:
-            self.wire.send(Kind.WATCH, 1)
+            self.connection.send(Kind.WATCH, 1)
 
     def close(self) -> None:
+        """Closes the connection, and dials no more."""
         self.closed = True
-        for handle in (self.task, self.again):
-            if handle is not None:
-                handle.cancel()
-        if self.wire is not None:
-            self.wire.close()
+        if self._dialing is not None:
+            self._dialing.cancel()
+        if self._redial_timer is not None:
+            self._redial_timer.cancel()
+        if self.connection is not None:
+            self.connection.close()
+
+    def on_connected(self, connection: _DiscoveryConnection) -> None:
+        """The greeting is over."""
+        self.connection = connection
+        if not self.polls:
+            connection.send(Kind.WATCH, 1)
+        for call in self.calls:
+            self.call(call)
+        self.calls.clear()
+
+    def on_connection_lost(self, connection: _DiscoveryConnection) -> None:
+        """The connection is over. That alone changes nothing: the last list stays in force."""
+        was_connected = self.connection is connection
+        self.connection = None
+        if was_connected and self.polls and not self.closed:
+            self.list_received(self.clock(), ListKind.FAILED, [], {})
+        self._redial()
+
+    def on_list(self, kind: str, rows: list[ENDPOINT_ROW]) -> None:
+        """An endpoint list has come; raises WireError if it is none."""
+        now = self.clock()
+        if kind not in LIST_KINDS:
+            raise WireError(f"LIST: kind {kind[:MAX_QUOTED_WORD]!r}: expected one of {', '.join(LIST_KINDS)}")
+        entries: list[Entry] = []
+        addresses: dict[str, str] = {}
+        for node, address, state, slot, age_ms in rows:
+            # The list says how long ago a node started: no wall clock of another machine is trusted.
+            start_ms = max(0.0, now - age_ms) if age_ms >= 0 else 0.0
+            entries.append(Entry(node, _read_state(state, node), slot, start_ms))
+            addresses[node] = address
+        self.list_received(now, LIST_KINDS[kind], entries, addresses)
 
     async def _connect(self) -> None:
-        session = Session("head", self.head, self.limits.frame, self.limits.streams, greets=True)
+        session = Session("head", self.gateway, self.limits.frame, self.limits.streams, greets=True)
         try:
             host, port = parse_address(self.address)
-            await self.loop.create_connection(lambda: _Wire(self, session), host, port)
+            await self.loop.create_connection(lambda: _DiscoveryConnection(self, session), host, port)
         except (OSError, ValueError):
-            self._later()
+            self._redial()
 
-    def _later(self) -> None:
+    def _redial(self) -> None:
         if not self.closed:
-            self.again = self.loop.call_later(self.rng.uniform(0.2, 0.6), self.start)
-
-    def opened(self, wire: _Wire) -> None:
-        self.wire = wire
-        if not self.asks:
-            wire.send(Kind.WATCH, 1)
-        for call in self.calls:
-            self.call(call)
-        self.calls.clear()
+            self._redial_timer = self.loop.call_later(self.rng.uniform(*REDIAL_S), self.start)
 
-    def lost(self, wire: _Wire) -> None:
-        """A list that can't be heard changes nothing: the last one stands."""
-        had = self.wire is wire
-        self.wire = None
-        if had and self.asks and not self.closed:
-            self.listed(self.clock(), ListKind.FAILED, [], {})
-        self._later()
 
-    def came(self, kind: str, rows: list[tuple[str, str, str, int, float]]) -> None:
-        now = self.clock()
-        if kind not in KINDS:
-            raise WireError(f"LIST: kind {kind[:20]!r}: expected one of {', '.join(KINDS)}")
-        entries, addresses = [], {}
-        for shelf, address, standing, slot, age in rows:
-            try:
-                where = Standing(standing)
-            except ValueError:
-                raise WireError(f"LIST: standing {standing[:20]!r} of {shelf[:60]!r} is not known") from None
-            # The list tells how long ago a shelf started: no wall clock of another machine is trusted.
-            entries.append(Entry(shelf, where, slot, max(0.0, now - age) if age >= 0 else 0.0))
-            addresses[shelf] = address
-        self.listed(now, KINDS[kind], entries, addresses)
+def _read_state(state: str, node: str) -> Standing:
+    """Returns an endpoint's state by its word on the wire."""
+    try:
+        return Standing(state)
+    except ValueError:
+        quoted = f"{state[:MAX_QUOTED_WORD]!r} of {node[:MAX_QUOTED_NAME]!r}"
+        raise WireError(f"LIST: standing {quoted} is not known") from None
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -1,27 +1,47 @@
-"""What the core of a head does becomes answers, attempts, timers and calls to the list; what comes of them goes
-back."""
+"""Carries out what the request table decides: answers, attempts, timers, calls for the list; and reports back to it."""
 
 from __future__ import annotations
 
 import asyncio
+import math
 import random
 from collections.abc import Callable
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
-from pebblehinge.core import SUCCEEDED, PendingRequest
+from pebblehinge.core import SUCCEEDED
 from pebblehinge.gateway.admission import GatewayCore
 from pebblehinge.gateway.discovery_link import DiscoveryLink
-from pebblehinge.gateway.internal_client import FINALS
+from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 from pebblehinge.gateway.node_link import NodeLink
-from pebblehinge.interface import Entry, ListCall, ListKind
+from pebblehinge.interface import Entry, ListCall, ListKind, Outcome
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config, HeadBlock
 
+TIMER_SLACK_S = 0.0005
+"""Added to a wake-up's time: the loop rounds to its grid, and would else call just before the time."""
 
-class Effects:
-    """The core of a head with its timer, its links to shelfs and its link to the list."""
+MAX_LATENCY_US = 60_000_000
+
+
+class GatewayEffects:
+    """The request table of a gateway with its timer, its links to storage nodes and its link to discovery.
+
+    Attributes:
+        clock: The time in milliseconds.
+        config: The settings in force.
+        block: The settings of this gateway alone.
+        records: The file of events.
+        note: Writes an event to the records.
+        links: The links in use, by the storage nodes' names.
+        retired: Links to addresses that are no longer listed, with attempts in flight.
+        now: The reading of the clock for what is being handled.
+        core: The request table.
+        latency: Of succeeded requests, in microseconds.
+        discovery: The link to discovery.
+        wake_timer: Wakes the request table.
+    """
 
     def __init__(
         self,
@@ -33,102 +53,115 @@
         records: Records | NoRecords | None,
         core: type[GatewayCore],
     ) -> None:
-        self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
+        self.loop = loop
+        self.clock = clock
+        self.config = config
+        self.name = name
+        self.log = log
         self.block: HeadBlock = config.head[name]
         self.records = records or NoRecords()
-        self.note = self.records.note if self.records.on else _nothing
+        self.note: Callable[..., None] = self.records.note if self.records.on else _ignore
         self.links: dict[str, NodeLink] = {}
         self.retired: list[NodeLink] = []
         self.now = clock()
         self.core = core(config, self.block, self.now, self)
-        self.timer: asyncio.TimerHandle | None = None
-        self.wake_ms = float("inf")
-        self.latency = HdrHistogram(1, 60_000_000, 3)  # microseconds, of succeeded requests
-        self.listing = DiscoveryLink(
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)
+        self.discovery = DiscoveryLink(
             loop,
             clock,
             name,
             config.listing.listen,
             config.limits,
             random.Random(self.block.seed),
-            self._listed,
+            self._on_list,
             config.listing.mode == "ask",
         )
+        self.wake_timer: asyncio.TimerHandle | None = None
+        self._wake_ms = math.inf
 
     def stop_if_done(self) -> None:
-        """Called where the last answer that was owed is given."""
+        """Ends a graceful shutdown when nothing is owed any more; called when the last answer is given."""
         raise NotImplementedError
 
-    # ---- what the core has done
+    # ---- called by the request table
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        """Sends a request's final answer where it came from."""
         pending.conn.answered(pending, final, stay_ms, reason, data)
         now = self.now
         if final == SUCCEEDED:
             self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
-        self.note(now, "answer", id=pending.trace, final=FINALS[final], stay=stay_ms)
+        self.note(now, "answer", id=pending.trace, final=FINAL_WORDS[final], stay=stay_ms)
         if self.config.log.accesses:
             took = round(now - pending.came_ms, 3)
-            self.log.info("answer", id=pending.trace, final=FINALS[final], ms=took, reason=reason)
+            self.log.info("answer", id=pending.trace, final=FINAL_WORDS[final], ms=took, reason=reason)
         if self.core.stopping and not self.core.open:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: FramedRequest, shelf: str, attempt: int, until_ms: float) -> None:
+        """Sends a request's attempt number `attempt` to a storage node; it times out at `until_ms`."""
         link = self.links[shelf]
         if self.config.log.accesses:
             self.log.info("trip", id=pending.trace, n=attempt, shelf=shelf)
         link.send(pending, attempt, until_ms, self.now)
 
-    def drop_attempt(self, pending: PendingRequest) -> None:
+    def drop_attempt(self, pending: FramedRequest) -> None:
+        """Cancels a request's attempt."""
         pending.attempt.link.drop(pending)
 
     def wake_at(self, at_ms: float) -> None:
-        if at_ms < self.wake_ms:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.wake_ms = at_ms
-            # The loop rounds to its grid: half a millisecond more, or it would call just before the time.
-            self.timer = self.loop.call_at(at_ms / 1000.0 + 0.0005, self._woken)
-
-    def _woken(self) -> None:
-        self.timer, self.wake_ms = None, float("inf")
-        self.now = self.clock()
-        self.core.woken(self.now)
+        """Has the request table woken at a time, or before."""
+        if at_ms < self._wake_ms:
+            self._cancel_timer()
+            self._wake_ms = at_ms
+            self.wake_timer = self.loop.call_at(at_ms / 1000.0 + TIMER_SLACK_S, self._wake)
 
     def call_list(self, call: ListCall) -> None:
-        self.listing.call(call)
+        """Asks discovery for its list."""
+        self.discovery.call(call)
+
+    # ---- reports to the request table
 
-    # ---- from shelfs and list
+    def _cancel_timer(self) -> None:
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
 
-    def _ended(self, now: float, *rest: Any) -> None:
+    def _wake(self) -> None:
+        self.wake_timer = None
+        self._wake_ms = math.inf
+        self.now = self.clock()
+        self.core.woken(self.now)
+
+    def _on_outcome(
+        self, now: float, pending: FramedRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes
+    ) -> None:
         self.now = now
-        self.core.ended(now, *rest)
+        self.core.ended(now, pending, attempt, outcome, took_ms, data)
 
-    def _listed(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
+    def _on_list(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
         self.now = now
-        for shelf, address in addresses.items():
-            link = self.links.get(shelf)
-            if link is None or link.address != address:
-                if link is not None:
-                    self.retired = [r for r in self.retired if r.out or r.waiting]
-                    self.retired.append(link)
-                    link.retire()
-                self.links[shelf] = NodeLink(
-                    self.loop,
-                    self.clock,
-                    self.name,
-                    shelf,
-                    address,
-                    self.config.limits,
-                    self._ended,
-                    self.note if self.records.on else None,
-                )
+        for node, address in addresses.items():
+            self._link_to(node, address)
         self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.listed(now, kind, entries)
-        for shelf in [n for n in self.links if n not in self.core.module.shelfs.index]:
-            self.links.pop(shelf).retire()  # the module has given its place to another name: nothing of it is out
+        for node in [name for name in self.links if name not in self.core.module.shelfs.index]:
+            self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
+
+    def _link_to(self, node: str, address: str) -> None:
+        """Makes the link to a storage node, unless there is one to that address."""
+        link = self.links.get(node)
+        if link is not None and link.address == address:
+            return
+        if link is not None:
+            self.retired = [retired for retired in self.retired if retired.in_flight or retired.waiting]
+            self.retired.append(link)
+            link.retire()
+        note = self.note if self.records.on else None
+        self.links[node] = NodeLink(
+            self.loop, self.clock, self.name, node, address, self.config.limits, self._on_outcome, note
+        )
 
 
-def _nothing(*_: Any, **__: Any) -> None:
-    pass
+def _ignore(*_: Any, **__: Any) -> None:
+    """Takes the events of a gateway without records."""
--- a/pebblehinge/gateway/internal_client.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -1,32 +1,48 @@
-"""Requests that a head makes itself: for rsync clients, and to bring confirmed writes to their shelfs."""
+"""Requests that a gateway makes itself: for rsync clients, and to commit confirmed writes to their storage nodes."""
 
 from __future__ import annotations
 
 import asyncio
 
-from pebblehinge.core import PendingRequest
 from pebblehinge.gateway.context import GatewayContext
-
-FINALS = ("honoured", "pushed back", "terminated")
+from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 
 
 class InternalResult:
-    """How such a request ended."""
+    """How such a request ended.
+
+    Attributes:
+        final: One of `FINAL_WORDS`.
+        stay_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
+        reason: Why it did not succeed.
+        data: The bytes read.
+    """
 
     __slots__ = ("final", "stay_ms", "reason", "data")
 
     def __init__(self, final: str, stay_ms: float, reason: str, data: bytes) -> None:
-        self.final, self.stay_ms, self.reason, self.data = final, stay_ms, reason, data
+        self.final = final
+        self.stay_ms = stay_ms
+        self.reason = reason
+        self.data = data
 
 
 class InternalClient:
-    """To the head's core one more client. Its requests are taken while the head stops, too: what they belong to was let
-    in before."""
+    """One more client to the request table.
+
+    Its requests are admitted during a graceful shutdown as well: what they belong to was admitted before.
+
+    Attributes:
+        ids: The number of its last request.
+        waiting: The requests without a result, by their numbers.
+    """
 
-    inside = True
+    is_internal = True
 
-    def __init__(self, server: GatewayContext, client: str) -> None:
-        self.server, self.client = server, client
+    def __init__(self, context: GatewayContext, name: str) -> None:
+        """Makes requests as `name`, which the records show."""
+        self.context = context
+        self.name = name
         self.ids = 0
         self.waiting: dict[int, asyncio.Future[InternalResult]] = {}
 
@@ -47,14 +63,15 @@
         data: bytes,
         label: str | None,
     ) -> InternalResult:
-        """One request by the head's own core, like any client's. Called off, it is left."""
-        server, future = self.server, self.server.loop.create_future()
+        """Makes one request; its arguments are those of `GatewayCore.take`. Cancelled, it is withdrawn."""
+        context = self.context
+        future: asyncio.Future[InternalResult] = context.loop.create_future()
         self.ids += 1
         id_ = self.ids
         self.waiting[id_] = future
-        now = server.now = server.clock()
-        server.note(now, "take", id=trace, client=self.client)
-        pending = server.core.take(
+        now = context.now = context.clock()
+        context.note(now, "take", id=trace, client=self.name)
+        pending = context.core.take(
             now,
             self,
             id_,
@@ -78,11 +95,12 @@
         except asyncio.CancelledError:
             self.waiting.pop(id_, None)
             if pending is not None and not pending.answered:
-                server.now = server.clock()
-                server.core.left(server.now, pending)
+                context.now = context.clock()
+                context.core.left(context.now, pending)
             raise
 
-    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        """Takes the final answer to a request."""
         future = self.waiting.pop(pending.id, None)
         if future is not None and not future.done():
-            future.set_result(InternalResult(FINALS[final], stay_ms, reason, data))
+            future.set_result(InternalResult(FINAL_WORDS[final], stay_ms, reason, data))
--- a/pebblehinge/gateway/node_connection.py
+++ b/pebblehinge/gateway/node_connection.py
@@ -1,4 +1,4 @@
-"""A head's connection to a shelf: what comes on it, and whether it still carries anything."""
+"""A gateway's connection to a storage node: what comes on it, and whether it still carries anything."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the link that it belongs to."""
+    """The link that a connection belongs to."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     limits: LimitsBlock
     now: float
-    dial: Dialer
-    wire: NodeConnection | None
+    dialer: Dialer
+    connection: NodeConnection | None
 
-    def opened(self, wire: NodeConnection) -> None: ...
-    def push(self) -> None: ...
-    def lost(self, wire: NodeConnection) -> None: ...
-    def came(self, number: int, status: int, reason: str, data: bytes) -> None: ...
+    def on_connected(self, connection: NodeConnection) -> None:
+        """The greeting is over."""
+
+    def push(self) -> None:
+        """Writes what waits."""
+
+    def on_connection_lost(self, connection: NodeConnection) -> None:
+        """The connection is over."""
+
+    def on_outcome(self, number: int, status: int, reason: str, data: bytes) -> None:
+        """An attempt has its outcome."""
 
 
 class NodeConnection(Peer):
@@ -36,45 +43,54 @@
     def __init__(self, link: ConnectionOwner, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
-        self.doubted_at: float | None = None  # when it was last heard of, while a ping is out
+        self._probed_since: float | None = None  # when bytes had last come, while a PING is out
 
     def ready(self) -> None:
-        self.link.opened(self)
+        """The greeting is over."""
+        self.link.on_connected(self)
 
     def writable(self) -> None:
+        """The storage node reads again."""
         self.link.push()
 
     def gone(self, exc: Exception | None) -> None:
-        self.link.lost(self)
+        """The connection is over."""
+        self.link.on_connection_lost(self)
 
     def refused(self, reason: str) -> None:
-        self.link.dial.refusal = reason
+        """The storage node rejects the connection, or what was sent on it."""
+        self.link.dialer.refusal = reason
 
     def fail(self, reason: str) -> None:
-        # What comes from here can't be read any more: no answer on it can be waited for.
-        self.link.dial.refusal = reason
+        """Cuts the connection: what comes from here can't be read any more, so no answer on it can be waited for."""
+        self.link.dialer.refusal = reason
         self.abort()
         self.closed = True
 
     def batch(self) -> None:
+        """Bytes have come: one reading of the clock serves them all."""
         self.link.now = self.link.clock()
 
     def on_outcome(self, number: int, status: int, reason: str, data: bytes) -> None:
-        self.link.came(number, status, reason, data)
+        """An attempt has its outcome."""
+        self.link.on_outcome(number, status, reason, data)
 
     def on_stopping(self, reason: str) -> None:
-        pass
+        """Nothing follows: the endpoint list says which nodes are draining."""
+
+    def probe(self) -> None:
+        """Probes a connection on which an attempt timed out, and cuts it if that stays without an answer.
 
-    def doubt(self) -> None:
-        """An attempt got no answer: is it the shelf, or a connection that is cut in the middle and swallows all? A ping
-        is answered by any process that runs; where even that stays out, a new connection is made."""
-        if self.doubted_at is None:
-            self.doubted_at = self.heard
+        The cause may be the storage node, or a connection that is cut in the middle and swallows all. A PING is
+        answered by any process that runs; if even that stays out, a new connection is made.
+        """
+        if self._probed_since is None:
+            self._probed_since = self.heard
             self.send(Kind.PING, 0)
-            self.loop.call_later(2 * self.link.limits.connect / 1000.0, self._decide_doubt)
+            self.loop.call_later(2 * self.link.limits.connect / 1000.0, self._end_probe)
 
-    def _decide_doubt(self) -> None:
-        since, self.doubted_at = self.doubted_at, None
-        if self is self.link.wire and not self.closed and self.heard == since:
-            self.link.dial.refusal = "the connection is silent"
+    def _end_probe(self) -> None:
+        since, self._probed_since = self._probed_since, None
+        if self is self.link.connection and not self.closed and self.heard == since:
+            self.link.dialer.refusal = "the connection is silent"
             self.abort()
--- a/pebblehinge/gateway/rsync_session.py
+++ b/pebblehinge/gateway/rsync_session.py
@@ -1,4 +1,4 @@
-"""One rsync client of a head: whom the settings let in, its transfer, and how that ended."""
+"""One rsync client of a gateway: whether the settings admit it, its transfer, and how that ended."""
 
 from __future__ import annotations
 
@@ -8,185 +8,214 @@
 import random
 import traceback
 from collections.abc import Callable
-from typing import Any, Protocol
+from pathlib import Path
+from typing import Any, Protocol, cast
 
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.internal_client import InternalClient
 from pebblehinge.rsync.line import Line
 from pebblehinge.rsync.module_store import Place
-from pebblehinge.rsync.serve import Told, serve
+from pebblehinge.rsync.serve import serve
 from pebblehinge.rsync.sharing import admits
 from pebblehinge.rsync.stream import ERROR, RsyncError
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.settings.schema import Config, ModuleBlock
+from pebblehinge.rsync.transfer_report import Told
+from pebblehinge.settings.rsync import ModuleBlock
+from pebblehinge.settings.schema import Config
 
-LINGER_S = 3.0  # for what a client sent before it went
+LINGER_S = 3.0
+"""Seconds in which what a client sent before it went is still taken in."""
+
+MAX_SECRET_BYTES = 4096
+CHALLENGE_BYTES = 18
+
+HIDDEN = "hidden"
+"""Why a client may not use a module that is shown to it as if it were not there."""
 
 
 class SessionContext(Protocol):
-    """What a client needs of the door that it came by."""
+    """The listener, as its sessions see it; its attributes are those of `RsyncListener`."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     log: Any
-    server: GatewayContext
+    context: GatewayContext
     config: Config
     rng: random.Random
-    guests: dict[RsyncSession, None]
-    inside: InternalClient
+    sessions: dict[RsyncSession, None]
+    client: InternalClient
     transfers: int
     counts: dict[str, int]
     stopping: bool
     late_ms: float
 
-    def place(self, name: str) -> Place: ...
+    def place(self, name: str) -> Place:
+        """Returns the state of a module."""
 
 
 class RsyncSession(Line):
-    """One connection, and the house that it sees."""
-
-    def __init__(self, door: SessionContext) -> None:
-        super().__init__(door.loop, door.config.rsync.stall)
-        self.door, self.told = door, Told()
+    """One connection, and what its protocol may see of the gateway.
+
+    Attributes:
+        report: What became of the transfer.
+        task: Runs the protocol.
+        address: The client's address.
+        transfer: The transfer that is under way.
+    """
+
+    def __init__(self, listener: SessionContext) -> None:
+        super().__init__(listener.loop, listener.config.rsync.stall)
+        self.listener = listener
+        self.report = Told()
         self.task: asyncio.Task[None] | None = None
         self.address = ""
-        self.began_ms = door.clock()
         self.transfer: Transfer | None = None
-        self.login: asyncio.TimerHandle | None = None
+        self._began_ms = listener.clock()
+        self._login_timer: asyncio.TimerHandle | None = None
 
     # ---- the connection
 
     def connection_made(self, transport: Any) -> None:
+        """The connection is established; it is cut if there are too many."""
         super().connection_made(transport)
-        door = self.door
+        listener = self.listener
         peer = transport.get_extra_info("peername")
         self.address = peer[0] if peer else ""
-        door.guests[self] = None
-        if len(door.guests) > door.config.limits.connections or door.stopping:
+        listener.sessions[self] = None
+        if len(listener.sessions) > listener.config.limits.connections or listener.stopping:
             self.abort()
             return
-        self.login = self.loop.call_later(door.config.rsync.login / 1000.0, self._too_late)
+        self._login_timer = self.loop.call_later(listener.config.rsync.login / 1000.0, self._time_out_login)
         self.task = self.loop.create_task(self._serve())
 
-    def _too_late(self) -> None:
-        if not self.told.module:
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over. What came before is still taken in, and kept for the client's next try."""
+        super().connection_lost(exc)
+        listener = self.listener
+        listener.sessions.pop(self, None)
+        if self.task is not None and not self.task.done():
+            self.loop.call_later(LINGER_S, self.task.cancel)
+        if listener.stopping:
+            self.loop.call_soon(listener.context.stop_if_done)
+
+    def end(self, reason: str) -> None:
+        """Ends a transfer with a message that its tool shows."""
+        self.why = reason
+        if self.task is not None:
+            self.task.cancel()
+        if self.stream.mux_out:
+            self.stream.out.clear()
+            self.stream.message(ERROR, (reason + "\n").encode())
+        self.close()
+
+    def _time_out_login(self) -> None:
+        if not self.report.module:
             self.why = "no module was named in time"
             self.abort()
 
     async def _serve(self) -> None:
         try:
-            await serve(self.stream, self, self.told)
+            await serve(self.stream, cast(Any, self), self.report)
         except RsyncError as error:
-            self.told.error, self.told.code = str(error), error.code
-        except Exception as error:  # a fault of this program: one transfer ends, the head goes on and says where
-            self.told.error = repr(error)
-            self.door.log.error("fault", error=repr(error), where=traceback.format_exc(limit=-6))
+            self.report.error = str(error)
+            self.report.code = error.code
+        except Exception as error:  # a fault of this program: one transfer ends, the gateway goes on and says where
+            self.report.error = repr(error)
+            self.listener.log.error("fault", error=repr(error), where=traceback.format_exc(limit=-6))
         finally:
-            self._over()
+            self._end_transfer()
             self.close()
 
-    def _over(self) -> None:
-        door, told = self.door, self.told
-        if self.login is not None:
-            self.login.cancel()
+    def _end_transfer(self) -> None:
+        listener, report = self.listener, self.report
+        if self._login_timer is not None:
+            self._login_timer.cancel()
         if self.transfer is None:
-            door.counts["refused"] += bool(told.error)
+            listener.counts["refused"] += bool(report.error)
             return
         transfer, self.transfer = self.transfer, None
         transfer.end()
-        door.transfers -= 1
-        whole = told.ended and not told.error and not told.failed
-        door.counts["completed" if whole else "failed"] += 1
-        door.counts["saves"] += len(told.saved)
-        door.log.info(
+        listener.transfers -= 1
+        is_complete = report.ended and not report.error and not report.failed
+        listener.counts["completed" if is_complete else "failed"] += 1
+        listener.counts["saves"] += len(report.saved)
+        self._log_transfer()
+
+    def _log_transfer(self) -> None:
+        report = self.report
+        self.listener.log.info(
             "transfer",
-            module=told.module,
-            user=told.user,
+            module=report.module,
+            user=report.user,
             address=self.address,
-            push=told.push,
-            files=told.files,
-            bytes=told.bytes,
-            literal=told.literal,
-            matched=told.matched,
-            failed=len(told.failed),
-            error=told.error or self.why,
-            code=told.code,
-            ms=round(door.clock() - self.began_ms, 1),
+            push=report.push,
+            files=report.files,
+            bytes=report.bytes,
+            literal=report.literal,
+            matched=report.matched,
+            failed=len(report.failed),
+            error=report.error or self.why,
+            code=report.code,
+            ms=round(self.listener.clock() - self._began_ms, 1),
         )
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        super().connection_lost(exc)
-        door = self.door
-        door.guests.pop(self, None)
-        if self.task is not None and not self.task.done():
-            # What came before is still taken in, and kept for a repeat; then it finds nobody there.
-            self.loop.call_later(LINGER_S, self.task.cancel)
-        if door.stopping:
-            self.loop.call_soon(door.server.stop_if_done)
-
-    def turn_out(self, why: str) -> None:
-        """Ends a transfer with a message that its tool shows."""
-        self.why = why
-        if self.task is not None:
-            self.task.cancel()
-        if self.stream.mux_out:
-            self.stream.out.clear()
-            self.stream.message(ERROR, (why + "\n").encode())
-        self.close()
-
-    # ---- the house
+    # ---- what the protocol may see
 
     @property
     def modules(self) -> dict[str, ModuleBlock]:
-        return self.door.config.module
+        """The modules of the settings, by their names."""
+        return self.listener.config.module
 
     @property
     def motd(self) -> str:
-        return self.door.config.rsync.motd
+        """The message of the day."""
+        return self.listener.config.rsync.motd
 
     def admits(self, module: str) -> str | None:
-        """Why this address may not see a module: `hidden`, as if it were not there; None: it may."""
+        """Returns `HIDDEN` if this address may not use a module, None if it may."""
         block = self.modules[module]
         try:
-            mine = ipaddress.ip_address(self.address)
+            address = ipaddress.ip_address(self.address)
         except ValueError:
-            mine = None
-        if mine is None:
-            return "hidden" if block.allow or block.deny else None
-
-        def among(texts: list[str]) -> bool:
-            return any(mine in ipaddress.ip_network(text, strict=False) for text in texts)
-
-        if block.allow and not among(block.allow):
-            return "hidden"
-        return "hidden" if among(block.deny) else None
+            return HIDDEN if block.allow or block.deny else None
+        if block.allow and not _is_among(address, block.allow):
+            return HIDDEN
+        return HIDDEN if _is_among(address, block.deny) else None
 
     def secret(self, user: str) -> bytes | None:
-        block = self.door.config.user.get(user)
+        """Returns a user's secret, or None if there is no such user or it can't be read."""
+        block = self.listener.config.user.get(user)
         if block is None:
             return None
         if block.secret_file is None:
             return block.secret.encode()
         try:
-            with open(block.secret_file, "rb") as file:
-                return file.read(4096).strip()
+            with Path(block.secret_file).open("rb") as file:
+                return file.read(MAX_SECRET_BYTES).strip()
         except OSError as error:
-            self.door.log.error("secret", user=user, error=str(error))
+            self.listener.log.error("secret", user=user, error=str(error))
             return None
 
     def challenge(self) -> bytes:
-        return base64.b64encode(self.door.rng.randbytes(18)).rstrip(b"=")
+        """Returns a random challenge for a login."""
+        return base64.b64encode(self.listener.rng.randbytes(CHALLENGE_BYTES)).rstrip(b"=")
 
     def seed(self) -> int:
-        return self.door.rng.randrange(1, 1 << 31)
+        """Returns a random seed for the checksums of a transfer."""
+        return self.listener.rng.randrange(1, 1 << 31)
 
     def begin(self, module: str, user: str) -> Transfer | str:
-        door, block = self.door, self.door.config.rsync
-        why = admits(door.transfers, block.transfers, door.stopping, door.late_ms > block.lag)
-        if why is not None:
-            return why
-        place = door.place(module)
-        door.transfers += 1
-        trace = f"{door.server.name}.t{door.inside.ids}.{door.rng.getrandbits(32):08x}"
+        """Begins a transfer, or returns why there can be none now."""
+        listener, block = self.listener, self.listener.config.rsync
+        refusal = admits(listener.transfers, block.transfers, listener.stopping, listener.late_ms > block.lag)
+        if refusal is not None:
+            return refusal
+        place = listener.place(module)
+        listener.transfers += 1
+        trace = f"{listener.context.name}.t{listener.client.ids}.{listener.rng.getrandbits(32):08x}"
         self.transfer = Transfer(place, trace, place.block.deadline)
         return self.transfer
+
+
+def _is_among(address: ipaddress.IPv4Address | ipaddress.IPv6Address, networks: list[str]) -> bool:
+    return any(address in ipaddress.ip_network(network, strict=False) for network in networks)
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -1,27 +1,44 @@
-"""The running head: its clients, its start, its settings and its stop."""
+"""The running gateway: its clients, its start, its settings and its graceful shutdown."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pebblehinge.gateway.admission import GatewayCore
+from pebblehinge.gateway.admission import GatewayCore, RequestCapture
 from pebblehinge.gateway.client_connection import ClientConnection
-from pebblehinge.gateway.effects import Effects
+from pebblehinge.gateway.effects import GatewayEffects
 from pebblehinge.gateway.rsync_listener import RsyncListener
-from pebblehinge.gateway.snapshots import SnapshotKeeper
+from pebblehinge.gateway.snapshots import SnapshotKeeper, Times
 from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
 from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.journal import Batch
 
-BACKLOG = 8192  # connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)
+BACKLOG = 8192
+"""Connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)."""
 
+CAPTURE_FLUSH_S = 1.0
+"""Seconds between two writes of a capture."""
 
-class GatewayServer(Effects):
-    """A running head. Loop, clock (milliseconds) and records are handed in; nothing here reads others."""
+
+class GatewayServer(GatewayEffects):
+    """A running gateway. Loop, clock and records are handed in; nothing here reads others.
+
+    Attributes:
+        conns: The clients' connections, in the order in which they came.
+        faults: How many clients were cut for what they sent.
+        rsync_listener: Serves rsync clients, if the settings name an address for them.
+        snapshot_keeper: Saves what the scheduler has learned, if there is a disk for it.
+        write_back: Serves buffered volumes, if there is a disk for their journal.
+        version_shown: The configuration version in force as the console shows it, if the configuration is replicated.
+        stopped: Done when the gateway has stopped.
+        listener: Accepts clients, once started.
+    """
 
     def __init__(
         self,
@@ -33,70 +50,99 @@
         records: Records | NoRecords | None = None,
         core: type[GatewayCore] = GatewayCore,
     ) -> None:
+        """Runs as `name` of the settings on `loop`; `clock` returns milliseconds."""
         super().__init__(loop, clock, config, name, log, records, core)
-        self.conns: dict[ClientConnection, None] = {}  # in the order in which they came
-        self.server: Any = None
+        self.conns: dict[ClientConnection, None] = {}
         self.faults = 0
-        self.door: RsyncListener | None = None
-        self.memory: SnapshotKeeper | None = None
-        self.version_shown: dict[str, Any] = {}  # of the group's configuration, where there is one
-        self.back: WriteBack | None = None
+        self.rsync_listener: RsyncListener | None = None
+        self.snapshot_keeper: SnapshotKeeper | None = None
+        self.write_back: WriteBack | None = None
+        self.version_shown: dict[str, Any] = {}
         self.stopped: asyncio.Future[None] = loop.create_future()
+        self.listener: asyncio.Server | None = None
+
+    # ---- start
+
+    def enable_write_back(self, disk: Disk, make_durable: Callable[[Batch], Awaitable[None]]) -> None:
+        """Before `start`: serves buffered volumes, with a journal on `disk`; `make_durable` appends and syncs."""
+        self.write_back = WriteBack(self, disk, make_durable)
+
+    def keep_snapshots(self, disk: Disk, times: Times, beside: Beside = inline) -> None:
+        """Before `start`: restores what an earlier incarnation learned, and saves what this one learns."""
+        self.snapshot_keeper = SnapshotKeeper(self, disk, times, beside)
+        self.snapshot_keeper.restore()
 
     async def start(self) -> None:
+        """Listens and serves; raises OSError if an address is taken, StorageError if the journal can't be read."""
         host, port = parse_address(self.block.listen)
-        self.server = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
-        if self.back is not None:
-            self.back.begin()
+        self.listener = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
+        if self.write_back is not None:
+            self.write_back.begin()
         if self.block.rsync is not None:
-            self.door = RsyncListener(self)
-            await self.door.start()
-        self.listing.start()
+            self.rsync_listener = RsyncListener(self)
+            await self.rsync_listener.start()
+        self.discovery.start()
         self.core.start(self.clock())
-        if self.back is not None:
-            self.back.pump()
-        if self.memory is not None:
-            self.memory.begin()
+        if self.write_back is not None:
+            self.write_back.pump()
+        if self.snapshot_keeper is not None:
+            self.snapshot_keeper.begin()
         self.note(self.clock(), "up", role="head", name=self.name)
 
-    def buffer(self, disk: Any, lasts: Any) -> None:
-        """Before `start`: buffered volumes are confirmed from a journal on this disk."""
-        self.back = WriteBack(self, disk, lasts)
+    # ---- while it runs
 
-    def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline) -> None:
-        """Before `start`: takes up what an earlier life learned, and keeps what this one learns, beside the loop.
-        `times` gives the wall clock and the machine's time since its start, in ms, and which start that was."""
-        self.memory = SnapshotKeeper(self, disk, times, beside)
-        self.memory.take_up()
+    def adopt(self, config: Config) -> None:
+        """Puts new settings in force; addresses stay as they were until a restart."""
+        self.config = config
+        self.now = self.clock()
+        self.core.adopt_config(self.now, config)
+        if self.rsync_listener is not None:
+            self.rsync_listener.adopt(config)
 
-    # ---- stopping
+    def capture(self, writer: RequestCapture) -> None:
+        """Captures each request that is admitted from now on."""
+        self.core.capture = writer
+        self._flush_capture()
+
+    def connection_closed(self, conn: ClientConnection) -> None:
+        """A client's connection is over: its open requests are withdrawn."""
+        self.conns.pop(conn, None)
+        now = self.clock()
+        for pending in list(conn.open_requests.values()):
+            if pending is not None:
+                self.core.left(now, pending)
+        conn.open_requests.clear()
+        self.stop_if_done()
+
+    def _flush_capture(self) -> None:
+        capture = self.core.capture
+        assert capture is not None
+        capture.flush()
+        if not self.stopped.done() and capture.on:
+            self.loop.call_later(CAPTURE_FLUSH_S, self._flush_capture)
+
+    # ---- graceful shutdown
 
     def stop(self, why: str) -> None:
-        """Takes nothing new, gives every accepted request its answer within its own time, then is stopped."""
+        """Accepts nothing new, gives every accepted request its answer within its own time, then is stopped."""
         if self.core.stopping:
             return
         self.core.stopping = True
         self.log.info("stopping", why=why, open=self.core.open)
-        self.server.close()
-        if self.door is not None:
-            self.door.stop()
-        if self.back is not None:
-            self.back.stop()
+        assert self.listener is not None
+        self.listener.close()
+        if self.rsync_listener is not None:
+            self.rsync_listener.stop()
+        if self.write_back is not None:
+            self.write_back.stop()
         for conn in list(self.conns):
             conn.tell_stopping()
         self.loop.call_later(self.config.limits.stall / 1000.0, self._settle_all)
         self.stop_if_done()
 
-    def _settle_all(self) -> None:
-        """A client that never answers does not hold up the stop for ever."""
-        for conn in self.conns:
-            conn.settled = True
-        self.stop_if_done()
-
     def stop_if_done(self) -> None:
-        if not self.core.stopping or self.core.open or (self.door is not None and self.door.guests):
-            return
-        if self.back is not None and not self.back.is_done():
+        """Ends the shutdown when nothing is owed any more."""
+        if not self._owes_nothing():
             return
         if self.conns:
             for conn in list(self.conns):
@@ -104,46 +150,34 @@
                     conn.close()
             return
         if not self.stopped.done():
-            self.note(self.clock(), "down", name=self.name)
-            if self.memory is not None:
-                self.memory.keep(whole=True)
-            self.listing.close()
-            if self.door is not None:
-                self.door.close()
-            if self.back is not None:
-                self.back.close()
-            if self.core.capture is not None:
-                self.core.capture.flush()
-            for link in [*self.links.values(), *self.retired]:
-                link.close()
-            if self.timer is not None:
-                self.timer.cancel()
-            self.records.close()
+            self._close_all()
             self.stopped.set_result(None)
 
-    def gone(self, conn: ClientConnection) -> None:
-        self.conns.pop(conn, None)
-        now = self.clock()
-        for pending in list(conn.open.values()):
-            if pending is not None:
-                self.core.left(now, pending)
-        conn.open.clear()
-        self.stop_if_done()
-
-    def capture(self, writer: Any) -> None:
-        """Keeps what is taken from now on; what stands is written every second."""
-        self.core.capture = writer
-        self._flush_capture()
+    def _owes_nothing(self) -> bool:
+        if not self.core.stopping or self.core.open:
+            return False
+        if self.rsync_listener is not None and self.rsync_listener.sessions:
+            return False
+        return self.write_back is None or self.write_back.is_done()
 
-    def _flush_capture(self) -> None:
-        self.core.capture.flush()
-        if not self.stopped.done() and self.core.capture.on:
-            self.loop.call_later(1.0, self._flush_capture)
+    def _settle_all(self) -> None:
+        """A client that never answers does not hold up the shutdown for ever."""
+        for conn in self.conns:
+            conn.settled = True
+        self.stop_if_done()
 
-    def adopt(self, config: Config) -> None:
-        """New settings from the same file; addresses stay as they were until a restart."""
-        self.config = config
-        self.now = self.clock()
-        self.core.take_up(self.now, config)
-        if self.door is not None:
-            self.door.adopt(config)
+    def _close_all(self) -> None:
+        self.note(self.clock(), "down", name=self.name)
+        if self.snapshot_keeper is not None:
+            self.snapshot_keeper.save(complete=True)
+        self.discovery.close()
+        if self.rsync_listener is not None:
+            self.rsync_listener.close()
+        if self.write_back is not None:
+            self.write_back.close()
+        if self.core.capture is not None:
+            self.core.capture.flush()
+        for link in [*self.links.values(), *self.retired]:
+            link.close()
+        self._cancel_timer()
+        self.records.close()
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -1,61 +1,67 @@
-"""What a running head has learned, kept on a disk for its next life."""
+"""Snapshots of what a running gateway's scheduler has learned, on a disk for its next incarnation."""
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable
-from typing import Any
 
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.store import StorageError, memory
 from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.disk import Disk
+
+Times = Callable[[], tuple[float, float, str]]
+"""Returns the wall clock, the time since the machine started (both in milliseconds), and which start that was."""
 
 
 class SnapshotKeeper:
-    """Takes up and keeps. A disk that fails costs the memory and nothing else."""
+    """Restores and saves snapshots. A disk that fails costs the snapshot and nothing else."""
 
-    def __init__(
-        self, house: GatewayContext, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
-    ) -> None:
-        self.house, self.disk, self.times, self.beside = house, disk, times, beside
-        self.writing = threading.Lock()  # one at a time: the last of a life waits for the one before it
-        self.mark = memory.mark_of(house.config.module_settings(house.block))
+    def __init__(self, context: GatewayContext, disk: Disk, times: Times, beside: Beside = inline) -> None:
+        """Keeps them on `disk`; `beside` runs what waits for it beside the loop."""
+        self.context = context
+        self.disk = disk
+        self.times = times
+        self.beside = beside
+        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        self._write_lock = threading.Lock()  # the last snapshot of an incarnation waits for the one before it
 
-    def take_up(self) -> None:
-        house = self.house
+    def restore(self) -> None:
+        """Gives the scheduler what an earlier incarnation saved, if that is sound and recent."""
+        context = self.context
         if not self.disk.exists(memory.FILE):
             return
         try:
             data = self.disk.read(memory.FILE)
-            state, age, whole, word = memory.recalled(data, house.name, self.mark, *self.times())
+            state, age, whole, word = memory.recalled(data, context.name, self.settings_mark, *self.times())
         except (StorageError, OSError) as error:
-            house.log.warning("memory is not taken up", why=str(error))
+            context.log.warning("memory is not taken up", why=str(error))
             return
-        house.core.module.recall(house.clock(), state, age, whole)
-        house.log.info("memory", what=word, shelfs=len(state["shelfs"]), extents=len(state["thinks"]))
+        context.core.module.recall(context.clock(), state, age, whole)
+        context.log.info("memory", what=word, shelfs=len(state["shelfs"]), extents=len(state["thinks"]))
 
-    def keep(self, whole: bool = False) -> None:
-        """Writes what is known now; whole where nothing is sent after it."""
-        house = self.house
-        self.mark = memory.mark_of(house.config.module_settings(house.block))
-        state = house.core.module.remembered(house.clock())
-        kept = memory.Kept(house.name, self.mark, *self.times(), whole, state)
+    def save(self, complete: bool = False) -> None:
+        """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
+        context = self.context
+        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        state = context.core.module.remembered(context.clock())
+        snapshot = memory.Kept(context.name, self.settings_mark, *self.times(), complete, state)
 
         def write() -> None:
-            with self.writing:
-                memory.save(self.disk, kept)
-
-        (inline if whole else self.beside)(write, self._written)
+            with self._write_lock:
+                memory.save(self.disk, snapshot)
 
-    def _written(self, error: BaseException | None) -> None:
-        if error is not None:
-            self.house.log.warning("memory is not kept", why=str(error))
+        (inline if complete else self.beside)(write, self._on_saved)
 
     def begin(self) -> None:
-        """Keeps from now on, every `buffer memory`, as long as the head runs."""
-        self.house.loop.call_later(self.house.config.buffer.memory / 1000.0, self._again)
+        """Saves from now on, each time `buffer memory` has passed, as long as the gateway runs."""
+        self.context.loop.call_later(self.context.config.buffer.memory / 1000.0, self._save_again)
+
+    def _on_saved(self, error: BaseException | None) -> None:
+        if error is not None:
+            self.context.log.warning("memory is not kept", why=str(error))
 
-    def _again(self) -> None:
-        if not self.house.stopped.done():
-            self.keep()
+    def _save_again(self) -> None:
+        if not self.context.stopped.done():
+            self.save()
             self.begin()
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -1,19 +1,20 @@
-"""Buffered volumes of a head: confirms writes from its journal, brings them to their shelfs, lays them over reads.
+"""Buffered volumes of a gateway: confirms writes from its journal, commits them to their nodes, shows them to reads.
 
-Decides nothing: `store.flushing` says what is taken and what goes when, the decision module all of a request.
+Decides nothing: `store.flushing` says what is accepted and what is committed when, the scheduler all of a request.
 """
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import Any
 
-from pebblehinge.core import FAILED, REJECTED, SUCCEEDED, PendingRequest
-from pebblehinge.gateway.admission import odd_time
-from pebblehinge.gateway.buffered_request import BufferedRequest
+from pebblehinge.core import FAILED, REJECTED, SUCCEEDED
+from pebblehinge.gateway.admission import MAX_QUOTED, check_patience
+from pebblehinge.gateway.buffered_request import BufferedOrigin, BufferedRequest
 from pebblehinge.gateway.commit import NodeCommitter
 from pebblehinge.gateway.context import GatewayContext
-from pebblehinge.gateway.internal_client import FINALS
+from pebblehinge.gateway.errors import RequestRejectedError
+from pebblehinge.gateway.flush_requests import FlushRequests
+from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty import Dirty
 from pebblehinge.store.disk import Disk
@@ -24,46 +25,61 @@
 
 
 class WriteBack:
-    """The write-back of one head. `lasts(batch)` appends and syncs."""
-
-    def __init__(self, server: GatewayContext, disk: Disk, lasts: Callable[[Batch], Awaitable[None]]) -> None:
-        self.server, self.loop, self.clock = server, server.loop, server.clock
-        block = self.block = server.config.buffer
+    """The write-back of one gateway.
+
+    Attributes:
+        journal: The journal of confirmed writes.
+        committer: Appends to it, several records with one sync.
+        dirty: Writes that are confirmed and not yet committed to their storage nodes.
+        flushing: Says when they are.
+        node_committer: Commits them.
+        open: How many requests are owed an answer.
+        counts: Writes by what became of them.
+    """
+
+    def __init__(self, context: GatewayContext, disk: Disk, make_durable: Callable[[Batch], Awaitable[None]]) -> None:
+        """Keeps the journal on `disk`; `make_durable` appends a batch to it and syncs."""
+        self.context = context
+        self.loop = context.loop
+        self.clock = context.clock
+        block = self.block = context.config.buffer
         self.journal = Journal(disk, block.segment)
-        self.committer = Committer(self.journal, lasts)
+        self.committer = Committer(self.journal, make_durable)
         self.dirty = Dirty()
         self.flushing = Flushing(block.most, block.age, block.delay, block.out)
-        self.flushes: list[BufferedRequest] = []
-        self.open = 0  # answers that are owed
-        self.stopping = self.closed = False
+        self.flushes = FlushRequests(self.committer, self.dirty, self._succeed)
+        self.open = 0
+        self.stopping = False
+        self.closed = False
         self.counts = {"confirmed": 0, "landed": 0, "stood already": 0, "refused": 0}
-        self.landing = NodeCommitter(
-            server, self.journal, self.committer, self.dirty, self.flushing, self.counts, self._moved
+        self.node_committer = NodeCommitter(
+            context, self.journal, self.committer, self.dirty, self.flushing, self.counts, self._on_progress
         )
 
     def begin(self) -> None:
-        """Takes up what an earlier life of this head had confirmed; raises StorageError where that can't be read."""
+        """Restores what an earlier incarnation had confirmed; raises StorageError if that can't be read."""
         self.journal.begin()
         now = self.clock()
-        everything = [*self.journal.writes.values(), *self.journal.barriers.values()]
-        for record in sorted(everything, key=lambda r: r.number):
+        records: list[Write | Barrier] = [*self.journal.writes.values(), *self.journal.barriers.values()]
+        for record in sorted(records, key=lambda record: record.number):
             if isinstance(record, Write):
                 self.dirty.add(now, record, risky=True)
             else:
                 self.dirty.barrier(record)
-        if everything or self.journal.cut:
+        if records or self.journal.cut:
             writes, size = len(self.journal.writes), self.dirty.bytes
-            self.server.log.info("journal", writes=writes, bytes=size, cut=self.journal.cut)
+            self.context.log.info("journal", writes=writes, bytes=size, cut=self.journal.cut)
 
     def buffers(self, volume: str) -> bool:
-        block = self.server.config.volume.get(volume)
+        """Whether a volume is buffered."""
+        block = self.context.config.volume.get(volume)
         return block is not None and block.save == "buffered"
 
-    # ---- from clients
+    # ---- requests
 
     def take(
         self,
-        conn: Any,
+        conn: BufferedOrigin,
         id_: int,
         trace: str,
         volume: str,
@@ -78,8 +94,11 @@
         length: int,
         data: bytes,
     ) -> bool:
-        """True where the request is this one's: a write, a barrier or a flush; a read that dirty writes cover whole."""
-        now = self.server.now
+        """Takes a request for a buffered volume: a write, a barrier, a flush, or a read that dirty writes cover.
+
+        Its arguments are those of `GatewayCore.take`. Returns False if the request is for the request table.
+        """
+        now = self.context.now
         if op == READ:
             found = self.dirty.newest(volume, extent, offset, length) if length else None
             if found is not None:
@@ -87,144 +106,143 @@
             return found is not None
         if op not in (WRITE, BARRIER, FLUSH):
             return False
-        asked = BufferedRequest(conn, id_, slot, trace)
-        odd = odd_time(left_ms)
-        why = (odd, 0.0) if odd else self._refuses(now, volume, profile, op, offset, units, data)
-        if why is not None:
+        request = BufferedRequest(conn, id_, slot, trace)
+        try:
+            check_patience(left_ms)
+            self._admit(now, profile, op, offset, units, data)
+        except RequestRejectedError as error:
             self.counts["refused"] += 1
-            self._answer(asked, REJECTED, why[1] or self.server.config.rules.stay_away_max, why[0], b"")
+            stay_ms = error.stay_ms or self.context.config.rules.stay_away_max
+            self._answer(request, REJECTED, stay_ms, str(error), b"")
             return True
         self.open += 1
-        left = max(0.0, left_ms - self.server.block.answer_margin)
-        asked.timer = self.loop.call_later(left / 1000.0, self._too_late, asked)
+        confirm_ms = max(0.0, left_ms - self.context.block.answer_margin)
+        request.timer = self.loop.call_later(confirm_ms / 1000.0, self._time_out, request)
         if op == FLUSH:
-            # All that was confirmed or is on its way by now.
-            asked.volume, asked.up_to = volume, self.journal.number
-            self.flushing.flush(volume, asked.up_to)
-            self.flushes.append(asked)
-            self._look_at_flushes()
-            self.pump()
+            self._flush(request, volume)
             return True
         number = self.journal.next_number()
         if op == BARRIER:
-            record: Write | Barrier = Barrier(number, volume)
+            self._confirm(request, Barrier(number, volume))
         else:
-            record = Write(number, volume, extent, slot, offset, data, f"{label or trace}", profile, units)
-        self.committer.add(record, lambda lasts: self._committed(asked, record, lasts))
-        if not self.committer.running:
-            self.landing.spawn(self.committer.run())
+            self._confirm(request, Write(number, volume, extent, slot, offset, data, label or trace, profile, units))
         return True
 
-    def _refuses(
-        self, now: float, volume: str, profile: str, op: int, offset: int, units: float, data: bytes
-    ) -> tuple[str, float] | None:
-        if self.stopping:
-            return "this head is stopping: another one takes new accesses", 0.0
-        if op == WRITE and (profile not in self.server.config.profile or offset < 0):
-            return f"profile {profile[:60]!r} is not known here, or there is no such place", 0.0
-        if op == WRITE and not 0 < units <= self.server.config.rules.most_units:
-            return f"{units:g} units: at most {self.server.config.rules.most_units:g} are taken", 0.0
-        if op == FLUSH:
-            return None
-        return self.flushing.refuses(now, self.dirty, len(data) + self._on_the_way(), self.committer.failed)
-
-    def _on_the_way(self) -> int:
-        return sum(len(getattr(record, "data", b"")) for record, _ in self.committer.waiting)
-
-    def _committed(self, asked: BufferedRequest, record: Write | Barrier, lasts: bool) -> None:
-        if self.closed:
-            return
-        if not lasts:
-            # It may be on the disk or not: that is all that can be said.
-            self._answer(asked, FAILED, 0.0, self.committer.failed, b"")
-            return
-        if isinstance(record, Barrier):
-            self.dirty.barrier(record)
-        else:
-            self.dirty.add(self.clock(), record)
-            self.counts["confirmed"] += 1
-        self._answer(asked, SUCCEEDED, 0.0, "", b"")
-        self.pump()
-
-    def _too_late(self, asked: BufferedRequest) -> None:
-        """Its time is up. What was asked goes on; it is claimed no longer."""
-        self._answer(asked, FAILED, 0.0, "not confirmed in time", b"")
-
-    def _answer(self, asked: BufferedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        if asked.answered:
-            return
-        asked.answered = True
-        if asked.timer is not None:
-            asked.timer.cancel()
-            self.open -= 1
-        asked.conn.tell(asked.id, final, stay_ms, reason, asked.slot, data)
-        self.server.note(self.clock(), "answer", id=asked.trace, final=FINALS[final], stay=stay_ms)
-        if self.stopping and not self.open:
-            self.loop.call_soon(self.server.stop_if_done)
-
-    # ---- reads that a shelf must be asked for
-
     def before_read(self, volume: str, extent: str) -> tuple[Write, ...]:
-        """Dirty writes that a read must show, even if they land while it is on its way and it did not see them."""
+        """Returns dirty writes that a read must show, even if they are committed meanwhile and it did not see them."""
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
-    def after_read(self, pending: PendingRequest, seen: tuple[Write, ...], data: bytes) -> bytes:
-        shown = Dirty()
-        for write in seen:
-            shown.add(0.0, write)
-        base = shown.over(pending.volume, pending.extent, pending.offset, pending.length, data)
+    def after_read(self, pending: FramedRequest, dirty_writes: tuple[Write, ...], data: bytes) -> bytes:
+        """Returns the bytes of a read with the dirty writes of before it, then those of now, over them."""
+        before = Dirty()
+        for write in dirty_writes:
+            before.add(0.0, write)
+        base = before.over(pending.volume, pending.extent, pending.offset, pending.length, data)
         return self.dirty.over(pending.volume, pending.extent, pending.offset, pending.length, base)
 
-    # ---- what is waited for
-
     def pump(self) -> None:
-        """Starts what is due, and comes again."""
-        self.landing.pump()
-
-    def _moved(self) -> None:
-        """Something of the way to the shelfs is no longer under way."""
-        self._look_at_flushes()
-        if self.stopping:
-            self.loop.call_soon(self.server.stop_if_done)
-
-    def _look_at_flushes(self) -> None:
-        left = []
-        for asked in self.flushes:
-            waits = any(
-                r.volume == asked.volume and r.number <= asked.up_to
-                for r, _ in self.committer.waiting
-                if isinstance(r, Write)
-            )
-            waits = waits or self.committer.running or not self.dirty.clean(asked.volume, asked.up_to)
-            if waits and not asked.answered:
-                left.append(asked)
-            else:
-                self._answer(asked, SUCCEEDED, 0.0, "", b"")
-        self.flushes = left
+        """Starts the commits that are due, and comes again when others are."""
+        self.node_committer.pump()
 
-    # ---- the end
+    # ---- graceful shutdown
 
     def stop(self) -> None:
-        """No new writes; what is dirty goes to its shelfs for a while, and what does not stays in the journal."""
+        """Accepts no new writes; what is dirty is committed for a while, and what is left stays in the journal."""
         self.stopping = True
         for volume in list(self.dirty.volumes):
             self.flushing.flush(volume, self.journal.number)
         self.pump()
         self.loop.call_later(self.block.stop / 1000.0, self._give_up)
 
-    def _give_up(self) -> None:
-        if self.dirty and not self.closed:
-            self.server.log.warning("left in the journal", writes=len(self.dirty), bytes=self.dirty.bytes)
-        self.landing.given_up = True
-        self.server.stop_if_done()
-
     def is_done(self) -> bool:
-        """Whether the head may end: nothing is owed, all has landed and is noted, or the time for that is over."""
+        """Whether the gateway may end: nothing is owed, all is committed and recorded, or the time for that is over."""
         if self.open:
             return False
-        noted = not self.landing.landed or bool(self.committer.failed)
-        return self.landing.given_up or (not len(self.dirty) and noted and not self.committer.running)
+        is_recorded = not self.node_committer.committed or bool(self.committer.failed)
+        is_clean = not len(self.dirty) and is_recorded and not self.committer.running
+        return self.node_committer.gave_up or is_clean
 
     def close(self) -> None:
+        """Cancels what is under way."""
         self.closed = True
-        self.landing.close()
+        self.node_committer.close()
+
+    def _give_up(self) -> None:
+        if self.dirty and not self.closed:
+            self.context.log.warning("left in the journal", writes=len(self.dirty), bytes=self.dirty.bytes)
+        self.node_committer.gave_up = True
+        self.context.stop_if_done()
+
+    # ---- steps of a request
+
+    def _admit(self, now: float, profile: str, op: int, offset: int, units: float, data: bytes) -> None:
+        """Raises RequestRejectedError for a request that is not accepted."""
+        config = self.context.config
+        if self.stopping:
+            raise RequestRejectedError("this head is stopping: another one takes new accesses")
+        if op == WRITE and (profile not in config.profile or offset < 0):
+            quoted = profile[:MAX_QUOTED]
+            raise RequestRejectedError(f"profile {quoted!r} is not known here, or there is no such place")
+        if op == WRITE and not 0 < units <= config.rules.most_units:
+            raise RequestRejectedError(f"{units:g} units: at most {config.rules.most_units:g} are taken")
+        if op == FLUSH:
+            return
+        unconfirmed_bytes = sum(len(getattr(record, "data", b"")) for record, _ in self.committer.waiting)
+        refusal = self.flushing.refuses(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failed)
+        if refusal is not None:
+            raise RequestRejectedError(*refusal)
+
+    def _flush(self, request: BufferedRequest, volume: str) -> None:
+        """Waits until all is committed that was confirmed, or is being confirmed, by now."""
+        request.volume = volume
+        request.up_to = self.journal.number
+        self.flushing.flush(volume, request.up_to)
+        self.flushes.add(request)
+        self.flushes.check()
+        self.pump()
+
+    def _confirm(self, request: BufferedRequest, record: Write | Barrier) -> None:
+        """Appends a record to the journal; the request is answered when it is durable."""
+        self.committer.add(record, lambda is_durable: self._on_recorded(request, record, is_durable))
+        if not self.committer.running:
+            self.node_committer.spawn(self.committer.run())
+
+    def _on_recorded(self, request: BufferedRequest, record: Write | Barrier, is_durable: bool) -> None:
+        if self.closed:
+            return
+        if not is_durable:
+            # It may be on the disk or not: that is all that can be said.
+            self._answer(request, FAILED, 0.0, self.committer.failed, b"")
+            return
+        if isinstance(record, Barrier):
+            self.dirty.barrier(record)
+        else:
+            self.dirty.add(self.clock(), record)
+            self.counts["confirmed"] += 1
+        self._succeed(request)
+        self.pump()
+
+    def _time_out(self, request: BufferedRequest) -> None:
+        """The request's time is up. What it asked for goes on, and is no longer promised."""
+        self._answer(request, FAILED, 0.0, "not confirmed in time", b"")
+
+    def _succeed(self, request: BufferedRequest) -> None:
+        self._answer(request, SUCCEEDED, 0.0, "", b"")
+
+    def _answer(self, request: BufferedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+        if request.answered:
+            return
+        request.answered = True
+        if request.timer is not None:
+            request.timer.cancel()
+            self.open -= 1
+        request.conn.answer_buffered(request.id, final, stay_ms, reason, request.slot, data)
+        self.context.note(self.clock(), "answer", id=request.trace, final=FINAL_WORDS[final], stay=stay_ms)
+        if self.stopping and not self.open:
+            self.loop.call_soon(self.context.stop_if_done)
+
+    def _on_progress(self) -> None:
+        """Something of the commits is no longer under way."""
+        self.flushes.check()
+        if self.stopping:
+            self.loop.call_soon(self.context.stop_if_done)
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -54,15 +54,15 @@
         self.lives += 1
         self.node = self.loop.node("h1")
         head = self.head = GatewayServer(self.node, self.clock, self.config, "h1", self.log, Memory())
-        head.buffer(self.disk, self.lasts)
+        head.enable_write_back(self.disk, self.lasts)
         await head.start()
 
     def kill_head(self) -> None:
         assert self.node is not None and self.head is not None
         self.lives += 1
         self.node.kill()
-        if self.head.back is not None:
-            self.head.back.close()
+        if self.head.write_back is not None:
+            self.head.write_back.close()
         self.disk.crash()
 
     def held(self) -> dict[str, bytearray]:
@@ -116,8 +116,8 @@
                 self.kill_head()
                 await self.start_head()
         await asyncio.gather(*tasks)
-        assert self.head is not None and self.head.back is not None
-        back, until = self.head.back, self.loop.now + 60.0
+        assert self.head is not None and self.head.write_back is not None
+        back, until = self.head.write_back, self.loop.now + 60.0
         while len(back.dirty) and self.loop.now < until:
             await asyncio.sleep(0.05)
 
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -99,7 +99,7 @@
                 disk = self.struck.disk(name, self.seed)
                 ahead = life * (self.memory_age_ms or 0.0)
                 wall = self.struck.wall_of(name)
-                head.remember(
+                head.keep_snapshots(
                     disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.struck.beside(name)
                 )
             kept = self.captures[f"{name}.{life}"] = bytearray()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -207,17 +207,17 @@
 
     def kill_head(self) -> None:
         """As SIGKILL does: the system closes its sockets, nothing is said."""
-        self.head.server.close()
-        self.head.listing.close()
+        self.head.listener.close()
+        self.head.discovery.close()
         for conn in self.head.conns:
             conn.gone = lambda exc: None  # type: ignore[method-assign]
             conn.abort()
         for link in self.head.links.values():
             link.ended = lambda *_: None
-            if link.wire is not None:
-                link.wire.abort()
-        if self.head.timer is not None:
-            self.head.timer.cancel()
+            if link.connection is not None:
+                link.connection.abort()
+        if self.head.wake_timer is not None:
+            self.head.wake_timer.cancel()
 
     async def client(self, **more: Any) -> Client:
         client = await connect(self.config.head["h1"].listen, loop=self.loop, **more)
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -176,8 +176,8 @@
         threads[-1].start()
 
     keeper = SnapshotKeeper(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
-    keeper.keep()
+    keeper.save()
     time.sleep(0.02)
-    keeper.keep(whole=True)
+    keeper.save(complete=True)
     threads[0].join()
     assert order == ["begins", "ends"] * 2 and not House.log.lines
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -57,7 +57,7 @@
         assert [(s["name"], s["health"]) for s in state["shelfs"]] == [("s1", "well"), ("s2", "well")]
         assert [v["name"] for v in state["volumes"]] == ["v"]
         rig.shelfs[0].crash()
-        await until(lambda: rig.head.links["s1"].wire is None)
+        await until(lambda: rig.head.links["s1"].connection is None)
         for _ in range(3):
             await client.read("v", "x", 1, slot=0, **LOOK)
         got = json.loads(await (await session.get(URL + "/shelf/s1")).read())
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -112,7 +112,7 @@
             kind_ = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
             core.listed(now, kind_, [e for e in truth if e.standing is not Standing.GONE])
         else:
-            core.take_up(now, CONFIG)
+            core.adopt_config(now, CONFIG)
     pass_until(now + 5000.0)
     told = {i: doing.finals[i] for i in range(1, count + 1)}
     faults = doing.faults + [f"{i}: {n} answers" for i, n in told.items() if n != (i not in left)]
--- a/tests/test_rsync_bad_clients.py
+++ b/tests/test_rsync_bad_clients.py
@@ -27,7 +27,7 @@
         async def watch() -> None:
             nonlocal held_most
             while True:
-                guests = list(t.servers["h1"].door.guests)
+                guests = list(t.servers["h1"].rsync_listener.sessions)
                 held_most = max([held_most, *(len(g.stream.out) + g.stream.held for g in guests)])
                 await asyncio.sleep(5.0)
 
@@ -51,8 +51,8 @@
         stuck, node = await t.line()
         t.loop.net.own_way("h1", node.name).rate = 1e-9
         task = asyncio.ensure_future(call(stuck.stream, Call("tenders"), "pull", ""))
-        await t.until(lambda: t.servers["h1"].door.guests, 1.0)
-        await t.until(lambda: not t.servers["h1"].door.guests, 30.0)
+        await t.until(lambda: t.servers["h1"].rsync_listener.sessions, 1.0)
+        await t.until(lambda: not t.servers["h1"].rsync_listener.sessions, 30.0)
         task.cancel()
         assert (await t.push(TREE)).code == 0  # the head goes on
 
@@ -83,6 +83,6 @@
             line.close()
         assert (await t.push(TREE, "last/")).code == 0
         assert await stands(t, "last/") == held(TREE)
-        await t.until(lambda: t.servers["h1"].door.transfers == 0, 70.0)
+        await t.until(lambda: t.servers["h1"].rsync_listener.transfers == 0, 70.0)
 
     in_town(script)
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -118,7 +118,7 @@
         if self.counts["taken"] % 50 == 0:
             pending.answered = True
             self.open -= 1
-            pending.conn.open.pop(pending.id, None)
+            pending.conn.open_requests.pop(pending.id, None)
         else:
             super()._answer(pending, final, *rest)
 
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -41,7 +41,7 @@
         other = await rig.client()
         rig.shelfs[0].does = Attempt.answer
         assert (await other.read("v", "x", 1, **LOOK)).succeeded
-        assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late == 1
+        assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late_outcomes == 1
 
     on_rig(script)
 
@@ -64,7 +64,7 @@
         client = await rig.client(observer=lambda event, **_: extra.append(event))
         got = await client.write("v", "x", b"1", **SAVE)
         rig.shelfs[0].attempts[0].answer()
-        await until(lambda: rig.head.links["s1"].late == 1)
+        await until(lambda: rig.head.links["s1"].late_outcomes == 1)
         await asyncio.sleep(0.05)
         assert got.final == "terminated" and "extra" not in extra
 
@@ -112,7 +112,7 @@
         assert (await client.read("v", "x", 1, **LOOK)).succeeded
         rig.shelfs[0].crash()
         await rig.shelfs[0].start()
-        await until(lambda: rig.head.links["s1"].wire is None)
+        await until(lambda: rig.head.links["s1"].connection is None)
         assert (await client.read("v", "x", 1, **LOOK)).succeeded
         assert len(rig.shelfs[0].attempts) == 2
 
@@ -213,7 +213,7 @@
         conn.session.feed = lambda data: None  # type: ignore[method-assign]
         lost = await client.read("v", "x", 1, **LOOK)
         assert lost.final == "pushed back"
-        await until(lambda: rig.head.links["s1"].wire is None)
+        await until(lambda: rig.head.links["s1"].connection is None)
         await asyncio.sleep(0.3)
         assert (await client.read("v", "x", 1, **LOOK)).succeeded
         assert len(rig.shelfs[0].conns) == 2
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -66,11 +66,11 @@
     rig.kill_head()
     await asyncio.sleep(0.02)
     rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
-    rig.head.buffer(disk.disk, disk.lasts)
+    rig.head.enable_write_back(disk.disk, disk.lasts)
     await rig.head.start()
     await until(lambda: len(rig.head.core.module.shelfs.at_slot) == len(rig.shelfs))
-    assert rig.head.back is not None
-    return rig.head.back
+    assert rig.head.write_back is not None
+    return rig.head.write_back
 
 
 WHERE = {"profile": "save", "slot": 0, "units": 1.0, "patience_ms": 1000.0}
@@ -161,7 +161,7 @@
         rig.shelfs[0].does = lambda attempt: attempt.answer()
         began = rig.clock()
         await asyncio.wait_for(rig.head.stopped, 8.0)
-        assert not len(back.dirty) and not back.landing.landed
+        assert not len(back.dirty) and not back.node_committer.committed
         assert rig.clock() - began < 2000.0  # once all is noted it ends, and not with its grace
 
     on_rig(script, BUFFERED)
