--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -175,7 +175,7 @@
         head, view = rig.head, View(rig.head)
         for n in range(60):
             rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
-            head._listed(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
+            head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
             head.core.account.held(rig.clock(), n, "v", f"n{n}", 1.0)
             head.core.account.over(rig.clock(), n)
             view.snapshot()
