--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -35,8 +35,10 @@
 )
 
 SETTINGS = Settings(
-    profiles=(RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),),
-    plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
+    request_classes=(
+        RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),
+    ),
+    quota_plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
     mean_units=2.0, most_units=6.0, share_value=0.3, excess_value=0.1, asks_for_list=False, marks_repeats=False,
     may_cancel=True, stay_away_max_ms=500.0, try_limit=3, step_ms=1.0, cold_share=0.3, warm_ms=10_000.0,
     fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0, budget_window_ms=5_000.0,
--- a/pebblehinge/decide/node_health.py
+++ b/pebblehinge/decide/node_health.py
@@ -24,7 +24,7 @@
 PROBE_INTERVAL_MS = 250.0  # between careful attempts to a shelf that is down
 
 
-class NodeHealth(NodeTable):
+class NodeHealth(NodeTable[Request]):
     """What one head knows of them, in parallel arrays, one place a shelf."""
 
     def __init__(self, given: SettingsView, rng: random.Random, now: float) -> None:
--- a/pebblehinge/decide/scheduler.py
+++ b/pebblehinge/decide/scheduler.py
@@ -10,7 +10,7 @@
 from pebblehinge.decide.node_health import FOLLOW, KEEPS_MS, NodeHealth
 from pebblehinge.decide.request import Extent
 from pebblehinge.interface import Changes, Entry, ListCall, ListKind, Settings
-from pebblehinge.scheduler_state import ChangeSet, NodeSnapshot, SettingsView, TokenBuckets, pack
+from pebblehinge.scheduler_state import ChangeSet, FleetFigures, NodeSnapshot, SettingsView, TokenBuckets, pack
 
 
 class Scheduler:
@@ -62,7 +62,11 @@
 
     def remembered(self, now: float) -> dict:
         """What this head has learned, for a later life."""
-        return pack(now, self.shelfs, self.path)
+        nodes = self.shelfs
+        mean_value = self.path.valuation.mean_value_per_unit
+        fleet = FleetFigures(nodes.fleet_mean_ms, nodes.fleet_mean_updated_ms, nodes.low_quartile_ms, mean_value)
+        think_times = {extent: known.counts for extent, known in self.path.extents.items() if known.counts}
+        return pack(now, nodes, fleet, think_times, self.path.valuation.stores, self.path.limits.retries)
 
     def recall(self, now: float, state: dict, age: float, whole: bool) -> None:
         """Takes up what an earlier life knew, so many ms ago. Latencies give way as old answers do, the rest
--- a/pebblehinge/scheduler_state/__init__.py
+++ b/pebblehinge/scheduler_state/__init__.py
@@ -1,5 +1,8 @@
-"""What the decision module keeps book of with no decision in it: settings by name, handles, wakes and changes, columns
-under dense places, lines of requests, memory packed."""
+"""State that the scheduler's decisions read and write, with no decision of its own.
+
+The settings in force, the calls on a request's handle, the changes and wake-ups of a call, the node table, the queues
+by key, the token buckets, the LRU cache and the snapshot that one incarnation leaves to the next.
+"""
 
 from pebblehinge.scheduler_state.change_set import ChangeSet
 from pebblehinge.scheduler_state.key_queues import KeyQueues
@@ -7,7 +10,7 @@
 from pebblehinge.scheduler_state.node_table import NodeTable
 from pebblehinge.scheduler_state.request_handle import RequestHandle
 from pebblehinge.scheduler_state.settings_view import SettingsView
-from pebblehinge.scheduler_state.snapshot import NodeSnapshot, pack
+from pebblehinge.scheduler_state.snapshot import FleetFigures, NodeSnapshot, pack
 from pebblehinge.scheduler_state.token_buckets import TokenBuckets
 
 __all__ = [
@@ -16,6 +19,7 @@
     "SettingsView",
     "KeyQueues",
     "ChangeSet",
+    "FleetFigures",
     "NodeSnapshot",
     "LruCache",
     "TokenBuckets",
--- a/pebblehinge/scheduler_state/change_set.py
+++ b/pebblehinge/scheduler_state/change_set.py
@@ -1,4 +1,4 @@
-"""What a call to the decision module changed, and the times at which it wants to be woken."""
+"""What a call to the scheduler changed, and the times at which it wants to be woken."""
 
 from __future__ import annotations
 
@@ -9,23 +9,33 @@
 
 
 class ChangeSet:
-    """Collects what one call changes, each handle once, in the order of its first change; keeps wakes over calls."""
+    """Collects the handles that one call changes, each once in the order of its first change; wake-ups outlast calls.
+
+    Args:
+        step_ms: the grid of wake-ups, so that one timer serves many; 0 means 1 ms.
+    """
 
     def __init__(self, step_ms: float) -> None:
-        self.step_ms = step_ms or 1.0  # wakes are asked for on this grid, so that one serves many
-        self.wakes: list[tuple[float, int]] = []  # a heap of times and of what is to be looked at then
-        self.asked: set[tuple[float, int]] = set()  # what stands in wakes
-        self.changes, self.marked = Changes(), set()  # marked: the handles' seq
-
-    def wake(self, at: float, what: int) -> None:
-        """Asks to be woken at a time (ms) to look at something; the same twice is once."""
-        wake = (math.ceil(at / self.step_ms) * self.step_ms, what)
+        self.step_ms = step_ms or 1.0
+        self.wakes: list[tuple[float, int]] = []  # a heap of (time, subject)
+        self.asked: set[tuple[float, int]] = set()  # the same rows, for the look-up
+        self.changes = Changes()
+        self.marked: set[int] = set()  # sequence numbers of the handles in changes
+
+    def wake(self, at_ms: float, subject: int) -> None:
+        """Requests a wake-up.
+
+        Args:
+            at_ms: when, rounded up to the grid; the same time and subject twice is one wake-up.
+            subject: what is to be looked at then: a node's index, or one of the scheduler's numbers under 0.
+        """
+        wake = (math.ceil(at_ms / self.step_ms) * self.step_ms, subject)
         if wake not in self.asked:
             self.asked.add(wake)
             heapq.heappush(self.wakes, wake)
 
     def due(self, now: float) -> list[int]:
-        """What has come due by now, each once, in order of its number."""
+        """Takes out the wake-ups due by now (ms) and returns their subjects, each once, in ascending order."""
         due = set()
         while self.wakes and self.wakes[0][0] <= now:
             wake = heapq.heappop(self.wakes)
@@ -34,13 +44,15 @@
         return sorted(due)
 
     def changed(self, handle: Handle) -> None:
+        """Notes that a handle has something new to drain."""
         if handle.seq not in self.marked:
             self.marked.add(handle.seq)
             self.changes.handles.append(handle)
 
     def finish(self, now: float) -> Changes:
-        """Ends a call: what it changed, and when the next wake is (ms, never before now)."""
-        changes, self.changes = self.changes, Changes()
+        """Ends a call and returns what it changed, with the time of the next wake-up (ms, never before now)."""
+        changes = self.changes
+        self.changes = Changes()
         self.marked.clear()
         changes.wake_ms = max(now, self.wakes[0][0]) if self.wakes else None
         return changes
--- a/pebblehinge/scheduler_state/key_queues.py
+++ b/pebblehinge/scheduler_state/key_queues.py
@@ -1,27 +1,35 @@
-"""Lines of requests, one a key, first come first."""
+"""FIFO queues by key."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Generic, TypeVar
 
+T = TypeVar("T")
 
-class KeyQueues:
-    """Who stands in line for a key. A line that empties is forgotten."""
+
+class KeyQueues(Generic[T]):
+    """One FIFO queue a key. A queue that empties is forgotten."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[Any]] = {}
+        self.rows: dict[str, list[T]] = {}
+
+    def join(self, key: str, item: T) -> None:
+        """Appends an item to the queue of a key."""
+        self.rows.setdefault(key, []).append(item)
 
-    def join(self, key: str, one: Any) -> None:
-        self.rows.setdefault(key, []).append(one)
+    def first(self, key: str) -> T:
+        """Returns the first item of a key's queue.
 
-    def first(self, key: str) -> Any:
+        Raises:
+            KeyError: nothing is queued for the key.
+        """
         return self.rows[key][0]
 
-    def leave(self, key: str, one: Any) -> Any:
-        """Returns who is first from now on, None if nobody."""
+    def leave(self, key: str, item: T) -> T | None:
+        """Removes an item, if it is there; returns the first of those left, None if there are none."""
         row = self.rows.get(key, [])
-        if one in row:
-            row.remove(one)
+        if item in row:
+            row.remove(item)
         if not row:
             self.rows.pop(key, None)
         return row[0] if row else None
--- a/pebblehinge/scheduler_state/lru_cache.py
+++ b/pebblehinge/scheduler_state/lru_cache.py
@@ -1,4 +1,4 @@
-"""A table of so many rows, the least recently used out first."""
+"""A table of bounded size that drops the least recently used row."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class LruCache(OrderedDict[str, T]):
-    """Keeps at most so many; `use` is what counts as a use, a plain look-up does not."""
+    """Holds at most `most` rows; only `use` counts as a use, a plain look-up does not."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
         self.most = most
 
     def use(self, key: str, new: T) -> T:
-        """What stands under a key, else what is new, now the last used; over the bound the first goes."""
+        """Returns the row of a key, or stores the new one; it is the last used now, and the oldest may be dropped."""
         found = self.pop(key, None) or new
         self[key] = found
         if len(self) > self.most:
--- a/pebblehinge/scheduler_state/node_table.py
+++ b/pebblehinge/scheduler_state/node_table.py
@@ -1,58 +1,66 @@
-"""The figures of shelfs: parallel columns under dense places."""
+"""The scheduler's figures about storage nodes: parallel columns under a dense index."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Generic, TypeVar
 
+R = TypeVar("R")
 
-class NodeTable:
-    """One place a shelf. The place of a name that is gone, with nothing left there, is the next new name's."""
+
+class NodeTable(Generic[R]):
+    """One row a node. The row of a name that is gone, with no request left there, is given to the next new name.
+
+    R is the type of a request.
+    """
 
     def __init__(self) -> None:
         self.names: list[str] = []
         self.index: dict[str, int] = {}
-        self.vacant: dict[int, None] = {}  # places whose shelf left the list, the first to leave first
-        self.at_slot: dict[int, int] = {}  # slot -> shelf that holds it and may be sent to
-        self.accepting: list[int] = []  # these shelfs, in order
+        self.vacant: dict[int, None] = {}  # rows whose node left the endpoint list, the first to leave first
+        self.at_slot: dict[int, int] = {}  # slot -> node that holds it and is ready
+        self.accepting: list[int] = []  # these nodes, in order
         self.columns: list[list[Any]] = []
-        column = self.column
-        self.ready, self.slots, self.started = column(), column(), column()
-        self.slow_start_ms = column()  # since when, or None
-        self.queued, self.in_flight = column(), column()  # held, earliest due first; with an attempt out, oldest first
-        self.unrounded_limit, self.concurrency_limit = column(), column()  # attempts allowed: unrounded, rounded
-        self.reserved_slots, self.last_extent = (
-            column(),
-            column(),
-        )  # slots kept for an extent, until when; the last one sent
-        self.random_latency_ms, self.sequential_latency_ms, self.mean_latency_ms = (
-            column(),
-            column(),
-            column(),
-        )  # latency averages
-        self.mean_updated_ms, self.last_answer_ms = (
-            column(),
-            column(),
-        )  # mean last fed; last answer, or first attempt after a rest
-        self.consecutive_losses = column()  # attempts timed out or broken since
-        self.unreachable, self.next_probe_ms = column(), column()  # no connection; when the next careful attempt may go
+        self.ready: list[bool] = self.column()
+        self.slots: list[int] = self.column()
+        self.started: list[float] = self.column()  # its process, ms; 0 is long ago
+        self.slow_start_ms: list[float | None] = self.column()  # since when, None if it is warm
+        self.queued: list[list[R]] = self.column()  # earliest due first
+        self.in_flight: list[list[R]] = self.column()  # requests with an attempt out, oldest attempt first
+        self.unrounded_limit: list[float] = self.column()
+        self.concurrency_limit: list[int] = self.column()  # attempts at once: the limit above, rounded
+        self.reserved_slots: list[list[tuple[str, float]]] = self.column()  # kept for an extent, until when
+        self.last_extent: list[str | None] = self.column()  # of the last attempt sent
+        self.random_latency_ms: list[float] = self.column()  # moving averages, 0 where nothing is known
+        self.sequential_latency_ms: list[float] = self.column()
+        self.mean_latency_ms: list[float] = self.column()  # per request of mean size
+        self.mean_updated_ms: list[float] = self.column()
+        self.last_answer_ms: list[float] = self.column()  # or the first attempt after none was out
+        self.consecutive_losses: list[int] = self.column()  # attempts timed out or broken since that answer
+        self.unreachable: list[bool] = self.column()
+        self.next_probe_ms: list[float] = self.column()
 
     def column(self) -> list[Any]:
-        """A further column; it grows with the places."""
+        """Returns a further column, None in each row; it grows with the table."""
         self.columns.append([None] * len(self.names))
         return self.columns[-1]
 
     def all_but(self, names: set[str]) -> list[int]:
-        """The places of all other names."""
-        return [at for at, name in enumerate(self.names) if name not in names]
+        """Returns the rows of all other names."""
+        return [index for index, name in enumerate(self.names) if name not in names]
 
     def place(self, name: str) -> int:
-        """A place for a new name, with nothing held or out and None elsewhere."""
-        at = next((p for p in self.vacant if not self.queued[p] and not self.in_flight[p]), len(self.names))
-        if at in self.vacant:
-            del self.vacant[at], self.index[self.names[at]]
-        self.index[name] = at
-        self.names[at : at + 1] = [name]
+        """Returns a row for a new name, with nothing queued or in flight and None elsewhere."""
+        free = (row for row in self.vacant if not self.queued[row] and not self.in_flight[row])
+        index = next(free, len(self.names))
+        if index in self.vacant:
+            del self.vacant[index]
+            del self.index[self.names[index]]
+        self.index[name] = index
+        self.names[index : index + 1] = [name]
         for column in self.columns:
-            column[at : at + 1] = [None]
-        self.ready[at], self.queued[at], self.in_flight[at], self.reserved_slots[at] = False, [], [], []
-        return at
+            column[index : index + 1] = [None]
+        self.ready[index] = False
+        self.queued[index] = []
+        self.in_flight[index] = []
+        self.reserved_slots[index] = []
+        return index
--- a/pebblehinge/scheduler_state/request_handle.py
+++ b/pebblehinge/scheduler_state/request_handle.py
@@ -2,29 +2,50 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Protocol
 
 from pebblehinge.interface import Answer, Attempt, Changes, Outcome
+from pebblehinge.scheduler_state.change_set import ChangeSet
+
+
+class RequestOwner(Protocol):
+    """Decides what a call on a handle means; `notes` collects what it changed."""
+
+    notes: ChangeSet
+
+    def ended(self, request: Any, now: float, outcome: Outcome, over: bool, took: float, /) -> None:
+        """The attempt in flight has its outcome."""
+
+    def left(self, request: Any, now: float, /) -> None:
+        """The client is gone."""
 
 
 class RequestHandle:
-    """A handle: its calls go to the path that its request is on. What the last one changed is in attempts,
-    cancellations and answer."""
+    """A handle: passes its calls to the owner of its request, and keeps what changed until it is drained."""
 
-    path: Any  # decides what a call means: ended, left, and the notes of what changed
-    sent, out = 0, False  # attempts so far; whether one is out
-    attempts: list[Attempt]
+    path: RequestOwner
+    attempts: list[Attempt]  # new ones since the last drain, like the two below
     cancellations: list[int]
     answer: Answer | None
+    sent: int = 0  # attempts so far
+    out: bool = False  # one is in flight
 
     def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
-        """An attempt, counted from 0, has its outcome; one that is not out any longer is ignored."""
+        """Takes the outcome of an attempt, counted from 0; one that is no longer in flight is ignored.
+
+        Args:
+            now: clock, ms.
+            attempt: its number.
+            outcome: how it ended.
+            over: the client has its answer, nothing more is owed.
+            took_ms: from its start to its end.
+        """
         if self.out and attempt == self.sent - 1:
             self.path.ended(self, now, outcome, over, took_ms)
         return self.path.notes.finish(now)
 
     def begun(self, now: float) -> Changes:
-        """The answer has begun to stream: it ends by its outcome, and nothing is left to decide."""
+        """The answer has begun to stream: nothing is left to decide until its outcome."""
         return self.path.notes.finish(now)
 
     def left(self, now: float) -> Changes:
@@ -33,7 +54,9 @@
         return self.path.notes.finish(now)
 
     def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
-        """What changed since the last look: new attempts, attempts to cancel, the final answer."""
+        """Returns what is new since the last call: attempts, numbers of attempts to cancel, the final answer."""
         changed = self.attempts, self.cancellations, self.answer
-        self.attempts, self.cancellations, self.answer = [], [], None
+        self.attempts = []
+        self.cancellations = []
+        self.answer = None
         return changed
--- a/pebblehinge/scheduler_state/settings_view.py
+++ b/pebblehinge/scheduler_state/settings_view.py
@@ -6,15 +6,16 @@
 
 
 class SettingsView:
-    """The settings in force, by name, and the sums over them. Parts of a head share one, so all change at once."""
+    """The settings in force, with look-ups by name and sums. A scheduler's parts share one, so all change at once."""
 
     def __init__(self, settings: Settings) -> None:
         self.adopt(settings)
 
     def adopt(self, settings: Settings) -> None:
+        """Replaces the settings."""
         self.cfg = settings
-        self.request_classes = {p.name: p for p in settings.request_classes}
-        self.quota_plans = {p.name: p for p in settings.quota_plans}
-        self.rates = sum(p.rate for p in settings.quota_plans)
-        self.weights = sum(p.weight for p in settings.quota_plans)
-        self.shortest_ms = min(p.latency_objective_ms for p in settings.request_classes)  # of the latency objectives
+        self.request_classes = {row.name: row for row in settings.request_classes}
+        self.quota_plans = {row.name: row for row in settings.quota_plans}
+        self.rates = sum(row.rate for row in settings.quota_plans)  # units a second
+        self.weights = sum(row.weight for row in settings.quota_plans)
+        self.shortest_ms = min(row.latency_objective_ms for row in settings.request_classes)
--- a/pebblehinge/scheduler_state/snapshot.py
+++ b/pebblehinge/scheduler_state/snapshot.py
@@ -1,12 +1,19 @@
-"""What a head has learned, packed for a later life and unpacked again. Times are ages: no clock needs to last."""
+"""What a scheduler has learned, packed for a later incarnation. Times are ages, since no clock needs to last.
+
+The keys of the packed form are those of the stored file and of the wire; the names here are others.
+"""
 
 from __future__ import annotations
 
+from collections import deque
 from typing import Any, NamedTuple
 
+from pebblehinge.scheduler_state.node_table import NodeTable
+from pebblehinge.scheduler_state.token_buckets import TokenBuckets
+
 
 class NodeSnapshot(NamedTuple):
-    """What an earlier life knew of a shelf."""
+    """What an earlier incarnation knew of a node; times in ms on the present clock."""
 
     random_latency_ms: float
     sequential_latency_ms: float
@@ -19,43 +26,78 @@
 
     @classmethod
     def of(cls, row: list[float], life: tuple[int, float] | None, then: float, left: float) -> NodeSnapshot:
-        """From what was packed at a time; ages are before it, under 0 is none. Old memory has no lives."""
-        plain, run, mean, seen, unrounded_limit, cold = row
+        """Unpacks a node's row.
+
+        Args:
+            row: the node's figures as `pack` wrote them; ages are before `then`, under 0 is none.
+            life: slot of its process and age of its start; None in snapshots of older versions.
+            then: when it was packed, ms on the present clock.
+            left: how much of it still counts, 0 to 1.
+        """
+        random_ms, sequential_ms, mean_ms, mean_age_ms, unrounded_limit, slow_start_age_ms = row
         if life is not None:
-            slot, since = life
-            life = None if slot < 0 else (slot, then - since if since >= 0 else 0.0)
-        return cls(plain, run, mean, then - seen, unrounded_limit, then - cold if cold >= 0 else None, life, left)
+            slot, start_age_ms = life
+            life = None if slot < 0 else (slot, then - start_age_ms if start_age_ms >= 0 else 0.0)
+        slow_start_ms = then - slow_start_age_ms if slow_start_age_ms >= 0 else None
+        return cls(random_ms, sequential_ms, mean_ms, then - mean_age_ms, unrounded_limit, slow_start_ms, life, left)
+
+
+class FleetFigures(NamedTuple):
+    """What a scheduler knows of all nodes and requests together."""
+
+    mean_ms: float
+    mean_updated_ms: float
+    low_quartile_ms: float
+    mean_value_per_unit: float
+
+
+def _age_or_none(now: float, since: float | None) -> float:
+    return -1.0 if since is None else now - since
+
+
+def pack(
+    now: float,
+    nodes: NodeTable[Any],
+    fleet: FleetFigures,
+    think_times: dict[str, dict[int, float]],
+    limits: dict[str, TokenBuckets],
+    retries: deque[float],
+) -> dict[str, Any]:
+    """Packs what is to be known to a later incarnation, as plain values.
 
+    Args:
+        now: clock, ms.
+        nodes: the node table.
+        fleet: figures over all nodes.
+        think_times: by extent, the counts by bucket.
+        limits: token buckets by volume.
+        retries: when the retries that the retry budget still counts were sent, ms.
 
-def pack(now: float, shelfs: Any, path: Any) -> dict[str, Any]:
-    """What stays of a head's shelfs and of its path for a later life, as plain values."""
+    Returns:
+        The stored form: nodes' figures and processes, the fleet's, think times, limits and retries.
+    """
     known = {
         name: [
-            shelfs.random_latency_ms[s],
-            shelfs.sequential_latency_ms[s],
-            shelfs.mean_latency_ms[s],
-            now - shelfs.mean_updated_ms[s],
-            shelfs.unrounded_limit[s],
-            -1.0 if shelfs.slow_start_ms[s] is None else now - shelfs.slow_start_ms[s],
+            nodes.random_latency_ms[index],
+            nodes.sequential_latency_ms[index],
+            nodes.mean_latency_ms[index],
+            now - nodes.mean_updated_ms[index],
+            nodes.unrounded_limit[index],
+            _age_or_none(now, nodes.slow_start_ms[index]),
         ]
-        for s, name in enumerate(shelfs.names)
-        if shelfs.mean_latency_ms[s] or shelfs.slow_start_ms[s] is not None
+        for index, name in enumerate(nodes.names)
+        if nodes.mean_latency_ms[index] or nodes.slow_start_ms[index] is not None
     }
-    lives = {
-        name: [shelfs.slots[s], now - shelfs.started[s] if shelfs.started[s] else -1.0]
-        for name, s in shelfs.index.items()
+    processes = {
+        name: [nodes.slots[index], now - nodes.started[index] if nodes.started[index] else -1.0]
+        for name, index in nodes.index.items()
         if name in known
     }
     return {
         "shelfs": known,
-        "lives": lives,
-        "every": [
-            shelfs.fleet_mean_ms,
-            now - shelfs.fleet_mean_updated_ms,
-            shelfs.low_quartile_ms,
-            path.valuation.mean_value_per_unit,
-        ],
-        "thinks": {x: e.counts for x, e in path.extents.items() if e.counts},
-        "limits": {v: [st.limit, now - st.at_ms] for v, st in path.valuation.stores.items()},
-        "further": [now - t for t in path.limits.retries],
+        "lives": processes,
+        "every": [fleet.mean_ms, now - fleet.mean_updated_ms, fleet.low_quartile_ms, fleet.mean_value_per_unit],
+        "thinks": think_times,
+        "limits": {volume: [buckets.limit, now - buckets.at_ms] for volume, buckets in limits.items()},
+        "further": [now - sent_ms for sent_ms in retries],
     }
--- a/pebblehinge/scheduler_state/token_buckets.py
+++ b/pebblehinge/scheduler_state/token_buckets.py
@@ -1,13 +1,21 @@
-"""What a head keeps of a volume."""
+"""The token buckets of one volume."""
 
 from __future__ import annotations
 
 
 class TokenBuckets:
-    """A volume's stores: this head's part of the limit, and what is still due of reserve and share, in units."""
+    """A volume's tokens, in units: this gateway's part of its limit, and what is still due of reserve and share.
+
+    Args:
+        limit: tokens of the limit at the start.
+        at_ms: up to when the buckets are filled.
+        due: tokens of reserve and share at the start.
+    """
 
     __slots__ = ("limit", "reserve", "share", "at_ms")
 
     def __init__(self, limit: float, at_ms: float, due: float) -> None:
-        self.limit, self.at_ms = limit, at_ms  # filled up to that time
-        self.reserve = self.share = due
+        self.limit = limit
+        self.at_ms = at_ms
+        self.reserve = due
+        self.share = due
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -61,7 +61,7 @@
             served(head, now, slot, 5.0)
     head.woken(now + 10_000.0)
     found = sizes(head)
-    bounded_otherwise = ("Limits.takes", "Given.request_classes", "Given.quota_plans")
+    bounded_otherwise = ("Limits.takes", "SettingsView.request_classes", "SettingsView.quota_plans")
     assert len(found) > 30 and max(n for name, n in found.items() if name not in bounded_otherwise) <= 20, found
     served(head, now, 3, 5.0)
 
