--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -1,15 +1,15 @@
-"""Types that pass between the decision module and whatever feeds it and acts for it.
-
-How to call the module (`decide/`): Head(settings, seed, now), then head.start(now) once. head.take(...) gives the
-handle of a request and what changed; all that later happens to that request is a call on its handle: ended (an
-attempt's outcome), begun (its stream has started), left (the client is gone). head.listed feeds a list of shelfs,
-head.woken says that a time asked for has come. Each returns Changes: the handles that changed, in order, with their new
-attempts, cancellations and final answer, then the next wake and the calls to the list. head.adopt takes new settings in
-service: what is held goes on under the new figures. head.leaves tells when this life ends. head.remembered gives what
-was learned, head.recall takes it up in a later life, before the first list.
-
-Times are milliseconds with fractions on the caller's clock; nothing in the module reads another. Rates are units a
-second, ids are as given by the caller. There are no decisions here.
+"""Types that pass between the scheduler (`decide/`) and whatever feeds it and acts for it. No decisions are taken here.
+
+How the scheduler is called: `Scheduler(settings, seed, now)`, then `start(now)` once. `take(...)` gives the handle of a
+request and what changed; all that later happens to that request is a call on its handle: `ended` (an attempt's
+outcome), `begun` (its stream has started), `left` (the client is gone). `listed` feeds an endpoint list or changes to
+it, `woken` says that a requested time has come. Each returns `Changes`: the handles that changed, in order, each with
+its new attempts, cancellations and final answer, then the next wake-up and the calls to discovery. `adopt` replaces the
+settings in service: queued requests go on under the new ones. `leaves` begins a graceful shutdown. `remembered` gives
+a snapshot of what was learned, `recall` restores it in a later incarnation, before its first list.
+
+Times are milliseconds with fractions on the caller's clock; the scheduler reads no other. Rates are units a second. Ids
+are the caller's.
 """
 
 from __future__ import annotations
@@ -20,7 +20,10 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request would do."""
+    """Whether a request may be sent again after an attempt that may have run. The values are words of the settings.
+
+    A non-idempotent request may not; one with an idempotency key may, within its class's window.
+    """
 
     IDEMPOTENT = "redoable"
     IDEMPOTENT_WITH_KEY = "labelled"
@@ -28,7 +31,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which shelfs drop a repeat of a keyed request."""
+    """Among which storage nodes a request with an idempotency key is deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,20 +39,20 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt ended. The values are words of records and answers."""
 
-    SUCCEEDED = "honoured"  # the shelf served it
-    SERVER_ERROR = "erred"  # the shelf answered with an error; it may have run
-    OVERLOADED = "full"  # turned away unseen
+    SUCCEEDED = "honoured"  # the node served it
+    SERVER_ERROR = "erred"  # the node answered with an error; it may have run
+    OVERLOADED = "full"  # rejected by the node before it ran
     TIMED_OUT = "overdue"  # no answer in time; it may have run or still run
     CONNECT_FAILED = "unreached"  # no connection; it never ran
-    CONNECTION_LOST = "broken"  # the connection broke meanwhile; it may have run
-    CANCELLED = "recalled"  # withdrawn; it may have run
+    CONNECTION_LOST = "broken"  # the connection broke before an answer; it may have run
+    CANCELLED = "recalled"  # by the scheduler; it may have run
     NOT_SENT = "moot"  # never sent
 
 
 class Standing(Enum):
-    """What the list says of a shelf."""
+    """The state of a storage node in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -57,7 +60,7 @@
 
 
 class ListKind(Enum):
-    """What a list holds."""
+    """What an endpoint list from discovery holds: changes, all, all from its cache, or nothing as the call failed."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -66,13 +69,13 @@
 
 
 class ListCall(Enum):
-    """A call to the service that keeps the list."""
+    """A call to discovery."""
 
     WATCH = "watch"
 
 
 class Final(Enum):
-    """A final answer that the head gives itself."""
+    """A final answer that the gateway gives by itself. The values are words of answers that clients match on."""
 
     REJECTED = "pushed back"
     FAILED = "terminated"
@@ -80,61 +83,61 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A kind of request, as the settings state it."""
+    """A class of requests, as the settings state it."""
 
     name: str
-    priority_weight: float
-    latency_objective_ms: float
-    max_wait_ms: float
+    priority_weight: float  # value of a unit
+    latency_objective_ms: float  # an answer later than this counts with late_value_share of its value
+    max_wait_ms: float  # how long its clients wait
     late_value_share: float
     repeat: Idempotency
     group: DeduplicationScope
-    window_ms: float
-    in_order: bool
+    window_ms: float  # for how long an idempotency key is known, from the first attempt that may have run
+    in_order: bool  # one at a time per extent, in order of arrival
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaPlan:
-    """What a volume of this plan is due; all figures count over all heads. A limit rate of 0 is no limit."""
+    """What a volume of this plan is due, over all gateways together. Rates in units a second."""
 
     name: str
-    rate: float
-    reserve: float
-    limit_rate: float
-    limit_burst: float
-    limit_slack: float
-    weight: float
+    rate: float  # the usual one
+    reserve: float  # rate that counts with its full value
+    limit_rate: float  # 0 is no limit
+    limit_burst: float  # units
+    limit_slack: float  # units
+    weight: float  # of its share beyond the reserve
     value_factor: float
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What an instance is told at its start."""
+    """All settings of a scheduler. Shares are parts of 1."""
 
     request_classes: tuple[RequestClass, ...]
     quota_plans: tuple[QuotaPlan, ...]
-    mean_units: float
-    most_units: float
-    share_value: float
-    excess_value: float
-    asks_for_list: bool
-    marks_repeats: bool
+    mean_units: float  # of a request
+    most_units: float  # of a request
+    share_value: float  # value of a unit inside the volume's share but beyond its reserve
+    excess_value: float  # value of a unit beyond both
+    asks_for_list: bool  # discovery has to be asked for a watch; else it pushes lists
+    marks_repeats: bool  # clients say whether a request is a retry of theirs
     may_cancel: bool
-    stay_away_max_ms: float  # 0 where none may be given
-    try_limit: int
-    step_ms: float
-    cold_share: float
-    warm_ms: float
-    fall_multiple: float
-    order_settle_ms: float
-    budget_share: float | None
-    budget_free: float
+    stay_away_max_ms: float  # the longest Retry-After, 0 where none may be given
+    try_limit: int  # attempts a request
+    step_ms: float  # resolution of the clock
+    cold_share: float  # of its capacity that a node has at its start
+    warm_ms: float  # duration of a slow start
+    fall_multiple: float  # a node that is warming up fails at this multiple of what it can do
+    order_settle_ms: float  # wait in an extent's queue after an attempt that may still run
+    budget_share: float | None  # retry budget as a share of requests, None for no budget
+    budget_free: float  # retries a window allowed in any case
     budget_window_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One line of a list of shelfs. A start of 0 is long ago."""
+    """One line of an endpoint list. A start of 0 is long ago."""
 
     shelf: str
     standing: Standing
@@ -144,41 +147,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """An attempt to send: where to, the clock time at which it is to be abandoned, and that by which all of it has to
-    have left: past that it is not to begin any more."""
+    """An attempt to send. Times are on the caller's clock."""
 
     shelf: str
-    until_ms: float
-    begin_by_ms: float = float("inf")
+    until_ms: float  # its deadline: abandoned then
+    begin_by_ms: float = float("inf")  # by when all of it has to have left, else it is not to begin
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A final answer; a stay-away time of 0 is none. `why` is the module's own branch, in a few words for people."""
+    """A final answer. `why` says in a few words, for people, which rule gave it."""
 
     final: Final
-    stay_away_ms: float = 0.0
+    stay_away_ms: float = 0.0  # Retry-After, 0 is none
     why: str = ""
 
 
 class Handle(Protocol):
-    """The handle of one request, as callers see it; what its calls mean stands in decide/request.py."""
+    """The handle of one request, as callers see it; decide/dispatch.py says what its calls mean."""
 
     id: int
     seq: int
-    shelf: int  # the place of its shelf, under 0 where it has none
-    out: bool  # an attempt is out
+    shelf: int  # index of its node, under 0 where it has none
+    out: bool  # an attempt is in flight
     over: bool  # nothing more is owed
 
-    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes: ...
-    def begun(self, now: float) -> Changes: ...
-    def left(self, now: float) -> Changes: ...
-    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]: ...
+    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
+        """An attempt, counted from 0, has ended; `over` says that nothing more is owed to the client."""
+
+    def begun(self, now: float) -> Changes:
+        """The answer has begun to stream."""
+
+    def left(self, now: float) -> Changes:
+        """The client is gone."""
+
+    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
+        """Returns what is new since the last call: attempts, numbers of attempts to cancel, the final answer."""
 
 
 @dataclass(slots=True)
 class Changes:
-    """What a call changed: handles in order, each with its new attempts, cancellations and final answer."""
+    """What a call changed. Handles are in order, each with its new attempts, cancellations and final answer."""
 
     handles: list[Handle] = field(default_factory=list)
     wake_ms: float | None = None
--- a/pebblehinge/platform_settings.py
+++ b/pebblehinge/platform_settings.py
@@ -1,16 +1,19 @@
-"""The settings as the platform states them: one object, the same for an instance of the simulator and a real head.
+"""Reads the platform's settings object, which the simulator and a gateway's configuration file share.
 
-Names and units of the object are the platform's; what comes out has ours. No decisions are taken here.
+Names and units of the object are the platform's; `read_settings` is the table of theirs and the code's.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 
 from pebblehinge.interface import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings, Standing
 
+T = TypeVar("T")
+
+MS_PER_S = 1000.0
 IDEMPOTENCY_BY_EFFECT = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.IDEMPOTENT_WITH_KEY,
@@ -21,79 +24,114 @@
 
 
 class PlatformSettingsError(Exception):
-    """Something in the object is not as it should be; the text names the place and what was expected."""
+    """The object is not as it should be; the text names the place and what was expected."""
 
 
 class SettingsReader:
-    """Takes values out of such an object; a missing key or a wrong kind is named by its place."""
+    """Takes values out of one object of the settings; errors name the value by its place.
+
+    Args:
+        raw: the object, as decoded.
+        place: its place within the whole, empty for the whole itself.
+        whole: what the whole is called in errors.
+
+    Raises:
+        PlatformSettingsError: `raw` is no object. The methods raise it for a value that is missing or of another type.
+    """
 
     def __init__(self, raw: Any, place: str, whole: str = "settings") -> None:
-        self.raw, self.place, self.whole = raw, place, whole
         if not isinstance(raw, dict):
             raise PlatformSettingsError(f"{whole}: {place or 'the whole'} is no object: expected named values")
-
-    def get(self, key: str, kind: type, default: Any = None, scale: float = 1.0) -> Any:
-        where = f"{self.place}.{key}" if self.place else key
+        self.raw: dict[str, Any] = raw
+        self.place = place
+        self.whole = whole
+
+    def get(self, key: str, kind: type[T], default: T | None = None, scale: float = 1.0) -> T:
+        """Returns the value of a key.
+
+        Args:
+            key: its name in this object.
+            kind: the type it has to have.
+            default: returned as it is where the key is missing; None where it may not be.
+            scale: what a float is multiplied by.
+        """
+        where = self._place_of(key)
         if key not in self.raw:
             if default is not None:
                 return default
             raise PlatformSettingsError(f"{self.whole}: {where} is missing: expected {kind.__name__}")
         try:
-            value = msgspec.convert(self.raw[key], kind)
+            value: Any = msgspec.convert(self.raw[key], kind)
         except msgspec.ValidationError as error:
             raise PlatformSettingsError(f"{self.whole}: {where}: {error}") from None
-        return value * scale if kind is float else value
+        converted: T = value * scale if kind is float else value
+        return converted
 
-    def word(self, key: str, words: dict[str, Any], default: str | None = None) -> Any:
+    def word(self, key: str, words: dict[str, T], default: str | None = None) -> T:
+        """Returns what the table has for the word under a key, or for the default where the key is missing."""
         value = self.get(key, str, default)
         if value not in words:
-            raise PlatformSettingsError(
-                f"{self.whole}: {self.place}.{key} is {value!r}: expected one of {', '.join(words)}"
-            )
+            expected = ", ".join(words)
+            raise PlatformSettingsError(f"{self.whole}: {self.place}.{key} is {value!r}: expected one of {expected}")
         return words[value]
 
     def sub(self, key: str) -> SettingsReader:
-        return SettingsReader(self.get(key, dict), f"{self.place}.{key}" if self.place else key, self.whole)
+        """Returns a reader of the object under a key."""
+        return SettingsReader(self.get(key, dict), self._place_of(key), self.whole)
 
     def rows(self, key: str) -> list[SettingsReader]:
+        """Returns readers of the objects in the list under a key."""
         rows = self.get(key, list)
         return [SettingsReader(row, f"{key}[{i}]", self.whole) for i, row in enumerate(rows)]
 
+    def _place_of(self, key: str) -> str:
+        return f"{self.place}.{key}" if self.place else key
+
+
+def _read_request_class(row: SettingsReader) -> RequestClass:
+    return RequestClass(
+        name=row.get("name", str),
+        priority_weight=row.get("points", float),
+        latency_objective_ms=row.get("on_time_s", float, scale=MS_PER_S),
+        max_wait_ms=row.get("give_up_s", float, scale=MS_PER_S),
+        late_value_share=row.get("late_worth", float, 0.0),
+        repeat=row.word("effect", IDEMPOTENCY_BY_EFFECT),
+        group=row.word("group", DEDUPLICATION_SCOPES, "all"),
+        window_ms=row.get("repeat_window_s", float, 0.0, scale=MS_PER_S),
+        in_order=row.get("sequential", bool, False),
+    )
+
+
+def _read_quota_plan(row: SettingsReader) -> QuotaPlan:
+    return QuotaPlan(
+        name=row.get("name", str),
+        rate=row.get("base_rate", float),
+        reserve=row.get("reserve", float, 0.0),
+        limit_rate=row.get("ceiling_rate", float, 0.0),
+        limit_burst=row.get("limit_burst", float, 0.0),
+        limit_slack=row.get("cap_slack", float, 0.0),
+        weight=row.get("proportion", float, 1.0),
+        value_factor=row.get("worth_factor", float, 1.0),
+    )
+
 
 def read_settings(raw: Any) -> Settings:
-    """The module's settings, from the object as it was decoded."""
+    """Reads the scheduler's settings.
+
+    Args:
+        raw: the platform's object, as decoded.
+
+    Raises:
+        PlatformSettingsError: a value is missing or not as it should be.
+    """
     env = SettingsReader(raw, "")
-    caps, rules, info = env.sub("ceilings"), env.sub("rules"), env.sub("family_info")
+    caps = env.sub("ceilings")
+    rules = env.sub("rules")
+    info = env.sub("family_info")
     habits = SettingsReader(env.get("client_habits", dict, {}), "client_habits")
-    ms = 1000.0
-    budget = "repeat_ratio" in rules.raw or "min_extra" in rules.raw
-    request_classes = tuple(
-        RequestClass(
-            name=row.get("name", str),
-            priority_weight=row.get("points", float),
-            latency_objective_ms=row.get("on_time_s", float, scale=ms),
-            max_wait_ms=row.get("give_up_s", float, scale=ms),
-            late_value_share=row.get("late_worth", float, 0.0),
-            repeat=row.word("effect", IDEMPOTENCY_BY_EFFECT),
-            group=row.word("group", DEDUPLICATION_SCOPES, "all"),
-            window_ms=row.get("repeat_window_s", float, 0.0, scale=ms),
-            in_order=row.get("sequential", bool, False),
-        )
-        for row in env.rows("classes")
-    )
-    quota_plans = tuple(
-        QuotaPlan(
-            name=row.get("name", str),
-            rate=row.get("base_rate", float),
-            reserve=row.get("reserve", float, 0.0),
-            limit_rate=row.get("ceiling_rate", float, 0.0),
-            limit_burst=row.get("limit_burst", float, 0.0),
-            limit_slack=row.get("cap_slack", float, 0.0),
-            weight=row.get("proportion", float, 1.0),
-            value_factor=row.get("worth_factor", float, 1.0),
-        )
-        for row in env.rows("service_levels")
-    )
+    has_budget = "repeat_ratio" in rules.raw or "min_extra" in rules.raw
+    request_classes = tuple(_read_request_class(row) for row in env.rows("classes"))
+    quota_plans = tuple(_read_quota_plan(row) for row in env.rows("service_levels"))
     return Settings(
         request_classes=request_classes,
         quota_plans=quota_plans,
@@ -104,14 +142,14 @@
         asks_for_list=env.word("membership_mode", {"push": False, "ask": True}),
         marks_repeats=habits.get("marks_retry", bool, False),
         may_cancel=caps.get("cancel", bool),
-        stay_away_max_ms=caps.get("max_retry_after_s", float, 0.0, scale=ms) * caps.get("retry_after", bool),
+        stay_away_max_ms=caps.get("max_retry_after_s", float, 0.0, scale=MS_PER_S) * caps.get("retry_after", bool),
         try_limit=caps.get("try_limit", int),
-        step_ms=env.get("step_s", float, scale=ms),
+        step_ms=env.get("step_s", float, scale=MS_PER_S),
         cold_share=rules.get("cold_share", float),
-        warm_ms=rules.get("warm_after_s", float, scale=ms),
+        warm_ms=rules.get("warm_after_s", float, scale=MS_PER_S),
         fall_multiple=rules.get("fall_multiple", float),
-        order_settle_ms=rules.get("order_settle_s", float, 0.0, scale=ms),
-        budget_share=rules.get("repeat_ratio", float) if budget else None,
-        budget_free=rules.get("min_extra", float) if budget else 0.0,
-        budget_window_ms=rules.get("look_back_s", float, scale=ms) if budget else 0.0,
+        order_settle_ms=rules.get("order_settle_s", float, 0.0, scale=MS_PER_S),
+        budget_share=rules.get("repeat_ratio", float) if has_budget else None,
+        budget_free=rules.get("min_extra", float) if has_budget else 0.0,
+        budget_window_ms=rules.get("look_back_s", float, scale=MS_PER_S) if has_budget else 0.0,
     )
