--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -38,7 +38,8 @@
         """Each shelf with its health as this head sees it, and why."""
         module, found = self.head.core.module.shelfs, []
         for s, name in enumerate(module.names):
-            cold = module.slow_start_ms[s] is not None and now - module.slow_start_ms[s] < module.given.cfg.warm_ms
+            since, warm_ms = module.slow_start_ms[s], module.settings.current.warm_ms
+            cold = since is not None and now - since < warm_ms
             if not module.ready[s]:
                 health, why = "away", "not ready in the list"
             elif module.unreachable[s]:
@@ -66,7 +67,7 @@
 
     def volumes(self) -> list[dict[str, Any]]:
         """The volumes that were used last, against reserve, share and limit as this head keeps them."""
-        stores, config = self.head.core.module.path.valuation.stores, self.head.config
+        stores, config = self.head.core.module.dispatcher.valuation.buckets, self.head.config
         found = []
         for name in list(stores)[-MOST_VOLUMES:][::-1]:
             store, block = stores[name], config.volume.get(name)
--- a/pebblehinge/decide/__init__.py
+++ b/pebblehinge/decide/__init__.py
@@ -1,4 +1,4 @@
-"""All decisions of pebblehinge. How they are called stands in interface.py; a request's way in path.py."""
+"""All scheduling decisions. How they are called stands in interface.py; the way of a request in dispatch.py."""
 
 from pebblehinge.decide.dispatch import NEVER_RAN
 from pebblehinge.decide.node_health import CONCURRENCY_LIMIT
--- a/pebblehinge/decide/dispatch.py
+++ b/pebblehinge/decide/dispatch.py
@@ -1,44 +1,50 @@
-"""The ordinary path of a request, from top to bottom: taken, held, sent, answered or given up."""
+"""The ordinary way of a request, from top to bottom: taken, queued, sent, answered or given up."""
 
 from __future__ import annotations
 
 import math
 from bisect import insort
 
+from pebblehinge.decide.anticipation import Anticipation
 from pebblehinge.decide.limits import Limits
 from pebblehinge.decide.load_shedding import LoadShedder
 from pebblehinge.decide.node_health import CONCURRENCY_LIMIT, LATENCIES, PROBE_INTERVAL_MS, SILENT_MS, NodeHealth
-from pebblehinge.decide.request import REMEMBERED, Extent, Request
+from pebblehinge.decide.request import REMEMBERED, ExtentState, Request
+from pebblehinge.decide.retries import Retries
 from pebblehinge.decide.valuation import Valuation
 from pebblehinge.interface import Attempt, Changes, Idempotency, Outcome
 from pebblehinge.scheduler_state import ChangeSet, LruCache
 
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-RETRYABLE = (
-    Outcome.SERVER_ERROR,
-    Outcome.OVERLOADED,
-    Outcome.CONNECT_FAILED,
-    Outcome.CONNECTION_LOST,
-    Outcome.CANCELLED,
-)  # may be well
-OVERTAKEN = 3  # later attempts answered first, after which an attempt out for as many latencies counts as lost
 
 
 class Dispatcher:
-    """What one head does with its requests."""
+    """What one gateway does with its requests.
+
+    Args:
+        shelfs: the nodes and their health.
+        notes: collects what a call changes.
+        now: clock, ms.
+    """
 
     def __init__(self, shelfs: NodeHealth, notes: ChangeSet, now: float) -> None:
-        self.given, self.rng, self.shelfs, self.notes = shelfs.given, shelfs.rng, shelfs, notes
-        self.end_ms, self.seq = math.inf, 0  # once this life ends: nothing is held past it
-        self.extents: LruCache[Extent] = LruCache(REMEMBERED)
-        self.valuation = Valuation(self.given, now)
+        self.settings = shelfs.settings
+        self.rng = shelfs.rng
+        self.shelfs = shelfs
+        self.notes = notes
+        self.end_ms = math.inf  # end of a graceful shutdown: no request is queued past it
+        self.seq = 0  # of the last request
+        self.extents: LruCache[ExtentState] = LruCache(REMEMBERED)
+        self.valuation = Valuation(self.settings, now)
         self.limits = Limits(shelfs, self.valuation, notes, now)
-        self.refusal = LoadShedder(self.limits, self.extents)
+        self.load_shedder = LoadShedder(self.limits, self.extents)
+        self.anticipation = Anticipation(shelfs, self.extents, notes)
+        self.retries = Retries(self.limits)
 
     def take(
         self,
         now: float,
-        id_: int,
+        request_id: int,
         extent: str | None,
         request_class: str,
         quota_plan: str,
@@ -49,75 +55,114 @@
         deadline_ms: float,
         repeat: bool | None = None,
     ) -> tuple[Request, Changes]:
-        """A client's request has come; a repeat is its further try, None if not told. serve goes on."""
-        a, cfg = Request(), self.given.cfg
-        a.path, a.id, a.extent, a.volume, a.slot, a.units = self, id_, extent, volume, slot, units
-        a.set_size = max(1, set_size)
-        a.slow_start_turn = self.rng.random()
-        a.size = (1.0 + units / (cfg.mean_units or units or 1.0)) / 2  # half goes by size
-        a.request_class, a.quota_plan = self.given.request_classes[request_class], self.given.quota_plans[quota_plan]
-        a.deadline_ms = min(deadline_ms - 2 * cfg.step_ms, self.end_ms)
-        # A client's clock runs on over its tries: one with less patience left than its profile's has waited
-        # before, here or at a head that died, and is due by so much earlier. But one that leaves before an
+        """Takes a client's request, and sends what can be sent.
+
+        Args:
+            now: clock, ms.
+            request_id: the caller's id.
+            extent: what it reads or writes, None for none.
+            request_class: its class's name.
+            quota_plan: its volume's plan's name.
+            volume: its volume.
+            set_size: gateways that share the volume.
+            slot: slot of placement of its data, under 0 for a new object.
+            units: its cost.
+            deadline_ms: when the client leaves.
+            repeat: whether it is the client's retry; None if clients don't say.
+
+        Returns:
+            Its handle, and what changed.
+
+        Raises:
+            KeyError: there is no such class or plan.
+        """
+        settings = self.settings.current
+        slow_start_turn = self.rng.random()
+        size = (1.0 + units / (settings.mean_units or units or 1.0)) / 2  # half of a latency goes by size
+        class_ = self.settings.request_classes[request_class]
+        plan = self.settings.quota_plans[quota_plan]
+        last_ms = min(deadline_ms - 2 * settings.step_ms, self.end_ms)
+        # A client's clock runs on over its tries: one with less patience left than its class's has waited
+        # before, here or at a gateway that died, and is due by so much earlier. But one that leaves before an
         # answer could be late is impatient, not late: due when it leaves. Harm: a last try counts in full.
-        again = repeat if repeat is not None else deadline_ms - now >= a.request_class.latency_objective_ms
-        came = deadline_ms - a.request_class.max_wait_ms if again else now
-        a.due_ms = min(came + a.request_class.latency_objective_ms, a.deadline_ms)
+        again = repeat if repeat is not None else deadline_ms - now >= class_.latency_objective_ms
+        asked_ms = deadline_ms - class_.max_wait_ms if again else now
+        due_ms = min(asked_ms + class_.latency_objective_ms, last_ms)
         self.seq += 1
-        a.seq, a.attempts, a.cancellations, a.answer = self.seq, [], [], None
-        self.limits.came(a, now)
-        self.valuation.price(a, now)
+        request = Request(
+            self,
+            self.seq,
+            request_id,
+            extent,
+            class_,
+            plan,
+            volume,
+            max(1, set_size),
+            slot,
+            units,
+            size,
+            slow_start_turn,
+            due_ms,
+            last_ms,
+        )
+        self.limits.on_taken(request, now)
+        self.valuation.price(request, now)
         if extent is not None:
-            e = self.extents.use(extent, Extent(a.slow_start_turn))
-            e.slow_start_turn = a.slow_start_turn if repeat is False else e.slow_start_turn
-            a.slow_start_turn = e.slow_start_turn
-            if e.open == 0 and e.answered_ms is not None:
-                e.note(now - e.answered_ms)
-            e.answered_ms = None
-            e.open += 1
-        a.shelf = self.shelfs.at_slot.get(slot, -1) if slot >= 0 else self.shelfs.pick_new()
-        if a.shelf < 0:  # its shelf is not listed: no other holds its data
-            self.refusal.give_up(a, "its shelf is not listed")
+            state = self.extents.use(extent, ExtentState(slow_start_turn))
+            if repeat is False:
+                state.slow_start_turn = slow_start_turn
+            request.slow_start_turn = state.slow_start_turn
+            if state.open == 0 and state.answered_ms is not None:
+                state.note(now - state.answered_ms)
+            state.answered_ms = None
+            state.open += 1
+        request.shelf = self.shelfs.at_slot.get(slot, -1) if slot >= 0 else self.shelfs.pick_new()
+        if request.shelf < 0:  # its node is not listed: no other has its data
+            self.load_shedder.give_up(request, "its shelf is not listed")
         else:
-            a.queued = True
-            insort(self.shelfs.queued[a.shelf], a)
-            self.serve(a.shelf, now, None)
-        return a, self.notes.finish(now)
-
-    def serve(self, s: int, now: float, done: str | None) -> None:
-        """What leaves for a shelf now. done is the extent whose answer has just freed a slot."""
-        self.refusal.shed(s, now)
-        shelfs, may_go = self.shelfs, self.limits.may_go
-        queued, in_flight, reserved_slots = shelfs.queued[s], shelfs.in_flight[s], shelfs.reserved_slots[s]
+            request.queued = True
+            insort(self.shelfs.queued[request.shelf], request)
+            self.serve(request.shelf, now, None)
+        return request, self.notes.finish(now)
+
+    def serve(self, node: int, now: float, done: str | None) -> None:
+        """Sheds load at a node, and sends to it what may be sent.
+
+        Args:
+            node: its index.
+            now: clock, ms.
+            done: the extent whose answer has just freed a slot of the concurrency limit, if one has.
+        """
+        self.load_shedder.shed(node, now)
+        shelfs = self.shelfs
+        may_go = self.limits.may_go
+        queued = shelfs.queued[node]
+        in_flight = shelfs.in_flight[node]
+        reserved_slots = shelfs.reserved_slots[node]
         if not queued:
-            reserved_slots.clear()  # it waits only while others are queued (design)
+            reserved_slots.clear()  # slots are kept only while others are queued (design)
             return
-        reserved_slots[:] = [w for w in reserved_slots if w[1] > now]
-        if shelfs.is_down(s, now):  # one attempt at a time; an idempotent one first, since it may be lost
-            free = [] if in_flight or now < shelfs.next_probe_ms[s] else queued
-            probes = sorted(free, key=lambda a: a.request_class.repeat is Idempotency.NON_IDEMPOTENT)
-            for a in [a for a in probes if may_go(a, now)][:1]:
-                shelfs.next_probe_ms[s] = now + PROBE_INTERVAL_MS
-                self.send(a, now)
+        reserved_slots[:] = [reserved for reserved in reserved_slots if reserved[1] > now]
+        if shelfs.is_down(node, now):
+            self._probe(node, now)
             return
         while queued and len(in_flight) < (
-            CONCURRENCY_LIMIT if shelfs.slow_start_ms[s] is None else shelfs.concurrency_limit[s]
+            CONCURRENCY_LIMIT if shelfs.slow_start_ms[node] is None else shelfs.concurrency_limit[node]
         ):
             # A request of the finished, awaited or last sent extent goes at once, ahead of the candidate; a
-            # narrowed bound keeps no run apart, as the shelf saves work on it, but at cold ones (rule 4).
-            kept = [w[0] for w in reserved_slots]
-            runs = [done, shelfs.last_extent[s], *kept]
-            request = next((a for a in queued if a.extent and a.extent in runs and may_go(a, now)), None)
+            # narrowed limit delays no sequential request, as the node saves work on it, but in a slow start (rule 4).
+            kept = [reserved[0] for reserved in reserved_slots]
+            runs = [done, shelfs.last_extent[node], *kept]
+            request = next((r for r in queued if r.extent and r.extent in runs and may_go(r, now)), None)
             if request is None:
-                if len(in_flight) < shelfs.concurrency_limit[s]:
-                    request = next((a for a in queued if may_go(a, now)), None)  # earliest due
+                request = self._earliest_due(node, now)
                 if request is None:
                     break
-                urgent = request.due_ms - now < 2 * shelfs.mean(s, now)
-                if not urgent and done is not None and self.pays_to_wait(s, request, done, now):
+                urgent = request.due_ms - now < 2 * shelfs.mean_latency(node, now)
+                if not urgent and done is not None and self.anticipation.pays(node, request, done, now):
                     done = None
                     continue
-                if len(in_flight) + len(reserved_slots) >= shelfs.concurrency_limit[s]:
+                if len(in_flight) + len(reserved_slots) >= shelfs.concurrency_limit[node]:
                     if not urgent:
                         break
                     reserved_slots.pop(0)
@@ -126,99 +171,75 @@
             done = None if request.extent != done else done
             self.send(request, now)
 
-    def pays_to_wait(self, s: int, candidate: Request, done: str, now: float) -> bool:
-        """Benefit against cost (paper 3.3); keeps the freed slot for the extent if the wait pays."""
-        e, sequential_latency_ms = self.extents.get(done), self.shelfs.sequential_latency_ms[s]
-        if e is None or e.open or e.answered_ms is None or not e.counts or not sequential_latency_ms:
-            return False  # without an average the benefit is 0 (design)
-        expected = (
-            sequential_latency_ms
-            if candidate.extent == self.shelfs.last_extent[s]
-            else self.shelfs.random_latency_ms[s]
+    def _earliest_due(self, node: int, now: float) -> Request | None:
+        """Returns the first queued request that may go, if the node's concurrency limit allows one more."""
+        shelfs = self.shelfs
+        if len(shelfs.in_flight[node]) >= shelfs.concurrency_limit[node]:
+            return None
+        return next((request for request in shelfs.queued[node] if self.limits.may_go(request, now)), None)
+
+    def _probe(self, node: int, now: float) -> None:
+        """Sends one request to a node that is down, an idempotent one first, since it may be lost."""
+        if self.shelfs.in_flight[node] or now < self.shelfs.next_probe_ms[node]:
+            return
+        queued = self.shelfs.queued[node]
+        probes = sorted(queued, key=lambda r: r.request_class.repeat is Idempotency.NON_IDEMPOTENT)
+        for request in [r for r in probes if self.limits.may_go(r, now)][:1]:
+            self.shelfs.next_probe_ms[node] = now + PROBE_INTERVAL_MS
+            self.send(request, now)
+
+    def send(self, request: Request, now: float) -> None:
+        """Sends a queued request's next attempt, and sets its deadline."""
+        node = request.shelf
+        shelfs = self.shelfs
+        shelfs.queued[node].remove(request)
+        request.queued = False
+        self.limits.on_sent(request, now)
+        request.sequential = (
+            request.extent is not None and request.extent == shelfs.last_extent[node] and not request.sent
         )
-        elapsed = now - e.answered_ms
-        until = e.answered_ms + e.quantile(0.95)
-        if expected - sequential_latency_ms <= max(0.0, e.quantile(0.5) - elapsed) or until <= now:
-            return False
-        self.shelfs.reserved_slots[s].append((done, until))
-        self.notes.wake(until, s)
-        return True
-
-    def send(self, a: Request, now: float) -> None:
-        s, shelfs = a.shelf, self.shelfs
-        shelfs.queued[s].remove(a)
-        a.queued = False
-        self.limits.sent(a, now)
-        a.run = a.extent is not None and a.extent == shelfs.last_extent[s] and not a.sent
-        a.sent += 1
-        a.out, a.sent_ms, a.overtaken = True, now, 0
-        if not shelfs.in_flight[s]:
-            shelfs.last_answer_ms[s] = now
-        shelfs.in_flight[s].append(a)
-        shelfs.last_extent[s] = a.extent
-        # With no mean known it runs until it is due: a shelf that swallows the first attempts is soon seen.
-        mean = shelfs.mean(s, now)
-        past = math.inf if shelfs.unreachable[s] else mean * a.size
-        until = min(a.deadline_ms, max(a.due_ms, now + past))
-        a.attempts.append(Attempt(shelfs.names[s], until, self.limits.retry_until(a, a.risk_ms)))
-        self.notes.wake(now + SILENT_MS + LATENCIES * mean, s)
-        self.notes.changed(a)
-
-    def ended(self, a: Request, now: float, outcome: Outcome, over: bool, took: float) -> None:
-        """Its attempt is over: answered already, or it goes again, or it is given up; the freed slot is used."""
-        s = a.shelf
-        a.out = False
-        self.shelfs.in_flight[s].remove(a)
-        a.risk_ms = a.sent_ms if a.risk_ms is None and outcome not in NEVER_RAN else a.risk_ms
-        self.limits.ended(a, now, outcome)
-        self.shelfs.note(a, s, now, outcome, took)
+        request.sent += 1
+        request.out = True
+        request.sent_ms = now
+        request.overtaken = 0
+        if not shelfs.in_flight[node]:
+            shelfs.last_answer_ms[node] = now
+        shelfs.in_flight[node].append(request)
+        shelfs.last_extent[node] = request.extent
+        # With no mean known it runs until it is due: a node that swallows the first attempts is soon seen.
+        mean_ms = shelfs.mean_latency(node, now)
+        longest_ms = math.inf if shelfs.unreachable[node] else mean_ms * request.size
+        until_ms = min(request.deadline_ms, max(request.due_ms, now + longest_ms))
+        begin_by_ms = self.limits.retry_until(request, request.risk_ms)
+        request.attempts.append(Attempt(shelfs.names[node], until_ms, begin_by_ms))
+        self.notes.wake(now + SILENT_MS + LATENCIES * mean_ms, node)
+        self.notes.changed(request)
+
+    def ended(self, request: Request, now: float, outcome: Outcome, over: bool, took_ms: float) -> None:
+        """The attempt in flight has ended: the request is over, is retried or given up, and the freed slot is used."""
+        node = request.shelf
+        request.out = False
+        self.shelfs.in_flight[node].remove(request)
+        if request.risk_ms is None and outcome not in NEVER_RAN:
+            request.risk_ms = request.sent_ms
+        self.limits.on_ended(request, now, outcome)
+        self.shelfs.record_outcome(request, node, now, outcome, took_ms)
         if outcome is Outcome.SUCCEEDED:
-            self.cancel_overtaken(a, s, now)
-        if over or a.over:
-            self.refusal.close(a)
-        elif not self.retry(a, s, now, outcome):
-            self.refusal.give_up(a, "its trip was " + outcome.value)
-        e = self.extents.get(a.extent) if a.extent is not None else None
-        if e is not None and a.over:
-            e.answered_ms = now if e.open == 0 else None
-        self.serve(s, now, a.extent if outcome is Outcome.SUCCEEDED else None)
-
-    def left(self, a: Request, now: float) -> None:
-        if not a.over:
-            if a.out and self.given.cfg.may_cancel:
-                self.cancel(a)
-            self.refusal.close(a)
-            if a.shelf >= 0:
-                self.serve(a.shelf, now, None)
-
-    def retry(self, a: Request, s: int, now: float, outcome: Outcome) -> bool:
-        """Whether a failed request is queued again, for a retry to the only shelf that has its data."""
-        shelfs = self.shelfs
-        vain = not shelfs.ready[s] or now + shelfs.mean(s, now) * a.size > a.deadline_ms
-        vain = vain or 0 <= a.slot != shelfs.slots[s]  # its data is elsewhere by now
-        vain = vain or a.sent >= self.given.cfg.try_limit or outcome not in RETRYABLE
-        if vain or shelfs.is_down(s, now) or not self.limits.may_retry(a, now, 1):
-            return False
-        self.limits.queued_retries += 1
-        a.queued = True
-        insort(shelfs.queued[s], a)
-        return True
-
-    def cancel_overtaken(self, answered: Request, s: int, now: float) -> None:
-        """A shelf takes requests in turn: an attempt that later ones overtook long ago got lost on the way,
-        so it is cancelled and goes again. Harm: long work may be done twice; its units are allowed for."""
-        cfg = self.given.cfg
-        for a in self.shelfs.in_flight[s]:
-            if a.sent_ms >= answered.sent_ms:
-                break
-            a.overtaken += 1
-            usual = self.shelfs.mean(s, now) * max(1.0, a.size)
-            lost = a.overtaken >= OVERTAKEN and now - a.sent_ms >= LATENCIES * usual
-            useful = not a.over and now + usual <= a.due_ms and a.sent < cfg.try_limit
-            if lost and useful and cfg.may_cancel and self.limits.may_retry(a, now, 1, True):
-                self.cancel(a)
-
-    def cancel(self, a: Request) -> None:
-        a.overtaken = -math.inf  # asked for once
-        a.cancellations.append(a.sent - 1)
-        self.notes.changed(a)
+            self.retries.cancel_overtaken(request, node, now)
+        if over or request.over:
+            self.load_shedder.close(request)
+        elif not self.retries.queue(request, node, now, outcome):
+            self.load_shedder.give_up(request, "its trip was " + outcome.value)
+        state = self.extents.get(request.extent) if request.extent is not None else None
+        if state is not None and request.over:
+            state.answered_ms = now if state.open == 0 else None
+        self.serve(node, now, request.extent if outcome is Outcome.SUCCEEDED else None)
+
+    def left(self, request: Request, now: float) -> None:
+        """The client is gone: an attempt in flight is cancelled where that is allowed."""
+        if not request.over:
+            if request.out and self.settings.current.may_cancel:
+                self.retries.cancel(request)
+            self.load_shedder.close(request)
+            if request.shelf >= 0:
+                self.serve(request.shelf, now, None)
--- a/pebblehinge/decide/limits.py
+++ b/pebblehinge/decide/limits.py
@@ -1,4 +1,4 @@
-"""What may go, and when: order by key, the volume's limit, the warmth of its shelf, repeats, the budget."""
+"""When a request may be sent: order by extent, its volume's limit, its node's slow start, idempotency, retry budget."""
 
 from __future__ import annotations
 
@@ -11,105 +11,136 @@
 from pebblehinge.interface import Idempotency, Outcome
 from pebblehinge.scheduler_state import ChangeSet, KeyQueues
 
-COLD_PART = 0.4  # of the multiple of what a cold shelf surely can do, let through while the usual is asked
+# Of the multiple of what a node in a slow start surely can do, let through while the usual load is asked for.
+COLD_PART = 0.4
 MAY_STILL_RUN = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED)
 
 
 class Limits:
-    """Rules 2 and 4 to 7 of one request's next attempt."""
+    """Rules 2 and 4 to 7 of one request's next attempt.
+
+    Args:
+        shelfs: the nodes and their health.
+        valuation: the volumes' token buckets.
+        notes: gets the wake-ups.
+        now: clock, ms.
+    """
 
     def __init__(self, shelfs: NodeHealth, valuation: Valuation, notes: ChangeSet, now: float) -> None:
-        self.given, self.shelfs, self.valuation, self.notes, self.born = shelfs.given, shelfs, valuation, notes, now
-        self.lines = KeyQueues()  # order by key: requests not over, or with an attempt out
-        self.rest_ms: dict[str, float] = {}
-        self.takes, self.retries = deque(), deque()  # attempt budget: when requests and retries were
-        self.queued_retries = 0  # requests held for a retry
-
-    def may_go(self, a: Request, now: float) -> bool:
-        s = a.shelf
-        if not self.shelfs.ready[s] or (a.sent and not self.may_retry(a, now, 0)):
+        self.settings = shelfs.settings
+        self.shelfs = shelfs
+        self.valuation = valuation
+        self.notes = notes
+        self.born = now
+        self.queues: KeyQueues[Request] = KeyQueues()  # by extent: requests not over, or with an attempt in flight
+        self.rest_ms: dict[str, float] = {}  # until when an extent waits for an attempt that may still run
+        self.takes: deque[float] = deque()  # retry budget: when requests were taken
+        self.retries: deque[float] = deque()  # and when retries were sent
+        self.queued_retries = 0
+
+    def may_go(self, request: Request, now: float) -> bool:
+        """Returns whether a queued request may be sent now; where only time is lacking, a wake-up is requested."""
+        node = request.shelf
+        if not self.shelfs.ready[node] or (request.sent and not self.may_retry(request, now, 0)):
             return False
-        if a.request_class.in_order and a.extent is not None:  # rule 6
-            if self.lines.first(a.extent) is not a:
+        if request.request_class.in_order and request.extent is not None:  # rule 6
+            if self.queues.first(request.extent) is not request:
                 return False
-            rest = self.rest_ms.get(a.extent, now)
-            if rest > now and not a.sent:
-                self.notes.wake(rest, s)
+            rest_ms = self.rest_ms.get(request.extent, now)
+            if rest_ms > now and not request.sent:
+                self.notes.wake(rest_ms, node)
                 return False
-        at = self.earliest(a, now)
-        if at > now:
-            self.notes.wake(at, s)
-        return at <= now
-
-    def earliest(self, a: Request, now: float) -> float:
-        """When a request may go, by its volume's limit and by the warmth of its shelf."""
-        at, s, cfg, a.waits_for = now, a.shelf, self.given.cfg, "its plan's limit"
-        if a.quota_plan.limit_rate and not a.sent:  # rule 5: hold for units rather than pass the limit
-            lack = a.units - self.valuation.store(a, now).limit
-            at = now if lack <= FLOOR else now + lack * a.set_size / a.quota_plan.limit_rate * 1000.0 + 1.0
-        since = self.shelfs.slow_start_ms[s]
-        if since is None or now - since >= cfg.warm_ms:
-            self.shelfs.slow_start_ms[s] = None
-            return at
-        # Rule 4: of what asks for a cold shelf, all heads let through the part that it surely can do by now,
-        # far from the multiple; each draws turns by itself, and what earns more has more of them. Answers
+        at_ms = self.earliest(request, now)
+        if at_ms > now:
+            self.notes.wake(at_ms, node)
+        return at_ms <= now
+
+    def earliest(self, request: Request, now: float) -> float:
+        """Returns when a request may go (ms), by its volume's limit and its node's slow start."""
+        at_ms = now
+        settings = self.settings.current
+        request.waits_for = "its plan's limit"
+        if request.quota_plan.limit_rate and not request.sent:  # rule 5: queue for units rather than pass the limit
+            lack = request.units - self.valuation.refill(request, now).limit
+            if lack > FLOOR:
+                at_ms = now + lack * request.set_size / request.quota_plan.limit_rate * 1000.0 + 1.0
+        since_ms = self.shelfs.slow_start_ms[request.shelf]
+        if since_ms is None or now - since_ms >= settings.warm_ms:
+            self.shelfs.slow_start_ms[request.shelf] = None
+            return at_ms
+        # Rule 4: of what asks for a node in a slow start, all gateways let through the part that it surely can do
+        # by now, far from the multiple; each draws turns by itself, and what earns more has more of them. Answers
         # tell the rest. Harm: a suspected restart that was none, and much more asked than usual.
-        a.waits_for = a.waits_for if at > now else "the cold of its shelf"
-        slow_start_turn = (
-            a.slow_start_turn
+        request.waits_for = request.waits_for if at_ms > now else "the cold of its shelf"
+        turn = (
+            request.slow_start_turn
             * self.valuation.mean_value_per_unit
-            / max(a.value_per_unit, FLOOR)
-            / max(FLOOR, COLD_PART * cfg.fall_multiple)
+            / max(request.value_per_unit, FLOOR)
+            / max(FLOOR, COLD_PART * settings.fall_multiple)
         )
-        warms = cfg.warm_ms / max(FLOOR, 1.0 - cfg.cold_share)
-        return max(at, min(since + cfg.warm_ms, since + (slow_start_turn - cfg.cold_share) * warms))
-
-    def may_retry(self, a: Request, now: float, new: int, out: bool = False) -> bool:
-        """Rules 2 and 7 for a retry: looked at when queued (new = 1) and when it leaves."""
-        until = self.retry_until(a, a.sent_ms if out and a.risk_ms is None else a.risk_ms)
-        return now <= until and self.spare_retries(now) >= 1 + new * self.queued_retries
-
-    def retry_until(self, a: Request, risk: float | None) -> float:
-        """Until when an attempt may begin, by the first that may have run."""
-        if risk is None or a.request_class.repeat is Idempotency.IDEMPOTENT:
+        full_ms = settings.warm_ms / max(FLOOR, 1.0 - settings.cold_share)
+        return max(at_ms, min(since_ms + settings.warm_ms, since_ms + (turn - settings.cold_share) * full_ms))
+
+    def may_retry(self, request: Request, now: float, new: int, out: bool = False) -> bool:
+        """Returns whether rules 2 and 7 allow a retry.
+
+        Args:
+            request: the request.
+            now: clock, ms.
+            new: 1 when it is about to be queued, 0 when it is about to be sent.
+            out: its attempt is still in flight, and is to be cancelled.
+        """
+        risk_ms = request.sent_ms if out and request.risk_ms is None else request.risk_ms
+        until_ms = self.retry_until(request, risk_ms)
+        return now <= until_ms and self.spare_retries(now) >= 1 + new * self.queued_retries
+
+    def retry_until(self, request: Request, risk_ms: float | None) -> float:
+        """Returns until when (ms) an attempt may begin, by when the first that may have run was sent, if one was."""
+        repeat = request.request_class.repeat
+        if risk_ms is None or repeat is Idempotency.IDEMPOTENT:
             return math.inf
-        window = -math.inf if a.request_class.repeat is Idempotency.NON_IDEMPOTENT else a.request_class.window_ms
-        return risk + window - 2 * self.given.cfg.step_ms
+        window_ms = -math.inf if repeat is Idempotency.NON_IDEMPOTENT else request.request_class.window_ms
+        return risk_ms + window_ms - 2 * self.settings.current.step_ms
 
     def spare_retries(self, now: float) -> float:
-        """Retries still allowed: those made count a little longer than stated, requests shorter."""
-        cfg = self.given.cfg
-        while self.takes and self.takes[0] <= now - cfg.budget_window_ms + 2 * cfg.step_ms:
+        """Returns how many retries the budget still allows.
+
+        Retries count a little longer than the window, requests a little shorter, since clocks and ends of windows
+        may differ by a step.
+        """
+        settings = self.settings.current
+        while self.takes and self.takes[0] <= now - settings.budget_window_ms + 2 * settings.step_ms:
             self.takes.popleft()
-        while self.retries and self.retries[0] < now - cfg.budget_window_ms - 2 * cfg.step_ms:
+        while self.retries and self.retries[0] < now - settings.budget_window_ms - 2 * settings.step_ms:
             self.retries.popleft()
-        left = cfg.budget_free + (cfg.budget_share or 0.0) * len(self.takes) - len(self.retries)
-        return math.inf if cfg.budget_share is None else left
-
-    # ---- what has come, gone and ended
+        left = settings.budget_free + (settings.budget_share or 0.0) * len(self.takes) - len(self.retries)
+        return math.inf if settings.budget_share is None else left
 
-    def came(self, a: Request, now: float) -> None:
+    def on_taken(self, request: Request, now: float) -> None:
+        """Counts a new request, and gives it its place in its extent's queue."""
         self.takes.append(now)
         self.spare_retries(now)
-        if a.request_class.in_order and a.extent is not None:
-            self.lines.join(a.extent, a)
+        if request.request_class.in_order and request.extent is not None:
+            self.queues.join(request.extent, request)
 
-    def sent(self, a: Request, now: float) -> None:
-        if a.sent:
+    def on_sent(self, request: Request, now: float) -> None:
+        """Charges an attempt to the retry budget, or the first one to the volume's limit."""
+        if request.sent:
             self.retries.append(now)
             self.queued_retries -= 1
         else:
-            self.valuation.store(a, now).limit -= a.units if a.quota_plan.limit_rate else 0.0
+            self.valuation.refill(request, now).limit -= request.units if request.quota_plan.limit_rate else 0.0
 
-    def ended(self, a: Request, now: float, outcome: Outcome) -> None:
-        if a.request_class.in_order and a.extent is not None and outcome in MAY_STILL_RUN:
+    def on_ended(self, request: Request, now: float, outcome: Outcome) -> None:
+        """Where an attempt may still run, the next of its extent waits."""
+        if request.request_class.in_order and request.extent is not None and outcome in MAY_STILL_RUN:
             if len(self.rest_ms) > REMEMBERED:
-                self.rest_ms = {k: until for k, until in self.rest_ms.items() if until > now}
-            self.rest_ms[a.extent] = now + self.given.cfg.order_settle_ms
+                self.rest_ms = {extent: until for extent, until in self.rest_ms.items() if until > now}
+            self.rest_ms[request.extent] = now + self.settings.current.order_settle_ms
 
-    def over(self, a: Request) -> None:
-        """Nothing is owed any more, and no attempt out: the next of its line may go."""
-        if a.request_class.in_order and a.extent is not None and not a.out:
-            following = self.lines.leave(a.extent, a)
+    def on_closed(self, request: Request) -> None:
+        """Once nothing is owed and no attempt is in flight, the next of its extent may go."""
+        if request.request_class.in_order and request.extent is not None and not request.out:
+            following = self.queues.leave(request.extent, request)
             if following is not None and following.shelf >= 0:
-                self.notes.wake(self.rest_ms.get(a.extent, self.born), following.shelf)
+                self.notes.wake(self.rest_ms.get(request.extent, self.born), following.shelf)
--- a/pebblehinge/decide/load_shedding.py
+++ b/pebblehinge/decide/load_shedding.py
@@ -1,4 +1,4 @@
-"""Who is given up, and with what answer."""
+"""Which requests are given up, and with what answer."""
 
 from __future__ import annotations
 
@@ -7,96 +7,127 @@
 
 from pebblehinge.decide.limits import Limits
 from pebblehinge.decide.node_health import CONCURRENCY_LIMIT
-from pebblehinge.decide.request import FLOOR, Extent, Request
+from pebblehinge.decide.request import FLOOR, ExtentState, Request
 from pebblehinge.interface import Answer, DeduplicationScope, Final, Idempotency
 
-IDLE = 1.7  # what an idle shelf takes, in lower quartiles of the latencies of all shelfs
-TEMPER = 2.0  # how much more room what earns less than usual needs
+IDLE = 1.7  # latency of an idle node, in lower quartiles of the latencies of all nodes
+TEMPER = 2.0  # exponent: how much more room to spare is asked of what earns less than usual
 
 
 class LoadShedder:
-    """Places what is held for a shelf and gives up what can't be in time; the one end of a request."""
-
-    def __init__(self, limits: Limits, extents: dict[str, Extent]) -> None:
-        self.limits, self.extents, self.notes = limits, extents, limits.notes
-        self.shelfs, self.valuation = limits.shelfs, limits.valuation
-
-    def shed(self, s: int, now: float) -> None:
-        """Refusal under overload. Each held request is placed at the time its turn should end; where one would
-        miss its due time, the one among it and those before it that earns least for the work is given up.
-        One that can no longer be in time by itself counts with its late worth, due when the client leaves.
-        Many heads share a shelf and each holds little to choose from: what earns less than usual here needs
-        more room to spare, what earns more needs less. Harm: some that the shelf could have served."""
+    """Gives up queued requests that can't be answered in time, and closes requests.
+
+    Args:
+        limits: when a request may be sent.
+        extents: what is known of extents.
+    """
+
+    def __init__(self, limits: Limits, extents: dict[str, ExtentState]) -> None:
+        self.limits = limits
+        self.extents = extents
+        self.notes = limits.notes
+        self.shelfs = limits.shelfs
+        self.valuation = limits.valuation
+
+    def shed(self, node: int, now: float) -> None:
+        """Sheds load at a node.
+
+        Each queued request is placed at the time its turn should end; where one would miss its due time, the one
+        among it and those before it that earns least for the work is given up. One that can no longer be in time by
+        itself counts with its late value, due when the client leaves. Many gateways share a node and each queues
+        little to choose from: what earns less than usual here needs more room to spare, what earns more needs less.
+        Harm: some are given up that the node could have served.
+        """
         shelfs = self.shelfs
-        queued, mean, concurrency_limit = shelfs.queued[s], shelfs.mean(s, now), shelfs.concurrency_limit[s]
+        queued = shelfs.queued[node]
+        mean_ms = shelfs.mean_latency(node, now)
+        concurrency_limit = shelfs.concurrency_limit[node]
         if not queued:
             return
-        idle = min(mean, IDLE * shelfs.low_quartile_ms)
-        is_down, room, i = shelfs.is_down(s, now), concurrency_limit - len(shelfs.in_flight[s]), 0
-        least: list[tuple[float, float, int, Request]] = []  # a heap of those up to i, once one must go
-        if is_down and now < shelfs.next_probe_ms[s]:
-            for a in list(queued):
-                self.give_up(a, "its shelf is down")
+        idle_ms = min(mean_ms, IDLE * shelfs.low_quartile_ms)
+        is_down = shelfs.is_down(node, now)
+        room = concurrency_limit - len(shelfs.in_flight[node])
+        position = 0
+        least: list[tuple[float, float, int, Request]] = []  # a heap of those up to position, once one must go
+        if is_down and now < shelfs.next_probe_ms[node]:
+            self._give_up_all(node)
             return
-        while i < len(queued):
-            a = queued[i]
-            ready = self.limits.earliest(a, now)
-            rest = (mean - idle) * (self.valuation.mean_value_per_unit / max(a.value_per_unit, FLOOR)) ** TEMPER
-            needs = a.size * (idle + rest)
-            if ready > now and ready + needs > a.due_ms:  # at whatever cost to others
-                self.give_up(a, "too late by " + a.waits_for)
+        while position < len(queued):
+            request = queued[position]
+            ready_ms = self.limits.earliest(request, now)
+            value = self.valuation.mean_value_per_unit / max(request.value_per_unit, FLOOR)
+            needs_ms = request.size * (idle_ms + (mean_ms - idle_ms) * value**TEMPER)
+            if ready_ms > now and ready_ms + needs_ms > request.due_ms:  # at whatever cost to others
+                self.give_up(request, "too late by " + request.waits_for)
                 continue
-            if now + needs >= a.due_ms and a.due_ms < a.deadline_ms:
-                if room <= 0 or (
-                    concurrency_limit < CONCURRENCY_LIMIT and shelfs.in_flight[s]
-                ):  # late worth takes only what nobody wants
-                    self.give_up(a, "its shelf is too slow for it")
-                    continue
-                queued.pop(i)
-                a.due_ms = a.deadline_ms
-                a.value_per_unit *= a.request_class.late_value_share
-                insort(queued, a)
+            if now + needs_ms >= request.due_ms and request.due_ms < request.deadline_ms:
+                # Late value takes only capacity that nobody else wants.
+                self._lower_to_late_value(request, room <= 0 or self._is_narrowed(node))
                 continue
             if least:
-                heapq.heappush(least, (a.value_per_unit, -a.due_ms, -a.seq, a))
-            while a.queued and (
-                (is_down and i)
-                or now >= a.deadline_ms
-                or now + needs + mean * max(0, i + 1 - room) / concurrency_limit > a.due_ms
+                heapq.heappush(least, (request.value_per_unit, -request.due_ms, -request.seq, request))
+            while request.queued and (
+                (is_down and position)
+                or now >= request.deadline_ms
+                or now + needs_ms + mean_ms * max(0, position + 1 - room) / concurrency_limit > request.due_ms
             ):
                 if not least:
-                    least = [(b.value_per_unit, -b.due_ms, -b.seq, b) for b in queued[: i + 1]]
+                    least = [(r.value_per_unit, -r.due_ms, -r.seq, r) for r in queued[: position + 1]]
                     heapq.heapify(least)
                 victim = heapq.heappop(least)[-1]
-                over = now >= victim.deadline_ms
-                self.give_up(victim, "its time is up" if over else "others earn more there")
-                i -= victim is not a
-            i += a.queued
-        if queued:  # rule 1: whichever shelf a request has come to stand at, the next end is asked for there
-            self.notes.wake(min(a.deadline_ms if a.due_ms >= a.deadline_ms else a.due_ms for a in queued), s)
-
-    def give_up(self, a: Request, why: str) -> None:
-        """The final answer, at once. Rejected where trying again is harmless, with a time to stay away,
-        drawn, or all come back in step."""
-        repeat, group = a.request_class.repeat, a.request_class.group
-        clean = (
-            (a.risk_ms is None and not a.out)
+                expired = now >= victim.deadline_ms
+                self.give_up(victim, "its time is up" if expired else "others earn more there")
+                position -= victim is not request
+            position += request.queued
+        if queued:  # rule 1: whichever node a request has been queued at, the next end is asked for there
+            self.notes.wake(min(r.deadline_ms if r.due_ms >= r.deadline_ms else r.due_ms for r in queued), node)
+
+    def _give_up_all(self, node: int) -> None:
+        for request in list(self.shelfs.queued[node]):
+            self.give_up(request, "its shelf is down")
+
+    def _is_narrowed(self, node: int) -> bool:
+        """Whether a node with attempts in flight gets fewer at once than a healthy one."""
+        return self.shelfs.concurrency_limit[node] < CONCURRENCY_LIMIT and bool(self.shelfs.in_flight[node])
+
+    def _lower_to_late_value(self, request: Request, give_up: bool) -> None:
+        """Queues a request that will be late anew by its late value, or gives it up."""
+        if give_up:
+            self.give_up(request, "its shelf is too slow for it")
+            return
+        queued = self.shelfs.queued[request.shelf]
+        queued.remove(request)
+        request.due_ms = request.deadline_ms
+        request.value_per_unit *= request.request_class.late_value_share
+        insort(queued, request)
+
+    def give_up(self, request: Request, why: str) -> None:
+        """Gives the final answer at once: rejected where the client's retry is harmless, else failed.
+
+        A rejection comes with a Retry-After that is drawn, so that clients don't come back in step.
+        """
+        repeat = request.request_class.repeat
+        group = request.request_class.group
+        harmless = (
+            (request.risk_ms is None and not request.out)
             or repeat is Idempotency.IDEMPOTENT
             or (repeat is Idempotency.IDEMPOTENT_WITH_KEY and group is DeduplicationScope.ALL)
         )
-        stay = self.shelfs.given.cfg.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
-        a.answer = Answer(Final.REJECTED, stay, why) if clean else Answer(Final.FAILED, why=why)
-        self.valuation.give_back(a)
-        self.notes.changed(a)
-        self.close(a)
-
-    def close(self, a: Request) -> None:
-        if a.queued:
-            self.shelfs.queued[a.shelf].remove(a)
-            a.queued = False
-            self.limits.queued_retries -= a.sent > 0
-        if not a.over:
-            a.over = True
-            if a.extent in self.extents:
-                self.extents[a.extent].open -= self.extents[a.extent].open > 0
-        self.limits.over(a)
+        stay_away_ms = self.shelfs.settings.current.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
+        request.answer = Answer(Final.REJECTED, stay_away_ms, why) if harmless else Answer(Final.FAILED, why=why)
+        self.valuation.give_back(request)
+        self.notes.changed(request)
+        self.close(request)
+
+    def close(self, request: Request) -> None:
+        """Nothing more is owed to the client: takes the request out of its queue and of its extent's count."""
+        if request.queued:
+            self.shelfs.queued[request.shelf].remove(request)
+            request.queued = False
+            self.limits.queued_retries -= request.sent > 0
+        if not request.over:
+            request.over = True
+            state = self.extents.get(request.extent) if request.extent is not None else None
+            if state is not None:
+                state.open -= state.open > 0
+        self.limits.on_closed(request)
--- a/pebblehinge/decide/node_health.py
+++ b/pebblehinge/decide/node_health.py
@@ -1,4 +1,4 @@
-"""Shelfs and their health: what they take, how many attempts they get at once, which are down or cold."""
+"""Storage nodes and their health: who accepts requests, with how many at once, who is down or in a slow start."""
 
 from __future__ import annotations
 
@@ -9,183 +9,229 @@
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.scheduler_state import NodeSnapshot, NodeTable, SettingsView
 
-CONCURRENCY_LIMIT = 4  # attempts out per shelf and head (design: to start)
-CROWDED = 0.4  # an attempt that takes longer than this part of the shortest latency objective narrows the bound
+CONCURRENCY_LIMIT = 4  # attempts in flight per node and gateway (design: to start)
+CROWDED = 0.4  # an attempt that takes longer than this part of the shortest latency objective narrows the limit
+WIDEN = 0.1  # by how much a quick answer raises the unrounded limit
+NARROW = -0.2  # the same of a slow one
 FORGET = 0.26  # weight of a new latency: 95% of the old is gone after ten (paper 3.3)
-STEADY = 0.2  # the same for the slower average that health and refusals go by
-FOLLOW = 0.03  # by how much what a head knows over all shelfs follows one answer or request
-AGES_MS = 2000.0  # a shelf's mean latency gives way to that of all shelfs at this pace
+STEADY = 0.2  # the same for the slower average that health and load shedding go by
+FOLLOW = 0.03  # by how much what a gateway knows over all nodes follows one answer or request
+AGES_MS = 2000.0  # a node's mean latency gives way to that of all nodes at this pace
 ALL_AGE_MS = 10_000.0  # that mean, once nothing answers any more, gives way to nothing at this pace
-KEEPS_MS = 120_000.0  # what an earlier life learned counts for less the longer it lay, at this pace
+KEEPS_MS = 120_000.0  # what an earlier incarnation learned counts for less the longer it lay, at this pace
 SAME_MS = 1000.0  # starts that lie nearer are one process's: lists tell ages, and take their time
-LATENCIES = 4.0  # a shelf is silent when it has answered nothing for so many mean latencies ...
+LATENCIES = 4.0  # a node is silent when it has answered nothing for so many mean latencies ...
 SILENT_MS = 400.0  # ... and this on top, so that pauses and flushes pass
-LOST = 4  # attempts timed out or broken in a row, with no answer between, that make a shelf down
-PROBE_INTERVAL_MS = 250.0  # between careful attempts to a shelf that is down
+LOST = 4  # attempts timed out or broken in a row, with no answer between, that make a node down
+PROBE_INTERVAL_MS = 250.0  # between probes of a node that is down
 
 
 class NodeHealth(NodeTable[Request]):
-    """What one head knows of them, in parallel arrays, one place a shelf."""
+    """What one gateway knows of the nodes.
 
-    def __init__(self, given: SettingsView, rng: random.Random, now: float) -> None:
+    Args:
+        settings: the settings in force.
+        rng: draws nodes for new objects.
+        now: clock, ms.
+    """
+
+    def __init__(self, settings: SettingsView, rng: random.Random, now: float) -> None:
         super().__init__()
-        self.given, self.rng = given, rng
-        self.fleet_mean_ms, self.fleet_mean_updated_ms, self.answers = (
-            0.0,
-            now,
-            0,
-        )  # mean over all, when last fed, by how many
-        self.low_quartile_ms = 0.0  # lower quartile of the latencies of all shelfs
-        self.past: dict[str, NodeSnapshot] = {}  # what an earlier life knew of shelfs that were not listed yet
+        self.settings = settings
+        self.rng = rng
+        self.fleet_mean_ms = 0.0  # mean latency over all nodes
+        self.fleet_mean_updated_ms = now
+        self.answers = 0  # that the mean stands on
+        self.low_quartile_ms = 0.0  # lower quartile of the latencies of all nodes
+        self.past: dict[str, NodeSnapshot] = {}  # of an earlier incarnation, by nodes that were not listed yet
         self.restored_ms = now
 
-    # ---- what lists say
+    # ---- the endpoint list
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> list[int]:
-        """A list, or changes to it. Returns the places that it may have changed."""
+    def update(self, now: float, kind: ListKind, entries: list[Entry]) -> list[int]:
+        """Applies an endpoint list, or changes to it; returns the nodes that it may have changed."""
         if now - self.restored_ms > KEEPS_MS:
             self.past.clear()
         touched: list[int] = []
-        for s in self.all_but({e.shelf for e in entries}) if kind is not ListKind.CHANGES else ():
-            touched += [s] if self.ready[s] else []
-            self.ready[s], self.vacant[s] = False, None
+        if kind is not ListKind.CHANGES:
+            for node in self.all_but({entry.shelf for entry in entries}):
+                touched += [node] if self.ready[node] else []
+                self.ready[node] = False
+                self.vacant[node] = None
         for entry in entries:
-            s = self.index.get(entry.shelf)
-            if s is None:
-                if entry.standing is Standing.GONE:
-                    continue
-                s = self._add(entry, now)
-            self.ready[s] = entry.standing is Standing.READY  # rule 3: nothing to it once told otherwise
-            if self.ready[s]:
-                self._meet(s, entry, now)
-            self.vacant.pop(s, None)
+            known = self.index.get(entry.shelf)
+            if known is None and entry.standing is Standing.GONE:
+                continue
+            node = self._add(entry, now) if known is None else known
+            self.ready[node] = entry.standing is Standing.READY  # rule 3: nothing is sent to it once told otherwise
+            if self.ready[node]:
+                self._update_process(node, entry, now)
+            self.vacant.pop(node, None)
             if entry.standing is Standing.GONE:
-                self.vacant[s] = None
-            touched.append(s)
+                self.vacant[node] = None
+            touched.append(node)
         self.at_slot = {}
-        for s, slot in enumerate(self.slots):  # of several that hold a slot, the one that started last
-            if self.ready[s] and self.started[s] >= self.started[self.at_slot.get(slot, s)]:
-                self.at_slot[slot] = s
+        for node, slot in enumerate(self.slots):  # of several that hold a slot, the one that started last
+            if self.ready[node] and self.started[node] >= self.started[self.at_slot.get(slot, node)]:
+                self.at_slot[slot] = node
         self.accepting = sorted(self.at_slot.values())
         return touched
 
-    def _meet(self, s: int, entry: Entry, now: float) -> None:
-        """Which process has this name. What one before it taught does not judge it; what was held for another
-        slot's data moves on. One that started lately is cold, and so is one of which that is told no more."""
-        started, known = min(entry.started_ms, now), self.started[s]
-        other = entry.slot != self.slots[s] or abs(started - known) > SAME_MS
-        self.slots[s], self.started[s] = entry.slot, started
+    def _update_process(self, node: int, entry: Entry, now: float) -> None:
+        """Notes which process has a node's name.
+
+        What one before it taught does not judge it; what was queued for another slot's data moves on. One that
+        started lately is in a slow start, and so is one whose start is no longer told.
+        """
+        started_ms = min(entry.started_ms, now)
+        known_ms = self.started[node]
+        other = entry.slot != self.slots[node] or abs(started_ms - known_ms) > SAME_MS
+        self.slots[node] = entry.slot
+        self.started[node] = started_ms
         if other:
-            self._forget(s, now)
-            if known and not started:
-                self.begin_slow_start(s, now)
-        recent = started and now - started < self.given.cfg.warm_ms  # a start of 0 is long ago
-        if recent and (other or self.slow_start_ms[s] is None or started > known):
-            self.begin_slow_start(s, started if started > known else max(started, self.slow_start_ms[s] or started))
-
-    def _forget(self, s: int, now: float) -> None:
-        """Nothing is known of a shelf but its name, its slot, and that it may be cold."""
-        self.unrounded_limit[s], self.concurrency_limit[s], self.last_extent[s] = (
-            float(CONCURRENCY_LIMIT),
-            CONCURRENCY_LIMIT,
-            None,
-        )
-        self.random_latency_ms[s] = self.sequential_latency_ms[s] = self.mean_latency_ms[s] = 0.0
-        self.mean_updated_ms[s], self.last_answer_ms[s], self.consecutive_losses[s] = -math.inf, now, 0
-        self.unreachable[s], self.next_probe_ms[s] = False, now
+            self._forget(node, now)
+            if known_ms and not started_ms:
+                self.begin_slow_start(node, now)
+        slow_start_ms = self.slow_start_ms[node]
+        recent = started_ms and now - started_ms < self.settings.current.warm_ms  # a start of 0 is long ago
+        if recent and (other or slow_start_ms is None or started_ms > known_ms):
+            since_ms = started_ms if started_ms > known_ms else max(started_ms, slow_start_ms or started_ms)
+            self.begin_slow_start(node, since_ms)
+
+    def _forget(self, node: int, now: float) -> None:
+        """Nothing is known of a node but its name, its slot, and that it may be in a slow start."""
+        self.unrounded_limit[node] = float(CONCURRENCY_LIMIT)
+        self.concurrency_limit[node] = CONCURRENCY_LIMIT
+        self.last_extent[node] = None
+        self.random_latency_ms[node] = 0.0
+        self.sequential_latency_ms[node] = 0.0
+        self.mean_latency_ms[node] = 0.0
+        self.mean_updated_ms[node] = -math.inf
+        self.last_answer_ms[node] = now
+        self.consecutive_losses[node] = 0
+        self.unreachable[node] = False
+        self.next_probe_ms[node] = now
 
     def _add(self, entry: Entry, now: float) -> int:
-        """A new name; what an earlier life knew of its process is taken up."""
-        s = self.place(entry.shelf)
-        self.slots[s], self.started[s] = entry.slot, 0.0
-        self._forget(s, now)
+        """Gives a new name a row, with what an earlier incarnation knew of it; returns the row."""
+        node = self.place(entry.shelf)
+        self.slots[node] = entry.slot
+        self.started[node] = 0.0
+        self._forget(node, now)
         past = self.past.pop(entry.shelf, None)
-        if past is not None:
-            self.slots[s], self.started[s] = past.life or (entry.slot, entry.started_ms)
-            self.random_latency_ms[s], self.sequential_latency_ms[s], self.mean_latency_ms[s] = (
-                past.random_latency_ms,
-                past.sequential_latency_ms,
-                past.mean_latency_ms,
-            )
-            self.mean_updated_ms[s], self.unrounded_limit[s] = (
-                past.mean_updated_ms,
-                CONCURRENCY_LIMIT + (past.unrounded_limit - CONCURRENCY_LIMIT) * past.left,
-            )
-            self.concurrency_limit[s] = int(self.unrounded_limit[s] + 0.5)
-            if past.slow_start_ms is not None and now - past.slow_start_ms < self.given.cfg.warm_ms:
-                self.begin_slow_start(s, past.slow_start_ms)
-        return s
+        if past is None:
+            return node
+        self.slots[node], self.started[node] = past.life or (entry.slot, entry.started_ms)
+        self.random_latency_ms[node] = past.random_latency_ms
+        self.sequential_latency_ms[node] = past.sequential_latency_ms
+        self.mean_latency_ms[node] = past.mean_latency_ms
+        self.mean_updated_ms[node] = past.mean_updated_ms
+        self.unrounded_limit[node] = CONCURRENCY_LIMIT + (past.unrounded_limit - CONCURRENCY_LIMIT) * past.left
+        self.concurrency_limit[node] = int(self.unrounded_limit[node] + 0.5)
+        if past.slow_start_ms is not None and now - past.slow_start_ms < self.settings.current.warm_ms:
+            self.begin_slow_start(node, past.slow_start_ms)
+        return node
 
     def pick_new(self) -> int:
-        """A new object: two shelfs drawn at random, the one that this head's own counts favour."""
+        """Returns a node for a new object: of two drawn at random, the one that this gateway's counts favour.
+
+        Under 0 if none accepts requests.
+        """
         if not self.accepting:
             return -1
         pair = self.rng.sample(self.accepting, min(2, len(self.accepting)))
         return min(
             pair,
-            key=lambda s: (self.unreachable[s], len(self.in_flight[s]) + len(self.queued[s]), self.mean_latency_ms[s]),
+            key=lambda node: (
+                self.unreachable[node],
+                len(self.in_flight[node]) + len(self.queued[node]),
+                self.mean_latency_ms[node],
+            ),
         )
 
     # ---- health
 
-    def is_down(self, s: int, now: float) -> bool:
-        """A shelf is down when connections fail or break, or when it has attempts out and answers nothing."""
-        gone = self.unreachable[s] or self.consecutive_losses[s] >= LOST
-        if gone or not self.in_flight[s]:
+    def is_down(self, node: int, now: float) -> bool:
+        """Whether connections to a node fail or break, or it has attempts in flight and answers nothing."""
+        gone = self.unreachable[node] or self.consecutive_losses[node] >= LOST
+        if gone or not self.in_flight[node]:
             return gone
-        return now - self.last_answer_ms[s] - SILENT_MS >= LATENCIES * self.mean(s, now)
+        return now - self.last_answer_ms[node] - SILENT_MS >= LATENCIES * self.mean_latency(node, now)
 
-    def note(self, a: Request, s: int, now: float, outcome: Outcome, took: float) -> None:
-        """What an attempt's outcome says of the shelf's health."""
-        if a.sent_ms < self.started[s]:  # to the process before this one: it says nothing of it
+    def record_outcome(self, request: Request, node: int, now: float, outcome: Outcome, took_ms: float) -> None:
+        """Takes what an attempt's outcome says of its node's health."""
+        if request.sent_ms < self.started[node]:  # sent to the process before this one: it says nothing of it
             return
         if outcome is Outcome.SUCCEEDED:
-            self.last_answer_ms[s] = now
-            if self.unreachable[s]:  # nobody knows since when it runs again: it may have been started for this attempt
-                self.begin_slow_start(s, a.sent_ms)
-            self.unreachable[s], self.consecutive_losses[s] = False, 0
-            # Crowding by other heads, slowness and thrashing all show as attempts that take long: fewer go out,
-            # down to one, so that a request waits here, where it can still be chosen or refused.
-            step = 0.1 if took < CROWDED * self.given.shortest_ms else -0.2
-            self.unrounded_limit[s] = min(float(CONCURRENCY_LIMIT), max(1.0, self.unrounded_limit[s] + step))
-            self.concurrency_limit[s] = int(self.unrounded_limit[s] + 0.5)
-            split = self.sequential_latency_ms if a.run else self.random_latency_ms
-            split[s] += FORGET * (took - split[s]) if split[s] else took
-            took /= a.size
-            self.learn(s, now, took)
-            step = max(FOLLOW, 1 / (1 + self.answers))
-            self.low_quartile_ms = self.low_quartile_ms * (1 + step * (0.25 - (took < self.low_quartile_ms))) or took
+            self._record_success(request, node, now, took_ms)
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT):
-            self.consecutive_losses[s] += 1
-            # A broken connection says little: links break here and there while the shelf is well and answers
-            # others. But a process gone or out of reach may have restarted untold: it counts as cold.
-            silent = now - self.mean_updated_ms[s] > SILENT_MS and outcome is Outcome.CONNECT_FAILED
-            if outcome is not Outcome.TIMED_OUT and (silent or self.consecutive_losses[s] >= LOST):
-                self.unreachable[s], self.next_probe_ms[s] = True, now + PROBE_INTERVAL_MS
-                self.begin_slow_start(s, now)
-            elif self.consecutive_losses[s] > 1 and took > self.mean(s, now):  # a lone loss does not mean slow
-                self.learn(s, now, took)
+            self._record_loss(node, now, outcome, took_ms)
         elif outcome in (Outcome.SERVER_ERROR, Outcome.OVERLOADED):
-            self.last_answer_ms[s], self.consecutive_losses[s] = now, 0
-
-    def begin_slow_start(self, s: int, since: float) -> None:
-        """A shelf is cold from now on, and gets one attempt at a time until its answers widen the bound."""
-        self.slow_start_ms[s], self.unrounded_limit[s], self.concurrency_limit[s] = since, 1.0, 1
-
-    def mean(self, s: int, now: float) -> float:
-        """A shelf's mean latency as far as its answers are fresh; old ones give way to what all shelfs do:
-        a head that refuses by an old answer gets no new one. Harm: a slow shelf is tried again sooner."""
-        every = self.every(now)
-        return every + (self.mean_latency_ms[s] - every) * math.exp((self.mean_updated_ms[s] - now) / AGES_MS)
-
-    def every(self, now: float) -> float:
-        """The mean over all shelfs. It gives way to nothing known, more slowly, or where all were slow a head
-        with little to do would refuse all for good; sooner, the fewer answers it stands on (an odd first)."""
+            self.last_answer_ms[node] = now
+            self.consecutive_losses[node] = 0
+
+    def _record_success(self, request: Request, node: int, now: float, took_ms: float) -> None:
+        self.last_answer_ms[node] = now
+        if self.unreachable[node]:  # since when it runs again is not known: perhaps only since this attempt
+            self.begin_slow_start(node, request.sent_ms)
+        self.unreachable[node] = False
+        self.consecutive_losses[node] = 0
+        # Crowding by other gateways, slowness and thrashing all show as attempts that take long: fewer are sent,
+        # down to one, so that a request waits here, where it can still be chosen or shed.
+        step = WIDEN if took_ms < CROWDED * self.settings.shortest_ms else NARROW
+        self.unrounded_limit[node] = min(float(CONCURRENCY_LIMIT), max(1.0, self.unrounded_limit[node] + step))
+        self.concurrency_limit[node] = int(self.unrounded_limit[node] + 0.5)
+        latency_ms = self.sequential_latency_ms if request.sequential else self.random_latency_ms
+        latency_ms[node] += FORGET * (took_ms - latency_ms[node]) if latency_ms[node] else took_ms
+        took_ms /= request.size
+        self.learn(node, now, took_ms)
+        step = max(FOLLOW, 1 / (1 + self.answers))
+        below = took_ms < self.low_quartile_ms
+        self.low_quartile_ms = self.low_quartile_ms * (1 + step * (0.25 - below)) or took_ms
+
+    def _record_loss(self, node: int, now: float, outcome: Outcome, took_ms: float) -> None:
+        self.consecutive_losses[node] += 1
+        # A broken connection says little: links break here and there while the node is well and answers
+        # others. But a process gone or out of reach may have restarted unnoticed: it counts as in a slow start.
+        silent = now - self.mean_updated_ms[node] > SILENT_MS and outcome is Outcome.CONNECT_FAILED
+        if outcome is not Outcome.TIMED_OUT and (silent or self.consecutive_losses[node] >= LOST):
+            self.unreachable[node] = True
+            self.next_probe_ms[node] = now + PROBE_INTERVAL_MS
+            self.begin_slow_start(node, now)
+        elif self.consecutive_losses[node] > 1 and took_ms > self.mean_latency(node, now):
+            self.learn(node, now, took_ms)  # a lone loss does not mean slow
+
+    def begin_slow_start(self, node: int, since_ms: float) -> None:
+        """A node is in a slow start: it gets one attempt at a time until its answers raise the limit."""
+        self.slow_start_ms[node] = since_ms
+        self.unrounded_limit[node] = 1.0
+        self.concurrency_limit[node] = 1
+
+    def mean_latency(self, node: int, now: float) -> float:
+        """Returns a node's mean latency (ms) as far as its answers are fresh; old ones give way to the fleet's.
+
+        A gateway that sheds load by an old answer gets no new one. Harm: a slow node is tried again sooner.
+        """
+        fleet_ms = self.fleet_mean(now)
+        freshness = math.exp((self.mean_updated_ms[node] - now) / AGES_MS)
+        return fleet_ms + (self.mean_latency_ms[node] - fleet_ms) * freshness
+
+    def fleet_mean(self, now: float) -> float:
+        """Returns the mean latency over all nodes (ms), 0 where nothing is known.
+
+        It gives way to 0 with time, or where all were slow a gateway with little to do would shed all for good;
+        slower than a node's, but sooner the fewer answers it stands on (the first may be odd).
+        """
         known = min(1.0, max(1, self.answers) * FOLLOW)
         return self.fleet_mean_ms * math.exp((self.fleet_mean_updated_ms - now) / (ALL_AGE_MS * known))
 
-    def learn(self, s: int, now: float, took: float) -> None:
-        old = self.mean(s, now) or took
-        self.mean_latency_ms[s], self.mean_updated_ms[s] = old + STEADY * (took - old), now
-        every, self.fleet_mean_updated_ms, self.answers = self.every(now), now, self.answers + 1
-        self.fleet_mean_ms = every + max(FOLLOW, 1 / self.answers) * (took - every) if every else took
+    def learn(self, node: int, now: float, took_ms: float) -> None:
+        """Adds a latency, per request of mean size, to the averages of a node and of all."""
+        old_ms = self.mean_latency(node, now) or took_ms
+        self.mean_latency_ms[node] = old_ms + STEADY * (took_ms - old_ms)
+        self.mean_updated_ms[node] = now
+        fleet_ms = self.fleet_mean(now)
+        self.fleet_mean_updated_ms = now
+        self.answers += 1
+        step = max(FOLLOW, 1 / self.answers)
+        self.fleet_mean_ms = fleet_ms + step * (took_ms - fleet_ms) if fleet_ms else took_ms
--- a/pebblehinge/decide/valuation.py
+++ b/pebblehinge/decide/valuation.py
@@ -1,4 +1,4 @@
-"""What a request earns, by what its volume is due, and what its volume's limit has left."""
+"""What a request is worth, by what its volume is due, and what its volume's limit has left."""
 
 from __future__ import annotations
 
@@ -9,62 +9,78 @@
 from pebblehinge.scheduler_state import SettingsView, TokenBuckets
 
 SHARE_RATES = 3.0  # a volume's share beyond its reserve, by weight, as a multiple of the plans' usual rates
-LEAD = 3.0  # what a volume's lead head gets of it, in even parts
+LEAD = 3.0  # what a volume's main gateway gets of it, in even parts
+REST_MS = 60_000.0  # a volume that has been at rest for so long may be forgotten
 
 
 class Valuation:
-    """Prices requests; keeps each volume's stores."""
+    """Values requests; keeps each volume's token buckets.
 
-    def __init__(self, given: SettingsView, now: float) -> None:
-        self.given = given
-        self.known_ms = now  # since when the limit of a volume that is not in stores has surely filled
-        self.stores: OrderedDict[str, TokenBuckets] = OrderedDict()
-        self.mean_value_per_unit = 0.0  # what a unit of a request earns in the mean
+    Args:
+        settings: the settings in force.
+        now: clock, ms.
+    """
 
-    def store(self, a: Request, now: float) -> TokenBuckets:
-        """The volume's stores, filled up to now. The limit's store starts empty with the head and not with
-        the volume: a restarted head cannot know what it spent, so it counts on what has surely filled; nor of
-        a volume that was forgotten, before the last that was; nor of a plan, before it was adopted."""
-        quota_plan, n, cfg = a.quota_plan, a.set_size, self.given.cfg
-        st = self.stores.pop(a.volume, None)
-        if st is None:
-            st = TokenBuckets(0.0, self.known_ms, cfg.most_units)
-            if len(self.stores) > REMEMBERED and now - next(iter(self.stores.values())).at_ms > 60000.0:
-                self.known_ms = max(self.known_ms, self.stores.popitem(last=False)[1].at_ms)
-        self.stores[a.volume] = st
-        passed = (now - st.at_ms) / 1000.0
-        st.at_ms = now
-        st.limit = min(
-            (quota_plan.limit_burst + quota_plan.limit_slack) / n, st.limit + passed * quota_plan.limit_rate / n
-        )
-        # None knows what comes through the others, and any may be the volume's lead for a while.
-        part = min(1.0, LEAD / n)
-        st.reserve = min(part * quota_plan.reserve + cfg.most_units, st.reserve + passed * part * quota_plan.reserve)
-        rate = SHARE_RATES * (self.given.rates / max(FLOOR, self.given.weights)) * quota_plan.weight * part
-        st.share = min(rate + cfg.most_units, st.share + passed * rate)
-        return st
+    def __init__(self, settings: SettingsView, now: float) -> None:
+        self.settings = settings
+        self.known_ms = now  # since when the limit of a volume that is not in buckets has surely filled
+        self.buckets: OrderedDict[str, TokenBuckets] = OrderedDict()  # by volume, the least recently used first
+        self.mean_value_per_unit = 0.0  # moving average over requests
 
-    def price(self, a: Request, now: float) -> None:
-        """What a unit of the request earns: inside the reserve in full, then the share, then the rest."""
-        st, cfg = self.store(a, now), self.given.cfg
-        full = min(a.units, max(0.0, st.reserve)) if a.quota_plan.reserve else 0.0
-        part = min(a.units - full, max(0.0, st.share))
-        st.reserve -= full
-        st.share -= part
-        a.taken = (full, part)
-        value = full + cfg.share_value * part + cfg.excess_value * (a.units - full - part)
-        a.value_per_unit = a.request_class.priority_weight * a.quota_plan.value_factor * value / max(a.units, FLOOR)
-        self.mean_value_per_unit += max(FOLLOW, 1 / a.seq) * (a.value_per_unit - self.mean_value_per_unit)
+    def refill(self, request: Request, now: float) -> TokenBuckets:
+        """Returns the token buckets of a request's volume, filled up to now (ms).
 
-    def give_back(self, a: Request) -> None:
-        """What a given up request would have earned is still due to others of its volume."""
-        st = self.stores.get(a.volume)
-        if st is not None and not a.sent:
-            st.reserve += a.taken[0]
-            st.share += a.taken[1]
+        The limit's bucket starts empty with the gateway and not with the volume: a restarted gateway can't know what
+        it spent, so it counts on what has surely filled; nor can it of a volume that was forgotten, before the last
+        that was; nor of a plan, before it was adopted.
+        """
+        plan = request.quota_plan
+        set_size = request.set_size
+        settings = self.settings.current
+        buckets = self.buckets.pop(request.volume, None)
+        if buckets is None:
+            buckets = TokenBuckets(0.0, self.known_ms, settings.most_units)
+            if len(self.buckets) > REMEMBERED and now - next(iter(self.buckets.values())).at_ms > REST_MS:
+                self.known_ms = max(self.known_ms, self.buckets.popitem(last=False)[1].at_ms)
+        self.buckets[request.volume] = buckets
+        passed_s = (now - buckets.at_ms) / 1000.0
+        buckets.at_ms = now
+        most = (plan.limit_burst + plan.limit_slack) / set_size
+        buckets.limit = min(most, buckets.limit + passed_s * plan.limit_rate / set_size)
+        # No gateway knows what comes through the others, and any may be the volume's main one for a while.
+        part = min(1.0, LEAD / set_size)
+        most = part * plan.reserve + settings.most_units
+        buckets.reserve = min(most, buckets.reserve + passed_s * part * plan.reserve)
+        rate = SHARE_RATES * (self.settings.rates / max(FLOOR, self.settings.weights)) * plan.weight * part
+        buckets.share = min(rate + settings.most_units, buckets.share + passed_s * rate)
+        return buckets
+
+    def price(self, request: Request, now: float) -> None:
+        """Sets what a unit of a request is worth: inside the reserve in full, then by the share, then the rest."""
+        buckets = self.refill(request, now)
+        settings = self.settings.current
+        units = request.units
+        plan = request.quota_plan
+        full = min(units, max(0.0, buckets.reserve)) if plan.reserve else 0.0
+        part = min(units - full, max(0.0, buckets.share))
+        buckets.reserve -= full
+        buckets.share -= part
+        request.charged = (full, part)
+        value = full + settings.share_value * part + settings.excess_value * (units - full - part)
+        request.value_per_unit = request.request_class.priority_weight * plan.value_factor * value / max(units, FLOOR)
+        step = max(FOLLOW, 1 / request.seq)
+        self.mean_value_per_unit += step * (request.value_per_unit - self.mean_value_per_unit)
+
+    def give_back(self, request: Request) -> None:
+        """Returns the tokens of a request that was given up unsent, to others of its volume."""
+        buckets = self.buckets.get(request.volume)
+        if buckets is not None and not request.sent:
+            full, part = request.charged
+            buckets.reserve += full
+            buckets.share += part
 
     def adopt(self, now: float, quota_plans_changed: bool) -> None:
-        """What a limit's store filled since its last look is not counted: that rate was not yet in force."""
+        """New settings are about to be in force: what filled since the last look is not counted by their rates."""
         self.known_ms = now if quota_plans_changed else self.known_ms
-        for st in self.stores.values():
-            st.at_ms = now
+        for buckets in self.buckets.values():
+            buckets.at_ms = now
--- a/pebblehinge/scheduler_state/request_handle.py
+++ b/pebblehinge/scheduler_state/request_handle.py
@@ -23,12 +23,13 @@
 class RequestHandle:
     """A handle: passes its calls to the owner of its request, and keeps what changed until it is drained."""
 
-    path: RequestOwner
-    attempts: list[Attempt]  # new ones since the last drain, like the two below
-    cancellations: list[int]
-    answer: Answer | None
-    sent: int = 0  # attempts so far
-    out: bool = False  # one is in flight
+    def __init__(self, dispatcher: RequestOwner) -> None:
+        self.dispatcher = dispatcher
+        self.attempts: list[Attempt] = []  # new ones since the last drain, like the two below
+        self.cancellations: list[int] = []
+        self.answer: Answer | None = None
+        self.sent = 0  # attempts so far
+        self.out = False  # one is in flight
 
     def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
         """Takes the outcome of an attempt, counted from 0; one that is no longer in flight is ignored.
@@ -41,17 +42,17 @@
             took_ms: from its start to its end.
         """
         if self.out and attempt == self.sent - 1:
-            self.path.ended(self, now, outcome, over, took_ms)
-        return self.path.notes.finish(now)
+            self.dispatcher.ended(self, now, outcome, over, took_ms)
+        return self.dispatcher.notes.finish(now)
 
     def begun(self, now: float) -> Changes:
         """The answer has begun to stream: nothing is left to decide until its outcome."""
-        return self.path.notes.finish(now)
+        return self.dispatcher.notes.finish(now)
 
     def left(self, now: float) -> Changes:
         """The client is gone: nothing more is owed."""
-        self.path.left(self, now)
-        return self.path.notes.finish(now)
+        self.dispatcher.left(self, now)
+        return self.dispatcher.notes.finish(now)
 
     def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
         """Returns what is new since the last call: attempts, numbers of attempts to cancel, the final answer."""
--- a/pebblehinge/scheduler_state/settings_view.py
+++ b/pebblehinge/scheduler_state/settings_view.py
@@ -13,7 +13,7 @@
 
     def adopt(self, settings: Settings) -> None:
         """Replaces the settings."""
-        self.cfg = settings
+        self.current = settings
         self.request_classes = {row.name: row for row in settings.request_classes}
         self.quota_plans = {row.name: row for row in settings.quota_plans}
         self.rates = sum(row.rate for row in settings.quota_plans)  # units a second
--- a/pebblehinge/wirehost/__main__.py
+++ b/pebblehinge/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the heads of one process on the simulator's wire, from standard input to standard output."""
+"""Serves the gateways of one process on the simulator's wire, from standard input to standard output."""
 
 import sys
 
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -1,8 +1,13 @@
-"""Reads and writes the lines of the simulator's wire. No decisions are taken here."""
+"""Reads and writes the lines of the simulator's wire. No decisions are taken here.
+
+A line is the name of a message and its fields, separated by single spaces; the last field takes the rest of the line.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
 from typing import Any
 
 import msgspec
@@ -26,6 +31,7 @@
     "cached": ListKind.CACHED,
     "failed": ListKind.FAILED,
 }
+MS_PER_S = 1000.0
 RETRY_BIT = 2  # of an ARRIVAL's options
 CALLS = {ListCall.WATCH: "LISTEN 1"}
 
@@ -34,167 +40,196 @@
     """A line that is not what the wire allows; the text says what was expected."""
 
 
-def whole(text: str) -> int:
-    return int(text)
+class Message(Enum):
+    """The messages that the simulator sends; the values are their names on the wire."""
 
+    BATCH = "BATCH"  # begins a batch, at a time
+    FOR = "FOR"  # the following lines are for this instance
+    HELLO = "HELLO"  # starts an instance
+    DESTROY = "DESTROY"  # ends an instance
+    MANIFEST = "MANIFEST"  # begins an endpoint list
+    ROW = "ROW"  # a line of it
+    SYNC = "SYNC"  # an instance gets an endpoint list
+    ARRIVAL = "ARRIVAL"  # a client's request
+    HEADERS = "HEADERS"  # an attempt's answer has begun
+    VERDICT = "VERDICT"  # an attempt's outcome
+    HANGUP = "HANGUP"  # a client is gone
+    TICK_DUE = "TICK_DUE"  # a timer has fired
+    ECHO = "ECHO"  # the outcome of a health check
+    FROM_PEER = "FROM_PEER"  # gossip
+    GO = "GO"  # ends a batch
 
-def whole_or_0(text: str) -> int:
-    return 0 if text == "-" else int(text)
 
+@dataclass(frozen=True, slots=True)
+class FieldType:
+    """How a field is read.
 
-def millis(text: str) -> float:
-    value = float(text) * 1000.0
-    if not abs(value) < float("inf"):
-        raise ValueError
-    return value
+    Attributes:
+        reader: gives the value of a field's text; ValueError or KeyError where the text is not allowed.
+        expected: what is allowed, for error messages.
+    """
 
+    reader: Callable[[str], Any]
+    expected: str
 
-def millis_or_0(text: str) -> float:
-    return 0.0 if text == "-" else millis(text)
 
-
-def number(text: str) -> float:
-    value = float(text)
+def _finite(text: str, scale: float = 1.0) -> float:
+    value = float(text) * scale
     if not abs(value) < float("inf"):
         raise ValueError
     return value
 
 
-def number_or_0(text: str) -> float:
-    return 0.0 if text == "-" else number(text)
+def _milliseconds(text: str) -> float:
+    return _finite(text, MS_PER_S)
 
 
-def flag(text: str) -> bool:
+def _flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError
     return text == "1"
 
 
-def name(text: str) -> str:
+def _name(text: str) -> str:
     if not text or text == "-":
         raise ValueError
     return text
 
 
-def name_or_none(text: str) -> str | None:
-    return None if text == "-" else name(text)
-
-
-def anything(text: str) -> str:
-    return text
-
+def _or_absent(reader: Callable[[str], Any], absent: Any) -> Callable[[str], Any]:
+    """Returns a reader that takes "-" for a value that is absent."""
 
-def one_of(values: dict[str, Any]) -> Callable[[str], Any]:
     def read(text: str) -> Any:
-        return values[text]
+        return absent if text == "-" else reader(text)
 
-    read.__name__ = "one of " + ", ".join(values)
     return read
 
 
-# For each message its values in order: what each is called on the wire, and how it is read.
-MESSAGES: dict[str, tuple[tuple[str, Callable[[str], Any]], ...]] = {
-    "BATCH": (("clock", millis),),
-    "FOR": (("head", name),),
-    "HELLO": (("prng", whole), ("env", anything)),
-    "DESTROY": (),
-    "MANIFEST": (("ref", whole), ("members", whole)),
-    "ROW": (
-        ("generation_hw", anything),
-        ("shelf", name),
-        ("born_s", millis_or_0),
-        ("status", one_of(platform_settings.STANDINGS)),
-        ("pod", whole),
-        ("capacity_hint", number_or_0),
-        ("campus", anything),
+def _one_of(values: dict[str, Any]) -> FieldType:
+    return FieldType(values.__getitem__, "one of " + ", ".join(values))
+
+
+INTEGER = FieldType(int, "a whole number")
+INTEGER_OR_0 = FieldType(_or_absent(int, 0), "a whole number or -")
+SECONDS = FieldType(_milliseconds, "a time in seconds")  # read as milliseconds
+SECONDS_OR_0 = FieldType(_or_absent(_milliseconds, 0.0), "a time in seconds or -")
+NUMBER = FieldType(_finite, "a number")
+NUMBER_OR_0 = FieldType(_or_absent(_finite, 0.0), "a number or -")
+FLAG = FieldType(_flag, "1 or 0")
+NAME = FieldType(_name, "a name")
+NAME_OR_NONE = FieldType(_or_absent(_name, None), "a name or -")
+TEXT = FieldType(str, "text")
+
+# For each message its fields in order: what each is called on the wire, and its type.
+MESSAGES: dict[Message, tuple[tuple[str, FieldType], ...]] = {
+    Message.BATCH: (("clock", SECONDS),),
+    Message.FOR: (("head", NAME),),
+    Message.HELLO: (("prng", INTEGER), ("env", TEXT)),
+    Message.DESTROY: (),
+    Message.MANIFEST: (("ref", INTEGER), ("members", INTEGER)),
+    Message.ROW: (
+        ("generation_hw", TEXT),
+        ("shelf", NAME),
+        ("born_s", SECONDS_OR_0),
+        ("status", _one_of(platform_settings.STANDINGS)),
+        ("pod", INTEGER),
+        ("capacity_hint", NUMBER_OR_0),
+        ("campus", TEXT),
     ),
-    "SYNC": (("ref", whole_or_0), ("epoch", whole_or_0), ("how", one_of(KINDS))),
-    "ARRIVAL": (
-        ("tid", whole),
-        ("block_key", name_or_none),
-        ("tier_class", name),
-        ("tier", name),
-        ("options", whole_or_0),
-        ("set_size", whole),
-        ("slot_no", whole),
-        ("cost_units", number),
-        ("share_id", name),
-        ("give_up_at_s", millis),
+    Message.SYNC: (("ref", INTEGER_OR_0), ("epoch", INTEGER_OR_0), ("how", _one_of(KINDS))),
+    Message.ARRIVAL: (
+        ("tid", INTEGER),
+        ("block_key", NAME_OR_NONE),
+        ("tier_class", NAME),
+        ("tier", NAME),
+        ("options", INTEGER_OR_0),
+        ("set_size", INTEGER),
+        ("slot_no", INTEGER),
+        ("cost_units", NUMBER),
+        ("share_id", NAME),
+        ("give_up_at_s", SECONDS),
     ),
-    "HEADERS": (("tid", whole), ("attempt", whole), ("shelf", name), ("rtt_s", millis)),
-    "VERDICT": (
-        ("tid", whole),
-        ("attempt", whole),
-        ("use_pct", whole_or_0),
-        ("status", one_of(OUTCOMES)),
-        ("over", flag),
-        ("from_others", whole_or_0),
-        ("shelf", name),
-        ("rtt_s", millis_or_0),
-        ("usage", anything),
+    Message.HEADERS: (("tid", INTEGER), ("attempt", INTEGER), ("shelf", NAME), ("rtt_s", SECONDS)),
+    Message.VERDICT: (
+        ("tid", INTEGER),
+        ("attempt", INTEGER),
+        ("use_pct", INTEGER_OR_0),
+        ("status", _one_of(OUTCOMES)),
+        ("over", FLAG),
+        ("from_others", INTEGER_OR_0),
+        ("shelf", NAME),
+        ("rtt_s", SECONDS_OR_0),
+        ("usage", TEXT),
     ),
-    "HANGUP": (("tid", whole),),
-    "TICK_DUE": (("cookie", whole),),
-    "ECHO": (
-        ("status", one_of(OUTCOMES)),
-        ("rtt_s", millis_or_0),
-        ("shelf", name),
-        ("usage", anything),
+    Message.HANGUP: (("tid", INTEGER),),
+    Message.TICK_DUE: (("cookie", INTEGER),),
+    Message.ECHO: (
+        ("status", _one_of(OUTCOMES)),
+        ("rtt_s", SECONDS_OR_0),
+        ("shelf", NAME),
+        ("usage", TEXT),
     ),
-    "FROM_PEER": (("src_peer", whole), ("body", anything)),
-    "GO": (),
-}
-EXPECTED = {
-    "whole": "a whole number",
-    "whole_or_0": "a whole number or -",
-    "millis": "a time in seconds",
-    "millis_or_0": "a time in seconds or -",
-    "number": "a number",
-    "number_or_0": "a number or -",
-    "flag": "1 or 0",
-    "name": "a name",
-    "name_or_none": "a name or -",
+    Message.FROM_PEER: (("src_peer", INTEGER), ("body", TEXT)),
+    Message.GO: (),
 }
+MESSAGES_BY_NAME = {message.value: message for message in MESSAGES}
+
 
+def read_line(line: str) -> tuple[Message, list[Any]]:
+    """Reads one line.
 
-def read_line(line: str) -> tuple[str, list[Any]]:
-    """The name of a line's message and its values."""
+    Returns:
+        Its message and the values of its fields, in order.
+
+    Raises:
+        WireError: the message is unknown, or a field is missing or not as it should be.
+    """
     word, _, rest = line.partition(" ")
-    fields = MESSAGES.get(word)
-    if fields is None:
-        raise WireError(f"unknown message {word!r}: expected one of {', '.join(MESSAGES)}")
+    message = MESSAGES_BY_NAME.get(word)
+    if message is None:
+        raise WireError(f"unknown message {word!r}: expected one of {', '.join(MESSAGES_BY_NAME)}")
+    fields = MESSAGES[message]
     parts = rest.split(" ", len(fields) - 1) if fields and rest else []
     if len(parts) != len(fields) or (not fields and rest):
-        wanted = " ".join(f for f, _ in fields) or "no values"
+        wanted = " ".join(field for field, _ in fields) or "no values"
         raise WireError(f"{word} holds {len(parts)} values: expected {len(fields)} ({wanted})")
     values = []
-    for (field, read), part in zip(fields, parts, strict=True):
+    for (field, kind), part in zip(fields, parts, strict=True):
         try:
-            values.append(read(part))
+            values.append(kind.reader(part))
         except (ValueError, KeyError):
-            wanted = EXPECTED.get(read.__name__, read.__name__)
-            raise WireError(f"{word}: {field} is {part[:60]!r}: expected {wanted}") from None
-    return word, values
+            raise WireError(f"{word}: {field} is {part[:60]!r}: expected {kind.expected}") from None
+    return message, values
 
 
 def read_entry(values: list[Any]) -> Entry:
-    _, shelf, started, standing, slot, _, _ = values
-    return Entry(shelf, standing, slot, started)
+    """Returns the line of an endpoint list that a ROW's values state."""
+    _, node, started_ms, standing, slot, _, _ = values
+    return Entry(node, standing, slot, started_ms)
 
 
 def seconds(ms: float) -> str:
-    """A time as the wire writes it, to the microsecond."""
-    return f"{ms / 1000.0:.6f}"
+    """Returns a time in ms as the wire has it: seconds, to the microsecond."""
+    return f"{ms / MS_PER_S:.6f}"
 
 
-def write_answer(tid: int, final: Final, stay_away_ms: float) -> str:
+def write_answer(request_id: int, final: Final, stay_away_ms: float) -> str:
+    """Returns the line of a final answer; a Retry-After of 0 ms is none."""
     if final is Final.FAILED:
-        return f"REPORT_FAILURE {tid}"
-    return f"NOT_NOW {tid} {seconds(stay_away_ms)}" if stay_away_ms > 0 else f"NOT_NOW {tid} -"
+        return f"REPORT_FAILURE {request_id}"
+    retry_after = seconds(stay_away_ms) if stay_away_ms > 0 else "-"
+    return f"NOT_NOW {request_id} {retry_after}"
 
 
 def read_settings(text: str) -> Settings:
-    """The settings of an instance, from the object that HELLO holds."""
+    """Reads the settings of an instance.
+
+    Args:
+        text: the JSON object that HELLO holds.
+
+    Raises:
+        WireError: it is no JSON, or a value is not as it should be.
+    """
     try:
         return platform_settings.read_settings(msgspec.json.decode(text))
     except msgspec.DecodeError as error:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -19,17 +19,19 @@
 
 
 def sizes(head: Scheduler) -> dict[str, int]:
-    path = head.path
+    dispatcher = head.dispatcher
     parts = (
         head,
-        head.given,
+        head.settings,
         head.notes,
         head.shelfs,
-        path,
-        path.valuation,
-        path.limits,
-        path.limits.lines,
-        path.refusal,
+        dispatcher,
+        dispatcher.valuation,
+        dispatcher.limits,
+        dispatcher.limits.queues,
+        dispatcher.load_shedder,
+        dispatcher.anticipation,
+        dispatcher.retries,
     )
     return {
         f"{type(part).__name__}.{name}": len(value)
@@ -119,7 +121,7 @@
         # Of a sudden half can't be in time.
         head.shelfs.mean_latency_ms[0], head.shelfs.mean_updated_ms[0] = 2000.0 * CONCURRENCY_LIMIT / (count / 2), 1.0
         Counted.looks = 0
-        head.path.serve(0, 1.0, None)
+        head.dispatcher.serve(0, 1.0, None)
         assert count * 0.4 < len(head.shelfs.queued[0]) < count * 0.6
         return Counted.looks
 
@@ -136,7 +138,7 @@
     first.ended(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
     for n in range(REMEMBERED + 10):
         take(head, 361_000.0 + n / 100, slot=9, volume=f"w{n}")  # refused: nobody has that slot
-    assert "v" not in head.path.valuation.stores, "it was to be forgotten"
+    assert "v" not in head.dispatcher.valuation.buckets, "it was to be forgotten"
     again = take(head, 362_000.0, plan="capped", units=60.0, volume="v", profile="bulk")
     assert not went(again), "62 s fill 31 units"
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -35,8 +35,8 @@
     going = 0
     for n in range(200):
         request, _ = head.take(START_MS + 1.0, n + 1, "e7", "look", "gold", "v1", 3, 0, 2.0, START_MS + 3000.0, again)
-        head.path.valuation.mean_value_per_unit = request.value_per_unit
-        going += head.path.limits.earliest(request, START_MS + 1.0) <= START_MS + 1.0
+        head.dispatcher.valuation.mean_value_per_unit = request.value_per_unit
+        going += head.dispatcher.limits.earliest(request, START_MS + 1.0) <= START_MS + 1.0
     return going
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -30,7 +30,7 @@
     served(head, 0.0, 0, 5000.0)
     for i in range(1, 20):
         head.shelfs.learn(i, 5000.0, 50.0)
-    assert head.shelfs.every(5000.0) == pytest.approx((5000.0 / 0.75 + 19 * 50.0) / 20, rel=0.4)
+    assert head.shelfs.fleet_mean(5000.0) == pytest.approx((5000.0 / 0.75 + 19 * 50.0) / 20, rel=0.4)
 
 
 def slow(head: Scheduler, now: float) -> None:
--- a/tests/test_head_clients.py
+++ b/tests/test_head_clients.py
@@ -192,7 +192,7 @@
         rig.head.adopt(new)
         got = await held
         assert got.succeeded and got.took_ms < 400
-        assert rig.head.core.module.given.quota_plans["capped"].limit_rate == 100.0
+        assert rig.head.core.module.settings.quota_plans["capped"].limit_rate == 100.0
 
     on_rig(script)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -43,21 +43,23 @@
     old = learned()
     state = old.remembered(2_100.0)
     fresh_ = life(state, 100.0)
-    known = {n: fresh_.shelfs.mean(s, 50_000.0) for s, n in enumerate(fresh_.shelfs.names)}
+    known = {n: fresh_.shelfs.mean_latency(s, 50_000.0) for s, n in enumerate(fresh_.shelfs.names)}
     assert known["B"] > 1.5 * known["A"] > 0 and fresh_.shelfs.low_quartile_ms == old.shelfs.low_quartile_ms
     aged = [life(state, age) for age in (100.0, 3_000.0, 30_000.0, 600_000.0)]
-    gaps = [abs(h.shelfs.mean(0, 50_000.0) - h.shelfs.mean(1, 50_000.0)) for h in aged]
+    gaps = [abs(h.shelfs.mean_latency(0, 50_000.0) - h.shelfs.mean_latency(1, 50_000.0)) for h in aged]
     assert gaps == sorted(gaps, reverse=True) and gaps[-1] < 1e-6
-    counts = [sum(h.path.extents["x0"].counts.values()) if "x0" in h.path.extents else 0.0 for h in aged]
+    counts = [sum(h.dispatcher.extents["x0"].counts.values()) if "x0" in h.dispatcher.extents else 0.0 for h in aged]
     assert counts == sorted(counts, reverse=True) and counts[0] > 0
-    assert aged[-1].shelfs.low_quartile_ms == 0.0 and aged[-1].path.valuation.mean_value_per_unit == 0.0
+    assert aged[-1].shelfs.low_quartile_ms == 0.0 and aged[-1].dispatcher.valuation.mean_value_per_unit == 0.0
 
 
 def test_units_of_a_limit_are_known_only_where_nothing_was_sent_since() -> None:
     state = learned().remembered(2_100.0) | {"limits": {"c": (7.0, 100.0)}}
-    assert "c" not in life(state, 1000.0, whole=False).path.valuation.stores
+    assert "c" not in life(state, 1000.0, whole=False).dispatcher.valuation.buckets
     head = life(state, 1000.0, whole=True)
-    assert head.path.valuation.stores["c"].limit == 7.0 and head.path.valuation.stores["c"].at_ms == 48_900.0
+    assert (
+        head.dispatcher.valuation.buckets["c"].limit == 7.0 and head.dispatcher.valuation.buckets["c"].at_ms == 48_900.0
+    )
 
 
 def snapshot(**more: Any) -> bytes:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -25,20 +25,20 @@
 class Forgets(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        give_up = self.path.refusal.give_up
+        give_up = self.dispatcher.load_shedder.give_up
 
         def forgets(a: Request, why: str) -> None:
             give_up(a, why)
             if why == "its time is up":
                 a.answer = None
 
-        self.path.refusal.give_up = forgets  # type: ignore[method-assign]
+        self.dispatcher.load_shedder.give_up = forgets  # type: ignore[method-assign]
 
 
 class Repeats(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.path.limits.may_retry = lambda *_: True  # type: ignore[method-assign]
+        self.dispatcher.limits.may_retry = lambda *_: True  # type: ignore[method-assign]
 
 
 class Drains(Scheduler):
@@ -55,14 +55,14 @@
 class Rich(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        store = self.path.valuation.store
+        store = self.dispatcher.valuation.refill
 
         def rich(a: Request, now: float) -> Any:
             st = store(a, now)
             st.limit = max(st.limit, a.units)
             return st
 
-        self.path.valuation.store = rich  # type: ignore[method-assign]
+        self.dispatcher.valuation.refill = rich  # type: ignore[method-assign]
 
 
 class Mixes(Scheduler):
@@ -74,7 +74,7 @@
 class Spends(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.path.limits.spare_retries = lambda now: 99.0  # type: ignore[method-assign]
+        self.dispatcher.limits.spare_retries = lambda now: 99.0  # type: ignore[method-assign]
 
 
 class Strays(Scheduler):
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -159,7 +159,7 @@
         rig.head.reload()
         await until(lambda: rig.head.watch.version == 5 and old.lost)
         assert (
-            rig.head.core.module.given.request_classes["look"].latency_objective_ms == 300.0
+            rig.head.core.module.settings.request_classes["look"].latency_objective_ms == 300.0
             and rig.head.config.sockets == 256
         )
         held[0].write(OK)
