--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -42,8 +42,8 @@
     Cap(
         "pairs of waiting",
         "pebblehinge/wait_accounting/accounting.py",
-        "MOST_PAIRS = ",
-        constant("pebblehinge.wait_accounting.accounting", "MOST_PAIRS"),
+        "MAX_PAIRS = ",
+        constant("pebblehinge.wait_accounting.accounting", "MAX_PAIRS"),
         "pairs",
         "volume and cause, where accounts are kept",
         5 * VOLUMES,
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -177,7 +177,7 @@
     if failed:
         click.echo(f"pebblehinge: {failed[0]}", err=True)
         return 2
-    log.info("stopped", answers=server.core.counts)
+    log.info("stopped", answers=server.core.counts.by_word())
     return 0
 
 
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -123,10 +123,10 @@
     async def why(self, request: web.Request) -> web.Response:
         """Where a volume's time went, in words."""
         name = self._volume(request)
-        account = self.head.core.account
+        account = self.head.core.wait_accounting
         if account is None:
             raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
-        return web.Response(text="\n".join(account.words(name)) + "\n")
+        return web.Response(text="\n".join(account.report(name)) + "\n")
 
     async def events(self, request: web.Request) -> web.StreamResponse:
         """Snapshots as they are made. One that is missed is missed: each holds all."""
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -88,8 +88,9 @@
         head, core = self.head, self.head.core
         now = head.clock()
         passed = max(1e-3, (now - self.before_ms) / 1000.0) if self.before_ms else 0.0
-        rates = {k: (n - self.before.get(k, 0)) / passed if passed else 0.0 for k, n in core.counts.items()}
-        self.before, self.before_ms = dict(core.counts), now
+        counts = core.counts.by_word()
+        rates = {k: (n - self.before.get(k, 0)) / passed if passed else 0.0 for k, n in counts.items()}
+        self.before, self.before_ms = counts, now
         shelfs = self.shelfs(now)
         for row in shelfs:
             known = self.standing.get(row["name"])
@@ -106,7 +107,7 @@
             "open": core.open,
             "held_bytes": core.bytes,
             "connections": len(head.conns),
-            "counts": dict(core.counts),
+            "counts": counts,
             "a_second": {k: round(v, 1) for k, v in rates.items()},
             "further_trips": core.retries,
             "outcomes": {o.value: n for o, n in core.outcomes.items()},
--- a/pebblehinge/core/__init__.py
+++ b/pebblehinge/core/__init__.py
@@ -1,5 +1,8 @@
-"""What stands between any front and the decision module, the same for all fronts; it decides nothing."""
+"""The request table between a front's sockets and the scheduler, the same for all fronts."""
 
-from pebblehinge.core.request_table import FAILED, REJECTED, SUCCEEDED, PendingRequest, RequestTable
+from pebblehinge.core.answers import FinalStatus, RequestCounts
+from pebblehinge.core.effects import Effects
+from pebblehinge.core.pending_request import PendingRequest
+from pebblehinge.core.request_table import RequestTable
 
-__all__ = ["SUCCEEDED", "REJECTED", "FAILED", "RequestTable", "PendingRequest"]
+__all__ = ["Effects", "FinalStatus", "PendingRequest", "RequestCounts", "RequestTable"]
--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -1,88 +1,64 @@
-"""Between sockets and the decision module: keeps what the module need not know, and decides nothing.
+"""The requests that a gateway has accepted and not yet finished.
 
-No I/O and no clock: calls come in with the time, what is to be done goes out through `Doing`. An attempt's outcome
-is told as it was; the final answer of an succeeded request is sent here, every other one comes from the module.
-What may come in at all is the front's to say: it admits a request, then has it taken here.
+The table stands between a front's sockets and the scheduler. It keeps what the scheduler need not know (connections,
+payloads, counters) and decides nothing. It does no I/O and reads no clock: each call brings the time in milliseconds,
+and what is to be done goes out through `Effects`. A request of which an attempt succeeded is answered here; every other
+final answer comes from the scheduler. The front decides what is admitted, and then calls `RequestTable.accept`.
 """
 
 from __future__ import annotations
 
-import math
 from collections import deque
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING
 
-from pebblehinge.decide import Request, Scheduler
-from pebblehinge.interface import Changes, Entry, Final, ListCall, ListKind, Outcome, Settings
+from pebblehinge.core.answers import STATUS_OF_FINAL, FinalStatus, RequestCounts
+from pebblehinge.core.effects import Effects
+from pebblehinge.core.pending_request import PendingRequest
+from pebblehinge.core.wait_tracking import track_attempt_end, track_queued, track_sent
+from pebblehinge.decide import Scheduler
+from pebblehinge.interface import Answer, Attempt, Changes, Entry, Handle, ListKind, Outcome, Settings
 
 if TYPE_CHECKING:
     from pebblehinge.wait_accounting import WaitAccounting
 
-SUCCEEDED, REJECTED, FAILED = 0, 1, 2  # the final answers as the wire numbers them
-FINALS = {Final.REJECTED: REJECTED, Final.FAILED: FAILED}
-
-
-class PendingRequest:
-    """One request that this head took. A front adds what its attempts need."""
-
-    __slots__ = (
-        "key",
-        "conn",
-        "id",
-        "request",
-        "volume",
-        "units",
-        "data",
-        "came_ms",
-        "answered",
-        "attempt",
-        "attempts",
-        "shelf",
-        "sent_ms",
-        "begin_by_ms",
-        "attempt_ms",
-    )
-
-    def __init__(self) -> None:
-        self.key, self.conn, self.volume, self.units, self.data, self.came_ms = 0, None, "", 0.0, b"", 0.0
-        self.request: Request | None = None
-        self.answered = False
-        self.attempt: Any = None  # what the link keeps of the attempt that is out
-        self.attempts = 0
-        self.shelf, self.sent_ms, self.attempt_ms = "", 0.0, 0.0
-        self.begin_by_ms = math.inf  # the attempt that leaves may begin no later
-
-
-class Effects(Protocol):
-    """What the core has done for it."""
-
-    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None: ...
-    def drop_attempt(self, pending: PendingRequest) -> None: ...
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None: ...
-    def wake_at(self, at_ms: float) -> None: ...
-    def call_list(self, call: ListCall) -> None: ...
-
 
 class RequestTable:
-    """One running head's books."""
+    """All requests of one running gateway that may still get events, by key.
+
+    Attributes:
+        pending: The requests, by key.
+        open: How many of them have no final answer yet.
+        bytes: Payload held for them.
+        stopping: Whether the front is shutting down; kept here for fronts, which set and read it.
+        counts: Counters of requests.
+        outcomes: Counters of attempts, by outcome.
+        reasons: How often a request was not served, by the scheduler's reason.
+        retries: Attempts beyond the first of their request.
+        wakes: Calls of `woken`.
+        now: The time of the last call, in milliseconds.
+    """
 
     def __init__(
-        self, settings: Settings, seed: int, now: float, doing: Effects, account: WaitAccounting | None = None
+        self, settings: Settings, seed: int, now: float, effects: Effects, wait_accounting: WaitAccounting | None = None
     ) -> None:
-        self.doing, self.account = doing, account
+        self.effects = effects
+        self.wait_accounting = wait_accounting
         self.module = Scheduler(settings, seed, now)
-        self.pending: dict[int, PendingRequest] = {}  # all that may still get events, by key
-        self.keys = 0
+        self.pending: dict[int, PendingRequest] = {}
+        self._last_key = 0
         self.bytes = 0
-        self.open = 0  # taken and not yet answered
+        self.open = 0
         self.stopping = False
-        self.counts = {"taken": 0, "honoured": 0, "pushed back": 0, "terminated": 0, "left": 0, "refused": 0}
+        self.counts = RequestCounts()
         self.outcomes = {outcome: 0 for outcome in Outcome}
-        self.reasons: dict[str, int] = {}  # why requests were not succeeded, by the module's own branches
-        self.retries = self.wakes = 0
+        self.reasons: dict[str, int] = {}
+        self.retries = 0
+        self.wakes = 0
         self.now = now
 
     def start(self, now: float) -> None:
-        self._carry_out(self.module.start(now), now)
+        """Starts the scheduler; called once, before all other calls."""
+        self._apply(self.module.start(now), now)
 
     # ---- from clients
 
@@ -98,144 +74,165 @@
         deadline_ms: float,
         again: bool | None,
     ) -> None:
-        """A request that its front has admitted; volume, units and data stand in it."""
-        self.keys += 1
-        pending.key, pending.came_ms = self.keys, now
+        """Takes in a request that its front has admitted, and schedules it.
+
+        Args:
+            now: Clock time in milliseconds.
+            pending: The request; its volume, units and data are set.
+            extent: The extent that it concerns, None for none.
+            request_class: Name of its class in the settings.
+            quota_plan: Name of its volume's quota plan.
+            set_size: Number of gateways that serve the volume.
+            slot: Slot of placement, under 0 where any node will do.
+            deadline_ms: Clock time by which it has to be answered.
+            again: Whether the client marked it as a retry, None where clients mark none.
+        """
+        self._last_key += 1
+        pending.key = self._last_key
+        pending.came_ms = now
         self.pending[pending.key] = pending
         self.open += 1
         self.bytes += len(pending.data)
+        volume, units = pending.volume, pending.units
         pending.request, changes = self.module.take(
-            now,
-            pending.key,
-            extent,
-            request_class,
-            quota_plan,
-            pending.volume,
-            set_size,
-            slot,
-            pending.units,
-            deadline_ms,
-            again,
+            now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, again
         )
-        # Before what the call changed is done: an attempt that leaves at once was held for no time.
-        if self.account is not None and pending.request.shelf >= 0:
-            self.account.held(
-                now, pending.key, pending.volume, self.module.shelfs.names[pending.request.shelf], pending.units
-            )
-        self._carry_out(changes, now)
+        # Before the changes are applied: an attempt that is sent at once was queued for no time.
+        if self.wait_accounting is not None and pending.request.shelf >= 0:
+            track_queued(self.wait_accounting, now, pending, self.module.shelfs.names[pending.request.shelf])
+        self._apply(changes, now)
 
     def left(self, now: float, pending: PendingRequest) -> None:
-        """Its client is gone, or called it off: nothing more is sent for it."""
+        """The client is gone, or has cancelled the request: it gets no answer and no further attempt."""
         if pending.answered:
             return
         pending.answered = True
         self.open -= 1
-        self.counts["left"] += 1
-        self.noted(pending, None, now)
+        self.counts.client_gone += 1
+        self.request_ended(pending, None, now)
         assert pending.request is not None
         changes = pending.request.left(now)
-        self._carry_out(changes, now)
+        self._apply(changes, now)
         self._forget(pending)
 
-    # ---- from shelfs, the listing and the clock
+    # ---- from storage nodes, the endpoint list and the clock
 
     def ended(
         self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
     ) -> None:
-        """An attempt has its outcome, exactly one."""
+        """Reports the outcome of an attempt; each attempt that was sent and not cancelled has exactly one."""
         request = pending.request
         assert request is not None
         self.outcomes[outcome] += 1
-        pending.attempt, pending.attempt_ms, self.now = None, took_ms, now
+        pending.attempt = None
+        pending.attempt_ms = took_ms
+        self.now = now
         if outcome is Outcome.SUCCEEDED and not pending.answered:
-            self._answer(pending, SUCCEEDED, 0.0, "", data)
+            self._answer(pending, FinalStatus.SUCCEEDED, 0.0, "", data)
         over = pending.answered
-        self._account_end(pending, now)
+        if self.wait_accounting is not None:
+            track_attempt_end(self.wait_accounting, now, pending)
         changes = request.ended(now, attempt, outcome, over, took_ms)
-        self._carry_out(changes, now)
+        self._apply(changes, now)
         self._forget(pending)
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
-        self._carry_out(self.module.listed(now, kind, entries), now)
-        if self.account is not None:
-            self.account.keep(self.module.shelfs.index)
+        """Gives the scheduler an endpoint list, or changes to it."""
+        self._apply(self.module.listed(now, kind, entries), now)
+        if self.wait_accounting is not None:
+            self.wait_accounting.retain(self.module.shelfs.index)
 
     def woken(self, now: float) -> None:
+        """A time has come that was asked for by `Effects.wake_at`."""
         self.wakes += 1
-        self._carry_out(self.module.woken(now), now)
+        self._apply(self.module.woken(now), now)
 
     def adopt(self, now: float, settings: Settings) -> None:
-        """New settings, with nothing dropped: what is held goes on under the new figures."""
-        self._carry_out(self.module.adopt(now, settings), now)
+        """Takes new settings, which hold for the pending requests too; none is dropped."""
+        self._apply(self.module.adopt(now, settings), now)
 
     def leaves(self, now: float, end_ms: float) -> None:
-        """This life ends: by end_ms (clock time) the module has answered all that is taken."""
-        self._carry_out(self.module.leaves(now, end_ms), now)
+        """Begins the shutdown: by clock time `end_ms` the scheduler has answered all that is pending."""
+        self._apply(self.module.leaves(now, end_ms), now)
 
-    def noted(self, pending: PendingRequest, final: int | None, now: float) -> None:
-        """For fronts that keep records: a request is over, by its final answer or (None) since its client left."""
+    def request_ended(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
+        """Called when a request has its final answer, or (`final` is None) lost its client.
 
-    def _account_end(self, pending: PendingRequest, now: float) -> None:
-        """An attempt is over. What follows it, if anything, is held anew."""
-        if self.account is not None and pending.key in self.account.where:
-            self.account.ended(now, pending.key)
-            self.account.answered(pending.key)
-            if not pending.answered:
-                self.account.held(now, pending.key, pending.volume, pending.shelf, pending.units)
+        A front that keeps records of requests overrides it.
+        """
 
-    # ---- carrying out
+    # ---- applying what the scheduler decided
 
-    def _carry_out(self, first: Changes, now: float) -> None:
-        """Does what a call to the module changed; a cancellation's outcome is a call of its own, done after."""
+    def _apply(self, first: Changes, now: float) -> None:
+        """Does what a call to the scheduler decided; reports cancelled attempts to it once that is done."""
         self.now = now
         todo = deque((first,))
         while todo:
             changes = todo.popleft()
-            for request in changes.handles:
-                pending = self.pending[request.id]
-                attempts, cancellations, answer = request.drain()
-                for attempt in attempts:
-                    self.retries += pending.attempts > 0
-                    if self.account is not None:
-                        if pending.key not in self.account.where:
-                            self.account.held(now, pending.key, pending.volume, attempt.shelf, pending.units)
-                        self.account.sent(now, pending.key, pending.attempts == 0)
-                    pending.shelf, pending.sent_ms, pending.begin_by_ms = attempt.shelf, now, attempt.begin_by_ms
-                    self.doing.send_attempt(pending, attempt.shelf, pending.attempts, attempt.until_ms)
-                    pending.attempts += 1
-                for number in cancellations:
-                    if pending.attempt is not None:
-                        self.doing.drop_attempt(pending)
-                        pending.attempt = None
-                        self.outcomes[Outcome.CANCELLED] += 1
-                        took = now - pending.sent_ms
-                        self._account_end(pending, now)
-                        todo.append(request.ended(now, number, Outcome.CANCELLED, pending.answered, took))
-                if answer is not None:
-                    if not pending.answered:
-                        self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
-                    self._answer(pending, FINALS[answer.final], answer.stay_away_ms, answer.why, b"")
-                self._forget(pending)
+            for handle in changes.handles:
+                self._apply_to_request(handle, now, todo)
             for call in changes.list_calls:
-                self.doing.call_list(call)
+                self.effects.call_list(call)
             if changes.wake_ms is not None:
-                self.doing.wake_at(changes.wake_ms)
+                self.effects.wake_at(changes.wake_ms)
+
+    def _apply_to_request(self, handle: Handle, now: float, todo: deque[Changes]) -> None:
+        """Sends, cancels and answers for one request; what its cancellations change is appended to `todo`."""
+        pending = self.pending[handle.id]
+        attempts, cancellations, answer = handle.drain()
+        for attempt in attempts:
+            self._send_attempt(pending, attempt, now)
+        for number in cancellations:
+            if pending.attempt is not None:
+                todo.append(self._cancel_attempt(pending, handle, number, now))
+        if answer is not None:
+            self._answer_by_scheduler(pending, answer)
+        self._forget(pending)
 
-    def _answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        """The one final answer; whatever comes after finds the request answered."""
+    def _send_attempt(self, pending: PendingRequest, attempt: Attempt, now: float) -> None:
+        number = pending.attempts
+        if number > 0:
+            self.retries += 1
+        if self.wait_accounting is not None:
+            track_sent(self.wait_accounting, now, pending, attempt.shelf)
+        pending.shelf = attempt.shelf
+        pending.sent_ms = now
+        pending.begin_by_ms = attempt.begin_by_ms
+        self.effects.send_attempt(pending, attempt.shelf, number, attempt.until_ms)
+        pending.attempts += 1
+
+    def _cancel_attempt(self, pending: PendingRequest, handle: Handle, number: int, now: float) -> Changes:
+        """Cancels the attempt in flight and returns what the scheduler changes on that."""
+        self.effects.drop_attempt(pending)
+        pending.attempt = None
+        self.outcomes[Outcome.CANCELLED] += 1
+        if self.wait_accounting is not None:
+            track_attempt_end(self.wait_accounting, now, pending)
+        return handle.ended(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
+
+    def _answer_by_scheduler(self, pending: PendingRequest, answer: Answer) -> None:
+        if not pending.answered:
+            self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
+        self._answer(pending, STATUS_OF_FINAL[answer.final], answer.stay_away_ms, answer.why, b"")
+
+    def _answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+        """Gives the one final answer; a request that has it already gets no other."""
         if pending.answered:
             return
         pending.answered = True
         self.open -= 1
-        self.counts[("honoured", "pushed back", "terminated")[final]] += 1
-        self.noted(pending, final, self.now)
-        self.doing.answer(pending, final, stay_ms, reason, data)
+        self.counts.count_final(final)
+        self.request_ended(pending, final, self.now)
+        self.effects.answer(pending, final, stay_ms, reason, data)
 
     def _forget(self, pending: PendingRequest) -> None:
+        """Removes a request that is answered, and of which nothing is in flight or owed any more."""
         request = pending.request
-        if pending.answered and request is not None and request.over and not request.out:
-            if self.pending.pop(pending.key, None) is not None:
-                if self.account is not None:
-                    self.account.over(now=self.now, key=pending.key)
-                self.bytes -= len(pending.data)
-                pending.data = b""
+        if not pending.answered or request is None or not request.over or request.out:
+            return
+        if self.pending.pop(pending.key, None) is None:
+            return
+        if self.wait_accounting is not None:
+            self.wait_accounting.request_ended(self.now, pending.key)
+        self.bytes -= len(pending.data)
+        pending.data = b""
--- a/pebblehinge/decide/request.py
+++ b/pebblehinge/decide/request.py
@@ -41,6 +41,7 @@
 class Request(RequestHandle):
     """One request, and its handle."""
 
+    shelf: int  # index of its storage node, under 0 where it has none
     over, queued, run = False, False, False
     risk_ms, sent_ms, overtaken = None, 0.0, 0.0  # when the first that may have run left, when the last
 
--- a/pebblehinge/head/admission.py
+++ b/pebblehinge/head/admission.py
@@ -4,8 +4,7 @@
 
 from typing import Any
 
-from pebblehinge.core import REJECTED, PendingRequest, RequestTable
-from pebblehinge.core.request_table import Effects
+from pebblehinge.core import Effects, FinalStatus, PendingRequest, RequestTable
 from pebblehinge.settings.schema import Config, HeadBlock
 from pebblehinge.wait_accounting import WaitAccounting
 from pebblehinge.wire.frames import APPEND, READ, WRITE
@@ -34,9 +33,9 @@
 class HeadCore(RequestTable):
     """The books of a head with settings of its own."""
 
-    def __init__(self, config: Config, head: HeadBlock, now: float, doing: Effects) -> None:
+    def __init__(self, config: Config, head: HeadBlock, now: float, effects: Effects) -> None:
         super().__init__(
-            config.module_settings(head), head.seed, now, doing, WaitAccounting() if head.accounts else None
+            config.module_settings(head), head.seed, now, effects, WaitAccounting() if head.accounts else None
         )
         self.config, self.block = config, head
         self.capture: Any = None  # a CaptureWriter, where what is taken is kept
@@ -73,14 +72,14 @@
             data,
         )
         pending.profile, pending.again = profile, bool(again)
-        self.counts["taken"] += 1
+        self.counts.received += 1
         try:
             known_plan, set_size = self._admit(pending, plan, profile, left_ms)
         except Refusal as refusal:
             # Nothing of it has gone anywhere, so trying again is harmless whatever its profile.
-            self.counts["refused"] += 1
+            self.counts.not_admitted += 1
             pending.answered = True
-            self.doing.answer(pending, REJECTED, self.config.rules.stay_away_max, str(refusal), b"")
+            self.effects.answer(pending, FinalStatus.REJECTED, self.config.rules.stay_away_max, str(refusal), b"")
             return None
         pending.plan = known_plan
         self.accept(
@@ -127,7 +126,7 @@
         self.config = config
         self.adopt(now, config.module_settings(self.block))
 
-    def noted(self, pending: FramedRequest, final: int | None, now: float) -> None:
+    def request_ended(self, pending: FramedRequest, final: FinalStatus | None, now: float) -> None:
         if self.capture is not None:
             self.capture.add(
                 pending.came_ms,
--- a/pebblehinge/head/clients.py
+++ b/pebblehinge/head/clients.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from pebblehinge.core import SUCCEEDED, PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 from pebblehinge.head.house import House
 from pebblehinge.net import Peer
 from pebblehinge.wire import Kind, Session, WireError
@@ -89,10 +89,10 @@
         if self.open.pop(id_, self) is not self:
             self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
 
-    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         self.open.pop(pending.id, None)
         back, seen = self.server.back, self.seen.pop(pending.id, ())
-        if back is not None and final == SUCCEEDED and pending.op == 0 and back.buffers(pending.volume):
+        if back is not None and final is FinalStatus.SUCCEEDED and pending.op == 0 and back.buffers(pending.volume):
             data = back.after_read(pending, seen, data)
         self.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pebblehinge.core import SUCCEEDED, PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.link import ShelfLink
@@ -61,10 +61,10 @@
 
     # ---- what the core has done
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         pending.conn.answered(pending, final, stay_ms, reason, data)
         now = self.now
-        if final == SUCCEEDED:
+        if final is FinalStatus.SUCCEEDED:
             self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
         self.note(now, "answer", id=pending.trace, final=FINALS[final], stay=stay_ms)
         if self.config.log.accesses:
--- a/pebblehinge/head/inside.py
+++ b/pebblehinge/head/inside.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from pebblehinge.core import PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 from pebblehinge.head.house import House
 
 FINALS = ("honoured", "pushed back", "terminated")
@@ -82,7 +82,7 @@
                 server.core.left(server.now, pending)
             raise
 
-    def answered(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         future = self.waiting.pop(pending.id, None)
         if future is not None and not future.done():
             future.set_result(Answered(FINALS[final], stay_ms, reason, data))
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/head/metrics.py
@@ -21,7 +21,7 @@
     def collect(self) -> Iterator[Metric]:
         core, head = self.head.core, self.head
         answers = CounterMetricFamily("pebblehinge_accesses", "Accesses by how they ended", labels=["end"])
-        for end, count in core.counts.items():
+        for end, count in core.counts.by_word().items():
             answers.add_metric([end.replace(" ", "_")], count)
         yield answers
         why = CounterMetricFamily("pebblehinge_not_honoured", "By the module's reason", labels=["why"])
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pebblehinge.core import FAILED, REJECTED, SUCCEEDED, PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 from pebblehinge.head.admission import odd_time
 from pebblehinge.head.buffered_request import Asked
 from pebblehinge.head.house import House
@@ -83,7 +83,7 @@
         if op == READ:
             found = self.dirty.newest(volume, extent, offset, length) if length else None
             if found is not None:
-                self._answer(Asked(conn, id_, slot, trace), SUCCEEDED, 0.0, "", found)
+                self._answer(Asked(conn, id_, slot, trace), FinalStatus.SUCCEEDED, 0.0, "", found)
             return found is not None
         if op not in (WRITE, BARRIER, FLUSH):
             return False
@@ -92,7 +92,7 @@
         why = (odd, 0.0) if odd else self._refuses(now, volume, profile, op, offset, units, data)
         if why is not None:
             self.counts["refused"] += 1
-            self._answer(asked, REJECTED, why[1] or self.server.config.rules.stay_away_max, why[0], b"")
+            self._answer(asked, FinalStatus.REJECTED, why[1] or self.server.config.rules.stay_away_max, why[0], b"")
             return True
         self.open += 1
         left = max(0.0, left_ms - self.server.block.answer_margin)
@@ -136,19 +136,19 @@
             return
         if not lasts:
             # It may be on the disk or not: that is all that can be said.
-            self._answer(asked, FAILED, 0.0, self.committer.failed, b"")
+            self._answer(asked, FinalStatus.FAILED, 0.0, self.committer.failed, b"")
             return
         if isinstance(record, Barrier):
             self.dirty.barrier(record)
         else:
             self.dirty.add(self.clock(), record)
             self.counts["confirmed"] += 1
-        self._answer(asked, SUCCEEDED, 0.0, "", b"")
+        self._answer(asked, FinalStatus.SUCCEEDED, 0.0, "", b"")
         self.pump()
 
     def _too_late(self, asked: Asked) -> None:
         """Its time is up. What was asked goes on; it is claimed no longer."""
-        self._answer(asked, FAILED, 0.0, "not confirmed in time", b"")
+        self._answer(asked, FinalStatus.FAILED, 0.0, "not confirmed in time", b"")
 
     def _answer(self, asked: Asked, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         if asked.answered:
@@ -199,7 +199,7 @@
             if waits and not asked.answered:
                 left.append(asked)
             else:
-                self._answer(asked, SUCCEEDED, 0.0, "", b"")
+                self._answer(asked, FinalStatus.SUCCEEDED, 0.0, "", b"")
         self.flushes = left
 
     # ---- the end
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -10,7 +10,7 @@
 from pebblehinge.lab.village import Village, play
 from pebblehinge.settings.load import loads
 from pebblehinge.settings.schema import Trouble
-from pebblehinge.wait_accounting.accounting import SELF, SHELF
+from pebblehinge.wait_accounting import OWN_WORK, WaitCause
 
 DAY = """
 rules {
@@ -84,9 +84,9 @@
         config.day["blame"] = msgspec.structs.replace(config.day["blame"], at=at)
     village, _ = play(config, "blame", seed)
     total: dict[str, float] = {}
-    for (volume, cause), ms in village.servers["h1"].core.account.waits.items():
-        if volume.startswith("calm") and cause != SELF and not cause.startswith("calm"):
-            total[cause] = total.get(cause, 0.0) + ms
+    for (volume, cause), ms in village.servers["h1"].core.wait_accounting.waits.items():
+        if volume.startswith("calm") and cause != OWN_WORK and not cause.word.startswith("calm"):
+            total[cause.word] = total.get(cause.word, 0.0) + ms
     return sorted(total, key=lambda cause: -total[cause]), village
 
 
@@ -96,7 +96,13 @@
     kind = rng.choice(["shelf", "noisy", "both"])
     slow = f"s{rng.randint(1, 4)}" if kind != "noisy" else ""
     named, _ = play_one(seed, slow, kind != "shelf", rng.uniform(4.0, 12.0))
-    wanted = {SHELF + slow} if kind == "shelf" else {"noisy"} if kind == "noisy" else {SHELF + slow, "noisy"}
+    wanted = (
+        {WaitCause.node(slow).word}
+        if kind == "shelf"
+        else {"noisy"}
+        if kind == "noisy"
+        else {WaitCause.node(slow).word, "noisy"}
+    )
     return {
         "seed": seed,
         "kind": kind,
--- a/pebblehinge/service/door.py
+++ b/pebblehinge/service/door.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pebblehinge.core import REJECTED, SUCCEEDED, PendingRequest, RequestTable
+from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.service.clients import ClientConn
 from pebblehinge.service.config import ServiceConfig
 from pebblehinge.service.requests import Asked, ServiceRequest
@@ -82,7 +82,7 @@
         conn.pending = pending
         self.ids.add(asked.id)
         self.stands(conn, self.busy)
-        owner.core.counts["taken"] += 1
+        owner.core.counts.received += 1
         # It may have waited here unread for as long as the loop is late.
         deadline_ms = now - owner.late_ms + asked.max_wait_ms - self.MARGIN_MS
         conn.until = min(deadline_ms, now + owner.config.longest_ms)
@@ -99,13 +99,13 @@
             again,
         )
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, data: bytes) -> None:
         conn: ClientConn = pending.conn
         if conn.pending is not pending:
             return  # its client has gone
-        if final == SUCCEEDED:
+        if final is FinalStatus.SUCCEEDED:
             conn.answered(200, data)
-        elif final == REJECTED:
+        elif final is FinalStatus.REJECTED:
             conn.answered(503, extra=retry_after(stay_ms))
         else:
             conn.answered(502)
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from pebblehinge.core import PendingRequest, RequestTable
+from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
@@ -165,7 +165,7 @@
         """A line on what has passed since the last."""
         core, door = self.core, self.door
         sums = {
-            **core.counts,
+            **core.counts.by_word(),
             **{o.value: n for o, n in core.outcomes.items()},
             **core.reasons,
             "errors": door.refused,
@@ -204,7 +204,7 @@
     def drop_attempt(self, pending: PendingRequest) -> None:
         self.pools.drop(pending.attempt)
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         self.door.answer(pending, final, stay_ms, data)
 
     def call_list(self, call: ListCall) -> None:
--- a/pebblehinge/wait_accounting/__init__.py
+++ b/pebblehinge/wait_accounting/__init__.py
@@ -1,5 +1,6 @@
-"""Who waited for whom: where the time of requests went, by volume and shelf. No I/O, no clock."""
+"""Accounting of waiting time: what kept the requests of each volume waiting. No I/O, no clock."""
 
 from pebblehinge.wait_accounting.accounting import WaitAccounting, WaitShare
+from pebblehinge.wait_accounting.causes import GATEWAY, OTHERS, OWN_WORK, RETRIES, CauseKind, WaitCause
 
-__all__ = ["WaitAccounting", "WaitShare"]
+__all__ = ["GATEWAY", "OTHERS", "OWN_WORK", "RETRIES", "CauseKind", "WaitAccounting", "WaitCause", "WaitShare"]
--- a/pebblehinge/wait_accounting/accounting.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -1,195 +1,231 @@
-"""Accounts of waiting. Each millisecond that a request was held, or out, belongs to exactly one cause.
+"""Accounting of waiting time. Each millisecond that a request was queued, or in flight, is charged to one cause.
 
-Held while attempts of this head are out at its shelf, it waits for those, in equal parts; held while none is out, for
-the head itself (its plan's limit, the cold of the shelf, a slot that is kept). Out beside other attempts of the head,
-the time at a shelf is shared among them: beyond what such an attempt usually takes, the others' parts are waiting for
-those. What is left of its own part beyond the usual is the shelf's doing, and so is that part of what it kept others
-waiting; this is settled when it ends. Retries after the first are their own cause.
+While attempts of this gateway are in flight at its node, a queued request waits for those, in equal parts; while none
+is, it waits for the gateway itself (the limit of its quota plan, the slow start of the node, a reserved slot). An
+attempt that is in flight beside others of the gateway shares the time at the node with them: beyond what such an
+attempt usually takes, the others' parts are waiting for those. What is left of its own part beyond the usual is charged
+to the node, and so is that part of what it kept others waiting; this is settled when the attempt ends. Retries are a
+cause of their own.
 
-Bounded: so many pairs, the smallest of which go into one that is called the others'.
+Memory is bounded: at most `max_pairs` pairs of volume and cause are kept, the smallest of which are merged.
 """
 
 from __future__ import annotations
 
 from collections.abc import Container
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-MOST_PAIRS = 12_288  # five causes of 2,000 volumes and some: 1.5 MB
-FOLLOWS = 0.02  # by how much the usual time follows one attempt
-SHELF, HEAD, SELF, AGAIN, OTHERS = "shelf ", "head", "own work", "further trips", "others"
+from pebblehinge.wait_accounting.causes import GATEWAY, OTHERS, OWN_WORK, RETRIES, CauseKind, WaitCause
+
+MAX_PAIRS = 12_288  # five causes of 2,000 volumes and some: 1.5 MB
+MERGED_PART = 4  # one in so many pairs is merged when there are too many
+USUAL_GAIN = 0.02  # how far one attempt moves the usual time
+REPORTED_CAUSES = 8  # lines of a report
+MERGED_VOLUME = "others"  # stands for the volumes whose merged time was merged once more
 
 
 @dataclass(slots=True)
 class TrackedAttempt:
-    """One attempt that is out: for which volume, since when, and how long it kept each volume's requests waiting."""
+    """One attempt in flight.
+
+    Attributes:
+        volume: Name of the volume that it is for.
+        units: Size of its request in units of work.
+        since: When it was sent, in milliseconds.
+        first: Whether it is the first of its request.
+        delayed: Milliseconds for which it kept queued requests waiting, by their volume.
+        shared: Milliseconds of its own time that are the parts of other attempts, by their volume.
+    """
 
     volume: str
     units: float
     since: float
     first: bool
-    kept: dict[str, float] = field(default_factory=dict)
-    beside: dict[str, float] = field(default_factory=dict)  # parts of other attempts in its own time
+    delayed: dict[str, float] = field(default_factory=dict)
+    shared: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class NodeWaits:
-    """One shelf as this head uses it."""
+    """One storage node: requests queued for it by volume, attempts in flight by key, both as of a clock time."""
+
+    queued: dict[str, int] = field(default_factory=dict)
+    in_flight: dict[int, TrackedAttempt] = field(default_factory=dict)
+    as_of_ms: float = 0.0
+
 
-    held: dict[str, int] = field(default_factory=dict)
-    out: dict[int, TrackedAttempt] = field(default_factory=dict)
-    at: float = 0.0
+class TrackedRequest(NamedTuple):
+    """Where a request is queued or in flight, and what it is."""
+
+    node: str
+    volume: str
+    units: float
 
 
 @dataclass(slots=True, frozen=True)
 class WaitShare:
-    """What part of a volume's time went to a cause."""
+    """How much of a volume's time went to a cause, in milliseconds and as a part of its whole time (0 to 1)."""
 
-    cause: str
+    cause: WaitCause
     ms: float
     part: float
 
 
 class WaitAccounting:
-    """Fed with what becomes of requests, by their key. Keys of requests that are over are forgotten."""
-
-    def __init__(self, most: int = MOST_PAIRS) -> None:
-        self.most = most
-        self.desks: dict[str, NodeWaits] = {}
-        self.where: dict[int, tuple[str, str, float]] = {}  # held requests: shelf, volume, units
-        self.usual = 0.0  # ms of a unit's attempt, over all shelfs
-        self.waits: dict[tuple[str, str], float] = {}
-        self.count: dict[str, int] = {}
-
-    # ---- what happens
-
-    def held(self, now: float, key: int, volume: str, shelf: str, units: float) -> None:
-        """A request is held for a shelf from now on."""
-        desk = self._pass(now, shelf)
-        desk.held[volume] = desk.held.get(volume, 0) + 1
-        if key not in self.where:
-            self.count[volume] = self.count.get(volume, 0) + 1
-        self.where[key] = (shelf, volume, units)
+    """Told what happens to requests, by their key; knows where the time of each volume's requests went.
+
+    Attributes:
+        max_pairs: How many pairs of volume and cause are kept.
+        nodes: The storage nodes that are in use, by name.
+        tracked: The requests that are queued or in flight, by key.
+        usual_ms: What an attempt of average size usually takes, over all nodes; 0 before the first.
+        waits: Milliseconds by volume and cause.
+        requests: How many requests each volume had.
+    """
+
+    def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
+        self.max_pairs = max_pairs
+        self.nodes: dict[str, NodeWaits] = {}
+        self.tracked: dict[int, TrackedRequest] = {}
+        self.usual_ms = 0.0
+        self.waits: dict[tuple[str, WaitCause], float] = {}
+        self.requests: dict[str, int] = {}
+
+    # ---- what happens to requests
+
+    def queued(self, now: float, key: int, volume: str, node: str, units: float) -> None:
+        """A request is queued for a node from now on."""
+        waits = self._advance(now, node)
+        waits.queued[volume] = waits.queued.get(volume, 0) + 1
+        if key not in self.tracked:
+            self.requests[volume] = self.requests.get(volume, 0) + 1
+        self.tracked[key] = TrackedRequest(node, volume, units)
 
     def sent(self, now: float, key: int, first: bool) -> None:
-        """It leaves for that shelf."""
-        shelf, volume, units = self.where[key]
-        desk = self._pass(now, shelf)
-        self._less(desk, volume)
-        desk.out[key] = TrackedAttempt(volume, units, now, first)
-
-    def ended(self, now: float, key: int) -> None:
-        """Its attempt is over."""
-        shelf, volume, _ = self.where[key]
-        desk = self._pass(now, shelf)
-        attempt = desk.out.pop(key)
+        """An attempt of a queued request is sent to its node."""
+        node, volume, units = self.tracked[key]
+        waits = self._advance(now, node)
+        _dequeue(waits, volume)
+        waits.in_flight[key] = TrackedAttempt(volume, units, now, first)
+
+    def attempt_ended(self, now: float, key: int) -> None:
+        """The attempt in flight has an outcome; its time is charged."""
+        node, volume, _ = self.tracked[key]
+        attempt = self._advance(now, node).in_flight.pop(key)
         took = now - attempt.since
         size = (1.0 + attempt.units) / 2.0
-        others = sum(attempt.beside.values())
+        others = sum(attempt.shared.values())
         own = took - others
-        usual = self.usual * size if self.usual else own
-        # A shelf that serves several at once loses nobody time up to the usual: that much is its own work.
-        mine = max(own, min(took, usual))
-        for volume_, ms in attempt.beside.items():
-            self._add(volume, volume_, ms * (took - mine) / others if others else 0.0)
-        late = max(0.0, mine - usual)
-        beyond = late / took if took > 0 else 0.0
-        for waiter, ms in attempt.kept.items():
-            self._add(waiter, volume, ms * (1.0 - beyond))
-            self._add(waiter, SHELF + shelf, ms * beyond)
-        self._add(volume, SELF if attempt.first else AGAIN, mine - late)
-        self._add(volume, SHELF + shelf, late)
-        each = own / size
-        # The lower part of what attempts take: one slow shelf of many must not become what is usual.
-        self.usual += FOLLOWS * self.usual * (0.5 if each > self.usual else -0.5) if self.usual else each
-
-    def over(self, now: float, key: int) -> None:
-        """The request is over, whatever it was doing."""
-        known = self.where.get(key)
+        usual = self.usual_ms * size if self.usual_ms else own
+        # A node that serves several at once loses nobody time up to the usual: that much is its own work.
+        charged = max(own, min(took, usual))
+        for other, ms in attempt.shared.items():
+            self._add(volume, WaitCause.volume(other), ms * (took - charged) / others if others else 0.0)
+        late = max(0.0, charged - usual)
+        late_part = late / took if took > 0 else 0.0
+        for waiter, ms in attempt.delayed.items():
+            self._add(waiter, WaitCause.volume(volume), ms * (1.0 - late_part))
+            self._add(waiter, WaitCause.node(node), ms * late_part)
+        self._add(volume, OWN_WORK if attempt.first else RETRIES, charged - late)
+        self._add(volume, WaitCause.node(node), late)
+        self._learn(own / size)
+
+    def request_ended(self, now: float, key: int) -> None:
+        """The request is over, whether it was queued or in flight; one that isn't tracked is ignored."""
+        known = self.tracked.get(key)
         if known is None:
             return
-        shelf, volume, _ = known
-        desk = self._pass(now, shelf)
-        if key in desk.out:
-            self.ended(now, key)
+        waits = self._advance(now, known.node)
+        if key in waits.in_flight:
+            self.attempt_ended(now, key)
         else:
-            self._less(desk, volume)
-        del self.where[key]
+            _dequeue(waits, known.volume)
+        del self.tracked[key]
 
-    def answered(self, key: int) -> None:
-        """Its attempt ended and nothing more is to come."""
-        self.where.pop(key, None)
+    def forget(self, key: int) -> None:
+        """Its attempt has ended and nothing follows."""
+        self.tracked.pop(key, None)
 
-    def keep(self, shelfs: Container[str]) -> None:
-        """Desks of shelfs that nobody knows any more are cleared once they are empty."""
-        for name in [n for n, d in self.desks.items() if n not in shelfs and not d.held and not d.out]:
-            del self.desks[name]
+    def retain(self, nodes: Container[str]) -> None:
+        """Forgets the nodes that aren't among these any more, once nothing is queued or in flight there."""
+        for name in [n for n, w in self.nodes.items() if n not in nodes and not w.queued and not w.in_flight]:
+            del self.nodes[name]
 
     # ---- the arithmetic
 
-    def _less(self, desk: NodeWaits, volume: str) -> None:
-        desk.held[volume] -= 1
-        if not desk.held[volume]:
-            del desk.held[volume]
-
-    def _pass(self, now: float, shelf: str) -> NodeWaits:
-        """Time has passed at a shelf: each that is held there waited for each that is out, in equal parts."""
-        desk = self.desks.setdefault(shelf, NodeWaits(at=now))
-        passed, desk.at = now - desk.at, now
-        if passed <= 0:
-            return desk
-        parts = len(desk.out)
-        for attempt in desk.out.values() if parts > 1 else ():
-            for other in desk.out.values():
+    def _learn(self, unit_ms: float) -> None:
+        """Moves the usual time, to the lower part of what attempts take: one slow node of many must not set it."""
+        if not self.usual_ms:
+            self.usual_ms = unit_ms
+            return
+        self.usual_ms += USUAL_GAIN * self.usual_ms * (0.5 if unit_ms > self.usual_ms else -0.5)
+
+    def _advance(self, now: float, node: str) -> NodeWaits:
+        """Charges the time that has passed at a node: each request queued waited for each in flight, in equal parts."""
+        waits = self.nodes.setdefault(node, NodeWaits(as_of_ms=now))
+        passed = now - waits.as_of_ms
+        waits.as_of_ms = now
+        if passed > 0:
+            self._charge_in_flight(waits, passed)
+            self._charge_queued(waits, passed)
+        return waits
+
+    def _charge_in_flight(self, waits: NodeWaits, passed: float) -> None:
+        parts = len(waits.in_flight)
+        for attempt in waits.in_flight.values() if parts > 1 else ():
+            for other in waits.in_flight.values():
                 if other is not attempt:
-                    attempt.beside[other.volume] = attempt.beside.get(other.volume, 0.0) + passed / parts
-        for volume, count in desk.held.items():
+                    attempt.shared[other.volume] = attempt.shared.get(other.volume, 0.0) + passed / parts
+
+    def _charge_queued(self, waits: NodeWaits, passed: float) -> None:
+        for volume, count in waits.queued.items():
             ms = passed * count
-            if not desk.out:
-                self._add(volume, HEAD, ms)
+            if not waits.in_flight:
+                self._add(volume, GATEWAY, ms)
                 continue
-            for attempt in desk.out.values():
-                attempt.kept[volume] = attempt.kept.get(volume, 0.0) + ms / len(desk.out)
-        return desk
+            for attempt in waits.in_flight.values():
+                attempt.delayed[volume] = attempt.delayed.get(volume, 0.0) + ms / len(waits.in_flight)
 
-    def _add(self, volume: str, cause: str, ms: float) -> None:
+    def _add(self, volume: str, cause: WaitCause, ms: float) -> None:
         if ms <= 0:
             return
         pair = (volume, cause)
-        if pair not in self.waits and len(self.waits) >= self.most:
-            least = sorted(self.waits, key=lambda p: (self.waits[p], p))[: max(1, self.most // 4)]
-            for old in least:
-                left = self.waits.pop(old)
-                into = (old[0] if old[1] != OTHERS else OTHERS, OTHERS)
-                self.waits[into] = self.waits.get(into, 0.0) + left
+        if pair not in self.waits and len(self.waits) >= self.max_pairs:
+            self._merge_least()
         self.waits[pair] = self.waits.get(pair, 0.0) + ms
 
-    # ---- what is known
-
-    def why(self, volume: str) -> list[WaitShare]:
-        """Where a volume's time went, the largest part first. An attempt that is still out is not in it yet."""
-        rows = [(cause, ms) for (v, cause), ms in self.waits.items() if v == volume]
-        whole = sum(ms for _, ms in rows) or 1.0
-        return [WaitShare(cause, ms, ms / whole) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0]))]
-
-    def words(self, volume: str) -> list[str]:
-        """The same in plain words."""
-        count = self.count.get(volume, 0)
-        shares = self.why(volume)
+    def _merge_least(self) -> None:
+        """Merges the smallest pairs, each into its volume's OTHERS; those that are such, into one for all volumes."""
+        by_size = sorted(self.waits, key=lambda pair: (self.waits[pair], pair[0], pair[1].word))
+        for volume, cause in by_size[: max(1, self.max_pairs // MERGED_PART)]:
+            ms = self.waits.pop((volume, cause))
+            into = (MERGED_VOLUME if cause.kind is CauseKind.OTHERS else volume, OTHERS)
+            self.waits[into] = self.waits.get(into, 0.0) + ms
+
+    # ---- reports
+
+    def shares(self, volume: str) -> list[WaitShare]:
+        """Where a volume's time went, the largest share first; an attempt still in flight is not in it yet."""
+        rows = [(cause, ms) for (waiter, cause), ms in self.waits.items() if waiter == volume]
+        total = sum(ms for _, ms in rows) or 1.0
+        return [WaitShare(cause, ms, ms / total) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0].word))]
+
+    def report(self, volume: str) -> list[str]:
+        """The same as lines of text: a summary, then one line for each of the largest shares."""
+        count = self.requests.get(volume, 0)
+        shares = self.shares(volume)
         if not shares:
             return [f"volume {volume}: nothing of it has ended here yet"]
-        lines = [f"volume {volume}: {count} accesses, {sum(s.ms for s in shares) / max(1, count):.0f} ms each"]
-        for share in shares[:8]:
-            if share.cause == SELF:
-                text = "its own work at its shelfs, as long as such work usually takes"
-            elif share.cause == AGAIN:
-                text = "its own further trips"
-            elif share.cause == HEAD:
-                text = "held here with nothing out: its plan's limit, a cold shelf, or a slot that was kept"
-            elif share.cause.startswith(SHELF):
-                text = f"{share.cause}, beyond what such trips usually take"
-            elif share.cause == volume:
-                text = "waiting behind its own accesses"
-            else:
-                text = f"waiting behind volume {share.cause}" if share.cause != OTHERS else "waiting behind others"
-            lines.append(f"  {share.part:4.0%}  {share.ms / max(1, count):8.1f} ms each  {text}")
+        each = max(1, count)
+        lines = [f"volume {volume}: {count} accesses, {sum(s.ms for s in shares) / each:.0f} ms each"]
+        for share in shares[:REPORTED_CAUSES]:
+            lines.append(f"  {share.part:4.0%}  {share.ms / each:8.1f} ms each  {share.cause.describe(volume)}")
         return lines
+
+
+def _dequeue(waits: NodeWaits, volume: str) -> None:
+    """One request of a volume is queued no more."""
+    waits.queued[volume] -= 1
+    if not waits.queued[volume]:
+        del waits.queued[volume]
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -11,7 +11,7 @@
 
 from service_rig import CONFIG, SETTINGS, ask, entry, listing
 
-from pebblehinge.core import REJECTED, PendingRequest, RequestTable
+from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.decide import NEVER_RAN
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
@@ -155,9 +155,9 @@
     def drop_attempt(self, pending: PendingRequest) -> None:
         self.risky.add(pending.id)
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         assert self.now <= pending.request.deadline_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
-        if final == REJECTED and pending.request.request_class.name == "save":  # type: ignore[union-attr]
+        if final is FinalStatus.REJECTED and pending.request.request_class.name == "save":  # type: ignore[union-attr]
             assert pending.attempt is None and pending.id not in self.risky, "rule 2"
         self.door.answer(pending, final, stay_ms, data)
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -176,10 +176,10 @@
         for n in range(60):
             rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
             head._listed(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
-            head.core.account.held(rig.clock(), n, "v", f"n{n}", 1.0)
-            head.core.account.over(rig.clock(), n)
+            head.core.wait_accounting.queued(rig.clock(), n, "v", f"n{n}", 1.0)
+            head.core.wait_accounting.request_ended(rig.clock(), n)
             view.snapshot()
-        assert max(len(head.links), len(view.standing), len(head.core.account.desks)) < 12
+        assert max(len(head.links), len(view.standing), len(head.core.wait_accounting.nodes)) < 12
 
     on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(0.01)
             await until(lambda: rig.head.door.count <= 1 and not rig.head.core.open)
         assert len(rig.shelfs[0].asked) == 1
-        assert rig.head.core.counts["left"] == rig.head.core.counts["taken"] - 1
+        assert rig.head.core.counts.client_gone == rig.head.core.counts.received - 1
 
     on_rig(script)
 
@@ -76,7 +76,7 @@
         await until(lambda: rig.shelfs[0].asked)
         client.write(ask() * 3 + b"x" * 4 * clients.AHEAD_LIMIT)
         client.transport.write_eof()
-        await until(lambda: rig.head.core.counts["left"] == 1, 1.5)
+        await until(lambda: rig.head.core.counts.client_gone == 1, 1.5)
         await until(lambda: rig.shelfs[0].conns[0].lost, 1.5)
         assert len(rig.shelfs[0].asked) == 1 and at_rest(rig)
 
@@ -137,7 +137,7 @@
         callers = [connect(rig) for _ in range(30)]
         for raw in callers:
             raw.sendall(ask(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
-        await until(lambda: rig.head.core.counts["taken"] == 30)
+        await until(lambda: rig.head.core.counts.received == 30)
         sent = len(rig.shelfs[0].asked)
         stay = callers[-2:]
         for raw in callers[:-2]:
@@ -167,7 +167,7 @@
                 acts[act]()
             await until(lambda: at_rest(rig))
         counts = rig.head.core.counts
-        assert counts["honoured"] + counts["left"] == 10 == counts["taken"] and counts["terminated"] == 0
+        assert counts.succeeded + counts.client_gone == 10 == counts.received and counts.failed == 0
 
     on_rig(script)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -47,7 +47,7 @@
 def test_the_state_shows_what_happens_and_why() -> None:
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         assert "accounts yes" in await (await session.get(URL + "/why/v")).text()
-        rig.head.core.account = WaitAccounting()
+        rig.head.core.wait_accounting = WaitAccounting()
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK)).succeeded
         got = await client.read("v", "x", 1, slot=9, **LOOK)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -126,7 +126,7 @@
     for seed in range(RUNS):
         faults, core, _ = through_the_core(seed, HeadCore)
         assert not faults, f"seed {seed}: {faults}"
-        met.update({k: n for k, n in core.counts.items()})
+        met.update(core.counts.by_word())
         met.update({o.value: n for o, n in core.outcomes.items()})
     assert min(met[k] for k in ("honoured", "pushed back", "terminated", "left", "refused")) > 100, met
     assert min(met[o.value] for o in Outcome) > 50, met
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -43,7 +43,7 @@
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask())
         client.transport.abort() if how == "a reset" else client.transport.write_eof()
-        await until(lambda: rig.head.core.counts["left"] == 1)
+        await until(lambda: rig.head.core.counts.client_gone == 1)
         await nothing_is_sent(rig, gate)
         rig.head.pools.loop = rig.head.loop
         assert (await rig.ask(ask())).status == 200  # the connection was kept for others
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -46,7 +46,7 @@
         world.play()
         assert world.done and not (world.core.open or world.core.pending or world.door.ids or world.queue)
         counts = world.core.counts
-        assert counts["taken"] == sum(counts[how] for how in ("honoured", "pushed back", "terminated", "left"))
+        assert counts.received == counts.succeeded + counts.rejected + counts.failed + counts.client_gone
         for wire in world.wires:
             if not wire.gone():
                 refused_half = wire.answers == wire.whole + 1 and wire.shut and wire.halves
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -115,7 +115,7 @@
 
 class Forgets(HeadCore):
     def _answer(self, pending: Any, final: int, *rest: Any) -> None:
-        if self.counts["taken"] % 50 == 0:
+        if self.counts.received % 50 == 0:
             pending.answered = True
             self.open -= 1
             pending.conn.open.pop(pending.id, None)
@@ -213,8 +213,8 @@
     seen: list[Request] = []
 
     class Watches(HeadCore):
-        def _carry_out(self, first: Any, now: float) -> None:
-            super()._carry_out(first, now)
+        def _apply(self, first: Any, now: float) -> None:
+            super()._apply(first, now)
             for pending in self.pending.values():
                 assert (pending.attempt is not None) == pending.request.out
                 seen.append(pending.request)
--- a/tests/test_running_head.py
+++ b/tests/test_running_head.py
@@ -35,7 +35,7 @@
         await until(lambda: rig.shelfs[0].attempts)
         client.abort()
         await until(lambda: not rig.head.core.pending)
-        assert rig.head.core.counts["left"] == 1 and rig.head.core.open == 0 and rig.head.core.bytes == 0
+        assert rig.head.core.counts.client_gone == 1 and rig.head.core.open == 0 and rig.head.core.bytes == 0
         assert rig.shelfs[0].recalled == [rig.shelfs[0].attempts[0].number]
         rig.shelfs[0].attempts[0].answer()  # an answer to nobody
         other = await rig.client()
@@ -195,7 +195,7 @@
         future = client.read("v", "x", 1, **LOOK)
         await until(lambda: rig.shelfs[0].attempts)
         rig.shelfs[0].attempts[0].answer()
-        await until(lambda: rig.head.core.counts["honoured"] == 1)
+        await until(lambda: rig.head.core.counts.succeeded == 1)
         future.cancel()
         await asyncio.sleep(0.05)
         assert "extra" not in noted and not client.open
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -177,7 +177,7 @@
         client.transport.abort()
         await until(lambda: rig.shelfs[0].conns[0].lost)
         core = rig.head.core
-        assert core.counts["left"] == 1 and not core.pending and not rig.head.door.ids and rig.head.pools.out == 0
+        assert core.counts.client_gone == 1 and not core.pending and not rig.head.door.ids and rig.head.pools.out == 0
 
     on_rig(script)
 
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -15,8 +15,7 @@
 from pebblehinge.lab.faults.ground import RELEASES, names_of
 from pebblehinge.lab.fleet import release_address, released
 from pebblehinge.settings.load import loads
-from pebblehinge.wait_accounting import WaitAccounting
-from pebblehinge.wait_accounting.accounting import OTHERS
+from pebblehinge.wait_accounting import OTHERS, WaitAccounting
 
 SHELFS = 2048
 FILE = f"""\
@@ -85,18 +84,18 @@
 
 def test_accounts_of_two_thousand_volumes_keep_five_causes_of_each() -> None:
     """Before, 4,096 pairs were kept: the smaller causes of most volumes were added up under others."""
-    books, now = WaitAccounting(), 0.0
+    accounting, now = WaitAccounting(), 0.0
     for n in range(2000):
         first, second = 2 * n, 2 * n + 1
-        books.held(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
+        accounting.queued(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
         now += 1.0
-        books.sent(now, first, True)
-        books.held(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
+        accounting.sent(now, first, True)
+        accounting.queued(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
         now += 10.0 + n % 3
-        books.ended(now, first)
-        books.sent(now, second, False)  # a retry
+        accounting.attempt_ended(now, first)
+        accounting.sent(now, second, False)  # a retry
         now += 10.0 + n % 5
-        books.ended(now, second)
-    kept = [{share.cause for share in books.why(f"vol-{n}")} for n in range(2000)]
+        accounting.attempt_ended(now, second)
+    kept = [{share.cause for share in accounting.shares(f"vol-{n}")} for n in range(2000)]
     assert min(map(len, kept)) >= 4 and sum(map(len, kept)) > 4096
     assert not any(OTHERS in causes for causes in kept)
