--- a/pebblehinge/service/summary.py
+++ b/pebblehinge/service/summary.py
@@ -21,7 +21,7 @@
     def increments(self) -> dict[str, int]:
         """Return by how much each counter has grown since the last call, but for those that have not."""
         sums: dict[str, int] = {
-            **self.core.counts,
+            **self.core.counts.by_word(),
             **{outcome.value: count for outcome, count in self.core.outcomes.items()},
             **self.core.reasons,
             "errors": self.registry.protocol_errors,
