--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -60,7 +60,7 @@
                     "why": why,
                     "held": len(module.queued[s]),
                     "out": len(module.in_flight[s]),
-                    "mean_ms": round(module.mean(s, now), 1),
+                    "mean_ms": round(module.mean_latency(s, now), 1),
                 }
             )
         return sorted(found, key=lambda row: row["slot"])
