--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -17,8 +17,8 @@
     return [name for name in quoted if re.fullmatch(r"(\w+/)+(\w+\.py)?(::[\w.]+)?", name)]
 
 
-def find(name: str, root: Path) -> str:
-    """Why a named file, folder or definition is not in the tree; "" where it is."""
+def fault_of(name: str, root: Path) -> str | None:
+    """Why a named file, folder or definition is not in the tree; None where it is."""
     path, _, symbol = name.partition("::")
     file = next((base / path for base in (root, root / "pebblehinge") if (base / path).exists()), None)
     if file is None:
@@ -29,11 +29,11 @@
         if not found:
             return f"{name}: {part} is not defined there"
         body = getattr(found[0], "body", [])
-    return ""
+    return None
 
 
 def missing_names(text: str, root: Path) -> list[str]:
-    return [why for name in names_of(text) if (why := find(name, root))]
+    return [fault for name in names_of(text) if (fault := fault_of(name, root)) is not None]
 
 
 def packages_of(root: Path) -> list[str]:
@@ -44,10 +44,32 @@
 
 
 def packages_in_table(text: str) -> list[str]:
-    """The first column of the table of packages."""
+    """The first column of the table of packages, in its order."""
     section = text.partition("\n## Packages\n")[2].partition("\n## ")[0]
     rows = [line.split("|")[1] for line in section.splitlines() if line.startswith("| `")]
-    return sorted(name for row in rows for name in re.findall(r"`([^`]+)`", row))
+    return [name for row in rows for name in re.findall(r"`([^`]+)`", row)]
+
+
+def imports_of(root: Path, package: str) -> set[str]:
+    """The packages that a package imports as it is loaded; not what its functions load when they are called."""
+    folder = root / "pebblehinge" / package
+    files = sorted(folder.rglob("*.py")) if folder.is_dir() else [folder.with_suffix(".py")]
+    found: set[str] = set()
+    for file in files:
+        for node in ast.parse(file.read_text()).body:
+            if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "pebblehinge":
+                parts = node.module.split(".")
+                found |= {parts[1]} if len(parts) > 1 else {alias.name for alias in node.names}
+    return found - {package}
+
+
+def broken_order(order: list[str], imports: dict[str, set[str]]) -> list[str]:
+    return [
+        f"{package} imports {other}, which stands above it"
+        for at, package in enumerate(order)
+        for other in order[:at]
+        if other in imports[package]
+    ]
 
 
 def test_what_the_page_names_is_in_the_tree() -> None:
@@ -57,7 +79,7 @@
 
 
 def test_every_package_is_in_the_table() -> None:
-    assert packages_in_table(PAGE.read_text()) == packages_of(ROOT)
+    assert sorted(packages_in_table(PAGE.read_text())) == packages_of(ROOT)
 
 
 def made_up_tree(root: Path) -> Path:
@@ -86,46 +108,20 @@
 
 def test_a_package_that_is_not_told_of_is_found(tmp_path: Path) -> None:
     root = made_up_tree(tmp_path)
-    page = "# A page\n\n## Packages\n\n| package | job |\n| --- | --- |\n| `alpha/` | one |\n| `gamma.py` | two |\n\n## Rest\n"
+    table = "| package | job |\n| --- | --- |\n| `alpha/` | one |\n| `gamma.py` | two |\n"
+    page = f"# A page\n\n## Packages\n\n{table}\n## Rest\n"
     assert packages_in_table(page) == ["alpha/", "gamma.py"]
     assert packages_of(root) == ["alpha/", "beta/", "gamma.py"]
+    assert sorted(packages_in_table(page)) != packages_of(root)
     assert packages_in_table(page.replace("| `alpha/`", "| `alpha/`, `beta/`")) == packages_of(root)
 
 
 def test_the_table_of_packages_is_in_the_order_of_imports() -> None:
     """A package stands above all that it imports as it is loaded, as the page says."""
-    order = [name.rstrip("/").removesuffix(".py") for name in listed_in_order(PAGE.read_text())]
+    order = [name.rstrip("/").removesuffix(".py") for name in packages_in_table(PAGE.read_text())]
     assert broken_order(order, {package: imports_of(ROOT, package) for package in order}) == []
 
 
-def listed_in_order(text: str) -> list[str]:
-    section = text.partition("\n## Packages\n")[2].partition("\n## ")[0]
-    rows = [line.split("|")[1] for line in section.splitlines() if line.startswith("| `")]
-    return [name for row in rows for name in re.findall(r"`([^`]+)`", row)]
-
-
-def imports_of(root: Path, package: str) -> set[str]:
-    """The packages that a package imports as it is loaded; not what its functions load when they are called."""
-    folder = root / "pebblehinge" / package
-    files = sorted(folder.rglob("*.py")) if folder.is_dir() else [folder.with_suffix(".py")]
-    found: set[str] = set()
-    for file in files:
-        for node in ast.parse(file.read_text()).body:
-            if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "pebblehinge":
-                parts = node.module.split(".")
-                found |= {parts[1]} if len(parts) > 1 else {alias.name for alias in node.names}
-    return found - {package}
-
-
-def broken_order(order: list[str], imports: dict[str, set[str]]) -> list[str]:
-    return [
-        f"{package} imports {other}, which stands above it"
-        for at, package in enumerate(order)
-        for other in order[:at]
-        if other in imports[package]
-    ]
-
-
 def test_a_package_above_its_importer_is_found() -> None:
     imports = {"low": {"none"}, "high": {"low"}}
     assert broken_order(["high", "low"], imports) == []
