--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -54,9 +54,9 @@
     ),
     Cap(
         "lines of records in a turn",
-        "pebblehinge/records/files.py",
-        "MOST_BUFFERED = ",
-        constant("pebblehinge.records.files", "MOST_BUFFERED"),
+        "pebblehinge/event_log/writer.py",
+        "MAX_BUFFERED_LINES = ",
+        constant("pebblehinge.event_log.writer", "MAX_BUFFERED_LINES"),
         "lines",
         "records not yet written",
         10 * REQUESTS,
--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from pebblehinge import __version__
-from pebblehinge.records import NoRecords, Records, RecordsError
+from pebblehinge.event_log import EventLog, EventLogError, NullEventLog
 from pebblehinge.settings import Config, SettingsError, load, show
 from pebblehinge.settings.schema import LogBlock
 
@@ -66,7 +66,7 @@
     try:
         asyncio.set_event_loop(loop)
         code = loop.run_until_complete(main(loop))
-    except (RecordsError, OSError) as error:
+    except (EventLogError, OSError) as error:
         give_up(describe(error))
     except KeyboardInterrupt:
         code = 130
@@ -81,9 +81,12 @@
 
 
 def records_for(
-    folder: str | None, name: str, loop: asyncio.AbstractEventLoop, failed: Callable[[RecordsError], None] | None = None
-) -> Records | NoRecords:
-    return Records(folder, name, loop.call_soon, failed) if folder else NoRecords()
+    folder: str | None,
+    name: str,
+    loop: asyncio.AbstractEventLoop,
+    failed: Callable[[EventLogError], None] | None = None,
+) -> EventLog | NullEventLog:
+    return EventLog(folder, name, loop.call_soon, failed) if folder else NullEventLog()
 
 
 def ready() -> None:
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -27,7 +27,7 @@
     run,
     say_progress,
 )
-from pebblehinge.records import RecordsError
+from pebblehinge.event_log import EventLogError
 from pebblehinge.settings import Config
 
 MOST_ROWS = 400_000  # of a trial that this program is ready to play
@@ -49,7 +49,7 @@
     config = read_settings(str(folder / "day.conf"))
     try:
         return Day.read(folder, config)
-    except RecordsError as error:
+    except EventLogError as error:
         give_up(str(error))
 
 
@@ -137,7 +137,7 @@
                 with asyncio.Runner() as runner:
                     more = runner.run(play(runner.get_loop(), folder))
                 facts = Day.read(folder, config)
-        except (DayError, RecordsError, OSError) as error:
+        except (DayError, EventLogError, OSError) as error:
             give_up(describe(error))
         told = summary(
             facts,
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -31,7 +31,7 @@
     until_told,
 )
 from pebblehinge.cli.head_storage import buffer_of
-from pebblehinge.records import RecordsError
+from pebblehinge.event_log import EventLogError
 from pebblehinge.settings import Config, SettingsError, load
 
 
@@ -96,7 +96,7 @@
 
     failed: list[str] = []
 
-    def records_failed(error: RecordsError) -> None:
+    def records_failed(error: EventLogError) -> None:
         failed.append(str(error))
         server.stop("its records can't be written")
 
--- /dev/null
+++ b/pebblehinge/event_log/writer.py
@@ -0,0 +1,120 @@
+"""Writes events to a file in whole lines, once per iteration of the event loop, so that a kill loses at most one."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from pebblehinge.event_log.errors import EventLogError
+
+MAX_BUFFERED_LINES = 1 << 16
+"""Once an iteration of the loop has buffered so many lines, they are written at once."""
+
+FILE_MODE = 0o644
+CLOSED = -1
+"""The file descriptor of a log that is closed or has failed."""
+
+_encode = msgspec.json.Encoder().encode
+
+
+class NullEventLog:
+    """Discards all events. Takes the place of an `EventLog` where none is wanted."""
+
+    enabled = False
+
+    def note(self, time_ms: float, event: str, /, **values: Any) -> None:
+        """Does nothing."""
+
+    def close(self) -> None:
+        """Does nothing."""
+
+
+class EventLog:
+    """Appends the events of one process to `NAME.jsonl` in a folder.
+
+    Args:
+        folder: An existing folder.
+        name: The file's name without its suffix.
+        call_soon: Runs a function later in the same iteration of the event loop, as `loop.call_soon` does.
+        on_failure: Called once with the error when a write fails; later events are then discarded. Without it the
+            error is raised.
+
+    Raises:
+        EventLogError: The file can't be opened.
+    """
+
+    enabled = True
+
+    def __init__(
+        self,
+        folder: str | Path,
+        name: str,
+        call_soon: Callable[..., Any],
+        on_failure: Callable[[EventLogError], None] | None = None,
+    ) -> None:
+        self.path = Path(folder) / f"{name}.jsonl"
+        self.call_soon = call_soon
+        self.on_failure = on_failure
+        self.lines: list[bytes] = []
+        self.flush_scheduled = False
+        try:
+            self.fd = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, FILE_MODE)
+        except OSError as error:
+            raise self._write_error(error) from None
+
+    def note(self, time_ms: float, event: str, /, **values: Any) -> None:
+        """Buffers an event; it is written at the end of the current iteration of the loop.
+
+        Args:
+            time_ms: When it happened, in milliseconds; stored to a microsecond as `t`.
+            event: Its name, stored as `e`.
+            **values: Further fields, of types that JSON can hold.
+
+        Raises:
+            EventLogError: The buffer was full, the write failed, and there is no `on_failure`.
+        """
+        self.lines.append(_encode({"t": round(time_ms, 3), "e": event, **values}))
+        if len(self.lines) >= MAX_BUFFERED_LINES:
+            self.flush()
+        elif not self.flush_scheduled:
+            self.flush_scheduled = True
+            self.call_soon(self.flush)
+
+    def flush(self) -> None:
+        """Writes the buffered events.
+
+        Raises:
+            EventLogError: The write failed, and there is no `on_failure`.
+        """
+        self.flush_scheduled = False
+        if not self.lines or self.fd == CLOSED:
+            return
+        data = b"\n".join(self.lines) + b"\n"
+        self.lines.clear()
+        try:
+            while data:
+                data = data[os.write(self.fd, data) :]
+        except OSError as error:
+            self._fail(self._write_error(error))
+
+    def close(self) -> None:
+        """Writes the buffered events and closes the file; raises as `flush` does."""
+        self.flush()
+        if self.fd != CLOSED:
+            os.close(self.fd)
+            self.fd = CLOSED
+
+    def _fail(self, error: EventLogError) -> None:
+        """Closes the file, so that the failure is reported once rather than once a line."""
+        os.close(self.fd)
+        self.fd = CLOSED
+        if self.on_failure is None:
+            raise error from None
+        self.on_failure(error)
+
+    def _write_error(self, error: OSError) -> EventLogError:
+        return EventLogError(f"records: {self.path} can't be written ({error.strerror})")
--- a/pebblehinge/head/effects.py
+++ b/pebblehinge/head/effects.py
@@ -11,12 +11,12 @@
 from hdrh.histogram import HdrHistogram
 
 from pebblehinge.core import SUCCEEDED, PendingRequest
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.link import ShelfLink
 from pebblehinge.head.listing import ListingLink
 from pebblehinge.interface import Entry, ListCall, ListKind
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config, HeadBlock
 
 
@@ -30,13 +30,13 @@
         config: Config,
         name: str,
         log: Any,
-        records: Records | NoRecords | None,
+        records: EventLog | NullEventLog | None,
         core: type[HeadCore],
     ) -> None:
         self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
         self.block: HeadBlock = config.head[name]
-        self.records = records or NoRecords()
-        self.note = self.records.note if self.records.on else _nothing
+        self.records = records or NullEventLog()
+        self.note = self.records.note if self.records.enabled else _nothing
         self.links: dict[str, ShelfLink] = {}
         self.retired: list[ShelfLink] = []
         self.now = clock()
@@ -121,7 +121,7 @@
                     address,
                     self.config.limits,
                     self._ended,
-                    self.note if self.records.on else None,
+                    self.note if self.records.enabled else None,
                 )
         self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.head.admission import HeadCore
 from pebblehinge.head.clients import ClientConn
 from pebblehinge.head.door import Door
@@ -13,7 +14,6 @@
 from pebblehinge.head.remembering import Remembering
 from pebblehinge.head.writeback import Back
 from pebblehinge.net import parse_address
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
 from pebblehinge.store.beside import Beside, inline
 
@@ -30,7 +30,7 @@
         config: Config,
         name: str,
         log: Any,
-        records: Records | NoRecords | None = None,
+        records: EventLog | NullEventLog | None = None,
         core: type[HeadCore] = HeadCore,
     ) -> None:
         super().__init__(loop, clock, config, name, log, records, core)
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -9,8 +9,8 @@
 
 from pebblehinge.client import Client, Result, Retries, connect, with_retries
 from pebblehinge.client.conn import LOST
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.lab.load import Ask, Draw, payload
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings import Config
 from pebblehinge.wire.frames import WRITE
 
@@ -27,7 +27,7 @@
         config: Config,
         day: str,
         seed: int,
-        records: Records | NoRecords,
+        records: EventLog | NullEventLog,
         part: int = 0,
         parts: int = 1,
         draw: Any = None,
--- a/pebblehinge/lab/facts.py
+++ b/pebblehinge/lab/facts.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any
 
+from pebblehinge.event_log import EventLogError, read_events
 from pebblehinge.lab.seen import Got, Life, Try
 from pebblehinge.lab.struck import Struck
-from pebblehinge.records import RecordsError, read_records
 from pebblehinge.settings import Config
 from pebblehinge.wire.frames import APPEND
 
@@ -46,9 +46,9 @@
         day = cls(config)
         names = sorted(p.name for p in folder.glob("*.jsonl"))
         if not names:
-            raise RecordsError(f"records: {folder} holds none")
+            raise EventLogError(f"records: {folder} holds none")
         for name in names:
-            rows = read_records(folder / name)
+            rows = read_events(folder / name)
             stem = name.removesuffix(".jsonl")
             if stem.startswith("load"):
                 day.clients(rows)
@@ -59,7 +59,7 @@
             elif stem.startswith("shelf-"):
                 day.shelf(stem.removeprefix("shelf-"), rows)
         if not day.ops:
-            raise RecordsError(f"records: {folder} holds no client's records")
+            raise EventLogError(f"records: {folder} holds no client's records")
         return day
 
     def clients(self, rows: Iterable[dict[str, Any]]) -> None:
--- a/pebblehinge/lab/quiet.py
+++ b/pebblehinge/lab/quiet.py
@@ -8,7 +8,7 @@
 class Memory:
     """Records that stay in memory."""
 
-    on = True
+    enabled = True
 
     def __init__(self) -> None:
         self.rows: list[dict[str, Any]] = []
--- a/pebblehinge/lab/stage.py
+++ b/pebblehinge/lab/stage.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from pebblehinge.event_log import EventLog
 from pebblehinge.lab.control import control
 from pebblehinge.lab.days import DayError, Step, timeline
 from pebblehinge.lab.faults.player import Ground, Player, told
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.fleet import release_address
 from pebblehinge.lab.proposer import Proposer
-from pebblehinge.records import Records
 from pebblehinge.settings import Config
 
 
@@ -31,7 +31,7 @@
         script: list[Fault] | None = None,
     ) -> None:
         self.loop, self.clock, self.config, self.day, self.seed = loop, clock, config, day, seed
-        self.records: Records = records
+        self.records: EventLog = records
         self.said = said
         self.releases: dict[str, int] = {}
         self.frozen: set[str] = set()
--- a/pebblehinge/listing/server.py
+++ b/pebblehinge/listing/server.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.listing.registry import Registry, Row
 from pebblehinge.net import Peer, parse_address
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
 from pebblehinge.wire import Kind, Session, WireError
 
@@ -71,11 +71,11 @@
         clock: Callable[[], float],
         config: Config,
         log: Any,
-        records: Records | NoRecords | None = None,
+        records: EventLog | NullEventLog | None = None,
         seed: int = 0,
     ) -> None:
         self.loop, self.clock, self.config, self.log = loop, clock, config, log
-        self.records = records or NoRecords()
+        self.records = records or NullEventLog()
         self.registry = Registry(config.listing, random.Random(f"{seed}/listing"))
         self.conns: list[ListingConn] = []
         self.holders: dict[str, ListingConn] = {}
--- a/pebblehinge/shelf/accesses.py
+++ b/pebblehinge/shelf/accesses.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from pebblehinge.records import NoRecords, Records
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.settings.schema import Config
 from pebblehinge.shelf.connection import Attempt
 from pebblehinge.shelf.contents import Contents
@@ -26,14 +26,14 @@
         clock: Callable[[], float],
         config: Config,
         name: str,
-        records: Records | NoRecords | None,
+        records: EventLog | NullEventLog | None,
         contents: Contents | None,
         warm: bool,
         seed: int,
     ) -> None:
         self.loop, self.clock, self.config, self.name = loop, clock, config, name
         self.block = config.shelf[name]
-        self.records = records or NoRecords()
+        self.records = records or NullEventLog()
         self.now = clock()
         self.rng = random.Random(f"{seed}/{name}")
         self.machine = Machine(config.kind[self.block.kind], config.rules, self.rng, self.now, warm)
--- a/pebblehinge/shelf/server.py
+++ b/pebblehinge/shelf/server.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.net import parse_address
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
 from pebblehinge.shelf.accesses import Requests
 from pebblehinge.shelf.connection import ShelfConn
@@ -35,7 +35,7 @@
         config: Config,
         name: str,
         log: Any,
-        records: Records | NoRecords | None = None,
+        records: EventLog | NullEventLog | None = None,
         contents: Contents | None = None,
         warm: bool = True,
         seed: int = 0,
