--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -66,9 +66,9 @@
     ),
     Cap(
         "bytes of a capture's block",
-        "pebblehinge/capture/files.py",
-        "LARGEST = ",
-        constant("pebblehinge.capture.files", "LARGEST"),
+        "pebblehinge/capture/format.py",
+        "MAX_BLOCK_BYTES = ",
+        constant("pebblehinge.capture.format", "MAX_BLOCK_BYTES"),
         "bytes",
         "2,000 accesses",
         2000 * 1200,
--- a/benchmarks/plan_check.py
+++ b/benchmarks/plan_check.py
@@ -22,7 +22,7 @@
 from plan_scenarios import scenario
 from plan_truth import SAME_WAYS, SEEDS, crossing, on_sockets, truth
 
-from pebblehinge.capture.files import parse_capture
+from pebblehinge.capture import parse_capture
 from pebblehinge.lab.replay import merge
 from pebblehinge.lab.trials import WINDOW_S, Pool, fleet_of, lay_out, world_of
 from pebblehinge.lab.village import play
--- a/pebblehinge/capture/__init__.py
+++ b/pebblehinge/capture/__init__.py
@@ -1,5 +1,19 @@
-"""What a head took, without payload: a versioned, compressed, checksummed file that is read up to a cut."""
+"""Captures: the requests that a gateway has finished, without their data, in a compressed and checksummed file.
 
-from pebblehinge.capture.files import Capture, CaptureError, CaptureWriter, Row, read_capture
+`format` has the layout of the file and its types, `writer` and `reader` pack and unpack it.
+"""
 
-__all__ = ["Capture", "CaptureError", "CaptureWriter", "Row", "read_capture"]
+from pebblehinge.capture.errors import CaptureError
+from pebblehinge.capture.format import CapturedRequest
+from pebblehinge.capture.reader import Capture, parse_capture, read_capture
+from pebblehinge.capture.writer import CaptureWriter, open_sink
+
+__all__ = [
+    "Capture",
+    "CaptureError",
+    "CaptureWriter",
+    "CapturedRequest",
+    "open_sink",
+    "parse_capture",
+    "read_capture",
+]
--- /dev/null
+++ b/pebblehinge/capture/writer.py
@@ -0,0 +1,97 @@
+"""Writes captures block by block."""
+
+from __future__ import annotations
+
+import os
+import zlib
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import xxhash
+
+from pebblehinge.capture.format import BLOCK_START, FILE_START, MAGIC, REQUESTS_PER_BLOCK, VERSION, Heading
+
+COMPRESSION_LEVEL = 6
+FILE_MODE = 0o644
+
+_encode = msgspec.msgpack.Encoder().encode
+
+
+class CaptureWriter:
+    """Packs finished requests into blocks. A failure of the sink ends the capture, but not the gateway.
+
+    Args:
+        sink: Takes bytes in order; raises OSError if it can't.
+        gateway: The gateway's name.
+        wall_ms: The present by the wall clock, in milliseconds since 1970.
+        clock_ms: The present by the gateway's monotonic clock, in milliseconds.
+        on_failure: Called once with the error of the sink.
+    """
+
+    def __init__(
+        self,
+        sink: Callable[[bytes], None],
+        gateway: str,
+        wall_ms: float,
+        clock_ms: float,
+        on_failure: Callable[[OSError], None] | None = None,
+    ) -> None:
+        self.sink = sink
+        self.on_failure = on_failure
+        self.start_ms = clock_ms
+        self.rows: list[tuple[Any, ...]] = []
+        self.on = True
+        self._write(FILE_START.pack(MAGIC, VERSION) + pack_block(Heading(gateway, wall_ms, clock_ms)))
+
+    def add(self, arrived_ms: float, *values: Any) -> None:
+        """Adds a finished request.
+
+        Args:
+            arrived_ms: When it arrived, by the gateway's monotonic clock.
+            *values: The further fields of `CapturedRequest` in their order; a plain tuple, since this is called for
+                every request of the gateway.
+        """
+        if not self.on:
+            return
+        self.rows.append((round(arrived_ms - self.start_ms, 3), *values))
+        if len(self.rows) >= REQUESTS_PER_BLOCK:
+            self.flush()
+
+    def flush(self) -> None:
+        """Writes what has been added since the last block."""
+        if self.rows and self.on:
+            rows = self.rows
+            self.rows = []
+            self._write(pack_block(rows))
+
+    def _write(self, data: bytes) -> None:
+        try:
+            self.sink(data)
+        except OSError as error:
+            self.on = False
+            self.rows.clear()
+            if self.on_failure is not None:
+                self.on_failure(error)
+
+
+def pack_block(value: Any) -> bytes:
+    """A block of the file that holds one msgpack value."""
+    packed = zlib.compress(_encode(value), COMPRESSION_LEVEL)
+    return BLOCK_START.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
+
+
+def open_sink(path: str | Path) -> Callable[[bytes], None]:
+    """A sink that writes to a new file, or to an existing one from its start.
+
+    Raises:
+        OSError: The file can't be opened.
+    """
+    fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
+
+    def write(data: bytes) -> None:
+        while data:
+            data = data[os.write(fd, data) :]
+
+    return write
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -86,7 +86,7 @@
     agreed: str | None,
     log: Any,
 ) -> int:
-    from pebblehinge.capture.files import CaptureWriter, file_sink
+    from pebblehinge.capture import CaptureWriter, open_sink
     from pebblehinge.console import Console
     from pebblehinge.daemon import Notifier
     from pebblehinge.daemon.files import allow_files, files_of
@@ -124,7 +124,7 @@
     server = HeadServer(loop, clock_of(loop), config, name, log, notes)
     if capture:
         try:
-            sink = file_sink(capture)
+            sink = open_sink(capture)
         except OSError as error:
             give_up(f"head {name}: {capture}: {describe(error)}")
         server.capture(
--- a/pebblehinge/lab/replay.py
+++ b/pebblehinge/lab/replay.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Iterator
 
-from pebblehinge.capture import Capture, Row
+from pebblehinge.capture import Capture, CapturedRequest
 from pebblehinge.lab.load import Ask, digest
 from pebblehinge.settings import Config
 from pebblehinge.wire.frames import READ, WRITE
@@ -13,14 +13,14 @@
 RUN_MS = 5_000.0  # requests of an extent this close are kept or left out together
 
 
-def merge(captures: list[Capture]) -> tuple[list[tuple[float, str, Row]], list[str]]:
+def merge(captures: list[Capture]) -> tuple[list[tuple[float, str, CapturedRequest]], list[str]]:
     """All rows of several heads on one time line from 0, with what is to be said of it.
 
     Heads' monotonic clocks have no common origin, so wall clocks place them; a client's further tries are told
     apart by their mark, and left out: they would come again by themselves.
     """
-    notes = [f"{c.head}: {c.cut}; what stands before it is used" for c in captures if c.cut]
-    lines = [(c.wall_ms + row.t, c.head, row) for c in captures for row in c.rows if not row.again]
+    notes = [f"{c.gateway}: {c.incomplete}; what stands before it is used" for c in captures if c.incomplete]
+    lines = [(c.wall_ms + row.time_ms, c.gateway, row) for c in captures for row in c.requests if not row.retry]
     lines.sort(key=lambda x: (x[0], x[1]))
     if not lines:
         return [], notes
@@ -33,7 +33,7 @@
     return merged, notes
 
 
-def stays(seed: int, row: Row, at: float, copy: int) -> float:
+def stays(seed: int, row: CapturedRequest, at: float, copy: int) -> float:
     """A number from 0 to 1 that all requests of one run share."""
     return digest(f"{seed}/{row.volume}/{row.extent}/{int(at / RUN_MS)}/{copy}") / 2**32
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         config: Config,
-        rows: list[tuple[float, str, Row]],
+        rows: list[tuple[float, str, CapturedRequest]],
         seed: int,
         multiple: float = 1.0,
         speed: float = 1.0,
@@ -80,21 +80,21 @@
                     Ask(
                         when / self.speed,
                         row.volume,
-                        row.plan,
-                        row.profile,
+                        row.quota_plan,
+                        row.request_class,
                         extent,
                         self.slot(row, extent),
                         self.head(row.volume, head, copy),
                         WRITE if row.write else READ,
                         [row.units],
                         [],
-                        row.bytes,
+                        row.length,
                     )
                 )
         asks.sort(key=lambda a: a.at_ms)
         yield from asks
 
-    def slot(self, row: Row, extent: str) -> int:
+    def slot(self, row: CapturedRequest, extent: str) -> int:
         if self.places is not None:
             where = self.places[row.volume]
             return where[digest(f"{row.volume}/{extent}") % len(where)]
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pebblehinge.capture import Row
+from pebblehinge.capture import CapturedRequest
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.replay import Replay
 from pebblehinge.lab.verdict import service
@@ -29,13 +29,17 @@
     """What all trials of one plan share."""
 
     config: Config
-    rows: list[tuple[float, str, Row]]  # of the busiest window, from 0
+    rows: list[tuple[float, str, CapturedRequest]]  # of the busiest window, from 0
     volumes: dict[str, int]  # how many slots each volume's data lies on
     speeds: dict[int, float]  # of the fleet's slots, as fitted from the capture; none: as the kinds state
 
 
 def world_of(
-    config: Config, rows: list[tuple[float, str, Row]], begin: float, end: float, speeds: dict[int, float] | None = None
+    config: Config,
+    rows: list[tuple[float, str, CapturedRequest]],
+    begin: float,
+    end: float,
+    speeds: dict[int, float] | None = None,
 ) -> World:
     slots: dict[str, set[int]] = defaultdict(set)
     for _, _, row in rows:
--- a/pebblehinge/plan/demand.py
+++ b/pebblehinge/plan/demand.py
@@ -6,7 +6,8 @@
 
 import numpy as np
 
-from pebblehinge.capture import Row
+from pebblehinge.capture import CapturedRequest
+from pebblehinge.capture.format import SUCCEEDED
 from pebblehinge.settings import Config
 
 FEWEST = 60  # requests below which no answer is honest
@@ -51,13 +52,15 @@
         return begin * 1000.0, (begin + window_s) * 1000.0
 
 
-def demand_of(rows: list[tuple[float, str, Row]], config: Config, fewest: int = FEWEST, whole: bool = True) -> Demand:
+def demand_of(
+    rows: list[tuple[float, str, CapturedRequest]], config: Config, fewest: int = FEWEST, whole: bool = True
+) -> Demand:
     """Arrays from merged rows; raises PlanError where they do not fit the fleet. `whole`: all of a capture."""
     if len(rows) < fewest:
         raise PlanError(f"{len(rows)} accesses are captured: under {fewest} no answer would be honest")
     volumes = sorted({r.volume for _, _, r in rows})
-    plans = sorted({r.plan for _, _, r in rows})
-    profiles = sorted({r.profile for _, _, r in rows})
+    plans = sorted({r.quota_plan for _, _, r in rows})
+    profiles = sorted({r.request_class for _, _, r in rows})
     slots = sorted({r.slot for _, _, r in rows})
     known = {s.slot for s in config.shelf.values()}
     for what, asked, there in (
@@ -87,14 +90,14 @@
     return Demand(
         at=np.array([at for at, _, _ in rows]),
         volume=np.array([index["v"][r.volume] for _, _, r in rows]),
-        plan=np.array([index["p"][r.plan] for _, _, r in rows]),
-        profile=np.array([index["f"][r.profile] for _, _, r in rows]),
+        plan=np.array([index["p"][r.quota_plan] for _, _, r in rows]),
+        profile=np.array([index["f"][r.request_class] for _, _, r in rows]),
         slot=np.array([r.slot for _, _, r in rows]),
         units=np.array([r.units for _, _, r in rows]),
         write=np.array([r.write for _, _, r in rows]),
         run=run,
-        attempt_ms=np.array([r.attempt_ms if r.final == 0 else 0.0 for _, _, r in rows]),
-        first=np.array([r.final == 0 and r.attempts == 1 for _, _, r in rows]),
+        attempt_ms=np.array([r.last_attempt_ms if r.outcome == SUCCEEDED else 0.0 for _, _, r in rows]),
+        first=np.array([r.outcome == SUCCEEDED and r.attempts == 1 for _, _, r in rows]),
         volumes=volumes,
         plans=plans,
         profiles=profiles,
--- a/tests/captured_rows.py
+++ b/tests/captured_rows.py
@@ -7,7 +7,7 @@
 import numpy as np
 from command_line import DAYS
 
-from pebblehinge.capture import Row
+from pebblehinge.capture import CapturedRequest
 from pebblehinge.settings import load
 
 CONFIG = load(DAYS / "quiet.conf")
@@ -16,34 +16,34 @@
 VOLUMES = list(CONFIG.volume)
 
 
-def row(t: float, **more: Any) -> Row:
+def row(t: float, **more: Any) -> CapturedRequest:
     usual: dict[str, Any] = dict(
-        t=t,
+        time_ms=t,
         volume="premium-1",
-        plan="premium",
-        profile="doc-read",
+        quota_plan="premium",
+        request_class="doc-read",
         extent=f"e{t}",
         slot=0,
         units=2.0,
         write=False,
-        again=False,
-        bytes=100,
-        final=0,
-        took_ms=30.0,
-        attempt_ms=28.0,
+        retry=False,
+        length=100,
+        outcome=0,
+        latency_ms=30.0,
+        last_attempt_ms=28.0,
         attempts=1,
     )
-    return Row(**{**usual, **more})
+    return CapturedRequest(**{**usual, **more})
 
 
-def rows_of(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, Row]]:
+def rows_of(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, CapturedRequest]]:
     rng = np.random.default_rng(1)
     times = np.sort(rng.uniform(0, seconds * 1000.0, count))
     return [
         (
             float(t),
             "h1",
-            row(float(t), slot=i % 8, volume=VOLUMES[i % 20], plan=VOLUMES[i % 20].partition("-")[0], **more),
+            row(float(t), slot=i % 8, volume=VOLUMES[i % 20], quota_plan=VOLUMES[i % 20].partition("-")[0], **more),
         )
         for i, t in enumerate(times)
     ]
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -15,7 +15,8 @@
 
 from pebblehinge.agreed.state import State
 from pebblehinge.agreed.taking import KeptVersion, Taking
-from pebblehinge.capture.files import BLOCK, FINALS, START, CaptureError, CaptureWriter, parse_capture
+from pebblehinge.capture import CaptureError, CaptureWriter, parse_capture
+from pebblehinge.capture.format import BLOCK_START, FILE_START, OUTCOMES
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.log import Entry, Snapshot
 from pebblehinge.raft.storage import Storage
@@ -103,10 +104,10 @@
     """A capture: its heading and rows, and what a writer makes of the same rows."""
     found = parse_capture(data)
     for each in (found, parse_capture(recaptured(expected))):
-        assert [each.head, each.wall_ms, each.clock_ms, each.cut] == [expected[k] for k in HEADING]
-        assert plain(each.rows) == expected["rows"]
-    assert list(FINALS) == ["honoured", "pushed back", "terminated", "left"]
-    assert (START.size, BLOCK.size, data[:8]) == (10, 8, b"PHCAPTUR")
+        assert [each.gateway, each.wall_ms, each.clock_ms, each.incomplete or ""] == [expected[k] for k in HEADING]
+        assert plain(each.requests) == expected["rows"]
+    assert list(OUTCOMES) == ["honoured", "pushed back", "terminated", "left"]
+    assert (FILE_START.size, BLOCK_START.size, data[:8]) == (10, 8, b"PHCAPTUR")
 
 
 HEADING = ("head", "wall_ms", "clock_ms", "cut")
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -20,7 +20,7 @@
 from test_settings_mark import marks
 
 from pebblehinge.agreed.taking import KeptVersion, Taking
-from pebblehinge.capture.files import CaptureWriter, parse_capture
+from pebblehinge.capture import CaptureWriter, parse_capture
 from pebblehinge.raft import Message
 from pebblehinge.raft.storage import Storage
 from pebblehinge.settings import load
@@ -118,8 +118,8 @@
             writer.add(*row)
         writer.flush()
     found = parse_capture((FIXTURES / "capture").read_bytes())
-    save("capture", {"head": found.head, "wall_ms": found.wall_ms, "clock_ms": found.clock_ms, "cut": found.cut,
-                     "rows": plain(found.rows), "given": plain(ROWS)})  # fmt: skip
+    save("capture", {"head": found.gateway, "wall_ms": found.wall_ms, "clock_ms": found.clock_ms,
+                     "cut": found.incomplete or "", "rows": plain(found.requests), "given": plain(ROWS)})  # fmt: skip
 
 
 def write_conversations() -> None:
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -6,16 +6,15 @@
 import pytest
 from captured_rows import CONFIG, row, rows_of
 
-from pebblehinge.capture import Capture, CaptureError, CaptureWriter, Row
-from pebblehinge.capture.files import parse_capture
+from pebblehinge.capture import Capture, CapturedRequest, CaptureError, CaptureWriter, parse_capture
 from pebblehinge.lab.replay import Replay, merge
 
 
-def written(*rows: Row, wall: float = 5000.0) -> bytes:
+def written(*rows: CapturedRequest, wall: float = 5000.0) -> bytes:
     out = bytearray()
     writer = CaptureWriter(out.extend, "h1", wall, 100.0)
     for r in rows:
-        writer.add(r.t + 100.0, *msgspec.structs.astuple(r)[1:])
+        writer.add(r.time_ms + 100.0, *msgspec.structs.astuple(r)[1:])
         writer.flush()
     return bytes(out)
 
@@ -24,13 +23,13 @@
     rows = [row(1.0), row(2.0), row(3.0)]
     data = written(*rows)
     whole = parse_capture(data)
-    assert (whole.head, whole.wall_ms, whole.rows, whole.cut) == ("h1", 5000.0, rows, "")
+    assert (whole.gateway, whole.wall_ms, whole.requests, whole.incomplete) == ("h1", 5000.0, rows, None)
     cut = parse_capture(data[:-5])
-    assert cut.rows == rows[:2] and "cut off" in cut.cut
+    assert cut.requests == rows[:2] and "cut off" in (cut.incomplete or "")
     damaged = bytearray(data)
     damaged[-3] ^= 1
     hurt = parse_capture(bytes(damaged))
-    assert hurt.rows == rows[:2] and "is damaged" in hurt.cut
+    assert hurt.requests == rows[:2] and "is damaged" in (hurt.incomplete or "")
     with pytest.raises(CaptureError, match="version 9: version 1 is read"):
         parse_capture(data[:8] + b"\x00\x09" + data[10:])
     with pytest.raises(CaptureError, match="is no capture"):
@@ -56,8 +55,8 @@
 
 
 def test_captures_of_several_heads_stand_on_one_line_without_second_tries() -> None:
-    first = Capture("h1", 1000.0, 77.0, [row(0.0), row(50.0, again=True)])
-    second = Capture("h2", 900.0, 5.0, [row(20.0), row(60_000.0)], cut="the block at byte 9 is damaged")
+    first = Capture("h1", 1000.0, 77.0, [row(0.0), row(50.0, retry=True)])
+    second = Capture("h2", 900.0, 5.0, [row(20.0), row(60_000.0)], incomplete="the block at byte 9 is damaged")
     merged, notes = merge([first, second])
     assert [(at, head) for at, head, _ in merged] == [(0.0, "h2"), (80.0, "h1"), (59_980.0, "h2")]
     assert "h2: the block at byte 9 is damaged" in notes[0] and "a gap of 59.9 s" in notes[1]
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -31,8 +31,8 @@
 
 
 def test_refused_load_counts_and_the_busiest_window_is_the_case() -> None:
-    rows = rows_of(500, 60.0, final=1, attempts=0, attempt_ms=0.0)
-    rows += [(30_000.0 + i, "h1", row(0.0, final=1, attempts=0, attempt_ms=0.0)) for i in range(900)]
+    rows = rows_of(500, 60.0, outcome=1, attempts=0, last_attempt_ms=0.0)
+    rows += [(30_000.0 + i, "h1", row(0.0, outcome=1, attempts=0, last_attempt_ms=0.0)) for i in range(900)]
     rows.sort(key=lambda r: r[0])
     demand = demand_of(rows, CONFIG)
     begin, end = demand.busiest(10)
@@ -49,10 +49,10 @@
     for at, head, r in rows:
         work = r.units * kind.unit_work * rng.uniform(0.8, 1.2)
         waits = rng.exponential(20.0) if rng.random() < 0.5 else 0.0
-        made.append((at, head, msgspec.structs.replace(r, attempt_ms=work / 1.5 + waits + 0.3)))
+        made.append((at, head, msgspec.structs.replace(r, last_attempt_ms=work / 1.5 + waits + 0.3)))
     speed, doubt = fit_speed(demand_of(made, CONFIG), CONFIG)[0]
     assert speed == pytest.approx(1.5, rel=0.04) and doubt < 0.05
-    few, wide = fit_speed(demand_of(rows_of(62, final=1), CONFIG), CONFIG)[0]
+    few, wide = fit_speed(demand_of(rows_of(62, outcome=1), CONFIG), CONFIG)[0]
     assert few == pytest.approx(sum(kind.speed) / 2) and wide >= 0.05
 
 
@@ -69,7 +69,7 @@
 
 
 def test_a_limit_lets_its_rate_and_burst_through() -> None:
-    rows = [(i * 10.0, "h1", row(i * 10.0, volume="basico-1", plan="basico", slot=i % 8)) for i in range(1000)]
+    rows = [(i * 10.0, "h1", row(i * 10.0, volume="basico-1", quota_plan="basico", slot=i % 8)) for i in range(1000)]
     let = limit_parts(demand_of(rows, CONFIG), CONFIG, 1.0)  # 200 units a second; 50 allowed, 75 at once
     assert let[5] == pytest.approx(0.39, abs=0.06) and let[-1] == pytest.approx(0.25, abs=0.02)
 
--- a/tests/test_plan_trials.py
+++ b/tests/test_plan_trials.py
@@ -10,8 +10,7 @@
 from captured_rows import CONFIG
 from command_line import DAYS, command
 
-from pebblehinge.capture import Row
-from pebblehinge.capture.files import parse_capture
+from pebblehinge.capture import CapturedRequest, parse_capture
 from pebblehinge.lab.replay import merge
 from pebblehinge.lab.trials import fleet_of, lay_out, losses, play_trial, world_of
 from pebblehinge.lab.village import play
@@ -19,7 +18,7 @@
 from pebblehinge.settings import Config
 
 
-def captured(config: Config, day: str) -> list[tuple[float, str, Row]]:
+def captured(config: Config, day: str) -> list[tuple[float, str, CapturedRequest]]:
     village, _ = play(config, day, 1)
     return merge([parse_capture(bytes(data)) for data in village.captures.values()])[0]
 
