--- a/benchmarks/caps_list.py
+++ b/benchmarks/caps_list.py
@@ -14,7 +14,7 @@
 from pebblehinge.daemon.files import files_of
 from pebblehinge.settings.schema import LimitsBlock
 
-LISTING, FILES = "pebblehinge/listing/server.py", "pebblehinge/daemon/files.py"
+LISTING, FILES = "pebblehinge/discovery/server.py", "pebblehinge/daemon/files.py"
 
 
 OPENED = "none until they are open"
@@ -38,7 +38,7 @@
         "backlog of the list",
         LISTING,
         "BACKLOG = ",
-        constant("pebblehinge.listing.server", "BACKLOG"),
+        constant("pebblehinge.discovery.server", "BACKLOG"),
         "connections",
         "heads and shelfs after its restart",
         HEADS + SHELFS,
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -23,9 +23,9 @@
 from head_cost_ends import Asker, AtOnce, PassThrough, settings
 
 from pebblehinge.cli import clock_of
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.listing import ListingServer
 from pebblehinge.net import parse_address
 from pebblehinge.wire import Session
 
@@ -56,15 +56,15 @@
     AtOnce.reply = os.urandom(size)
 
     async def make(loop: Any) -> None:
-        listing = ListingServer(loop, clock_of(loop), config, Quiet())
+        listing = DiscoveryServer(loop, clock_of(loop), config, Quiet())
         await listing.start()
         for name, block in config.shelf.items():
             host, port = parse_address(block.listen)
             await loop.create_server(
                 lambda n=name: AtOnce(loop, Session("shelf", n, 1 << 20, 64, greets=False), 10_000.0), host, port
             )
-            listing.registry.registered(0.0, name, block.listen, block.slot, -1.0, True)
-        listing.push()
+            listing.registry.register(0.0, name, block.listen, block.slot, -1.0, True)
+        listing.publish()
 
     serve(make)
 
--- a/benchmarks/slopes_framed.py
+++ b/benchmarks/slopes_framed.py
@@ -13,8 +13,8 @@
 
 from pebblehinge.cli import clock_of
 from pebblehinge.client import connect
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.listing import ListingServer
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
@@ -58,13 +58,13 @@
     return SETTINGS.format(volumes=volumes, host=HOST)
 
 
-async def list_of(loop: Any, config: Config, rows: int) -> ListingServer:
+async def list_of(loop: Any, config: Config, rows: int) -> DiscoveryServer:
     """A list that tells so many shelfs; nothing listens at their addresses."""
-    server = ListingServer(loop, clock_of(loop), config, Quiet())
+    server = DiscoveryServer(loop, clock_of(loop), config, Quiet())
     await server.start()
     for n in range(rows):
-        server.registry.registered(0.0, f"shelf-{n}", f"10.{n // 250}.{n % 250}.7:7200", n, -1.0, True)
-    server.push()
+        server.registry.register(0.0, f"shelf-{n}", f"10.{n // 250}.{n % 250}.7:7200", n, -1.0, True)
+    server.publish()
     return server
 
 
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -1,4 +1,4 @@
-"""`pebblehinge shelf` and `listing`: the stand-ins."""
+"""`pebblehinge shelf` and `discovery`: the stand-ins."""
 
 from __future__ import annotations
 
@@ -112,9 +112,9 @@
 
 async def _listing(loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any) -> int:
     from pebblehinge.daemon.files import allow_files, files_of
-    from pebblehinge.listing import ListingServer
+    from pebblehinge.discovery import DiscoveryServer
 
     if told := allow_files(files_of("listing", heads=len(config.head), shelfs=len(config.shelf))):
         log.warning("limits", why=told)
-    server = ListingServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
+    server = DiscoveryServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
     return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
--- /dev/null
+++ b/pebblehinge/discovery/registry.py
@@ -0,0 +1,128 @@
+"""The endpoints of storage nodes, and when each change of them becomes known. No I/O and no clock."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from dataclasses import dataclass, replace
+from enum import StrEnum
+
+from pebblehinge.settings.schema import ListingBlock
+
+UNKNOWN_START_MS = -1.0
+"""`Endpoint.started_ms` of a process that started long ago."""
+
+
+class EndpointState(StrEnum):
+    """The state of an endpoint; the values are the words on the wire and in event logs."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """One storage node as the list has it.
+
+    Attributes:
+        node: The storage node's name.
+        address: Where it listens, as `host:port`.
+        state: Whether it takes requests.
+        slot: Its placement slot.
+        started_ms: When its process started, by the registry's clock; negative if that was long ago.
+    """
+
+    node: str
+    address: str
+    state: EndpointState
+    slot: int
+    started_ms: float
+
+
+class EndpointRegistry:
+    """Takes changes at once and publishes them later. Changes of one storage node are published in their order.
+
+    Args:
+        block: The ranges of the delays, in milliseconds.
+        rng: Draws the delays.
+
+    Attributes:
+        published: The endpoints that have been published, also those that are gone, by the storage node's name.
+        extra_delay_ms: Added to every delay while a fault makes the list stale.
+    """
+
+    def __init__(self, block: ListingBlock, rng: random.Random) -> None:
+        self.block = block
+        self.rng = rng
+        self.extra_delay_ms = 0.0
+        self.published: dict[str, Endpoint] = {}
+        self._pending: list[tuple[float, int, Endpoint]] = []  # a heap: when it is due, its number, the change
+        self._changes = 0
+        self._last_due_ms: dict[str, float] = {}
+
+    def register(
+        self, now_ms: float, node: str, address: str, slot: int, started_ms: float, without_delay: bool
+    ) -> None:
+        """Takes a process that runs.
+
+        Args:
+            now_ms: The present, by the registry's clock.
+            node: The storage node's name.
+            address: Where it listens, as `host:port`.
+            slot: Its placement slot.
+            started_ms: When it started; negative if that was long ago.
+            without_delay: Whether it is published at once, as at the start of the whole fleet.
+        """
+        delay_ms = 0.0 if without_delay else self.rng.uniform(*self.block.add)
+        self._schedule(now_ms, delay_ms, Endpoint(node, address, EndpointState.READY, slot, started_ms))
+
+    def set_state(self, now_ms: float, node: str, state: EndpointState) -> None:
+        """Takes what a storage node says of itself; one that is not known is ignored."""
+        endpoint = self._latest(node)
+        if endpoint is not None:
+            delay_ms = self.rng.uniform(*self.block.drain)
+            self._schedule(now_ms, delay_ms, replace(endpoint, state=state))
+
+    def remove(self, now_ms: float, node: str) -> None:
+        """Takes that a storage node's process is gone; one that is not known is ignored."""
+        endpoint = self._latest(node)
+        if endpoint is not None:
+            delay_ms = self.rng.uniform(*self.block.notice)
+            self._schedule(now_ms, delay_ms, replace(endpoint, state=EndpointState.GONE))
+
+    def override_state(self, now_ms: float, node: str, state: EndpointState) -> None:
+        """Publishes a state without delay, whether it is true or not, as a fault of the list does."""
+        endpoint = self._latest(node)
+        if endpoint is not None:
+            self._schedule(now_ms, 0.0, replace(endpoint, state=state))
+
+    def due(self, now_ms: float) -> list[Endpoint]:
+        """Publishes the changes that are due, and returns those that change something."""
+        changed = []
+        while self._pending and self._pending[0][0] <= now_ms:
+            endpoint = heapq.heappop(self._pending)[2]
+            if self.published.get(endpoint.node) != endpoint:
+                self.published[endpoint.node] = endpoint
+                changed.append(endpoint)
+        return changed
+
+    def next_due_ms(self) -> float | None:
+        """When the next change is due, or None if there is none."""
+        return self._pending[0][0] if self._pending else None
+
+    def snapshot(self) -> list[Endpoint]:
+        """All published endpoints that are not gone, in the order of their names."""
+        return [endpoint for _, endpoint in sorted(self.published.items()) if endpoint.state is not EndpointState.GONE]
+
+    def _latest(self, node: str) -> Endpoint | None:
+        """The last known endpoint of a storage node, published or not."""
+        pending = [(due_ms, number, endpoint) for due_ms, number, endpoint in self._pending if endpoint.node == node]
+        return max(pending, key=lambda change: change[:2])[2] if pending else self.published.get(node)
+
+    def _schedule(self, now_ms: float, delay_ms: float, endpoint: Endpoint) -> None:
+        earliest_ms = self._last_due_ms.get(endpoint.node, 0.0)
+        due_ms = max(now_ms + delay_ms + self.extra_delay_ms, earliest_ms)
+        self._last_due_ms[endpoint.node] = due_ms
+        self._changes += 1
+        heapq.heappush(self._pending, (due_ms, self._changes, endpoint))
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from pebblehinge.client import Client, connect
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.head import HeadServer
 from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.lab.crash.verdict import judge
@@ -14,7 +15,6 @@
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.listing import ListingServer
 from pebblehinge.settings.load import loads
 from pebblehinge.shelf import Contents, ShelfServer
 from pebblehinge.store import StorageError
@@ -89,7 +89,7 @@
 
     async def main(self, kills: int) -> None:
         node = self.loop.node("listing")
-        listing = ListingServer(node, self.clock, self.config, self.log)
+        listing = DiscoveryServer(node, self.clock, self.config, self.log)
         await listing.start()
         for n, name in enumerate(self.config.shelf):
             node, notes = self.loop.node(name), Memory()
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -13,6 +13,7 @@
 
 from pebblehinge.agreed.server import MemberServer
 from pebblehinge.capture import CaptureWriter
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.clients import Crowd
@@ -24,7 +25,6 @@
 from pebblehinge.lab.rsync_load import Copies
 from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.listing import ListingServer
 from pebblehinge.settings import Config, show
 from pebblehinge.shelf import Contents, ShelfServer
 
@@ -77,7 +77,7 @@
         for name in self.config.member:
             await self.start_one(name, False)
         node = self.nodes["listing"] = self.world.node("listing")
-        listing = ListingServer(node, self.clock, self.config, self.log, self._memory("listing"), self.seed)
+        listing = DiscoveryServer(node, self.clock, self.config, self.log, self._memory("listing"), self.seed)
         self.servers["listing"] = listing
         await listing.start()
         for name in self.config.shelf:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,9 +11,9 @@
 
 from pebblehinge.cli import clock_of
 from pebblehinge.client import Client, connect
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.listing import ListingServer
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
@@ -186,7 +186,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self.loop, self.config, self.clock = loop, config, clock_of(loop)
-        self.listing = ListingServer(loop, self.clock, config, Quiet())
+        self.listing = DiscoveryServer(loop, self.clock, config, Quiet())
         self.shelfs = [ScriptShelf(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
         self.head: HeadServer
         self.clients: list[Client] = []
@@ -195,8 +195,8 @@
         await self.listing.start()
         for shelf in self.shelfs:
             await shelf.start()
-            self.listing.registry.registered(self.clock(), shelf.name, shelf.address, shelf.slot, -1.0, True)
-        self.listing.push()
+            self.listing.registry.register(self.clock(), shelf.name, shelf.address, shelf.slot, -1.0, True)
+        self.listing.publish()
         await self.start_head(core)
         return self
 
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
+from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.head import HeadServer
 from pebblehinge.lab.rsync_call import Call
 from pebblehinge.lab.rsync_client import call
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.listing import ListingServer
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 from pebblehinge.settings.load import loads
@@ -130,7 +130,7 @@
 
     async def start(self) -> None:
         node = self.nodes["listing"] = self.loop.node("listing")
-        listing = self.servers["listing"] = ListingServer(node, self.clock, self.config, self.log)
+        listing = self.servers["listing"] = DiscoveryServer(node, self.clock, self.config, self.log)
         await listing.start()
         for name in self.config.shelf:
             await self.start_shelf(name)
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblehinge.listing import Registry
+from pebblehinge.discovery import EndpointRegistry, EndpointState
 from pebblehinge.settings.policy import RulesBlock
 from pebblehinge.settings.schema import KindBlock, ListingBlock
 from pebblehinge.shelf.contents import Contents, JournalError
@@ -124,14 +124,14 @@
 
 
 def test_the_list_is_late_and_tells_the_news_of_a_shelf_in_order() -> None:
-    r = Registry(ListingBlock(add=(100.0, 100.0), notice=(500.0, 500.0), drain=(50.0, 50.0)), random.Random(1))
-    r.registered(0.0, "a", "h:1", 0, -1.0, True)
-    assert [row.standing for row in r.due(0.0)] == ["ready"]
-    r.gone(10.0, "a")
-    r.registered(20.0, "a", "h:1", 0, 20.0, False)  # back before the list has told that it went
-    assert r.due(509.0) == [] and r.next_ms() == 510.0
-    assert [(row.standing, row.started_ms) for row in r.due(510.0)] == [("gone", -1.0), ("ready", 20.0)]
-    r.stale_ms = 1000.0
-    r.standing(600.0, "a", "draining")
-    assert r.due(1649.0) == [] and [row.standing for row in r.due(1650.0)] == ["draining"]
-    assert [row.shelf for row in r.whole()] == ["a"]
+    r = EndpointRegistry(ListingBlock(add=(100.0, 100.0), notice=(500.0, 500.0), drain=(50.0, 50.0)), random.Random(1))
+    r.register(0.0, "a", "h:1", 0, -1.0, True)
+    assert [row.state for row in r.due(0.0)] == ["ready"]
+    r.remove(10.0, "a")
+    r.register(20.0, "a", "h:1", 0, 20.0, False)  # back before the list has told that it went
+    assert r.due(509.0) == [] and r.next_due_ms() == 510.0
+    assert [(row.state, row.started_ms) for row in r.due(510.0)] == [("gone", -1.0), ("ready", 20.0)]
+    r.extra_delay_ms = 1000.0
+    r.set_state(600.0, "a", EndpointState.DRAINING)
+    assert r.due(1649.0) == [] and [row.state for row in r.due(1650.0)] == ["draining"]
+    assert [row.node for row in r.snapshot()] == ["a"]
