--- a/benchmarks/plan_check.py
+++ b/benchmarks/plan_check.py
@@ -22,13 +22,14 @@
 from plan_scenarios import scenario
 from plan_truth import SAME_WAYS, SEEDS, crossing, on_sockets, truth
 
+from pebblehinge.capacity_planner import Planner
+from pebblehinge.capacity_planner.bottleneck import name_bottleneck
+from pebblehinge.capacity_planner.demand import build_demand
+from pebblehinge.capacity_planner.evidence import Evidence
 from pebblehinge.capture import parse_capture
 from pebblehinge.lab.replay import merge
 from pebblehinge.lab.trials import WINDOW_S, Pool, fleet_of, lay_out, world_of
 from pebblehinge.lab.village import play
-from pebblehinge.plan import Planner
-from pebblehinge.plan.bottleneck import blame
-from pebblehinge.plan.demand import demand_of
 from pebblehinge.settings.load import loads
 
 
@@ -40,18 +41,18 @@
     village, _ = play(config, "d", SAME_WAYS)
     captures = [parse_capture(bytes(data)) for data in village.captures.values()]
     rows, notes = merge(captures)
-    whole = demand_of(rows, config)
+    whole = build_demand(rows, config)
     begin, end = whole.busiest(WINDOW_S)
     world = world_of(config, rows, begin, end)
-    demand = demand_of(world.rows, config, fewest=20, whole=False)
+    demand = build_demand(world.rows, config, min_requests=20, complete=False)
     lose = [x for x in ("rack a", "s1", "h1")]
-    planner = Planner(demand, config, goal, 1.0, lose, 0.05, notes, speeds_from=whole)
-    world.speeds = {slot: speed for slot, (speed, _) in planner.speeds.items()}
+    planner = Planner(Evidence(demand, config, goal, 1.0, lose, 0.05, notes, speeds_from=whole))
+    world.speeds = {slot: speed for slot, (speed, _) in planner.evidence.speeds.items()}
     true = {s.block.slot: s.machine.speed for n, s in village.servers.items() if n in config.shelf}
     speed_off = max(abs(world.speeds[s] / v - 1) for s, v in true.items())
     pool = Pool(world, jobs)
     while batch := planner.ask():
-        planner.told(list(pool.play(batch, lambda line: None)))
+        planner.add_results(list(pool.play(batch, lambda line: None)))
     told = planner.answer()
     pool.close()
     planned_s = time.perf_counter() - began
@@ -84,10 +85,10 @@
     shelf: dict[str, float] = {}
     limit: dict[str, float] = {}
     for r in by[(near, None, "")]:
-        for into, lost in ((shelf, r.lost_by_shelf), (limit, r.lost_by_limit)):
+        for into, lost in ((shelf, r.lost_by_node), (limit, r.lost_by_quota)):
             for key, value in lost.items():
                 into[key] = into.get(key, 0.0) + value
-    cause, where, _ = blame(shelf, limit, len(config.shelf), real)
+    cause, where, _ = name_bottleneck(shelf, limit, len(config.shelf), real)
     row: dict[str, Any] = {
         "scenario": name,
         "goal": goal,
@@ -102,7 +103,7 @@
             "where": [told["first_limit"]["where"], where],
         },
         "multiple": {"said": round(at, 3), "was": round(real, 3), "off": round(at / real - 1, 3)},
-        "formulas_said": round(planner.first_guess, 3),
+        "formulas_said": round(planner.evidence.first_guess, 3),
         "speeds_off": round(speed_off, 3),
     }
     row["service_now"][1] = round(mean(1.0, None, ""), 4)
--- a/benchmarks/plan_truth.py
+++ b/benchmarks/plan_truth.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
+from pebblehinge.capacity_planner import Trial
 from pebblehinge.lab.load import Draw
 from pebblehinge.lab.trials import AWAY_MS, WINDOW_S, fleet_of, read
 from pebblehinge.lab.village import play
-from pebblehinge.plan import Trial
 from pebblehinge.settings import Config, Trouble, show
 from pebblehinge.settings.load import loads
 
--- /dev/null
+++ b/pebblehinge/capacity_planner/answer.py
@@ -0,0 +1,188 @@
+"""The planner's answer: the object that `pebblehinge plan --json` prints. Its keys and words are a public format."""
+
+from __future__ import annotations
+
+from typing import TypedDict
+
+import numpy as np
+
+from pebblehinge.capacity_planner.bottleneck import HOT_NODE, QUOTA, find_bottleneck
+from pebblehinge.capacity_planner.demand import MIN_REQUESTS_FOR_NARROW_BOUNDS
+from pebblehinge.capacity_planner.evidence import Crossing, Evidence
+from pebblehinge.capacity_planner.failures import FailureImpact, failure_impact
+from pebblehinge.capacity_planner.limits import GATEWAY_LIMITS, Limit, other_limits
+from pebblehinge.capacity_planner.sizing import Sizing, size_fleet
+
+NARROW_DOUBT = 0.02
+"""The relative error of the crossing where the capture has many requests."""
+
+FORMULA_RANGE = (0.7, 1.4)
+"""Bounds of the crossing by the formulas alone, as factors."""
+
+LIMIT_RANGE = (0.85, 1.15)
+"""Bounds of a limit that trials don't show, as factors."""
+
+FORMULA_DOUBT = 0.05
+"""How far the service by the formulas alone may be off."""
+
+CAPTURED_LOAD = 1.0
+
+
+class ServiceRange(TypedDict):
+    """A service with its bounds, 0 to 1."""
+
+    service: float
+    low: float
+    high: float
+
+
+class FirstLimit(TypedDict):
+    """The limit that the fleet meets first, and the multiple of the captured load at which it does."""
+
+    name: str
+    where: str
+    at_multiple: float
+    low: float
+    high: float
+    reason: str
+
+
+class OtherLimit(TypedDict):
+    """A further limit, and the multiple of the captured load at which it is reached."""
+
+    name: str
+    where: str
+    at_multiple: float
+    reason: str
+
+
+class Loss(TypedDict):
+    """The service where a part of the fleet fails: over the whole run, while it is away, and after its return."""
+
+    what: str
+    service: float
+    low: float
+    high: float
+    during: float
+    after: float
+    by_plan: dict[str, float]
+    reason: str
+
+
+class Answer(TypedDict):
+    """The whole plan. `curve` holds pairs of a multiple and its service."""
+
+    goal: float
+    growth: float
+    accesses: int
+    service_now: ServiceRange
+    first_limit: FirstLimit
+    other_limits: list[OtherLimit]
+    needed: Sizing
+    losses: list[Loss]
+    next_step: str
+    curve: list[list[float]]
+    trials: int
+    notes: list[str]
+
+
+def make_answer(evidence: Evidence) -> Answer:
+    """What is known by now."""
+    notes = list(evidence.notes)
+    crossing = _crossing(evidence, notes)
+    others = other_limits(evidence.demand, evidence.config, evidence.nodes, evidence.gateway_cost_ms)
+    bottleneck = find_bottleneck(evidence, crossing.multiple)
+    first = Limit(bottleneck.name, bottleneck.where, crossing.multiple, bottleneck.reason)
+    low, high = crossing.low, crossing.high
+    nearest = next((limit for limit in others if limit.name in GATEWAY_LIMITS), None)
+    if nearest is not None and nearest.at_multiple < crossing.multiple:
+        first = nearest
+        low, high = nearest.at_multiple * LIMIT_RANGE[0], nearest.at_multiple * LIMIT_RANGE[1]
+    needed = size_fleet(evidence, notes)
+    impacts = [failure_impact(evidence, failure) for failure in evidence.failures]
+    return Answer(
+        goal=evidence.goal,
+        growth=evidence.growth,
+        accesses=len(evidence.demand.at),
+        service_now=service_now(evidence),
+        first_limit=FirstLimit(
+            name=first.name,
+            where=first.where,
+            at_multiple=round(first.at_multiple, 3),
+            low=round(low, 3),
+            high=round(high, 3),
+            reason=first.reason,
+        ),
+        other_limits=[_other_limit(limit) for limit in others if limit is not first],
+        needed=needed,
+        losses=[_loss(impact) for impact in impacts if impact is not None],
+        next_step=next_step(evidence, first, needed),
+        curve=[[round(multiple, 3), round(service, 4)] for multiple, service in evidence.curve()],
+        trials=len(evidence.results),
+        notes=notes,
+    )
+
+
+def service_now(evidence: Evidence) -> ServiceRange:
+    """The service at the captured load: of trials, or by the formulas if there are none."""
+    services = [
+        result.service
+        for trial, result in evidence.results.items()
+        if trial.multiple == CAPTURED_LOAD and not trial.failure and trial.node_count is None
+    ]
+    if services:
+        noise = evidence.noise()
+        service, low, high = float(np.mean(services)), min(services) - noise, max(services) + noise
+    else:
+        service = evidence.estimated_service(CAPTURED_LOAD)
+        low, high = service - FORMULA_DOUBT, service + FORMULA_DOUBT
+    return ServiceRange(service=round(service, 4), low=round(low, 4), high=round(min(1.0, high), 4))
+
+
+def next_step(evidence: Evidence, first: Limit, needed: Sizing) -> str:
+    """What the operator had best do next."""
+    if first.name == QUOTA:
+        return f"raise the limit of {first.where}'s plan, or accept it: more shelfs change nothing"
+    if first.name == HOT_NODE:
+        return f"spread what lies on {first.where} over more shelfs: the others have room"
+    if first.name in GATEWAY_LIMITS:
+        return f"add heads: {needed['heads']} carry the peak"
+    if needed["shelfs"] is None:
+        return needed["reason"]
+    more = needed["shelfs"] - len(evidence.nodes.slots)
+    return f"add {more} shelfs of kind {needed['kind']}" if more > 0 else "nothing now: the fleet holds the goal"
+
+
+def _crossing(evidence: Evidence, notes: list[str]) -> Crossing:
+    """Where the service falls below the goal, with bounds that allow for all doubts; notes if it is by formulas."""
+    found = evidence.crossing()
+    if found is None:
+        notes.append("no trial was played: the answer is the formulas' alone")
+        at = evidence.first_guess
+        low, high = at * FORMULA_RANGE[0], at * FORMULA_RANGE[1]
+    else:  # no surer than the trials on both sides of it lie apart
+        at, low, high = found
+        bracket_low, bracket_high = evidence.bracket()
+        low, high = min(low, bracket_low), max(high, bracket_high)
+    doubt = NARROW_DOUBT
+    if len(evidence.demand.at) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
+        doubt = float(np.mean([estimate.relative_error for estimate in evidence.speeds.values()]))
+    return Crossing(at, min(low, at * (1 - doubt)), max(high, at * (1 + doubt)))
+
+
+def _other_limit(limit: Limit) -> OtherLimit:
+    at_multiple = round(limit.at_multiple, 2)
+    return OtherLimit(name=limit.name, where=limit.where, at_multiple=at_multiple, reason=limit.reason)
+
+
+def _loss(impact: FailureImpact) -> Loss:
+    return Loss(
+        what=impact.failure,
+        service=round(impact.service, 4),
+        low=round(impact.low, 4),
+        high=round(impact.high, 4),
+        during=round(impact.during, 4),
+        after=round(impact.after, 4),
+        by_plan={name: round(service, 4) for name, service in impact.by_quota_plan.items()},
+        reason=impact.reason,
+    )
--- /dev/null
+++ b/pebblehinge/capacity_planner/evidence.py
@@ -0,0 +1,204 @@
+"""What the planner knows: the formulas' first answer, the results of trials, and the curve through them."""
+
+from __future__ import annotations
+
+import math
+from collections import defaultdict
+from collections.abc import Iterable
+from typing import NamedTuple
+
+import numpy as np
+
+from pebblehinge.capacity_planner.demand import Demand, Floats
+from pebblehinge.capacity_planner.errors import ObjectiveError
+from pebblehinge.capacity_planner.fleet import default_failures, node_capacities
+from pebblehinge.capacity_planner.formulas import estimate_service
+from pebblehinge.capacity_planner.speeds import fit_speeds
+from pebblehinge.capacity_planner.trial import Trial, TrialResult
+from pebblehinge.settings import Config
+
+MIN_MULTIPLE = 0.02
+MAX_MULTIPLE = 16.0
+"""The range of multiples of the captured load that the formulas search."""
+
+MIN_GROWTH = 0.05
+MAX_GROWTH = 100.0
+BISECTIONS = 12
+MIN_NOISE = 0.005
+NOISE_WITHOUT_REPETITION = 0.01
+"""How far trials that differ by their seed alone are taken to lie apart, where none was repeated."""
+
+
+class Crossing(NamedTuple):
+    """The multiple of the captured load at which the service falls below the goal, with its bounds."""
+
+    multiple: float
+    low: float
+    high: float
+
+
+class Evidence:
+    """What is known of one capture and one fleet.
+
+    Args:
+        demand: The load to plan for.
+        config: The fleet's settings.
+        goal: The service to be held, between 0 and 1.
+        growth: The load to be carried, in multiples of the captured one.
+        failures: What may fail, as `Trial.failure` names it; None for `default_failures`.
+        gateway_cost_ms: The CPU time of a request at a gateway, in milliseconds.
+        notes: Notes for the operator.
+        speeds_from: The load that the speeds are fitted to; None for `demand`.
+
+    Raises:
+        ObjectiveError: The goal or the growth is out of range.
+
+    Attributes:
+        nodes: The storage nodes with their fitted speeds.
+        results: The results of the trials so far.
+        first_guess: The multiple at which the service falls below the goal by the formulas.
+        guessed_nodes: How many storage nodes meet the goal at the growth by the formulas.
+    """
+
+    def __init__(
+        self,
+        demand: Demand,
+        config: Config,
+        goal: float = 0.95,
+        growth: float = 1.0,
+        failures: list[str] | None = None,
+        gateway_cost_ms: float = 0.1,
+        notes: Iterable[str] = (),
+        speeds_from: Demand | None = None,
+    ) -> None:
+        if not 0.0 < goal < 1.0:
+            raise ObjectiveError(f"a goal of {goal:g}: expected a service between 0 and 1")
+        if not MIN_GROWTH <= growth <= MAX_GROWTH:
+            raise ObjectiveError(f"a growth of {growth:g}: expected {MIN_GROWTH:g} to {MAX_GROWTH:g}")
+        self.demand = demand
+        self.config = config
+        self.goal = goal
+        self.growth = growth
+        self.gateway_cost_ms = gateway_cost_ms
+        self.notes = list(notes)
+        self.speeds = fit_speeds(speeds_from or demand, config)
+        self.nodes = node_capacities(config, self.speeds)
+        self.failures = default_failures(config) if failures is None else failures
+        self.results: dict[Trial, TrialResult] = {}
+        self.first_guess = self._guess_multiple()
+        self.guessed_nodes = self._guess_nodes()
+
+    def estimated_service(self, multiple: float) -> float:
+        """The service at a multiple of the captured load, by the formulas."""
+        return estimate_service(self.demand, self.config, self.nodes, multiple).service
+
+    def add(self, results: Iterable[TrialResult]) -> None:
+        """Takes the results of trials."""
+        for result in results:
+            self.results[result.trial] = result
+
+    def curve(self, node_count: int | None = None) -> list[tuple[float, float]]:
+        """Multiple and mean service over seeds, in order of multiples, without failures and on so many nodes."""
+        services: dict[float, list[float]] = defaultdict(list)
+        for trial, result in self.results.items():
+            if not trial.failure and trial.node_count == node_count:
+                services[trial.multiple].append(result.service)
+        return [(multiple, float(np.mean(values))) for multiple, values in sorted(services.items())]
+
+    def bracket(self) -> tuple[float, float]:
+        """Multiples between which the service falls below the goal, as far as is known."""
+        curve = self.curve()
+        good = [multiple for multiple, service in curve if service >= self.goal]
+        bad = [multiple for multiple, service in curve if service < self.goal]
+        if not curve:
+            return self.first_guess * 0.75, self.first_guess * 1.33
+        if not good:
+            return max(MIN_MULTIPLE, min(bad) * 0.3), min(bad)
+        if not bad:
+            return max(good), min(MAX_MULTIPLE * 2, max(good) * 2.5)
+        high = min((multiple for multiple in bad if multiple > max(good)), default=max(bad))
+        low = max((multiple for multiple in good if multiple < high), default=min(good))
+        return low, max(high, low * 1.01)
+
+    def crossing(self) -> Crossing | None:
+        """Where the service falls below the goal, or None if no trial was played."""
+        curve = self.curve()
+        if not curve:
+            return None
+        # Service falls with load but for chance: the curve is made to fall before it is read.
+        multiples = np.array([multiple for multiple, _ in curve])
+        falling = non_increasing_fit(np.array([service for _, service in curve]))
+        noise = self.noise()
+        return Crossing(
+            _crossing_at(multiples, falling, self.goal),
+            _crossing_at(multiples, falling, self.goal + noise),
+            _crossing_at(multiples, falling, self.goal - noise),
+        )
+
+    def noise(self) -> float:
+        """How far trials that differ by their seed alone lie apart, at least half a point."""
+        services: dict[tuple[float, int | None, str], list[float]] = defaultdict(list)
+        for trial, result in self.results.items():
+            services[trial.multiple, trial.node_count, trial.failure].append(result.service)
+        ranges = [np.ptp(values) for values in services.values() if len(values) > 1]
+        return max(MIN_NOISE, float(np.mean(ranges)) if ranges else NOISE_WITHOUT_REPETITION)
+
+    def node_count_bracket(self) -> tuple[int, int]:
+        """Numbers of storage nodes between which the service at the growth reaches the goal, as far as is known."""
+        tried = self.service_by_node_count()
+        good = [count for count, service in tried if service >= self.goal]
+        bad = [count for count, service in tried if service < self.goal]
+        if not good:
+            top = max(bad, default=self.guessed_nodes)
+            return top + 1, math.ceil(top * 1.6) + 1
+        low = max((count for count in bad if count < min(good)), default=max(1, min(good) // 2))
+        return low, min(good)
+
+    def service_by_node_count(self) -> list[tuple[int, float]]:
+        """Number of storage nodes and mean service over seeds at the growth, in order of numbers."""
+        services: dict[int, list[float]] = defaultdict(list)
+        for trial, result in self.results.items():
+            if trial.node_count is not None and not trial.failure and trial.multiple == self.growth:
+                services[trial.node_count].append(result.service)
+        return [(count, float(np.mean(values))) for count, values in sorted(services.items())]
+
+    def _guess_multiple(self) -> float:
+        low, high = MIN_MULTIPLE, MAX_MULTIPLE
+        if self.estimated_service(high) >= self.goal:
+            return MAX_MULTIPLE
+        for _ in range(BISECTIONS):
+            middle = math.sqrt(low * high)
+            if self.estimated_service(middle) >= self.goal:
+                low = middle
+            else:
+                high = middle
+        return math.sqrt(low * high)
+
+    def _guess_nodes(self) -> int:
+        """As many storage nodes as hold the growth if the present ones hold the first guess."""
+        return max(1, math.ceil(len(self.nodes.slots) * self.growth / max(0.05, self.first_guess)))
+
+
+def non_increasing_fit(values: Floats) -> Floats:
+    """The nearest sequence that never rises (pool adjacent violators)."""
+    blocks: list[tuple[float, int]] = []  # mean and length
+    for value in values:
+        mean, length = float(value), 1
+        while blocks and blocks[-1][0] < mean:
+            earlier, earlier_length = blocks.pop()
+            mean = (earlier * earlier_length + mean * length) / (earlier_length + length)
+            length += earlier_length
+        blocks.append((mean, length))
+    return np.array([mean for mean, length in blocks for _ in range(length)])
+
+
+def _crossing_at(multiples: Floats, falling: Floats, goal: float) -> float:
+    """The multiple at which a falling curve reaches a goal, within the curve's ends."""
+    if falling[-1] >= goal:
+        return float(multiples[-1])
+    if falling[0] < goal:
+        return float(multiples[0])
+    after = int(np.argmax(falling < goal))
+    above, below = falling[after - 1], falling[after]
+    part = (above - goal) / max(1e-9, above - below)
+    return float(multiples[after - 1] + part * (multiples[after] - multiples[after - 1]))
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -1,4 +1,4 @@
-"""`pebblehinge why`, `rsync` and `plan`: what asks others or only reckons."""
+"""`pebblehinge why`, `rsync` and `capacity_planner`: what asks others or only reckons."""
 
 from __future__ import annotations
 
@@ -149,43 +149,46 @@
     quiet: bool,
 ) -> None:
     """From CAPTURES of heads and a fleet: the first limit, shelfs and heads needed, what a loss would do."""
+    from pebblehinge.capacity_planner import PlanError, Planner
+    from pebblehinge.capacity_planner.demand import build_demand, describe_window
+    from pebblehinge.capacity_planner.evidence import Evidence
+    from pebblehinge.capacity_planner.report import report_lines
     from pebblehinge.capture import CaptureError, read_capture
     from pebblehinge.lab.replay import merge
     from pebblehinge.lab.trials import WINDOW_S, run_plan, world_of
-    from pebblehinge.plan import PlanError, Planner
-    from pebblehinge.plan.demand import demand_of, window_of
-    from pebblehinge.plan.text import lines, page
 
     config = read_settings(fleet, "127.0.0.1")
     said = say_progress(quiet)
     try:
         rows, notes = merge([read_capture(path) for path in captures])
-        whole = demand_of(rows, config)
+        whole = build_demand(rows, config)
         begin, end = whole.busiest(WINDOW_S)
         world = world_of(config, rows, begin, end)
-        demand = demand_of(world.rows, config, fewest=20, whole=False)
+        demand = build_demand(world.rows, config, min_requests=20, complete=False)
         known = {s.zone for s in config.shelf.values()}
         for zone in zones:
             if zone not in known:
                 raise PlanError(f"zone {zone!r} is not in the fleet: expected one of {', '.join(sorted(known))}")
-        notes += window_of(whole, begin, end)
+        notes += describe_window(whole, begin, end)
         lose = [f"zone {z}" for z in zones] or None
         if len(world.rows) > MOST_ROWS and not formulas:
             raise PlanError(
                 f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MOST_ROWS} would run too "
                 "long here; --formulas gives the first answer"
             )
-        planner = Planner(demand, config, goal, growth, lose, head_cost / 1000.0, notes, speeds_from=whole)
-        world.speeds = {slot: speed for slot, (speed, _) in planner.speeds.items()}
+        planner = Planner(Evidence(demand, config, goal, growth, lose, head_cost / 1000.0, notes, speeds_from=whole))
+        world.speeds = {slot: speed for slot, (speed, _) in planner.evidence.speeds.items()}
     except (CaptureError, PlanError) as error:
         give_up(str(error))
-    said(f"first answer: the goal is met up to {planner.first_guess:.2f} times the captured load")
+    said(f"first answer: the goal is met up to {planner.evidence.first_guess:.2f} times the captured load")
     if not formulas and not run_plan(planner, world, jobs_of(jobs), said):
-        planner.notes.append("interrupted: the answer rests on the trials played so far")
+        planner.evidence.notes.append("interrupted: the answer rests on the trials played so far")
     told = planner.answer()
     if page_file:
+        from pebblehinge.capacity_planner.page import render_page
+
         try:
-            Path(page_file).write_text(page(told))
+            Path(page_file).write_text(render_page(told))
         except OSError as error:
             give_up(describe(error))
-    click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
+    click.echo(json.dumps(told) if as_json else "\n".join(report_lines(told)))
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
+from pebblehinge.capacity_planner import Trial, TrialResult
 from pebblehinge.capture import CapturedRequest
 from pebblehinge.lab.check import Day
 from pebblehinge.lab.replay import Replay
 from pebblehinge.lab.verdict import service
 from pebblehinge.lab.village import play
-from pebblehinge.plan import Trial, TrialResult
 from pebblehinge.settings import Config, Trouble
 from pebblehinge.settings.schema import DayBlock, ShelfBlock
 
@@ -92,25 +92,25 @@
 
 def play_trial(world: World, trial: Trial) -> TrialResult:
     """One trial, in this process."""
-    config = fleet_of(world.config, trial.shelfs)
-    places = lay_out(world, config) if trial.shelfs is not None else None
+    config = fleet_of(world.config, trial.node_count)
+    places = lay_out(world, config) if trial.node_count is not None else None
     length = world.rows[-1][0] + 1.0 if world.rows else 1000.0
     at: list[Trouble] = []
-    if trial.lose:
-        head = trial.lose in config.head
+    if trial.failure:
+        head = trial.failure in config.head
         name = "head-crash" if head else "mass-restart"
-        at = [Trouble(at=length * 0.35, name=name, target=trial.lose.split(), last=AWAY_MS)]
+        at = [Trouble(at=length * 0.35, name=name, target=trial.failure.split(), last=AWAY_MS)]
     config = msgspec.structs.replace(
         config,
         day={"trial": DayBlock(length=length, settle=2_500.0, at=at)},
         load=msgspec.structs.replace(config.load, processes=1),
         log=msgspec.structs.replace(config.log, accesses=False),
     )
-    if trial.shelfs is None and world.speeds:
+    if trial.node_count is None and world.speeds:
         config = as_fitted(config, world.speeds)
-    draw = Replay(config, world.rows, trial.seed, trial.multiple, places=places, blur_ms=trial.blur_ms)
+    draw = Replay(config, world.rows, trial.seed, trial.multiple, places=places, blur_ms=trial.jitter_ms)
     village, _ = play(config, "trial", trial.seed, draw=draw)
-    return read(village.facts(), trial, length * 0.35 if trial.lose else None)
+    return read(village.facts(), trial, length * 0.35 if trial.failure else None)
 
 
 def read(day: Day, trial: Trial, lost_at: float | None = None) -> TrialResult:
@@ -214,7 +214,7 @@
     try:
         while batch := planner.ask():
             for result in pool.play(batch, said):
-                planner.told([result])
+                planner.add_results([result])
         return True
     except KeyboardInterrupt:
         return False
--- a/tests/test_plan_trials.py
+++ b/tests/test_plan_trials.py
@@ -10,11 +10,11 @@
 from captured_rows import CONFIG
 from command_line import DAYS, command
 
+from pebblehinge.capacity_planner import Trial
 from pebblehinge.capture import CapturedRequest, parse_capture
 from pebblehinge.lab.replay import merge
 from pebblehinge.lab.trials import fleet_of, lay_out, losses, play_trial, world_of
 from pebblehinge.lab.village import play
-from pebblehinge.plan import Trial
 from pebblehinge.settings import Config
 
 
@@ -29,13 +29,13 @@
     world = world_of(CONFIG, rows, 0.0, 6000.0)
     once, heavy = play_trial(world, Trial(1.0, 5)), play_trial(world, Trial(4.0, 5))
     assert once.service > 0.96 and heavy.service < 0.7
-    assert sum(heavy.lost_by_shelf.values()) + sum(heavy.lost_by_limit.values()) == pytest.approx(
+    assert sum(heavy.lost_by_node.values()) + sum(heavy.lost_by_quota.values()) == pytest.approx(
         1.0 - heavy.service, abs=0.01
     )
     more = play_trial(world, Trial(4.0, 5, 24))
     assert more.service > heavy.service + 0.2
     lost = play_trial(world, Trial(1.0, 5, None, "rack a"))
-    assert lost.during < 0.7 and lost.service < once.service
+    assert lost.service_during_failure < 0.7 and lost.service < once.service
     assert play_trial(world, Trial(1.0, 5)) == once
     places = lay_out(world, fleet_of(CONFIG, 24))
     assert {len(p) for v, p in places.items()} <= set(range(1, 9)) and len({s for p in places.values() for s in p}) > 20
