--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -17,6 +17,7 @@
 
 SHELF = "pebblehinge/shelf/server.py"
 CONSOLE, VIEW = "pebblehinge/console/server.py", "pebblehinge/console/view.py"
+HISTORY = "pebblehinge/console/event_history.py"
 
 
 OTHER_CAPS = [
@@ -47,8 +48,8 @@
     Cap(
         "viewers of a console",
         CONSOLE,
-        "MOST_VIEWERS = ",
-        constant("pebblehinge.console.server", "MOST_VIEWERS"),
+        "MAX_VIEWERS = ",
+        constant("pebblehinge.console.server", "MAX_VIEWERS"),
         "viewers",
         "pages that watch one head",
         None,
@@ -59,8 +60,8 @@
     Cap(
         "looks missed",
         CONSOLE,
-        "MISSED = ",
-        constant("pebblehinge.console.server", "MISSED"),
+        "MAX_MISSED = ",
+        constant("pebblehinge.console.server", "MAX_MISSED"),
         "looks",
         "in a row, by a viewer with over 64 KiB unsent; one look at "
         f"{SHELFS} shelfs is {view_bytes() / 1e3:.0f} KB or more, and it was dropped at the first",
@@ -73,8 +74,8 @@
     Cap(
         "volumes shown",
         VIEW,
-        "MOST_VOLUMES = ",
-        constant("pebblehinge.console.view", "MOST_VOLUMES"),
+        "MAX_VOLUMES = ",
+        constant("pebblehinge.console.view", "MAX_VOLUMES"),
         "volumes",
         "those used last",
         None,
@@ -84,9 +85,9 @@
     ),
     Cap(
         "events kept",
-        VIEW,
-        "MOST_EVENTS = ",
-        constant("pebblehinge.console.view", "MOST_EVENTS"),
+        HISTORY,
+        "MAX_EVENTS = ",
+        constant("pebblehinge.console.event_history", "MAX_EVENTS"),
         "lines",
         "shelfs that changed their health; the last 40 are sent",
         None,
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pebblehinge.console.view import View
+from pebblehinge.console.view import GatewayView
 from pebblehinge.decide import REMEMBERED, Scheduler
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.settings import Config, show
@@ -86,8 +86,8 @@
     """A console's rows of shelfs, as one look sends them to each viewer."""
     module = Scheduler(loads(SETTINGS).module_settings(HeadBlock()), 1, 0.0)
     module.listed(0.0, ListKind.WHOLE, [Entry(f"shelf-{n}", Standing.READY, n, 0.0) for n in range(shelfs)])
-    view = View(SimpleNamespace(core=SimpleNamespace(module=module)))
-    return len(msgspec.json.encode(view.shelfs(100_000.0)))
+    view = GatewayView(SimpleNamespace(core=SimpleNamespace(module=module)))
+    return len(msgspec.json.encode(view.storage_nodes(100_000.0)))
 
 
 @functools.cache
--- a/pebblehinge/console/__init__.py
+++ b/pebblehinge/console/__init__.py
@@ -1,4 +1,8 @@
-"""A head's web console: one page, live. Reads the head's books now and then; no access waits for it."""
+"""The web console of a gateway: one page, live.
+
+`view` and `node_health` read the gateway's state twice a second while anybody watches, `rows` has the types of what
+they show; `server` serves it over HTTP. No request of the gateway waits for any of it.
+"""
 
 from pebblehinge.console.server import Console
 
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -1,4 +1,4 @@
-"""The console's HTTP: a page, its state as JSON, server-sent events. Bounded: so many viewers, one shared snapshot."""
+"""The console's HTTP: a page, its state as JSON, server-sent events. All viewers share one snapshot."""
 
 from __future__ import annotations
 
@@ -10,152 +10,201 @@
 import msgspec
 from aiohttp import web
 
-from pebblehinge.console.view import View
+from pebblehinge.console.view import GatewayView
 from pebblehinge.net import parse_address
 
 STATIC = Path(__file__).parent / "static"
-EVERY_MS = 500.0
-TOGETHER = 8  # viewers that are written to in one turn of the loop
-MOST_VIEWERS = 600
-BEHIND = 64 << 10  # unsent bytes at which a viewer misses a look ...
-MISSED = 20  # ... and how many it may miss in a row, which is ten seconds, before it is dropped
+REFRESH_MS = 500.0
+"""The time between two snapshots while anybody watches."""
+
+VIEWERS_PER_BATCH = 8
+"""So many viewers are written to in one iteration of the event loop."""
+
+MAX_VIEWERS = 600
+RETRY_AFTER_S = 10
+"""When a viewer that was rejected may come again."""
+
+MAX_UNSENT_BYTES = 64 << 10
+"""A viewer with more unsent bytes is left out of a snapshot."""
+
+MAX_MISSED = 20
+"""A viewer that is left out more often in a row, which is ten seconds, is dropped."""
+
+BACKLOG = 1024
+SHUTDOWN_TIMEOUT_S = 0.5
+NAME_EXCERPT = 60
+"""Characters of an unknown name that an error repeats."""
+
+PAGE_HEADERS = {
+    "Content-Security-Policy": "default-src 'self'; style-src 'self'; script-src 'self'",
+    "X-Content-Type-Options": "nosniff",
+    "Cache-Control": "no-cache",
+}
+STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 _encode = msgspec.json.Encoder().encode
 
 
 class Console:
-    """Serves one head's console on an address of its own. What it costs: one snapshot each half second while anybody
-    watches, and its bytes to each; a viewer that does not read is dropped, and the page comes again by itself."""
-
-    def __init__(self, head: Any, address: str, token: str = "") -> None:
-        self.head, self.address, self.token = head, address, token
-        self.view = View(head)
+    """Serves one gateway's console on an address of its own.
+
+    What it costs is one snapshot each half second while anybody watches, and its bytes to each viewer. A viewer that
+    does not read is dropped, and its page comes again by itself.
+
+    Args:
+        gateway: The server of the gateway; only read.
+        address: Where to listen, as `host:port`.
+        token: What a viewer has to present; empty if anyone may watch.
+
+    Attributes:
+        viewers: The open streams of events, each with the signal that there is a new snapshot.
+        number: The number of the last snapshot.
+        dropped: How many viewers were dropped because they did not read.
+    """
+
+    def __init__(self, gateway: Any, address: str, token: str = "") -> None:
+        self.gateway = gateway
+        self.address = address
+        self.token = token
+        self.view = GatewayView(gateway)
         self.viewers: dict[web.StreamResponse, asyncio.Event] = {}
-        self.last = b""
         self.number = 0
         self.dropped = 0
-        self.task: asyncio.Task[None] | None = None
-        self.runner: web.AppRunner | None = None
+        self._last_event = b""
+        self._task: asyncio.Task[None] | None = None
+        self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
+        """Listens; raises OSError if the address can't be bound, ValueError if it isn't one."""
         app = web.Application()
         app.router.add_get("/", self.page)
         app.router.add_get("/state", self.state)
         app.router.add_get("/events", self.events)
-        app.router.add_get("/shelf/{name}", self.shelf)
+        app.router.add_get("/shelf/{name}", self.storage_node)
         app.router.add_get("/volume/{name}", self.volume)
         app.router.add_get("/why/{name}", self.why)
         app.router.add_static("/static", STATIC)
-        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.5)
-        await self.runner.setup()
+        self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
+        await self._runner.setup()
         host, port = parse_address(self.address)
-        await web.TCPSite(self.runner, host, port, backlog=1024).start()
-        self.task = asyncio.get_running_loop().create_task(self._look())
+        await web.TCPSite(self._runner, host, port, backlog=BACKLOG).start()
+        self._task = asyncio.get_running_loop().create_task(self._refresh())
 
     async def stop(self) -> None:
-        if self.task is not None:
-            self.task.cancel()
+        """Ends all streams and stops listening."""
+        if self._task is not None:
+            self._task.cancel()
         for changed in self.viewers.values():
             changed.set()
-        if self.runner is not None:
-            await self.runner.cleanup()
-
-    def _allowed(self, request: web.Request) -> None:
-        if not self.token:
-            return
-        given = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get("token", "")
-        if not hmac.compare_digest(given.encode(), self.token.encode()):
-            raise web.HTTPUnauthorized(text="sign in: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
-
-    def _volume(self, request: web.Request) -> str:
-        """The volume that is asked for, by one who may ask."""
-        self._allowed(request)
-        name = request.match_info["name"]
-        if name not in self.head.config.volume:
-            raise web.HTTPNotFound(text=f"no volume {name[:60]!r} is known here\n")
-        return name
-
-    # ---- one look for all
-
-    async def _look(self) -> None:
-        while True:
-            if self.viewers:
-                self.number += 1
-                self.last = b"id: %d\ndata: %s\n\n" % (self.number, _encode(self.view.snapshot()))
-                # A few at a time: writing to all at once would hold the loop, and with it accesses, for too long.
-                waiting = list(self.viewers.values())
-                for at in range(0, len(waiting), TOGETHER):
-                    for changed in waiting[at : at + TOGETHER]:
-                        changed.set()
-                    await asyncio.sleep(EVERY_MS / 1000.0 / 2 * TOGETHER / max(TOGETHER, len(waiting)))
-            await asyncio.sleep(EVERY_MS / 1000.0 / 2)
-
-    # ---- pages
+        if self._runner is not None:
+            await self._runner.cleanup()
 
     async def page(self, request: web.Request) -> web.StreamResponse:
-        self._allowed(request)
-        return web.FileResponse(
-            STATIC / "console.html",
-            headers={
-                "Content-Security-Policy": "default-src 'self'; style-src 'self'; script-src 'self'",
-                "X-Content-Type-Options": "nosniff",
-                "Cache-Control": "no-cache",
-            },
-        )
+        """The page; raises HTTPUnauthorized, as the others do, without the token."""
+        self._authorize(request)
+        return web.FileResponse(STATIC / "console.html", headers=PAGE_HEADERS)
 
     async def state(self, request: web.Request) -> web.Response:
-        self._allowed(request)
-        return web.Response(body=_encode(self.view.snapshot()), content_type="application/json")
+        """A snapshot."""
+        self._authorize(request)
+        return _json_response(self.view.snapshot())
 
-    async def shelf(self, request: web.Request) -> web.Response:
-        self._allowed(request)
+    async def storage_node(self, request: web.Request) -> web.Response:
+        """One storage node's row; raises HTTPNotFound if there is none of its name."""
+        self._authorize(request)
         name = request.match_info["name"]
-        row = next((r for r in self.view.shelfs(self.head.clock()) if r["name"] == name), None)
+        rows = self.view.storage_nodes(self.gateway.clock())
+        row = next((row for row in rows if row["name"] == name), None)
         if row is None:
-            raise web.HTTPNotFound(text=f"no shelf {name[:60]!r} is known here\n")
-        return web.Response(body=_encode(row), content_type="application/json")
+            raise web.HTTPNotFound(text=f"no shelf {name[:NAME_EXCERPT]!r} is known here\n")
+        return _json_response(row)
 
     async def volume(self, request: web.Request) -> web.Response:
-        name = self._volume(request)
-        block = self.head.config.volume[name]
-        row = next((r for r in self.view.volumes() if r["name"] == name), {"name": name, "plan": block.plan})
-        return web.Response(body=_encode(row), content_type="application/json")
+        """One volume's row, or only its quota plan if it wasn't used lately; raises HTTPNotFound if there is none."""
+        name = self._volume_name(request)
+        row = next((row for row in self.view.volumes() if row["name"] == name), None)
+        if row is None:
+            return _json_response({"name": name, "plan": self.gateway.config.volume[name].plan})
+        return _json_response(row)
 
     async def why(self, request: web.Request) -> web.Response:
-        """Where a volume's time went, in words."""
-        name = self._volume(request)
-        account = self.head.core.account
-        if account is None:
+        """Where a volume's time went, in words; raises HTTPNotFound if there is no such volume, or no accounting."""
+        name = self._volume_name(request)
+        accounting = self.gateway.core.account
+        if accounting is None:
             raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
-        return web.Response(text="\n".join(account.words(name)) + "\n")
+        return web.Response(text="\n".join(accounting.words(name)) + "\n")
 
     async def events(self, request: web.Request) -> web.StreamResponse:
-        """Snapshots as they are made. One that is missed is missed: each holds all."""
-        self._allowed(request)
-        if len(self.viewers) >= MOST_VIEWERS:
-            text = f"{MOST_VIEWERS} are watching already\n"
-            raise web.HTTPServiceUnavailable(text=text, headers={"Retry-After": "10"})
-        response = web.StreamResponse(headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"})
+        """Streams snapshots as they are made; one may be left out, since each is complete."""
+        self._authorize(request)
+        if len(self.viewers) >= MAX_VIEWERS:
+            text = f"{MAX_VIEWERS} are watching already\n"
+            raise web.HTTPServiceUnavailable(text=text, headers={"Retry-After": str(RETRY_AFTER_S)})
+        response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
-        changed, missed = asyncio.Event(), 0
-        self.viewers[response] = changed
+        signal = asyncio.Event()
+        self.viewers[response] = signal
         try:
-            while self.task is not None and not self.task.done():
-                await changed.wait()
-                changed.clear()
-                transport = request.transport
-                if transport is None or transport.is_closing() or not self.last:
-                    if transport is None or transport.is_closing():
-                        break
-                    continue
-                if transport.get_write_buffer_size() > BEHIND:
-                    missed += 1  # each look holds all: at 2,048 shelfs one alone is three times BEHIND
-                    if missed > MISSED:
-                        self.dropped += 1
-                        transport.abort()
-                        break
-                    continue
-                missed = 0
-                transport.write(b"%x\r\n%s\r\n" % (len(self.last), self.last))
+            await self._stream(request, signal)
         finally:
             self.viewers.pop(response, None)
         return response
+
+    async def _stream(self, request: web.Request, signal: asyncio.Event) -> None:
+        """Writes a snapshot at each signal, until the viewer is gone, dropped, or the console stops."""
+        missed = 0
+        while self._task is not None and not self._task.done():
+            await signal.wait()
+            signal.clear()
+            transport = request.transport
+            if transport is None or transport.is_closing():
+                return
+            if not self._last_event:
+                continue
+            if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # one snapshot of a large fleet alone exceeds it
+                missed += 1
+                if missed > MAX_MISSED:
+                    self.dropped += 1
+                    transport.abort()
+                    return
+                continue
+            missed = 0
+            transport.write(b"%x\r\n%s\r\n" % (len(self._last_event), self._last_event))
+
+    def _authorize(self, request: web.Request) -> None:
+        """Raises HTTPUnauthorized without the token."""
+        if not self.token:
+            return
+        given = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get("token", "")
+        if not hmac.compare_digest(given.encode(), self.token.encode()):
+            raise web.HTTPUnauthorized(text="sign in: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
+
+    def _volume_name(self, request: web.Request) -> str:
+        """The volume that is asked for, if the viewer may ask and it is known."""
+        self._authorize(request)
+        name = request.match_info["name"]
+        if name not in self.gateway.config.volume:
+            raise web.HTTPNotFound(text=f"no volume {name[:NAME_EXCERPT]!r} is known here\n")
+        return name
+
+    async def _refresh(self) -> None:
+        """Makes snapshots while anybody watches."""
+        pause_s = REFRESH_MS / 1000.0 / 2
+        while True:
+            if self.viewers:
+                self.number += 1
+                self._last_event = b"id: %d\ndata: %s\n\n" % (self.number, _encode(self.view.snapshot()))
+                await self._signal_viewers(pause_s)
+            await asyncio.sleep(pause_s)
+
+    async def _signal_viewers(self, duration_s: float) -> None:
+        """Signals a few viewers at a time: writing to all at once would hold the loop, and so requests, for too long."""
+        signals = list(self.viewers.values())
+        for start in range(0, len(signals), VIEWERS_PER_BATCH):
+            for signal in signals[start : start + VIEWERS_PER_BATCH]:
+                signal.set()
+            await asyncio.sleep(duration_s * VIEWERS_PER_BATCH / max(VIEWERS_PER_BATCH, len(signals)))
+
+
+def _json_response(value: Any) -> web.Response:
+    return web.Response(body=_encode(value), content_type="application/json")
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -1,142 +1,160 @@
-"""What a console shows of a head, as plain values. No I/O: one look at the books, shared by all who watch."""
+"""What the console shows of a gateway, as plain values. No I/O: one snapshot is shared by all who watch."""
 
 from __future__ import annotations
 
-from collections import deque
+from itertools import islice
 from typing import Any
 
 from pebblehinge import __version__
-from pebblehinge.decide import CONCURRENCY_LIMIT
-
-MOST_VOLUMES = 50
-MOST_EVENTS = 200
-
-
-class Events:
-    """The last things worth a line: times are the head's clock, ms."""
-
-    def __init__(self) -> None:
-        self.rows: deque[tuple[int, float, str]] = deque(maxlen=MOST_EVENTS)
-        self.number = 0
-
-    def note(self, now: float, text: str) -> None:
-        self.number += 1
-        self.rows.append((self.number, round(now, 1), text))
-
-
-class View:
-    """Snapshots of one head, with rates against the snapshot before."""
-
-    def __init__(self, head: Any) -> None:
-        self.head = head
-        self.events = Events()
-        self.before: dict[str, int] = {}
-        self.before_ms = 0.0
-        self.standing: dict[str, str] = {}
-
-    def shelfs(self, now: float) -> list[dict[str, Any]]:
-        """Each shelf with its health as this head sees it, and why."""
-        module, found = self.head.core.module.shelfs, []
-        for s, name in enumerate(module.names):
-            cold = module.slow_start_ms[s] is not None and now - module.slow_start_ms[s] < module.given.cfg.warm_ms
-            if not module.ready[s]:
-                health, why = "away", "not ready in the list"
-            elif module.unreachable[s]:
-                health, why = "down", "connections fail; one careful trip at a time"
-            elif module.is_down(s, now):
-                health, why = "down", f"{module.consecutive_losses[s]} trips lost in a row, or silent with trips out"
-            elif cold:
-                health, why = "cold", f"{(now - module.slow_start_ms[s]) / 1000:.1f} s since its start"
-            elif module.concurrency_limit[s] < CONCURRENCY_LIMIT:
-                health, why = "slow", f"trips take long: {module.concurrency_limit[s]} at a time"
-            else:
-                health, why = "well", ""
-            found.append(
-                {
-                    "name": name,
-                    "slot": module.slots[s],
-                    "health": health,
-                    "why": why,
-                    "held": len(module.queued[s]),
-                    "out": len(module.in_flight[s]),
-                    "mean_ms": round(module.mean(s, now), 1),
-                }
-            )
-        return sorted(found, key=lambda row: row["slot"])
-
-    def volumes(self) -> list[dict[str, Any]]:
-        """The volumes that were used last, against reserve, share and limit as this head keeps them."""
-        stores, config = self.head.core.module.path.valuation.stores, self.head.config
-        found = []
-        for name in list(stores)[-MOST_VOLUMES:][::-1]:
-            store, block = stores[name], config.volume.get(name)
-            plan = config.plan.get(block.plan) if block is not None else None
-            found.append(
-                {
-                    "name": name,
-                    "plan": block.plan if block is not None else "",
-                    "limit": plan.limit if plan else 0.0,
-                    "units": round(store.limit, 1) if plan and plan.limit else None,
-                    "reserve": round(store.reserve, 1),
-                    "share": round(store.share, 1),
-                }
+from pebblehinge.console.event_history import EventHistory
+from pebblehinge.console.node_health import NodeHealth, node_health
+from pebblehinge.console.rows import NodeRow, Snapshot, VolumeRow
+
+MAX_VOLUMES = 50
+"""So many volumes are shown."""
+
+PERCENTILES = {"p50": 50.0, "p99": 99.0, "p999": 99.9}
+MIN_INTERVAL_S = 1e-3
+"""Rates are taken over at least this time."""
+
+
+class GatewayView:
+    """Makes snapshots of one gateway, with rates against the snapshot before.
+
+    Args:
+        gateway: The server of the gateway; only read.
+
+    Attributes:
+        events: The changes of health that snapshots have found.
+        health: The health of each storage node in the last snapshot, by its name.
+    """
+
+    def __init__(self, gateway: Any) -> None:
+        self.gateway = gateway
+        self.events = EventHistory()
+        self.health: dict[str, str] = {}
+        self._last_counts: dict[str, int] = {}
+        self._last_ms = 0.0
+
+    def storage_nodes(self, now_ms: float) -> list[NodeRow]:
+        """Each storage node with its health as this gateway sees it, in order of slots."""
+        nodes = self.gateway.core.module.shelfs
+        rows = []
+        for node, name in enumerate(nodes.names):
+            report = node_health(nodes, node, now_ms)
+            rows.append(
+                NodeRow(
+                    name=name,
+                    slot=nodes.slots[node],
+                    health=report.health.value,
+                    why=report.reason,
+                    held=len(nodes.queued[node]),
+                    out=len(nodes.in_flight[node]),
+                    mean_ms=round(nodes.mean(node, now_ms), 1),
+                )
             )
-        return found
+        return sorted(rows, key=lambda row: row["slot"])
 
-    def snapshot(self) -> dict[str, Any]:
+    def volumes(self) -> list[VolumeRow]:
+        """The volumes that were used last, the latest first, with the quotas that this gateway has of them."""
+        buckets = self.gateway.core.module.path.valuation.stores
+        return [self._volume_row(name, buckets[name]) for name in islice(reversed(list(buckets)), MAX_VOLUMES)]
+
+    def snapshot(self) -> Snapshot:
         """All of it; cheap enough for twice a second."""
-        head, core = self.head, self.head.core
-        now = head.clock()
-        passed = max(1e-3, (now - self.before_ms) / 1000.0) if self.before_ms else 0.0
-        rates = {k: (n - self.before.get(k, 0)) / passed if passed else 0.0 for k, n in core.counts.items()}
-        self.before, self.before_ms = dict(core.counts), now
-        shelfs = self.shelfs(now)
-        for row in shelfs:
-            known = self.standing.get(row["name"])
-            if known != row["health"]:
-                if known is not None or row["health"] != "well":
-                    self.events.note(now, f"{row['name']}: {known or 'new'} to {row['health']} {row['why']}".strip())
-        self.standing = {row["name"]: row["health"] for row in shelfs}
-        latency = head.latency
-        told: dict[str, Any] = {
-            "head": head.name,
-            "version": __version__,
-            "now_ms": round(now, 1),
-            "stopping": core.stopping,
-            "open": core.open,
-            "held_bytes": core.bytes,
-            "connections": len(head.conns),
-            "counts": dict(core.counts),
-            "a_second": {k: round(v, 1) for k, v in rates.items()},
-            "further_trips": core.retries,
-            "outcomes": {o.value: n for o, n in core.outcomes.items()},
-            "refused_because": dict(core.reasons),
-            "latency_ms": {
-                q: round(latency.get_value_at_percentile(p) / 1000.0, 1)
-                for q, p in (("p50", 50.0), ("p99", 99.0), ("p999", 99.9))
-            },
-            "waits": sum(len(w) for w in core.module.shelfs.reserved_slots),
-            "shelfs": shelfs,
-            "volumes": self.volumes(),
-            "events": list(self.events.rows)[-40:],
-        }
-        if head.door is not None:
-            door = head.door
-            told["transfers"] = {
-                "open": door.transfers,
-                **door.counts,
-                "window": round(door.sharing.window, 1),
-                "late_ms": round(door.late_ms, 1),
-            }
-        if head.back is not None:
-            back = head.back
-            told["journal"] = {
-                "dirty": len(back.dirty),
-                "dirty_bytes": back.dirty.bytes,
-                **back.counts,
-                "bytes": back.journal.size(),
-                "failed": back.committer.failed,
+        gateway = self.gateway
+        core = gateway.core
+        now_ms = gateway.clock()
+        rates = self._rates(core.counts, now_ms)
+        nodes = self.storage_nodes(now_ms)
+        self._note_health(nodes, now_ms)
+        snapshot = Snapshot(
+            head=gateway.name,
+            version=__version__,
+            now_ms=round(now_ms, 1),
+            stopping=core.stopping,
+            open=core.open,
+            held_bytes=core.bytes,
+            connections=len(gateway.conns),
+            counts=dict(core.counts),
+            a_second=rates,
+            further_trips=core.retries,
+            outcomes={outcome.value: count for outcome, count in core.outcomes.items()},
+            refused_because=dict(core.reasons),
+            latency_ms=self._latencies(),
+            waits=sum(len(reserved) for reserved in core.module.shelfs.reserved_slots),
+            shelfs=nodes,
+            volumes=self.volumes(),
+            events=self.events.latest(),
+        )
+        if gateway.door is not None:
+            snapshot["transfers"] = _transfers(gateway.door)
+        if gateway.back is not None:
+            snapshot["journal"] = _journal(gateway.back)
+        if gateway.version_shown:
+            snapshot["configuration"] = gateway.version_shown
+        return snapshot
+
+    def _volume_row(self, name: str, buckets: Any) -> VolumeRow:
+        config = self.gateway.config
+        volume = config.volume.get(name)
+        plan = config.plan.get(volume.plan) if volume is not None else None
+        return VolumeRow(
+            name=name,
+            plan=volume.plan if volume is not None else "",
+            limit=plan.limit if plan else 0.0,
+            units=round(buckets.limit, 1) if plan and plan.limit else None,
+            reserve=round(buckets.reserve, 1),
+            share=round(buckets.share, 1),
+        )
+
+    def _rates(self, counts: dict[str, int], now_ms: float) -> dict[str, float]:
+        """How many of each count a second there were since the last snapshot; 0 in the first."""
+        if self._last_ms:
+            seconds = max(MIN_INTERVAL_S, (now_ms - self._last_ms) / 1000.0)
+            rates = {
+                name: round((count - self._last_counts.get(name, 0)) / seconds, 1) for name, count in counts.items()
             }
-        if head.version_shown:
-            told["configuration"] = head.version_shown
-        return told
+        else:
+            rates = dict.fromkeys(counts, 0.0)
+        self._last_counts = dict(counts)
+        self._last_ms = now_ms
+        return rates
+
+    def _note_health(self, nodes: list[NodeRow], now_ms: float) -> None:
+        """Notes the storage nodes whose health has changed, and new ones that are not healthy."""
+        for row in nodes:
+            before = self.health.get(row["name"], NodeHealth.HEALTHY.value)
+            if before != row["health"]:
+                was = self.health.get(row["name"], "new")
+                self.events.note(now_ms, f"{row['name']}: {was} to {row['health']} {row['why']}".strip())
+        self.health = {row["name"]: row["health"] for row in nodes}
+
+    def _latencies(self) -> dict[str, float]:
+        """Percentiles of the latency of succeeded requests, in milliseconds."""
+        histogram = self.gateway.latency  # in microseconds
+        return {
+            name: round(histogram.get_value_at_percentile(percentile) / 1000.0, 1)
+            for name, percentile in PERCENTILES.items()
+        }
+
+
+def _transfers(rsync: Any) -> dict[str, Any]:
+    """The rsync listener's transfers."""
+    return {
+        "open": rsync.transfers,
+        **rsync.counts,
+        "window": round(rsync.sharing.window, 1),
+        "late_ms": round(rsync.late_ms, 1),
+    }
+
+
+def _journal(write_back: Any) -> dict[str, Any]:
+    """The write-back journal."""
+    return {
+        "dirty": len(write_back.dirty),
+        "dirty_bytes": write_back.dirty.bytes,
+        **write_back.counts,
+        "bytes": write_back.journal.size(),
+        "failed": write_back.committer.failed,
+    }
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -12,7 +12,7 @@
 from test_core_properties import Client, Effects
 from test_scenarios import PLANS
 
-from pebblehinge.console.view import View
+from pebblehinge.console.view import GatewayView
 from pebblehinge.decide import CONCURRENCY_LIMIT, REMEMBERED, Request, Scheduler
 from pebblehinge.head import HeadCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
@@ -172,14 +172,14 @@
     """Seen: a link, a line of the console and a desk of the accounts for each name ever listed."""
 
     async def script(rig: Rig) -> None:
-        head, view = rig.head, View(rig.head)
+        head, view = rig.head, GatewayView(rig.head)
         for n in range(60):
             rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
             head._listed(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
             head.core.account.held(rig.clock(), n, "v", f"n{n}", 1.0)
             head.core.account.over(rig.clock(), n)
             view.snapshot()
-        assert max(len(head.links), len(view.standing), len(head.core.account.desks)) < 12
+        assert max(len(head.links), len(view.health), len(head.core.account.desks)) < 12
 
     on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -105,8 +105,8 @@
 
 
 def test_a_viewer_that_does_not_read_is_dropped_and_too_many_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console_server, "EVERY_MS", 5.0)
-    monkeypatch.setattr(console_server, "MOST_VIEWERS", 3)
+    monkeypatch.setattr(console_server, "REFRESH_MS", 5.0)
+    monkeypatch.setattr(console_server, "MAX_VIEWERS", 3)
 
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         monkeypatch.setattr(console.view, "snapshot", lambda: {"fill": "x" * 30_000})
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -56,7 +56,7 @@
 def test_a_viewer_on_a_slow_line_misses_looks_and_stays(monkeypatch: pytest.MonkeyPatch) -> None:
     """Before, a viewer was dropped at the first look that came while 64 KiB were unsent; one look of 2,048 shelfs is
     three times that. This one reads less than half of what comes, so it must miss some."""
-    monkeypatch.setattr(console_server, "EVERY_MS", 150.0)
+    monkeypatch.setattr(console_server, "REFRESH_MS", 150.0)
 
     def seen(read: bytes) -> list[int]:
         return [int(part.split(b"\n")[0]) for part in read.split(b"id: ")[1:] if b"\n" in part]
