--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -198,7 +198,7 @@
             await asyncio.sleep(pause_s)
 
     async def _signal_viewers(self, duration_s: float) -> None:
-        """Signals a few viewers at a time: writing to all at once would hold the loop, and so requests, for too long."""
+        """Signals a few viewers at a time: writing to all at once would hold the loop, and so requests."""
         signals = list(self.viewers.values())
         for start in range(0, len(signals), VIEWERS_PER_BATCH):
             for signal in signals[start : start + VIEWERS_PER_BATCH]:
