--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -17,7 +17,7 @@
 
 from pebblehinge.lab.village import play
 from pebblehinge.settings.load import load
-from pebblehinge.settings.schema import DayBlock, Trouble
+from pebblehinge.settings.schema import DayBlock, ScheduledFault
 
 CONF = Path(__file__).parent / "full_archive.conf"
 CRASH_MS, AWAY_MS, LOOK_MS = 10_000.0, 500.0, 20_000.0
@@ -30,9 +30,9 @@
     name = "memory"
     heads, shelfs = list(config.head), list(config.shelf)
     at = [
-        Trouble(at=2_000.0, name="slow", target=shelfs[:5], by=3.0, last=25_000.0),
-        Trouble(at=9_000.0, name="mass-restart", target=shelfs[5:9], last=500.0),
-        Trouble(at=CRASH_MS, name="head-crash", target=heads, last=AWAY_MS),
+        ScheduledFault(at=2_000.0, name="slow", target=shelfs[:5], by=3.0, last=25_000.0),
+        ScheduledFault(at=9_000.0, name="mass-restart", target=shelfs[5:9], last=500.0),
+        ScheduledFault(at=CRASH_MS, name="head-crash", target=heads, last=AWAY_MS),
     ]
     config.day[name] = DayBlock(length=CRASH_MS + AWAY_MS + LOOK_MS, at=at)
     village, _ = play(config, name, seed, memory_age_ms=KINDS[kind])
--- a/benchmarks/plan_truth.py
+++ b/benchmarks/plan_truth.py
@@ -15,11 +15,11 @@
 from pebblehinge.lab.load import Draw
 from pebblehinge.lab.trials import AWAY_MS, WINDOW_S, fleet_of, read
 from pebblehinge.lab.village import play
-from pebblehinge.settings import Config, Trouble, show
+from pebblehinge.settings import Config, ScheduledFault, show
 from pebblehinge.settings.load import loads
 
 
-def altered(config: Config, multiple: float, at: list[Trouble] | None = None) -> Config:
+def altered(config: Config, multiple: float, at: list[ScheduledFault] | None = None) -> Config:
     load = msgspec.structs.replace(config.load, rate=config.load.rate * multiple)
     day = config.day["d"]
     day = msgspec.structs.replace(day, at=[*day.at, *(at or [])])
@@ -44,7 +44,7 @@
     if lose:
         name = "head-crash" if lose in config.head else "mass-restart"
         half = 0.35 * min(WINDOW_S * 1000.0, config.day["d"].length)
-        at = [Trouble(at=half, name=name, target=lose.split(), last=AWAY_MS)]
+        at = [ScheduledFault(at=half, name=name, target=lose.split(), last=AWAY_MS)]
     config = altered(config, multiple, at)
     draw = None
     if shelfs is not None:
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -9,7 +9,7 @@
 
 from pebblehinge.lab.village import Village, play
 from pebblehinge.settings.load import loads
-from pebblehinge.settings.schema import Trouble
+from pebblehinge.settings.schema import ScheduledFault
 from pebblehinge.wait_accounting.accounting import SELF, SHELF
 
 DAY = """
@@ -80,7 +80,7 @@
     config = loads(text)
     config.head["h1"].accounts = True
     if slow:
-        at = [Trouble(at=500.0, name="slow", target=[slow], by=by, last=7_000.0)]
+        at = [ScheduledFault(at=500.0, name="slow", target=[slow], by=by, last=7_000.0)]
         config.day["blame"] = msgspec.structs.replace(config.day["blame"], at=at)
     village, _ = play(config, "blame", seed)
     total: dict[str, float] = {}
--- a/pebblehinge/lab/days.py
+++ b/pebblehinge/lab/days.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pebblehinge.settings import Config, Trouble
-from pebblehinge.settings.troubles import TROUBLES
+from pebblehinge.settings import Config, ScheduledFault
+from pebblehinge.settings.scheduled_faults import FAULT_KINDS
 
 CONTROLS = {  # troubles that a shelf brings upon itself when it is told, with the names of their figures
     "slow": ("slow",),
@@ -40,9 +40,9 @@
     trouble: str = ""
 
 
-def struck(config: Config, trouble: Trouble, rng: random.Random) -> list[str]:
+def struck(config: Config, trouble: ScheduledFault, rng: random.Random) -> list[str]:
     """The names that a trouble strikes: names, `rack NAME`, `zone NAME`, a share such as 25%, or `all`."""
-    pool = list(config.shelf if TROUBLES[trouble.name][0] == "shelf" else config.head)
+    pool = list(config.shelf if FAULT_KINDS[trouble.name].target == "shelf" else config.head)
     chosen: list[str] = []
     words = list(trouble.target)
     while words:
@@ -75,7 +75,7 @@
     rng = random.Random(f"{seed}/{day}/troubles")
     steps: list[Step] = []
     for number, trouble in enumerate(block.at):
-        where = TROUBLES[trouble.name][0]
+        where = FAULT_KINDS[trouble.name].target
         if where == "load":
             continue
         last = trouble.last or 0.0
@@ -84,7 +84,7 @@
     return sorted(steps, key=lambda s: s.at_ms)
 
 
-def _steps(t: Trouble, names: list[str], last: float, rng: random.Random, mark: str) -> list[Step]:
+def _steps(t: ScheduledFault, names: list[str], last: float, rng: random.Random, mark: str) -> list[Step]:
     at, end = t.at, t.at + last
     if t.name == "list-stale":
         by = {"by": t.by or 0.0}
--- a/pebblehinge/lab/load.py
+++ b/pebblehinge/lab/load.py
@@ -15,7 +15,7 @@
 import numpy as np
 import xxhash
 
-from pebblehinge.settings import Config, Trouble
+from pebblehinge.settings import Config, ScheduledFault
 from pebblehinge.wire.frames import READ, WRITE
 
 
@@ -121,7 +121,7 @@
             value *= t.by or 1.0
         return value
 
-    def active(self, name: str, at: float) -> Iterator[Trouble]:
+    def active(self, name: str, at: float) -> Iterator[ScheduledFault]:
         return (t for t in self.troubles[name] if t.at <= at < t.at + (t.last or 0.0))
 
     def highest(self, ways: Ways) -> float:
--- a/pebblehinge/lab/search.py
+++ b/pebblehinge/lab/search.py
@@ -13,9 +13,9 @@
 
 from pebblehinge.lab.verdict import summary
 from pebblehinge.lab.village import VillageError, play
-from pebblehinge.settings import Config, Trouble, show
+from pebblehinge.settings import Config, ScheduledFault, show
+from pebblehinge.settings.scheduled_faults import FAULT_KINDS
 from pebblehinge.settings.schema import DayBlock
-from pebblehinge.settings.troubles import TROUBLES
 
 # What a drawn trouble may be: figures from mild to strong, and how long. Shelfs are struck by shares or racks.
 BY: dict[str, tuple[float, float]] = {
@@ -44,7 +44,7 @@
     """One day that was played, and what makes it worth keeping."""
 
     seed: int
-    troubles: list[Trouble]
+    troubles: list[ScheduledFault]
     service: float
     broken: list[str]
     why: str = ""
@@ -55,16 +55,16 @@
         return (-len(self.broken) - len(self.faults), self.service)
 
 
-def draw(config: Config, seed: int, length: float) -> list[Trouble]:
+def draw(config: Config, seed: int, length: float) -> list[ScheduledFault]:
     """Two to five troubles that overlap, from a seed."""
     rng = random.Random(f"{seed}/search")
-    names = sorted(TROUBLES)
+    names = sorted(FAULT_KINDS)
     racks = sorted({s.rack for s in config.shelf.values()})
     centre = rng.uniform(0.25, 0.7) * length
     found = []
     for _ in range(rng.randint(2, 5)):
         name = rng.choice(names)
-        where = TROUBLES[name][0]
+        where = FAULT_KINDS[name].target
         low, high = LONG.get(name, (1500.0, 8000.0))
         last = round(rng.uniform(low, high))
         at = round(min(max(500.0, rng.gauss(centre, 2500.0)), length - 1000.0))
@@ -79,15 +79,15 @@
             by = round(rng.uniform(*BY[name]), 2)
         if name in EVERY:
             every = float(round(rng.uniform(*EVERY[name])))
-        found.append(Trouble(at=float(at), name=name, target=target, by=by, every=every, last=float(last)))
+        found.append(ScheduledFault(at=float(at), name=name, target=target, by=by, every=every, last=float(last)))
     return sorted(found, key=lambda t: t.at)
 
 
-def with_troubles(config: Config, troubles: list[Trouble], length: float) -> Config:
+def with_troubles(config: Config, troubles: list[ScheduledFault], length: float) -> Config:
     return msgspec.structs.replace(config, day={"found": DayBlock(length=length, settle=2000.0, at=troubles)})
 
 
-def attempt(config: Config, troubles: list[Trouble], seed: int, length: float) -> Find:
+def attempt(config: Config, troubles: list[ScheduledFault], seed: int, length: float) -> Find:
     """Plays one day. A fault of the program itself (an exception, a world at rest) is a find too."""
     try:
         village, known = play(with_troubles(config, troubles, length), "found", seed)
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -17,7 +17,7 @@
 from pebblehinge.lab.replay import Replay
 from pebblehinge.lab.verdict import service
 from pebblehinge.lab.village import play
-from pebblehinge.settings import Config, Trouble
+from pebblehinge.settings import Config, ScheduledFault
 from pebblehinge.settings.schema import DayBlock, ShelfBlock
 
 WINDOW_S = 20  # of the capture's busiest seconds that a trial plays
@@ -95,11 +95,11 @@
     config = fleet_of(world.config, trial.node_count)
     places = lay_out(world, config) if trial.node_count is not None else None
     length = world.rows[-1][0] + 1.0 if world.rows else 1000.0
-    at: list[Trouble] = []
+    at: list[ScheduledFault] = []
     if trial.failure:
         head = trial.failure in config.head
         name = "head-crash" if head else "mass-restart"
-        at = [Trouble(at=length * 0.35, name=name, target=trial.failure.split(), last=AWAY_MS)]
+        at = [ScheduledFault(at=length * 0.35, name=name, target=trial.failure.split(), last=AWAY_MS)]
     config = msgspec.structs.replace(
         config,
         day={"trial": DayBlock(length=length, settle=2_500.0, at=at)},
--- a/pebblehinge/settings/__init__.py
+++ b/pebblehinge/settings/__init__.py
@@ -1,7 +1,12 @@
-"""Settings in a line-based format: grammar, types, checks, and what is in force. See docs/settings.md."""
+"""Settings in a line-based format: grammar, types, checks, and what is in force. `docs/settings.md` has the format.
 
-from pebblehinge.settings.load import SettingsError, load
+`lines` reads text into statements, `builder` makes blocks of them by the types in `schema`, `checks` compares blocks
+with each other, `load` does all of it. The fields of the blocks are the format's keys, and keep its words.
+"""
+
+from pebblehinge.settings.errors import SettingsError
+from pebblehinge.settings.load import load
 from pebblehinge.settings.rendering import show
-from pebblehinge.settings.schema import Config, Trouble
+from pebblehinge.settings.schema import Config, ScheduledFault
 
-__all__ = ["Config", "SettingsError", "Trouble", "load", "show"]
+__all__ = ["Config", "ScheduledFault", "SettingsError", "load", "show"]
--- /dev/null
+++ b/pebblehinge/settings/builder.py
@@ -0,0 +1,185 @@
+"""From statements to blocks: their directives by the types of the blocks' fields. All faults are collected."""
+
+from __future__ import annotations
+
+import difflib
+from collections.abc import Collection
+from typing import Any, TypeVar, get_args, get_origin, get_type_hints
+
+import msgspec
+from msgspec import Struct
+from msgspec.structs import FieldInfo
+
+from pebblehinge.settings.errors import InvalidValueError
+from pebblehinge.settings.lines import Position, Problem, Statement
+from pebblehinge.settings.policy import VolumeBlock
+from pebblehinge.settings.scheduled_faults import parse_scheduled_fault
+from pebblehinge.settings.stand_ins import ScheduledFault
+from pebblehinge.settings.values import parse_value, shape_of, unwrap
+
+MAX_VOLUMES = 100_000
+"""Volumes in one `volumes` block."""
+
+VOLUMES = "volumes"
+"""The directive that states many volumes alike."""
+
+NAME_TYPE = get_type_hints(VolumeBlock, include_extras=True)["plan"]
+BlockPath = tuple[str, ...]
+"""The directives and names that lead to a block or a directive, from the outside in."""
+
+AnyBlock = TypeVar("AnyBlock", bound=Struct)
+
+
+def expect_one_of(names: Collection[str]) -> str:
+    """What a problem says is expected where one of several names is."""
+    return "one of " + ", ".join(names)
+
+
+class BlockBuilder:
+    """Builds blocks from statements.
+
+    Args:
+        problems: Where all faults go.
+
+    Attributes:
+        positions: Where each block and each directive is.
+    """
+
+    def __init__(self, problems: list[Problem]) -> None:
+        self.problems = problems
+        self.positions: dict[BlockPath, Position] = {}
+
+    def build(
+        self, kind: type[AnyBlock], statements: list[Statement], path: BlockPath, position: Position
+    ) -> AnyBlock | None:
+        """A block of a kind.
+
+        Args:
+            kind: Its type.
+            statements: What is in it.
+            path: Of the block; empty for the whole file.
+            position: Where it begins.
+
+        Returns:
+            The block, or None where it lacks a value that it needs; the problem is reported.
+        """
+        shape = shape_of(kind)
+        values: dict[str, Any] = {}
+        for statement in statements:
+            name = statement.name.text
+            if not path and name == VOLUMES:
+                self._add_volumes(statement, values)
+                continue
+            field = shape.fields.get(name)
+            if field is None:
+                near = difflib.get_close_matches(name, shape.fields, 1)
+                expected = f"{near[0]} (the nearest known one)" if near else expect_one_of(shape.fields)
+                self._report(statement.name.position, f"unknown directive {name!r}", expected)
+                continue
+            self._add_directive(statement, field, shape.annotations[field.name], values, (*path, name))
+        missing = [name for name, field in shape.fields.items() if field.name not in values and field.required]
+        stated = {statement.name.text for statement in statements}  # a wrong directive was reported already
+        for name in missing:
+            if name not in stated:
+                self._report(position, f"{' '.join(path) or 'the file'} has no {name!r}", f"a line {name} ...")
+        return None if missing else kind(**values)
+
+    def _report(self, position: Position, found: str, expected: str) -> None:
+        self.problems.append(Problem(position, found, expected))
+
+    def _add_directive(
+        self, statement: Statement, field: FieldInfo, annotation: Any, values: dict[str, Any], path: BlockPath
+    ) -> None:
+        """Adds what a directive states to the values of its block."""
+        kind = unwrap(annotation).kind
+        if get_origin(kind) is dict:
+            self._add_named_blocks(statement, get_args(kind)[1], values.setdefault(field.name, {}), path)
+        elif get_origin(kind) is list and get_args(kind)[0] is ScheduledFault:
+            fault = parse_scheduled_fault(statement, self._report)
+            if fault is not None:
+                values.setdefault(field.name, []).append(fault)
+        elif isinstance(kind, type) and issubclass(kind, Struct):
+            self._add_block(statement, field, kind, values, path)
+        else:
+            self._add_value(statement, field, annotation, values, path)
+
+    def _add_block(
+        self, statement: Statement, field: FieldInfo, kind: type[Struct], values: dict[str, Any], path: BlockPath
+    ) -> None:
+        name = statement.name
+        if statement.block is None or statement.args:
+            self._report(name.position, f"{name.text!r} with no block", f"{name.text} {{")
+        elif self._is_first(statement, field, values, path):
+            self.positions[path] = name.position
+            block = self.build(kind, statement.block, path, name.position)
+            if block is not None:
+                values[field.name] = block
+
+    def _add_value(
+        self, statement: Statement, field: FieldInfo, annotation: Any, values: dict[str, Any], path: BlockPath
+    ) -> None:
+        name, args = statement.name, statement.args
+        if statement.block is not None:
+            self._report(name.position, f"a block after {name.text!r}", "a value and no block")
+        elif self._is_first(statement, field, values, path):
+            self.positions[path] = args[0].position if args else name.position
+            try:
+                values[field.name] = parse_value(annotation, args)
+            except InvalidValueError as error:
+                found = " ".join([name.text, *(arg.text for arg in args)])
+                self._report(self.positions[path], repr(found), str(error))
+
+    def _is_first(self, statement: Statement, field: FieldInfo, values: dict[str, Any], path: BlockPath) -> bool:
+        """Whether a directive that may be stated once has not been stated before; reports it otherwise."""
+        if field.name not in values:
+            return True
+        name, first = statement.name, self.positions[path]
+        self._report(name.position, f"a second {name.text!r}", f"one; the first stands at {first}")
+        return False
+
+    def _add_named_blocks(
+        self, statement: Statement, kind: type[Struct], blocks: dict[str, Any], path: BlockPath
+    ) -> None:
+        """Adds a block under each of the names that a directive states."""
+        directive = statement.name.text
+        if statement.block is None or not statement.args:
+            expected = f"{directive} NAME {{"
+            self._report(statement.name.position, f"{directive!r} with no name or no block", expected)
+            return
+        for word in statement.args:
+            inner_path = (*path, word.text)
+            if word.text in blocks:
+                expected = f"another name; the first stands at {self.positions[inner_path]}"
+                self._report(word.position, f"a second {directive} {word.text!r}", expected)
+                continue
+            try:
+                parse_value(NAME_TYPE, [word])
+            except InvalidValueError as error:
+                self._report(word.position, f"{directive} {word.text!r}", str(error))
+                continue
+            self.positions[inner_path] = word.position
+            block = self.build(kind, statement.block, inner_path, word.position)
+            if block is not None:
+                blocks[word.text] = block
+
+    def _add_volumes(self, statement: Statement, values: dict[str, Any]) -> None:
+        """Adds what `volumes PREFIX COUNT { ... }` states: PREFIX-1 to PREFIX-COUNT, all alike."""
+        if statement.block is None or len(statement.args) != 2 or not statement.args[1].text.isdigit():
+            self._report(statement.name.position, f"{VOLUMES!r}", f"{VOLUMES} PREFIX COUNT {{")
+            return
+        prefix, count_word = statement.args
+        count = int(count_word.text)
+        if not 1 <= count <= MAX_VOLUMES:
+            self._report(count_word.position, f"{count} volumes", f"1 to {MAX_VOLUMES}")
+            return
+        first_path = ("volume", f"{prefix.text}-1")
+        volume = self.build(VolumeBlock, statement.block, first_path, statement.name.position)
+        volumes = values.setdefault("volume", {})
+        for number in range(1, count + 1):
+            name = f"{prefix.text}-{number}"
+            if name in volumes:
+                self._report(prefix.position, f"a second volume {name!r}", "another name")
+            elif volume is not None:
+                self.positions["volume", name] = prefix.position
+                self.positions["volume", name, "plan"] = self.positions[*first_path, "plan"]
+                volumes[name] = msgspec.structs.replace(volume)
--- a/pebblehinge/settings/checks.py
+++ b/pebblehinge/settings/checks.py
@@ -2,122 +2,147 @@
 
 from __future__ import annotations
 
-import ipaddress
+from collections.abc import Collection
 from typing import Any
 
-from pebblehinge.settings.lines import Place, Problem
-from pebblehinge.settings.schema import Config, ModuleBlock
+from pebblehinge.settings.builder import BlockPath, expect_one_of
+from pebblehinge.settings.lines import Position, Problem
+from pebblehinge.settings.module_checks import find_module_problems
+from pebblehinge.settings.policy import ProfileBlock, VolumeBlock
+from pebblehinge.settings.schema import Config
+from pebblehinge.settings.stand_ins import MixBlock
+
+MIN_FRAME = 4096
+FRAME_OVERHEAD = 1024
+"""Bytes of a frame that a request's data can't use."""
+
+SETTINGS_START = Position("settings", 1, 1)
+"""Where a problem is if nobody knows."""
 
 
 class CrossChecks:
-    """Adds the faults of a whole file to `problems`; `places` says where each block and directive stands."""
-
-    def __init__(self, problems: list[Problem], places: dict[tuple[str, ...], Place]) -> None:
-        self.problems, self.places = problems, places
-
-    def fault(self, place: Place, found: str, expected: str) -> None:
-        self.problems.append(Problem(place, found, expected))
-
-    def check(self, config: Config) -> None:
-        def place(*path: str) -> Place:
-            return self.places.get(path, Place("settings", 1, 1))
-
-        def one_of(known: Any) -> str:
-            return "one of " + ", ".join(known) if known else "a block for it"
-
-        for name, volume in config.volume.items():
-            if volume.plan not in config.plan and ("plan", volume.plan) not in self.places:
-                at = place("volume", name, "plan")
-                fault = Problem(at, f"plan {volume.plan!r} is not there", one_of(config.plan))
-                if fault not in self.problems:  # many volumes alike are one fault
-                    self.problems.append(fault)
-        for name, volume in config.volume.items():
-            if volume.save == "buffered":
-                back = config.profile.get(volume.back or "")
-                if back is None or back.repeat == "irreversible":
-                    at = self.places.get(("volume", name, "back")) or place("volume", name)
-                    expected = "a profile that is labelled or redoable: after a crash a write may go twice"
-                    self.fault(at, f"volume {name} is buffered, back {volume.back!r}", expected)
-                if volume.heads != 1:
-                    found = f"volume {name} is buffered and comes through {volume.heads} heads"
-                    self.fault(place("volume", name), found, "heads 1: one journal holds its newest bytes")
-        for name, profile in config.profile.items():
-            if profile.patience < profile.expected:
-                self.fault(
-                    place("profile", name),
-                    f"profile {name} has less patience than expected time",
-                    "patience of at least the expected time",
-                )
-            if profile.repeat == "labelled" and not profile.window:
-                self.fault(place("profile", name), f"profile {name} is labelled with no window", "a line window TIME")
-        for name, plan in config.plan.items():
-            if plan.limit and plan.burst < config.rules.most_units:
+    """Checks the blocks of a whole file against each other.
+
+    Args:
+        config: The blocks.
+        problems: Where all faults go.
+        positions: Where each block and each directive is.
+    """
+
+    def __init__(self, config: Config, problems: list[Problem], positions: dict[BlockPath, Position]) -> None:
+        self.config = config
+        self.problems = problems
+        self.positions = positions
+
+    def check(self) -> None:
+        """Runs all checks."""
+        for name, volume in self.config.volume.items():
+            self._check_quota_plan(name, volume)
+        for name, volume in self.config.volume.items():
+            self._check_buffering(name, volume)
+        for name, profile in self.config.profile.items():
+            self._check_request_class(name, profile)
+        self._check_quota_bursts()
+        for name, mix in self.config.mix.items():
+            self._check_mix(name, mix)
+        self._check_storage_nodes()
+        if (self.config.head or self.config.fleet) and not any(path[0] == "profile" for path in self.positions):
+            start = next(iter(self.positions.values()))
+            self._report(start, "heads with no profile", "at least one profile block")
+        for name, module in self.config.module.items():
+            for problem in find_module_problems(self.config, module, self._is_stated):
+                position = self.positions.get(("module", name, problem.directive)) or self._position("module", name)
+                self._report(position, problem.found, problem.expected)
+        self._check_copies()
+        self._check_users()
+        if self.config.limits.frame < MIN_FRAME:
+            found = f"a frame of {self.config.limits.frame} bytes"
+            self._report(self._position("limits", "frame"), found, "at least 4KiB")
+
+    def _report(self, position: Position, found: str, expected: str) -> None:
+        self.problems.append(Problem(position, found, expected))
+
+    def _position(self, *path: str) -> Position:
+        return self.positions.get(path, SETTINGS_START)
+
+    def _is_stated(self, *path: str) -> bool:
+        """Whether a block is in the file, even if it is there with faults."""
+        return path in self.positions
+
+    def _check_reference(self, directive: str, name: str, known: dict[str, Any], *path: str) -> None:
+        """Checks that the block of a directive and a name exists, which the directive at a path refers to."""
+        if name not in known and not self._is_stated(directive, name):
+            self._report(self._position(*path), f"{directive} {name!r} is not there", expect_block(known))
+
+    def _check_quota_plan(self, name: str, volume: VolumeBlock) -> None:
+        plans = self.config.plan
+        if volume.plan in plans or self._is_stated("plan", volume.plan):
+            return
+        position = self._position("volume", name, "plan")
+        problem = Problem(position, f"plan {volume.plan!r} is not there", expect_block(plans))
+        if problem not in self.problems:  # many volumes alike are one fault
+            self.problems.append(problem)
+
+    def _check_buffering(self, name: str, volume: VolumeBlock) -> None:
+        """A buffered volume is written back by requests that may be sent twice, and by one gateway."""
+        if volume.save != "buffered":
+            return
+        block = self._position("volume", name)
+        request_class = self.config.profile.get(volume.back or "")
+        if request_class is None or request_class.repeat == "irreversible":
+            position = self.positions.get(("volume", name, "back")) or block
+            expected = "a profile that is labelled or redoable: after a crash a write may go twice"
+            self._report(position, f"volume {name} is buffered, back {volume.back!r}", expected)
+        if volume.heads != 1:
+            found = f"volume {name} is buffered and comes through {volume.heads} heads"
+            self._report(block, found, "heads 1: one journal holds its newest bytes")
+
+    def _check_request_class(self, name: str, profile: ProfileBlock) -> None:
+        position = self._position("profile", name)
+        if profile.patience < profile.expected:
+            found = f"profile {name} has less patience than expected time"
+            self._report(position, found, "patience of at least the expected time")
+        if profile.repeat == "labelled" and not profile.window:
+            self._report(position, f"profile {name} is labelled with no window", "a line window TIME")
+
+    def _check_quota_bursts(self) -> None:
+        largest = self.config.rules.most_units
+        for name, plan in self.config.plan.items():
+            if plan.limit and plan.burst < largest:
                 found = f"plan {name} has a limit and a burst of {plan.burst:g}"
-                self.fault(
-                    place("plan", name), found, f"at least the largest access, {config.rules.most_units:g} units"
-                )
-        for name, mix in config.mix.items():
-            if name not in config.profile and ("profile", name) not in self.places:
-                self.fault(place("mix", name), f"profile {name!r} is not there", one_of(config.profile))
-            if mix.units[1] > config.rules.most_units:
-                self.fault(
-                    place("mix", name, "units"),
-                    f"up to {mix.units[1]:g} units",
-                    f"at most the {config.rules.most_units:g} that the rules name",
-                )
-            if mix.bytes + 1024 > config.limits.frame:
-                self.fault(place("mix", name, "bytes"), f"{mix.bytes} bytes", "less than the limit of a frame")
-        for name, shelf in config.shelf.items():
-            if shelf.kind not in config.kind and ("kind", shelf.kind) not in self.places:
-                self.fault(place("shelf", name), f"kind {shelf.kind!r} is not there", one_of(config.kind))
-        if config.fleet is not None:
-            for kind in config.fleet.kinds:
-                if kind not in config.kind and ("kind", kind) not in self.places:
-                    found = f"kind {kind!r} is not there"
-                    self.fault(place("fleet", "kinds"), found, one_of(config.kind))
-        if (config.head or config.fleet) and not any(path[0] == "profile" for path in self.places):
-            self.fault(next(iter(self.places.values())), "heads with no profile", "at least one profile block")
-        for name, module in config.module.items():
-            self.module(config, name, module)
-        if config.copies is not None and config.copies.module not in config.module:
-            found = f"module {config.copies.module!r} is not there"
-            self.fault(place("copies", "module"), found, one_of(config.module))
-        for name, user in config.user.items():
+                self._report(self._position("plan", name), found, f"at least the largest access, {largest:g} units")
+
+    def _check_mix(self, name: str, mix: MixBlock) -> None:
+        self._check_reference("profile", name, self.config.profile, "mix", name)
+        largest = self.config.rules.most_units
+        if mix.units[1] > largest:
+            position = self._position("mix", name, "units")
+            self._report(position, f"up to {mix.units[1]:g} units", f"at most the {largest:g} that the rules name")
+        if mix.bytes + FRAME_OVERHEAD > self.config.limits.frame:
+            position = self._position("mix", name, "bytes")
+            self._report(position, f"{mix.bytes} bytes", "less than the limit of a frame")
+
+    def _check_storage_nodes(self) -> None:
+        """The kinds of storage nodes, and those of a fleet block."""
+        for name, node in self.config.shelf.items():
+            self._check_reference("kind", node.kind, self.config.kind, "shelf", name)
+        if self.config.fleet is not None:
+            for kind in self.config.fleet.kinds:
+                self._check_reference("kind", kind, self.config.kind, "fleet", "kinds")
+
+    def _check_copies(self) -> None:
+        copies, modules = self.config.copies, self.config.module
+        if copies is not None and copies.module not in modules:
+            found = f"module {copies.module!r} is not there"
+            self._report(self._position("copies", "module"), found, expect_block(modules))
+
+    def _check_users(self) -> None:
+        for name, user in self.config.user.items():
             if bool(user.secret) == bool(user.secret_file):
-                at = self.places.get(("user", name), Place("settings", 1, 1))
-                self.fault(at, f"user {name}", "either secret WORD or secret-file PATH")
-        if config.limits.frame < 4096:
-            self.fault(place("limits", "frame"), f"a frame of {config.limits.frame} bytes", "at least 4KiB")
-
-    def module(self, config: Config, name: str, module: ModuleBlock) -> None:
-        """A module's volume, profiles, users and networks."""
-
-        def fault(part: str, found: str, expected: str) -> None:
-            at = self.places.get(("module", name, part)) or self.places.get(("module", name)) or Place("settings", 1, 1)
-            self.fault(at, found, expected)
-
-        volume = config.volume.get(module.volume)
-        if volume is None:
-            fault("volume", f"volume {module.volume!r} is not there", "one of " + ", ".join(config.volume))
-        elif not volume.slots:
-            fault("volume", f"volume {module.volume!r} has no slots", "a line slots NUMBER ... in it")
-        for part, wanted in (("read", "redoable"), ("write", "redoable"), ("commit", "irreversible")):
-            profile = config.profile.get(getattr(module, part))
-            if profile is None:
-                fault(part, f"profile {getattr(module, part)!r} is not there", "one of " + ", ".join(config.profile))
-            elif profile.repeat != wanted:
-                fault(part, f"profile {getattr(module, part)!r} is {profile.repeat}", f"one that is {wanted}")
-        for part in ("allow", "deny"):
-            for text in getattr(module, part):
-                try:
-                    ipaddress.ip_network(text, strict=False)
-                except ValueError:
-                    fault(part, repr(text), "an address or a network such as 10.0.0.0/8")
-        for user in module.users:
-            if user not in config.user and ("user", user) not in self.places:
-                known = "one of " + ", ".join(config.user) if config.user else "a block for it"
-                fault("users", f"user {user!r} is not there", known)
-        if not 4096 <= module.block or module.block + 1024 > config.limits.frame:
-            fault("block", f"blocks of {module.block} bytes", "at least 4KiB, and less than the limit of a frame")
-        if module.ahead < module.block:
-            fault("ahead", f"{module.ahead} bytes ahead", "at least a block")
+                expected = "either secret WORD or secret-file PATH"
+                self._report(self._position("user", name), f"user {name}", expected)
+
+
+def expect_block(names: Collection[str]) -> str:
+    """What a problem says is expected where a block is referred to."""
+    return expect_one_of(names) if names else "a block for it"
--- a/pebblehinge/settings/lines.py
+++ b/pebblehinge/settings/lines.py
@@ -1,33 +1,28 @@
-"""From text to statements: one directive a line, blocks in braces, `include`, comments. All faults are kept."""
+"""From text to statements: one directive a line, blocks in braces, `include`, comments. All faults are collected."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lark import Lark, Token, Transformer
+from lark import Token
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
-GRAMMAR = r"""
-    start: directive? COMMENT?
-    directive: WORD value* OPEN?  -> statement
-             | CLOSE              -> close
-    value: WORD | STRING
-    OPEN: "{"
-    CLOSE: "}"
-    WORD: /[^\s"{}#]+/
-    STRING: /"(\\.|[^"\\])*"/
-    COMMENT: /#[^\n]*/
-    %ignore /[ \t\r]+/
-"""
-_PARSER = Lark(GRAMMAR, parser="lalr")
-LONGEST = 1 << 17  # characters of a line: 1,024 names of 100 characters; reading it takes 1 MB for a moment
-DEEPEST = 16  # includes and blocks within each other
+from pebblehinge.settings.grammar import parse_line, unquote
+
+MAX_LINE_LENGTH = 1 << 17
+"""Characters: 1,024 names of 100 characters; reading such a line takes 1 MB for a moment."""
+
+MAX_DEPTH = 16
+"""Of includes and of blocks within each other."""
+
+EXCERPT = 20
+"""Characters that a problem repeats of what it found."""
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """Where something stands: file, line and column from 1."""
+class Position:
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -39,10 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Word:
-    """One word of a line, unquoted, with its place."""
+    """One word of a line, unquoted, with its position."""
 
     text: str
-    place: Place
+    position: Position
 
 
 @dataclass(slots=True)
@@ -56,141 +51,151 @@
 
 @dataclass(slots=True)
 class Problem:
-    """One fault: place, what stood there, what was expected."""
+    """One fault: its position, what was found there, and what was expected."""
 
-    place: Place
+    position: Position
     found: str
     expected: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.found}: expected {self.expected}"
-
-
-class _Line(Transformer):
-    def value(self, items: list[Token]) -> Token:
-        return items[0]
-
-    def statement(self, items: list[Token]) -> list[Token]:
-        return items
-
-    def close(self, items: list[Token]) -> list[Token]:
-        return items
-
-    def start(self, items: list) -> list[Token]:
-        return items[0] if items and isinstance(items[0], list) else []
-
-
-_TRANSFORM = _Line()
-
-
-def _unquote(token: Token) -> str:
-    if token.type != "STRING":
-        return str(token)
-    out, text, i = [], token[1:-1], 0
-    while i < len(text):
-        if text[i] == "\\":
-            i += 1
-            out.append({"n": "\n", "t": "\t"}.get(text[i], text[i]))
-        else:
-            out.append(text[i])
-        i += 1
-    return "".join(out)
+        return f"{self.position}: {self.found}: expected {self.expected}"
 
 
 @dataclass(slots=True)
-class Reading:
-    """What a file and its includes hold, and every fault met on the way."""
+class ParseResult:
+    """What a file and its includes hold.
+
+    Attributes:
+        statements: Those outside of all blocks.
+        problems: All faults met on the way.
+        files: The files that were read.
+    """
 
     statements: list[Statement] = field(default_factory=list)
     problems: list[Problem] = field(default_factory=list)
     files: list[str] = field(default_factory=list)
 
 
-def read_file(path: Path) -> Reading:
+def read_file(path: Path) -> ParseResult:
     """Reads a file with its includes; a fault does not end the reading."""
-    reading = Reading()
-    _read_into(reading, path, reading.statements, Place(str(path), 1, 1), ())
-    return reading
+    result = ParseResult()
+    _read_file(result, path, result.statements, Position(str(path), 1, 1), ())
+    return result
 
 
-def read_text(text: str, name: str = "text") -> Reading:
-    """The same from a text; includes are looked for beside the current folder."""
-    reading = Reading()
-    _read_lines(reading, text, Path(name), reading.statements, ())
-    return reading
+def read_text(text: str, name: str = "text") -> ParseResult:
+    """Reads a text under a name; its includes are looked for beside that name, as a path from the working directory."""
+    result = ParseResult()
+    _LineReader(result, Path(name), result.statements, ()).read(text)
+    return result
 
 
-def _read_into(reading: Reading, path: Path, into: list[Statement], asked: Place, above: tuple[Path, ...]) -> None:
-    whole = path.resolve()
-    if whole in above or len(above) >= DEEPEST:
-        reading.problems.append(Problem(asked, f"{path} includes itself", "files that end somewhere"))
+def _read_file(
+    result: ParseResult, path: Path, target: list[Statement], asked_at: Position, ancestors: tuple[Path, ...]
+) -> None:
+    """Reads a file into `target`; `ancestors` are the files that include it, `asked_at` is where the last one does."""
+    resolved = path.resolve()
+    if resolved in ancestors or len(ancestors) >= MAX_DEPTH:
+        result.problems.append(Problem(asked_at, f"{path} includes itself", "files that end somewhere"))
         return
     try:
         text = path.read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
-        reading.problems.append(Problem(asked, f"{path} holds byte {error.start} that is no UTF-8", "UTF-8 text"))
+        result.problems.append(Problem(asked_at, f"{path} holds byte {error.start} that is no UTF-8", "UTF-8 text"))
         return
     except OSError as error:
-        reading.problems.append(Problem(asked, f"{path} can't be read ({error.strerror})", "a readable file"))
+        result.problems.append(Problem(asked_at, f"{path} can't be read ({error.strerror})", "a readable file"))
         return
-    reading.files.append(str(path))
-    _read_lines(reading, text, path, into, (*above, whole))
+    result.files.append(str(path))
+    _LineReader(result, path, target, (*ancestors, resolved)).read(text)
+
+
+class _LineReader:
+    """Reads the lines of one file."""
+
+    def __init__(self, result: ParseResult, path: Path, target: list[Statement], ancestors: tuple[Path, ...]) -> None:
+        self.result = result
+        self.path = path
+        self.file = str(path)
+        self.target = target
+        self.ancestors = ancestors
+        self.open_blocks: list[Statement] = []
+
+    def read(self, text: str) -> None:
+        """Reads the file's text, up to blocks that are too deep within each other."""
+        for number, line in enumerate(text.split("\n"), 1):
+            self._read_line(number, line)
+            if len(self.open_blocks) > MAX_DEPTH:
+                return
+        for block in self.open_blocks:
+            found = f"block {block.name.text!r} is not closed"
+            self._report(block.name.position, found, "a line with } after it")
 
+    def _report(self, position: Position, found: str, expected: str) -> None:
+        self.result.problems.append(Problem(position, found, expected))
 
-def _read_lines(reading: Reading, text: str, path: Path, into: list[Statement], above: tuple[Path, ...]) -> None:
-    open_blocks: list[Statement] = []
-    for number, line in enumerate(text.split("\n"), 1):
-        place = Place(str(path), number, 1)
-        if len(line) > LONGEST:
+    def _read_line(self, number: int, line: str) -> None:
+        if len(line) > MAX_LINE_LENGTH:
             found = f"a line of {len(line)} characters"
-            reading.problems.append(Problem(place, found, f"at most {LONGEST}"))
-            continue
+            self._report(Position(self.file, number, 1), found, f"at most {MAX_LINE_LENGTH}")
+            return
         try:
-            tokens = _TRANSFORM.transform(_PARSER.parse(line))
+            tokens = parse_line(line)
         except UnexpectedInput as error:
-            reading.problems.append(_syntax(error, str(path), number, line))
+            self.result.problems.append(_syntax_problem(error, self.file, number, line))
             if line.split("#")[0].rstrip().endswith("{"):  # so that the block's end is not a second fault
-                open_blocks.append(Statement(Word("", place), [], []))
-            continue
+                self.open_blocks.append(Statement(Word("", Position(self.file, number, 1)), [], []))
+            return
         if not tokens:
-            continue
-        at = Place(str(path), number, tokens[0].column)
+            return
         if tokens[0].type == "CLOSE":
-            if open_blocks:
-                open_blocks.pop()
-            else:
-                reading.problems.append(Problem(at, "} with no block open", "a directive"))
-            continue
-        block = tokens[-1].type == "OPEN"
-        words = [Word(_unquote(t), Place(str(path), number, t.column)) for t in tokens[: -1 if block else None]]
-        statement = Statement(words[0], words[1:], [] if block else None)
-        target = open_blocks[-1].block if open_blocks else into
-        assert target is not None
-        if statement.name.text == "include" and not block:
-            if len(statement.args) != 1:
-                reading.problems.append(Problem(at, "include", "include FILE"))
-            else:
-                inner = path.parent / statement.args[0].text
-                _read_into(reading, inner, target, statement.args[0].place, above)
-            continue
+            self._close_block(Position(self.file, number, tokens[0].column or 1))
+        else:
+            self._add_statement(number, tokens)
+
+    def _close_block(self, position: Position) -> None:
+        if self.open_blocks:
+            self.open_blocks.pop()
+        else:
+            self._report(position, "} with no block open", "a directive")
+
+    def _add_statement(self, number: int, tokens: list[Token]) -> None:
+        opens_block = tokens[-1].type == "OPEN"
+        words = [
+            Word(unquote(token), Position(self.file, number, token.column or 1))
+            for token in tokens[: -1 if opens_block else None]
+        ]
+        statement = Statement(words[0], words[1:], [] if opens_block else None)
+        target = self.target
+        if self.open_blocks:
+            block = self.open_blocks[-1].block
+            assert block is not None
+            target = block
+        if statement.name.text == "include" and not opens_block:
+            self._include(statement, target)
+            return
         target.append(statement)
-        if block:
-            open_blocks.append(statement)
-            if len(open_blocks) > DEEPEST:
-                reading.problems.append(Problem(at, "blocks within blocks", f"at most {DEEPEST} deep"))
-                return
-    for left in open_blocks:
-        found = f"block {left.name.text!r} is not closed"
-        reading.problems.append(Problem(left.name.place, found, "a line with } after it"))
+        if opens_block:
+            self.open_blocks.append(statement)
+            if len(self.open_blocks) > MAX_DEPTH:
+                self._report(statement.name.position, "blocks within blocks", f"at most {MAX_DEPTH} deep")
+
+    def _include(self, statement: Statement, target: list[Statement]) -> None:
+        if len(statement.args) != 1:
+            self._report(statement.name.position, "include", "include FILE")
+            return
+        file = statement.args[0]
+        _read_file(self.result, self.path.parent / file.text, target, file.position, self.ancestors)
 
 
-def _syntax(error: UnexpectedInput, file: str, number: int, line: str) -> Problem:
+def _syntax_problem(error: UnexpectedInput, file: str, number: int, line: str) -> Problem:
     column = error.column if error.column and error.column > 0 else len(line) + 1
+    position = Position(file, number, column)
     if isinstance(error, UnexpectedCharacters):
         rest = line[column - 1 :]
         if rest.startswith('"'):
-            return Problem(Place(file, number, column), "a quote that is not closed", 'a closing " on this line')
-        found = f"{rest[:20]!r}"
+            return Problem(position, "a quote that is not closed", 'a closing " on this line')
+        found = f"{rest[:EXCERPT]!r}"
     else:
         found = f"{str(getattr(error, 'token', ''))!r}"
-    return Problem(Place(file, number, column), found, "a directive, its values, and { only at the line's end")
+    return Problem(position, found, "a directive, its values, and { only at the line's end")
--- a/pebblehinge/settings/rendering.py
+++ b/pebblehinge/settings/rendering.py
@@ -5,61 +5,84 @@
 from typing import Any, get_args, get_origin, get_type_hints
 
 from msgspec import NODEFAULT, Struct
+from msgspec.structs import FieldInfo
 from msgspec.structs import fields as struct_fields
 
-from pebblehinge.settings.schema import Trouble
+from pebblehinge.settings.stand_ins import ScheduledFault
 from pebblehinge.settings.values import unwrap
 
+INDENT = "    "
+SCALED_UNITS = ("ms", "%", "size")
+QUOTED = frozenset(' \t"{}#\\')
+"""Characters that a word has only in quotes."""
 
-def _say(value: Any, unit: str) -> str:
+
+def show(config: Struct, indent: str = "") -> list[str]:
+    """What is in force, as lines that `load` reads again; values that are defaults are marked."""
+    lines: list[str] = []
+    hints = get_type_hints(type(config), include_extras=True)
+    for field in struct_fields(type(config)):
+        lines += [indent + line for line in _render_field(field, hints[field.name], getattr(config, field.name))]
+    return lines
+
+
+def _render_field(field: FieldInfo, hint: Any, value: Any) -> list[str]:
+    """The lines of one field."""
+    name = field.name.replace("_", "-")
+    if isinstance(value, Struct):
+        return _render_block(name, value)
+    if isinstance(value, dict):
+        return [line for key, block in value.items() for line in _render_block(f"{name} {key}", block)]
+    field_type = unwrap(hint)
+    if get_origin(field_type.kind) is list and get_args(field_type.kind)[0] is ScheduledFault:
+        return [_render_fault(fault) for fault in value]
+    if value is None or value == []:
+        return [f"# {name} none (default)"]
+    default = field.default_factory() if field.default_factory is not NODEFAULT else field.default
+    mark = "  # default" if value == default else ""
+    return [f"{name} {_render_value(value, field_type.unit)}{mark}"]
+
+
+def _render_block(start: str, block: Struct) -> list[str]:
+    return [f"{start} {{", *show(block, INDENT), "}"]
+
+
+def _render_value(value: Any, unit: str) -> str:
     if value is None:
         return "none"
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, tuple):
-        return "..".join(_say(v, unit) for v in value)
+        return "..".join(_render_value(bound, unit) for bound in value)
     if isinstance(value, list):
-        return " ".join(_say(v, "") for v in value)
+        return " ".join(_render_value(item, "") for item in value)
+    if unit in SCALED_UNITS or isinstance(value, float):
+        return _render_figure(value, unit)
+    return _render_word(str(value))
+
+
+def _render_figure(value: float, unit: str) -> str:
     if unit == "ms":
         return f"{value / 1000:g}s" if value >= 1000 and value % 1000 == 0 else f"{value:g}ms"
     if unit == "%":
         return f"{value * 100:g}%"
     if unit == "size":
         return f"{value}B"
-    if isinstance(value, float):
-        return f"{value:g}{unit}"
-    text = str(value)
-    if not text or set(text) & set(' \t"{}#\\'):
-        return '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
-    return text
+    return f"{value:g}{unit}"
 
 
-def _say_trouble(t: Trouble) -> str:
-    by = [] if t.by is None else ["by", f"{t.by:g}"]
-    every = [] if t.every is None else ["every", _say(t.every, "ms")]
-    last = [] if t.last is None else ["for", _say(t.last, "ms")]
-    return " ".join(["at", _say(t.at, "ms"), t.name, *t.target, *by, *every, *last])
+def _render_word(text: str) -> str:
+    if text and not QUOTED & set(text):
+        return text
+    return '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
-def show(config: Struct, indent: str = "") -> list[str]:
-    """What is in force, as lines that `load` reads again; values that are defaults are marked."""
-    lines: list[str] = []
-    hints = get_type_hints(type(config), include_extras=True)
-    for f in struct_fields(type(config)):
-        value, name = getattr(config, f.name), f.name.replace("_", "-")
-        kind, unit, _, _ = unwrap(hints[f.name])
-        if isinstance(value, Struct):
-            lines += [f"{indent}{name} {{", *show(value, indent + "    "), indent + "}"]
-        elif isinstance(value, dict):
-            for key, inner in value.items():
-                lines += [f"{indent}{name} {key} {{", *show(inner, indent + "    "), indent + "}"]
-        elif get_origin(kind) is list and get_args(kind)[0] is Trouble:
-            lines += [indent + _say_trouble(t) for t in value]
-        else:
-            default = f.default_factory() if f.default_factory is not NODEFAULT else f.default
-            if value is None or value == []:
-                lines.append(f"{indent}# {name} none (default)")
-            else:
-                mark = "  # default" if value == default else ""
-                lines.append(f"{indent}{name} {_say(value, unit)}{mark}")
-    return lines
+def _render_fault(fault: ScheduledFault) -> str:
+    words = ["at", _render_value(fault.at, "ms"), fault.name, *fault.target]
+    if fault.by is not None:
+        words += ["by", f"{fault.by:g}"]
+    if fault.every is not None:
+        words += ["every", _render_value(fault.every, "ms")]
+    if fault.last is not None:
+        words += ["for", _render_value(fault.last, "ms")]
+    return " ".join(words)
--- /dev/null
+++ b/pebblehinge/settings/scheduled_faults.py
@@ -0,0 +1,165 @@
+"""The faults that a day of the laboratory schedules: their names, what each needs, and the directive that states one.
+
+The pages and messages call them troubles.
+"""
+
+from __future__ import annotations
+
+import difflib
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from pebblehinge.settings.errors import InvalidValueError
+from pebblehinge.settings.lines import Position, Statement, Word
+from pebblehinge.settings.stand_ins import ScheduledFault
+from pebblehinge.settings.values import is_plain, number
+
+CLAUSES = ("by", "every", "for")
+"""The words after which a figure follows."""
+
+NODE = "shelf"
+GATEWAY = "head"
+LOAD = "load"
+DISCOVERY = "list"
+Report = Callable[[Position, str, str], None]
+"""Takes a problem: its position, what was found, and what was expected."""
+
+
+@dataclass(slots=True, frozen=True)
+class FaultKind:
+    """A kind of fault.
+
+    Attributes:
+        target: What it strikes: NODE, GATEWAY, LOAD or DISCOVERY.
+        needs_by: Whether its strength has to be stated.
+        needs_every: Whether its period has to be stated.
+        needs_for: Whether its duration has to be stated.
+    """
+
+    target: str
+    needs_by: bool = False
+    needs_every: bool = False
+    needs_for: bool = True
+
+    def required_clauses(self) -> list[str]:
+        """The clauses that have to be there, in the order of CLAUSES."""
+        needs = (self.needs_by, self.needs_every, self.needs_for)
+        return [clause for clause, needed in zip(CLAUSES, needs, strict=True) if needed]
+
+
+FAULT_KINDS = {
+    "crash": FaultKind(NODE),
+    "slow": FaultKind(NODE, needs_by=True),
+    "hang": FaultKind(NODE),
+    "freeze": FaultKind(NODE),
+    "fast-errors": FaultKind(NODE, needs_by=True),
+    "pauses": FaultKind(NODE, needs_by=True, needs_every=True),
+    "neighbour": FaultKind(NODE, needs_by=True, needs_every=True),
+    "mass-restart": FaultKind(NODE),
+    "drain": FaultKind(NODE),
+    "release": FaultKind(NODE),
+    "resets": FaultKind(NODE, needs_by=True),
+    "half-open": FaultKind(NODE),
+    "garble": FaultKind(NODE, needs_by=True),
+    "lost-answers": FaultKind(NODE, needs_by=True),
+    "head-crash": FaultKind(GATEWAY),
+    "head-roll": FaultKind(GATEWAY),
+    "head-stop": FaultKind(GATEWAY),
+    "head-freeze": FaultKind(GATEWAY),
+    "list-stale": FaultKind(DISCOVERY, needs_by=True),
+    "list-wrong": FaultKind(NODE),
+    "burst": FaultKind(LOAD, needs_by=True),
+    "hot-key": FaultKind(LOAD, needs_by=True),
+    "scan": FaultKind(LOAD, needs_by=True),
+    "give-up": FaultKind(LOAD, needs_by=True),
+    "client-cuts": FaultKind(LOAD, needs_by=True),
+}
+"""The kinds of faults by their words in the settings."""
+
+
+def parse_scheduled_fault(statement: Statement, report: Report) -> ScheduledFault | None:
+    """The fault that `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]` states.
+
+    Args:
+        statement: The directive.
+        report: Takes a problem; then the result is None.
+    """
+    if statement.block is not None or len(statement.args) < 2:
+        report(statement.name.position, "'at'", "at TIME TROUBLE [TARGET ...] [by FIGURE] [every TIME] for TIME")
+        return None
+    time, name, *rest = statement.args
+    kind = FAULT_KINDS.get(name.text)
+    if kind is None:
+        near = difflib.get_close_matches(name.text, FAULT_KINDS, 1)
+        expected = f"{near[0]} (the nearest known one)" if near else "one of " + ", ".join(FAULT_KINDS)
+        report(name.position, f"unknown trouble {name.text!r}", expected)
+        return None
+    try:
+        at_ms = _figure(time, "at")
+        targets, clauses = _split_clauses(rest)
+    except _WordError as error:
+        report(error.word.position, repr(error.word.text), str(error))
+        return None
+    problem = _find_problem(name.text, kind, targets, clauses)
+    if problem is not None:
+        report(name.position, *problem)
+        return None
+    return ScheduledFault(
+        at=at_ms,
+        name=name.text,
+        target=targets,
+        by=clauses.get("by"),
+        every=clauses.get("every"),
+        last=clauses.get("for"),
+    )
+
+
+class _WordError(InvalidValueError):
+    """A word isn't what was expected."""
+
+    def __init__(self, word: Word, expected: str) -> None:
+        super().__init__(expected)
+        self.word = word
+
+
+def _split_clauses(words: list[Word]) -> tuple[list[str], dict[str, float]]:
+    """The targets, and the figures by clause; raises _WordError."""
+    targets: list[str] = []
+    clauses: dict[str, float] = {}
+    remaining = iter(words)
+    for word in remaining:
+        if word.text not in CLAUSES:
+            targets.append(word.text)
+            continue
+        figure = next(remaining, None)
+        if figure is None:
+            raise _WordError(word, f"a figure after {word.text}")
+        clauses[word.text] = _figure(figure, word.text)
+    return targets, clauses
+
+
+def _figure(word: Word, clause: str) -> float:
+    """The figure of a clause, a time but for `by`, which may be a share, a factor or a time; raises _WordError."""
+    unit = "ms"
+    if clause == "by":
+        if word.text.endswith("%"):
+            unit = "%"
+        elif word.text.endswith("x") or is_plain(word.text):
+            unit = "x"
+    try:
+        return number(word.text, unit)
+    except InvalidValueError as error:
+        raise _WordError(word, str(error)) from None
+
+
+def _find_problem(name: str, kind: FaultKind, targets: list[str], clauses: dict[str, float]) -> tuple[str, str] | None:
+    """What was found and what was expected, if a fault lacks a clause or a target, or has a target too many."""
+    for clause in kind.required_clauses():
+        if clause not in clauses:
+            return f"{name} without {clause!r}", f"{clause} and a figure"
+    has_targets = kind.target in (NODE, GATEWAY)
+    if has_targets and not targets:
+        return f"{name} strikes nothing", f"{kind.target} names, rack NAME, a share or all"
+    if targets and not has_targets:
+        return f"{name} with {' '.join(targets)!r}", "no target"
+    return None
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -20,11 +20,9 @@
     KindBlock,
     LoadBlock,
     MixBlock,
+    ScheduledFault,
     ShelfBlock,
 )
-from pebblehinge.settings.stand_ins import (
-    Trouble as Trouble,
-)
 from pebblehinge.settings.units import (
     Address,
     Block,
@@ -38,6 +36,32 @@
     Whole,
 )
 
+__all__ = [
+    "BufferBlock",
+    "Config",
+    "CopiesBlock",
+    "DayBlock",
+    "FleetBlock",
+    "GroupBlock",
+    "HeadBlock",
+    "KindBlock",
+    "LimitsBlock",
+    "ListingBlock",
+    "LoadBlock",
+    "LogBlock",
+    "MemberBlock",
+    "MixBlock",
+    "ModuleBlock",
+    "PlanBlock",
+    "ProfileBlock",
+    "RsyncBlock",
+    "RulesBlock",
+    "ScheduledFault",
+    "ShelfBlock",
+    "UserBlock",
+    "VolumeBlock",
+]
+
 
 class LimitsBlock(Block):
     """limits { ... }: what a process holds at most."""
--- a/pebblehinge/settings/stand_ins.py
+++ b/pebblehinge/settings/stand_ins.py
@@ -107,8 +107,17 @@
     patience: Ms = 30_000.0
 
 
-class Trouble(Struct, kw_only=True):
-    """at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]"""
+class ScheduledFault(Struct, kw_only=True):
+    """A fault: `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]`.
+
+    Attributes:
+        at: When it begins, in milliseconds from the day's start.
+        name: A key of `scheduled_faults.FAULT_KINDS`.
+        target: What it strikes: names, `rack NAME`, a share, or `all`.
+        by: Its strength: a share as a part of 1, a factor, or a time in milliseconds.
+        every: Its period in milliseconds.
+        last: Its duration in milliseconds.
+    """
 
     at: float
     name: str
@@ -124,4 +133,4 @@
     length: Ms = 30_000.0
     settle: Ms = 3_000.0  # before the load begins
     goal: Part = 0.0  # the service that the day must reach
-    at: list[Trouble] = field(default_factory=list)
+    at: list[ScheduledFault] = field(default_factory=list)
--- a/pebblehinge/settings/values.py
+++ b/pebblehinge/settings/values.py
@@ -3,18 +3,27 @@
 from __future__ import annotations
 
 import functools
+import math
 from types import UnionType
-from typing import Any, Literal, Union, get_args, get_origin, get_type_hints
+from typing import Any, Literal, NamedTuple, Union, get_args, get_origin, get_type_hints
 
 import msgspec
 from msgspec import Struct
+from msgspec.structs import FieldInfo
 from msgspec.structs import fields as struct_fields
 
+from pebblehinge.settings.errors import InvalidValueError
 from pebblehinge.settings.lines import Word
 
 TIMES = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+"""Milliseconds by suffix; longer suffixes come before those that they end in."""
+
 SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1000, "MB": 10**6, "GB": 10**9}
-WANTS = {
+"""Bytes by suffix."""
+
+SIZE_SUFFIXES = sorted(SIZES, key=len, reverse=True)
+BOOLEANS = {"yes": True, "no": False}
+EXPECTED = {
     "ms": "a time such as 400ms, 1.5s or 2m",
     "size": "a size such as 512B, 4KiB or 1MiB",
     "x": "a factor such as 10x",
@@ -22,110 +31,178 @@
     "/s": "a rate such as 300/s",
     "": "a number",
 }
+"""What a figure is to be, by its unit."""
 
 
-class BadValue(Exception):
-    """A value that is not what was expected."""
+def number(text: str, unit: str) -> float:
+    """A figure with its unit: times in milliseconds, sizes in bytes (a whole number), shares as parts of 1.
 
+    Args:
+        text: The word.
+        unit: A key of `EXPECTED`.
 
-def number(text: str, unit: str) -> float:
-    """A figure with its unit; times in milliseconds, shares as parts of 1."""
+    Raises:
+        InvalidValueError: It isn't a figure of that unit.
+    """
     try:
         if unit == "ms":
-            for suffix in ("us", "ms", "s", "m", "h"):
-                if text.endswith(suffix) and is_plain(text[: -len(suffix)]):
-                    return float(text[: -len(suffix)]) * TIMES[suffix]
-            if float(text) == 0:
-                return 0.0
-            raise ValueError
+            return _time_ms(text)
         if unit == "size":
-            for suffix in sorted(SIZES, key=len, reverse=True):
-                if text.endswith(suffix) and is_plain(text[: -len(suffix)]):
-                    return int(float(text[: -len(suffix)]) * SIZES[suffix])
-            return int(text)
+            return _size(text)
         if unit == "%" and text.endswith("%"):
             return float(text[:-1]) / 100.0
-        if unit and text.endswith(unit):
-            text = text[: -len(unit)]
-        value = float(text)
-        if not abs(value) < float("inf"):
-            raise ValueError
+        value = float(text.removesuffix(unit))
+        if not math.isfinite(value):
+            raise ValueError(text)
         return value
     except (ValueError, OverflowError):
-        raise BadValue(WANTS[unit]) from None
+        raise InvalidValueError(EXPECTED[unit]) from None
 
 
 def is_plain(text: str) -> bool:
+    """Whether a word is digits with at most one point."""
     return bool(text) and all(c.isdigit() or c == "." for c in text) and text.count(".") <= 1
 
 
-def unwrap(hint: Any) -> tuple[Any, str, str, bool]:
-    """A field's type without Annotated and None; its unit; what it wants; whether it may be none."""
+def _time_ms(text: str) -> float:
+    for suffix, milliseconds in TIMES.items():
+        figure = text.removesuffix(suffix)
+        if figure != text and is_plain(figure):
+            return float(figure) * milliseconds
+    if float(text) != 0:
+        raise ValueError(text)
+    return 0.0
+
+
+def _size(text: str) -> int:
+    for suffix in SIZE_SUFFIXES:
+        figure = text.removesuffix(suffix)
+        if figure != text and is_plain(figure):
+            return int(float(figure) * SIZES[suffix])
+    return int(text)
+
+
+class FieldType(NamedTuple):
+    """The type of a block's field.
+
+    Attributes:
+        kind: The type without `Annotated` and None.
+        unit: A key of `EXPECTED`, empty for a plain number.
+        expected: What a value is to be, for problems; empty if the unit or the type says it.
+        optional: Whether the value may be none.
+    """
+
+    kind: Any
+    unit: str
+    expected: str
+    optional: bool
+
+
+def unwrap(hint: Any) -> FieldType:
+    """The type of a field from its annotation."""
     optional = False
-    unit = wants = ""
+    unit = expected = ""
     while True:
         if get_origin(hint) in (Union, UnionType):
             optional = True
-            hint = next(a for a in get_args(hint) if a is not type(None))
+            hint = next(inner for inner in get_args(hint) if inner is not type(None))
         elif hasattr(hint, "__metadata__"):
             for meta in hint.__metadata__:
                 if isinstance(meta, msgspec.Meta) and meta.extra:
                     unit = meta.extra.get("unit", unit)
-                    wants = meta.extra.get("wants", wants)
+                    expected = meta.extra.get("wants", expected)
             hint = hint.__origin__
         else:
-            return hint, unit, wants, optional
+            return FieldType(hint, unit, expected, optional)
 
 
 def parse_value(hint: Any, args: list[Word]) -> Any:
-    """A directive's words as its type wants them; raises BadValue with what was expected."""
-    kind, unit, wants, optional = unwrap(hint)
-    if get_origin(kind) is list:
-        item, _, item_wants, _ = unwrap(get_args(kind)[0])
-        texts = [a.text for a in args]
-        if item is int:
-            if not all(t.isdigit() for t in texts):
-                raise BadValue("whole numbers")
-            texts = [int(t) for t in texts]
-        return _convert(texts, hint, item_wants or "names")
+    """The value of a directive.
+
+    Args:
+        hint: The annotation of its field.
+        args: Its arguments.
+
+    Raises:
+        InvalidValueError: The arguments aren't what the type wants.
+    """
+    field = unwrap(hint)
+    if get_origin(field.kind) is list:
+        return _parse_list(hint, field, [arg.text for arg in args])
     if len(args) != 1:
-        raise BadValue("one value" if not args else f"one value, not {len(args)}")
+        raise InvalidValueError("one value" if not args else f"one value, not {len(args)}")
     text = args[0].text
-    if optional and text == "none":
+    if field.optional and text == "none":
         return None
-    if kind is bool:
-        if text not in ("yes", "no"):
-            raise BadValue("yes or no")
-        return text == "yes"
-    if get_origin(kind) is Literal:
-        if text not in get_args(kind):
-            raise BadValue("one of " + ", ".join(get_args(kind)))
-        return text
-    if get_origin(kind) is tuple:
-        low, dots, high = text.partition("..")
-        pair = (number(low, unit), number(high if dots else low, unit))
-        if pair[0] > pair[1]:
-            raise BadValue("a range from the smaller to the larger, such as 2..5")
-        return pair
-    if kind is float:
-        return _convert(number(text, unit), hint, WANTS[unit])
-    if kind is int:
-        value = number(text, unit) if unit else text
-        if not unit and not text.isdigit():
-            raise BadValue("a whole number")
-        return _convert(int(value), hint, WANTS.get(unit, "") if unit else "a whole number")
-    return _convert(text, hint, wants or "a word")
-
-
-def _convert(value: Any, hint: Any, wants: str) -> Any:
+    if get_origin(field.kind) is Literal:
+        return _parse_choice(get_args(field.kind), text)
+    if get_origin(field.kind) is tuple:
+        return _parse_range(text, field.unit)
+    if field.kind is bool:
+        return _parse_boolean(text)
+    if field.kind is float:
+        return _convert(number(text, field.unit), hint, EXPECTED[field.unit])
+    if field.kind is int:
+        return _parse_integer(hint, field, text)
+    return _convert(text, hint, field.expected or "a word")
+
+
+def _parse_list(hint: Any, field: FieldType, texts: list[str]) -> Any:
+    item = unwrap(get_args(field.kind)[0])
+    if item.kind is not int:
+        return _convert(texts, hint, item.expected or "names")
+    if not all(text.isdigit() for text in texts):
+        raise InvalidValueError("whole numbers")
+    return _convert([int(text) for text in texts], hint, item.expected or "names")
+
+
+def _parse_choice(choices: tuple[str, ...], text: str) -> str:
+    if text not in choices:
+        raise InvalidValueError("one of " + ", ".join(choices))
+    return text
+
+
+def _parse_boolean(text: str) -> bool:
+    if text not in BOOLEANS:
+        raise InvalidValueError("yes or no")
+    return BOOLEANS[text]
+
+
+def _parse_range(text: str, unit: str) -> tuple[float, float]:
+    low_text, dots, high_text = text.partition("..")
+    low = number(low_text, unit)
+    high = number(high_text if dots else low_text, unit)
+    if low > high:
+        raise InvalidValueError("a range from the smaller to the larger, such as 2..5")
+    return low, high
+
+
+def _parse_integer(hint: Any, field: FieldType, text: str) -> Any:
+    if field.unit:
+        return _convert(int(number(text, field.unit)), hint, EXPECTED[field.unit])
+    if not text.isdigit():
+        raise InvalidValueError("a whole number")
+    return _convert(int(text), hint, "a whole number")
+
+
+def _convert(value: Any, hint: Any, expected: str) -> Any:
+    """A value checked against the bounds of its annotation."""
     try:
         return msgspec.convert(value, hint)
     except msgspec.ValidationError as error:
         detail = str(error).replace("Expected ", "").replace("`", "")
-        raise BadValue(wants if "matching" in detail else f"{wants} ({detail})") from None
+        raise InvalidValueError(expected if "matching" in detail else f"{expected} ({detail})") from None
+
+
+class BlockShape(NamedTuple):
+    """What a block may hold: its fields by directive, and the annotations of the fields by their names."""
+
+    fields: dict[str, FieldInfo]
+    annotations: dict[str, Any]
 
 
 @functools.cache
-def shape_of(kind: type[Struct]) -> tuple[dict[str, Any], dict[str, Any]]:
-    """A block's directives and their types. A file may have twenty thousand blocks of a kind."""
-    return {f.name.replace("_", "-"): f for f in struct_fields(kind)}, get_type_hints(kind, include_extras=True)
+def shape_of(kind: type[Struct]) -> BlockShape:
+    """The shape of a kind of block; cached, since a file may have twenty thousand blocks of a kind."""
+    fields = {field.name.replace("_", "-"): field for field in struct_fields(kind)}
+    return BlockShape(fields, get_type_hints(kind, include_extras=True))
