--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -32,7 +32,7 @@
     until_told,
 )
 from pebblehinge.cli.head_storage import buffer_of
-from pebblehinge.records import RecordsError
+from pebblehinge.event_log import EventLogError
 from pebblehinge.settings import Config, SettingsError, load
 
 
@@ -90,7 +90,7 @@
     agreed: str | None,
     log: Any,
 ) -> int:
-    from pebblehinge.capture.files import CaptureWriter, file_sink
+    from pebblehinge.capture import CaptureWriter, open_sink
     from pebblehinge.console import Console
     from pebblehinge.daemon import Notifier
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
@@ -100,7 +100,7 @@
 
     failed: list[str] = []
 
-    def records_failed(error: RecordsError) -> None:
+    def records_failed(error: EventLogError) -> None:
         failed.append(str(error))
         server.stop("its records can't be written")
 
@@ -128,7 +128,7 @@
     server = GatewayServer(loop, clock_of(loop), config, name, log, notes)
     if capture:
         try:
-            sink = file_sink(capture)
+            sink = open_sink(capture)
         except OSError as error:
             give_up(f"head {name}: {capture}: {describe(error)}")
         server.capture(
@@ -181,7 +181,7 @@
     if failed:
         click.echo(f"pebblehinge: {failed[0]}", err=True)
         return 2
-    log.info("stopped", answers=server.core.counts)
+    log.info("stopped", answers=server.core.counts.by_word())
     return 0
 
 
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -119,11 +119,11 @@
 
 async def _listing(loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.listing import ListingServer
+    from pebblehinge.discovery import DiscoveryServer
 
     if told := raise_open_file_limit(
         needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
     ):
         log.warning("limits", why=told)
-    server = ListingServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
+    server = DiscoveryServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
     return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -4,8 +4,7 @@
 
 from typing import Any, Protocol, cast
 
-from pebblehinge.core import REJECTED, RequestTable
-from pebblehinge.core.request_table import Effects
+from pebblehinge.core import Effects, FinalStatus, PendingRequest, RequestTable
 from pebblehinge.gateway.errors import RequestRejectedError
 from pebblehinge.gateway.framed_request import FramedRequest
 from pebblehinge.settings.schema import Config, HeadBlock
@@ -120,14 +119,15 @@
         pending.data = data
         pending.profile = profile
         pending.again = bool(again)
-        self.counts["taken"] += 1
+        self.counts.received += 1
         try:
             known_plan, set_size = self._admit(pending, plan, profile, left_ms)
         except RequestRejectedError as error:
             # Nothing of it has gone anywhere, so trying again is harmless whatever its class.
-            self.counts["refused"] += 1
+            self.counts.not_admitted += 1
             pending.answered = True
-            self.doing.answer(pending, REJECTED, self.config.rules.stay_away_max, str(error), b"")
+            stay_ms = self.config.rules.stay_away_max
+            self.effects.answer(pending, FinalStatus.REJECTED, stay_ms, str(error), b"")
             return None
         pending.plan = known_plan
         self.accept(
@@ -148,9 +148,10 @@
         self.config = config
         self.adopt(now, config.module_settings(self.block))
 
-    def noted(self, pending: Any, final: int | None, now: float) -> None:
+    def request_ended(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Captures a request that is over, by its final answer or (None) since its client left."""
         if self.capture is not None:
+            assert isinstance(pending, FramedRequest)
             self.capture.add(
                 pending.came_ms,
                 pending.volume,
--- a/pebblehinge/gateway/buffered_request.py
+++ b/pebblehinge/gateway/buffered_request.py
@@ -5,11 +5,15 @@
 import asyncio
 from typing import Protocol
 
+from pebblehinge.core import FinalStatus
+
 
 class BufferedOrigin(Protocol):
     """The connection that a buffered request came by."""
 
-    def answer_buffered(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
+    def answer_buffered(
+        self, id_: int, final: FinalStatus, stay_ms: float, reason: str, slot: int, data: bytes
+    ) -> None:
         """Sends the final answer."""
 
 
--- a/pebblehinge/gateway/client_connection.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from pebblehinge.core import SUCCEEDED
+from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.framed_request import FramedRequest
 from pebblehinge.net import Peer
@@ -120,16 +120,23 @@
         if pending is not None:
             self.context.core.left(self.context.now, pending)
 
-    def answered(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Sends the final answer to a request that the request table had."""
         self.open_requests.pop(pending.id, None)
         dirty_writes = self._dirty_writes.pop(pending.id, ())
         write_back = self.context.write_back
-        if write_back is not None and final == SUCCEEDED and pending.op == READ and write_back.buffers(pending.volume):
+        if (
+            write_back is not None
+            and final is FinalStatus.SUCCEEDED
+            and pending.op == READ
+            and write_back.buffers(pending.volume)
+        ):
             data = write_back.after_read(pending, dirty_writes, data)
         self.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
-    def answer_buffered(self, id_: int, final: int, stay_ms: float, reason: str, slot: int, data: bytes) -> None:
+    def answer_buffered(
+        self, id_: int, final: FinalStatus, stay_ms: float, reason: str, slot: int, data: bytes
+    ) -> None:
         """Sends the final answer to a request that the request table never had."""
         if id_ in self.open_requests:
             del self.open_requests[id_]
--- a/pebblehinge/gateway/commit.py
+++ b/pebblehinge/gateway/commit.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from pebblehinge.core import REJECTED, SUCCEEDED
+from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.framed_request import FINAL_WORDS
 from pebblehinge.gateway.internal_client import InternalClient, InternalResult
@@ -96,18 +96,18 @@
         step = next_step(write, write.number in self.dirty.risky, None)
         if step == "look":
             result = await self._request(write, READ, b"")
-            if result.final == FINAL_WORDS[SUCCEEDED]:
+            if result.final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
                 step = next_step(write, True, result.data)
         if step == "write":
             result = await self._request(write, WRITE, write.data)
-            if result.final != FINAL_WORDS[REJECTED]:
+            if result.final != FINAL_WORDS[FinalStatus.REJECTED]:
                 self.dirty.risky[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
         self.dirty.out.pop(write.number, None)
         is_there = step == "done"
-        final, stay_ms = (FINAL_WORDS[SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
+        final, stay_ms = (FINAL_WORDS[FinalStatus.SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
         self.flushing.ended(now, self.dirty, write, final, stay_ms)
-        if is_there or (step == "write" and final == FINAL_WORDS[SUCCEEDED]):
+        if is_there or (step == "write" and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
             self.counts["stood already" if is_there else "landed"] += 1
             self.dirty.landed(write)
             self.committed.append(write.number)
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -10,13 +10,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pebblehinge.core import SUCCEEDED
+from pebblehinge.core import FinalStatus
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.gateway.admission import GatewayCore
 from pebblehinge.gateway.discovery_link import DiscoveryLink
 from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 from pebblehinge.gateway.node_link import NodeLink
 from pebblehinge.interface import Entry, ListCall, ListKind, Outcome
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config, HeadBlock
 
 TIMER_SLACK_S = 0.0005
@@ -50,7 +50,7 @@
         config: Config,
         name: str,
         log: Any,
-        records: Records | NoRecords | None,
+        records: EventLog | NullEventLog | None,
         core: type[GatewayCore],
     ) -> None:
         self.loop = loop
@@ -59,8 +59,8 @@
         self.name = name
         self.log = log
         self.block: HeadBlock = config.head[name]
-        self.records = records or NoRecords()
-        self.note: Callable[..., None] = self.records.note if self.records.on else _ignore
+        self.records = records or NullEventLog()
+        self.note: Callable[..., None] = self.records.note if self.records.enabled else _ignore
         self.links: dict[str, NodeLink] = {}
         self.retired: list[NodeLink] = []
         self.now = clock()
@@ -85,11 +85,11 @@
 
     # ---- called by the request table
 
-    def answer(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Sends a request's final answer where it came from."""
         pending.conn.answered(pending, final, stay_ms, reason, data)
         now = self.now
-        if final == SUCCEEDED:
+        if final is FinalStatus.SUCCEEDED:
             self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
         self.note(now, "answer", id=pending.trace, final=FINAL_WORDS[final], stay=stay_ms)
         if self.config.log.accesses:
@@ -157,7 +157,7 @@
             self.retired = [retired for retired in self.retired if retired.in_flight or retired.waiting]
             self.retired.append(link)
             link.retire()
-        note = self.note if self.records.on else None
+        note = self.note if self.records.enabled else None
         self.links[node] = NodeLink(
             self.loop, self.clock, self.name, node, address, self.config.limits, self._on_outcome, note
         )
--- a/pebblehinge/gateway/framed_request.py
+++ b/pebblehinge/gateway/framed_request.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from pebblehinge.core import PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 
 FINAL_WORDS = ("honoured", "pushed back", "terminated")
 """What records, logs and the rsync sessions call the final answers, by their numbers on the wire."""
@@ -13,7 +13,7 @@
 class RequestOrigin(Protocol):
     """Where a request came from, and its final answer goes to."""
 
-    def answered(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Takes the final answer."""
 
 
--- a/pebblehinge/gateway/internal_client.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 
@@ -99,7 +100,7 @@
                 context.core.left(context.now, pending)
             raise
 
-    def answered(self, pending: FramedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Takes the final answer to a request."""
         future = self.waiting.pop(pending.id, None)
         if future is not None and not future.done():
--- a/pebblehinge/gateway/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -34,7 +34,7 @@
     def _requests(self) -> Iterator[Metric]:
         core, gateway = self.gateway.core, self.gateway
         answers = CounterMetricFamily("pebblehinge_accesses", "Accesses by how they ended", labels=["end"])
-        for end, count in core.counts.items():
+        for end, count in core.counts.by_word().items():
             answers.add_metric([end.replace(" ", "_")], count)
         yield answers
         reasons = CounterMetricFamily("pebblehinge_not_honoured", "By the module's reason", labels=["why"])
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -6,6 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.gateway.admission import GatewayCore, RequestCapture
 from pebblehinge.gateway.client_connection import ClientConnection
 from pebblehinge.gateway.effects import GatewayEffects
@@ -13,7 +14,6 @@
 from pebblehinge.gateway.snapshots import SnapshotKeeper, Times
 from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.net import parse_address
-from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
 from pebblehinge.store.beside import Beside, inline
 from pebblehinge.store.disk import Disk
@@ -47,7 +47,7 @@
         config: Config,
         name: str,
         log: Any,
-        records: Records | NoRecords | None = None,
+        records: EventLog | NullEventLog | None = None,
         core: type[GatewayCore] = GatewayCore,
     ) -> None:
         """Runs as `name` of the settings on `loop`; `clock` returns milliseconds."""
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from pebblehinge.core import FAILED, REJECTED, SUCCEEDED
+from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.admission import MAX_QUOTED, check_patience
 from pebblehinge.gateway.buffered_request import BufferedOrigin, BufferedRequest
 from pebblehinge.gateway.commit import NodeCommitter
@@ -102,7 +102,7 @@
         if op == READ:
             found = self.dirty.newest(volume, extent, offset, length) if length else None
             if found is not None:
-                self._answer(BufferedRequest(conn, id_, slot, trace), SUCCEEDED, 0.0, "", found)
+                self._answer(BufferedRequest(conn, id_, slot, trace), FinalStatus.SUCCEEDED, 0.0, "", found)
             return found is not None
         if op not in (WRITE, BARRIER, FLUSH):
             return False
@@ -113,7 +113,7 @@
         except RequestRejectedError as error:
             self.counts["refused"] += 1
             stay_ms = error.stay_ms or self.context.config.rules.stay_away_max
-            self._answer(request, REJECTED, stay_ms, str(error), b"")
+            self._answer(request, FinalStatus.REJECTED, stay_ms, str(error), b"")
             return True
         self.open += 1
         confirm_ms = max(0.0, left_ms - self.context.block.answer_margin)
@@ -212,7 +212,7 @@
             return
         if not is_durable:
             # It may be on the disk or not: that is all that can be said.
-            self._answer(request, FAILED, 0.0, self.committer.failed, b"")
+            self._answer(request, FinalStatus.FAILED, 0.0, self.committer.failed, b"")
             return
         if isinstance(record, Barrier):
             self.dirty.barrier(record)
@@ -224,12 +224,12 @@
 
     def _time_out(self, request: BufferedRequest) -> None:
         """The request's time is up. What it asked for goes on, and is no longer promised."""
-        self._answer(request, FAILED, 0.0, "not confirmed in time", b"")
+        self._answer(request, FinalStatus.FAILED, 0.0, "not confirmed in time", b"")
 
     def _succeed(self, request: BufferedRequest) -> None:
-        self._answer(request, SUCCEEDED, 0.0, "", b"")
+        self._answer(request, FinalStatus.SUCCEEDED, 0.0, "", b"")
 
-    def _answer(self, request: BufferedRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def _answer(self, request: BufferedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         if request.answered:
             return
         request.answered = True
--- a/pebblehinge/service/connection_registry.py
+++ b/pebblehinge/service/connection_registry.py
@@ -5,7 +5,7 @@
 import itertools
 from typing import cast
 
-from pebblehinge.core import REJECTED, SUCCEEDED, PendingRequest
+from pebblehinge.core import FinalStatus, PendingRequest
 from pebblehinge.service.client_connection import ClientConnection
 from pebblehinge.service.client_request import ClientRequest, ParsedRequest
 from pebblehinge.service.context import ServiceContext
@@ -100,7 +100,7 @@
         conn.pending = pending
         self.ids.add(parsed.id)
         self.move(conn, self.active)
-        context.core.counts["taken"] += 1
+        context.core.counts.received += 1
         # It may have been unread for as long as the loop is late.
         deadline_ms = now - context.late_ms + parsed.max_wait_ms - self.MARGIN_MS
         conn.answer_until_ms = min(deadline_ms, now + context.config.longest_wait_ms)
@@ -116,14 +116,14 @@
             parsed.is_retry if context.config.settings.marks_repeats else None,
         )
 
-    def answer(self, pending: PendingRequest, final: int, retry_after_ms: float, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, data: bytes) -> None:
         """Write the final answer of a request, unless its client has gone."""
         conn = cast(ClientConnection, pending.conn)
         if conn.pending is not pending:
             return
-        if final == SUCCEEDED:
+        if final is FinalStatus.SUCCEEDED:
             conn.answer(200, data)
-        elif final == REJECTED:
+        elif final is FinalStatus.REJECTED:
             conn.answer(503, extra_headers=retry_after(retry_after_ms))
         else:
             conn.answer(502)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -12,24 +12,26 @@
 from test_core_properties import Client, Effects
 from test_scenarios import PLANS
 
-from pebblehinge.console.view import View
+from pebblehinge.console.view import GatewayView
 from pebblehinge.decide import CONCURRENCY_LIMIT, REMEMBERED, Request, Scheduler
 from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
 def sizes(head: Scheduler) -> dict[str, int]:
-    path = head.path
+    dispatcher = head.dispatcher
     parts = (
         head,
-        head.given,
+        head.settings,
         head.notes,
         head.shelfs,
-        path,
-        path.valuation,
-        path.limits,
-        path.limits.lines,
-        path.refusal,
+        dispatcher,
+        dispatcher.valuation,
+        dispatcher.limits,
+        dispatcher.limits.queues,
+        dispatcher.load_shedder,
+        dispatcher.anticipation,
+        dispatcher.retries,
     )
     return {
         f"{type(part).__name__}.{name}": len(value)
@@ -61,7 +63,7 @@
             served(head, now, slot, 5.0)
     head.woken(now + 10_000.0)
     found = sizes(head)
-    bounded_otherwise = ("Limits.takes", "Given.request_classes", "Given.quota_plans")
+    bounded_otherwise = ("Limits.takes", "SettingsView.request_classes", "SettingsView.quota_plans")
     assert len(found) > 30 and max(n for name, n in found.items() if name not in bounded_otherwise) <= 20, found
     served(head, now, 3, 5.0)
 
@@ -119,7 +121,7 @@
         # Of a sudden half can't be in time.
         head.shelfs.mean_latency_ms[0], head.shelfs.mean_updated_ms[0] = 2000.0 * CONCURRENCY_LIMIT / (count / 2), 1.0
         Counted.looks = 0
-        head.path.serve(0, 1.0, None)
+        head.dispatcher.serve(0, 1.0, None)
         assert count * 0.4 < len(head.shelfs.queued[0]) < count * 0.6
         return Counted.looks
 
@@ -136,7 +138,7 @@
     first.ended(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
     for n in range(REMEMBERED + 10):
         take(head, 361_000.0 + n / 100, slot=9, volume=f"w{n}")  # refused: nobody has that slot
-    assert "v" not in head.path.valuation.stores, "it was to be forgotten"
+    assert "v" not in head.dispatcher.valuation.buckets, "it was to be forgotten"
     again = take(head, 362_000.0, plan="capped", units=60.0, volume="v", profile="bulk")
     assert not went(again), "62 s fill 31 units"
 
@@ -172,14 +174,14 @@
     """Seen: a link, a line of the console and a desk of the accounts for each name ever listed."""
 
     async def script(rig: Rig) -> None:
-        head, view = rig.head, View(rig.head)
+        head, view = rig.head, GatewayView(rig.head)
         for n in range(60):
             rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
             head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
-            head.core.account.held(rig.clock(), n, "v", f"n{n}", 1.0)
-            head.core.account.over(rig.clock(), n)
+            head.core.wait_accounting.queued(rig.clock(), n, "v", f"n{n}", 1.0)
+            head.core.wait_accounting.request_ended(rig.clock(), n)
             view.snapshot()
-        assert max(len(head.links), len(view.standing), len(head.core.account.desks)) < 12
+        assert max(len(head.links), len(view.health), len(head.core.wait_accounting.nodes)) < 12
 
     on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -47,7 +47,7 @@
 def test_the_state_shows_what_happens_and_why() -> None:
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         assert "accounts yes" in await (await session.get(URL + "/why/v")).text()
-        rig.head.core.account = WaitAccounting()
+        rig.head.core.wait_accounting = WaitAccounting()
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK)).succeeded
         got = await client.read("v", "x", 1, slot=9, **LOOK)
@@ -105,8 +105,8 @@
 
 
 def test_a_viewer_that_does_not_read_is_dropped_and_too_many_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console_server, "EVERY_MS", 5.0)
-    monkeypatch.setattr(console_server, "MOST_VIEWERS", 3)
+    monkeypatch.setattr(console_server, "REFRESH_MS", 5.0)
+    monkeypatch.setattr(console_server, "MAX_VIEWERS", 3)
 
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         monkeypatch.setattr(console.view, "snapshot", lambda: {"fill": "x" * 30_000})
