--- a/benchmarks/caps_group.py
+++ b/benchmarks/caps_group.py
@@ -15,10 +15,10 @@
 RAFT_LEADER, READ_INDEX = (f"pebblehinge/raft/{n}.py" for n in ("leader", "read_index"))
 
 
-ASKING, RENEWALS = (f"pebblehinge/agreed/{n}.py" for n in ("asking", "renewals"))
+ASKING, RENEWALS = (f"pebblehinge/replicated_config/{n}.py" for n in ("operator_requests", "renewals"))
 
 
-BIGGEST = constant("pebblehinge.agreed.bounds", "TEXT")
+BIGGEST = constant("pebblehinge.replicated_config.size_limits", "TEXT")
 
 
 GROUP_CAPS = [
@@ -26,7 +26,7 @@
         "bytes of a frame of the group",
         BOUNDS,
         "FRAME = ",
-        constant("pebblehinge.agreed.bounds", "FRAME"),
+        constant("pebblehinge.replicated_config.size_limits", "FRAME"),
         "bytes",
         "every frame between instances, heads and operators; `limits frame`, 1 MiB, before",
         grant_bytes(BIGGEST()),
@@ -53,7 +53,7 @@
         "questions that wait",
         ASKING,
         "MOST_ASKED = ",
-        constant("pebblehinge.agreed.asking", "MOST_ASKED"),
+        constant("pebblehinge.replicated_config.operator_requests", "MOST_ASKED"),
         "questions",
         "proposals and reads of operators that wait; all renewals of heads are one read among them",
         8,
@@ -78,7 +78,7 @@
         "renewals that wait",
         RENEWALS,
         "MOST_RENEWALS = ",
-        constant("pebblehinge.agreed.renewals", "MOST_RENEWALS"),
+        constant("pebblehinge.replicated_config.renewals", "MOST_RENEWALS"),
         "renewals",
         "of heads that wait for their round, or for their acknowledgement in the log",
         HEADS + 64,
--- a/benchmarks/caps_settings.py
+++ b/benchmarks/caps_settings.py
@@ -12,7 +12,7 @@
     version_text,
 )
 
-SCHEMA, BOUNDS = "pebblehinge/settings/schema.py", "pebblehinge/agreed/bounds.py"
+SCHEMA, BOUNDS = "pebblehinge/settings/schema.py", "pebblehinge/replicated_config/size_limits.py"
 
 
 LINES, LOAD, UNITS = (f"pebblehinge/settings/{n}.py" for n in ("lines", "load", "units"))
@@ -111,7 +111,7 @@
         "bytes of a version's text",
         BOUNDS,
         "TEXT = ",
-        constant("pebblehinge.agreed.bounds", "TEXT"),
+        constant("pebblehinge.replicated_config.size_limits", "TEXT"),
         "bytes",
         "a proposal; there was no bound of its own, and one over a frame left the operator with *no instance can be "
         "reached* after 10 s",
--- a/benchmarks/caps_versions.py
+++ b/benchmarks/caps_versions.py
@@ -13,11 +13,12 @@
 from pebblehinge.settings.schema import GroupBlock
 
 SERVER, STATE, FEED, LEASES, PROPOSALS = (
-    f"pebblehinge/agreed/{n}.py" for n in ("server", "state", "feed", "leases", "proposals")
+    f"pebblehinge/replicated_config/{n}.py"
+    for n in ("server", "state_machine", "config_watcher", "leases", "proposal_queue")
 )
 
 
-KEPT = constant("pebblehinge.agreed.state", "VERSIONS")
+KEPT = constant("pebblehinge.replicated_config.state_machine", "VERSIONS")
 
 
 VERSION_CAPS = [
@@ -38,7 +39,7 @@
         "sessions kept",
         STATE,
         "SESSIONS = ",
-        constant("pebblehinge.agreed.state", "SESSIONS"),
+        constant("pebblehinge.replicated_config.state_machine", "SESSIONS"),
         "sessions",
         "proposals that are known when they come again",
         VERSIONS_A_DAY,
@@ -64,7 +65,7 @@
         "backlog of an instance",
         SERVER,
         "BACKLOG = ",
-        constant("pebblehinge.agreed.server", "BACKLOG"),
+        constant("pebblehinge.replicated_config.server", "BACKLOG"),
         "connections",
         "connections not yet accepted: heads after a leader's loss; 256 before",
         HEADS + 64,
@@ -77,7 +78,7 @@
         "versions that wait for the pending one",
         PROPOSALS,
         "MOST_QUEUED = ",
-        constant("pebblehinge.agreed.proposals", "MOST_QUEUED"),
+        constant("pebblehinge.replicated_config.proposal_queue", "MOST_QUEUED"),
         "versions",
         "proposals that come while a version is pending; they were refused before",
         10,
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -26,14 +26,14 @@
 from agreed_group import Group  # noqa: E402
 from raft_world import World  # noqa: E402
 
-from pebblehinge.agreed.ask import ask_group  # noqa: E402
-from pebblehinge.agreed.feed import Feed  # noqa: E402
-from pebblehinge.agreed.server import MemberServer  # noqa: E402
-from pebblehinge.agreed.state import command  # noqa: E402
-from pebblehinge.agreed.taking import Taking  # noqa: E402
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.raft import Raft  # noqa: E402
+from pebblehinge.replicated_config.config_watcher import Feed  # noqa: E402
+from pebblehinge.replicated_config.operator_client import ask_group  # noqa: E402
+from pebblehinge.replicated_config.server import MemberServer  # noqa: E402
+from pebblehinge.replicated_config.state_machine import command  # noqa: E402
+from pebblehinge.replicated_config.version_application import Taking  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 from pebblehinge.store.disk import RealDisk  # noqa: E402
 
--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -20,7 +20,7 @@
 
 from agreed_document import document  # noqa: E402
 
-from pebblehinge.agreed.ask import ask_group, ask_one  # noqa: E402
+from pebblehinge.replicated_config.operator_client import ask_group, ask_one  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 
 
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from pebblehinge.agreed import feed
-from pebblehinge.agreed.activation import parts_of
 from pebblehinge.net import Peer
+from pebblehinge.replicated_config import config_watcher
+from pebblehinge.replicated_config.activation import parts_of
 from pebblehinge.wire import Frames, Kind
 
 KIND_AT = 8  # a frame's kind stands behind its length and its checksum
@@ -81,7 +81,7 @@
     def _under_feeds(self) -> None:
         counting = self
 
-        class NotedFeed(feed.Feed):
+        class NotedFeed(config_watcher.Feed):
             """Tells of each change of what the head acts on."""
 
             def __init__(self, loop: Any, clock: Any, config: Any, taking: Any, adopt: Any, *more: Any) -> None:
@@ -92,7 +92,7 @@
 
                 super().__init__(loop, clock, config, taking, noted, *more)
 
-        feed.Feed = NotedFeed  # type: ignore[misc]
+        config_watcher.Feed = NotedFeed  # type: ignore[misc]
 
     def note(self, **values: Any) -> None:
         self.pending.append(json.dumps({"t": round(self.monotonic(), 4), **values}))
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -16,11 +16,11 @@
 
 import uvloop
 
-from pebblehinge.agreed import taking
 from pebblehinge.cli import clock_of
 from pebblehinge.head.listing import ListingLink
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.lab.quiet import Quiet
+from pebblehinge.replicated_config import version_application
 from pebblehinge.settings import Config, load
 from scale.hollow_links import Attempts
 
@@ -41,11 +41,15 @@
 
     def begin(self) -> None:
         """Starts as a process would: on the last version that it kept, without a lease."""
-        from pebblehinge.agreed.feed import Feed
+        from pebblehinge.replicated_config.config_watcher import Feed
 
         self.lives += 1
         floor, clock = self.config.group.floor, clock_of(self.loop)
-        pending = taking.Taking.restore(self.name, floor, self.kept) if self.kept else taking.Taking(self.name, floor)
+        pending = (
+            version_application.Taking.restore(self.name, floor, self.kept)
+            if self.kept
+            else version_application.Taking(self.name, floor)
+        )
         self.feed = Feed(self.loop, clock, self.config, pending, lambda new, mode: None, self._keep, Quiet())
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
         self.listing = ListingLink(
@@ -167,8 +171,8 @@
 
 
 def main(given: dict[str, Any], counting: Any) -> None:
-    if hasattr(taking, "loads"):
-        taking.loads = functools.lru_cache(maxsize=8)(taking.loads)
+    if hasattr(version_application, "loads"):
+        version_application.loads = functools.lru_cache(maxsize=8)(version_application.loads)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     owner = HollowHeads(loop, given, counting)
--- a/benchmarks/scale/waiting.py
+++ b/benchmarks/scale/waiting.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.agreed.ask import ask_group, ask_one
+from pebblehinge.replicated_config.operator_client import ask_group, ask_one
 from scale.settings import LIMIT
 
 LOOK_S = 0.05
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -11,10 +11,10 @@
 from slopes import ROOT, Point, least_ms, point
 from slopes_version import HEADS, VOLUMES, head_of, kept_by, text, versions
 
-from pebblehinge.agreed.state import State, Version, command
 from pebblehinge.head import HeadServer
 from pebblehinge.raft import Entry, EntryKind, initial_snapshot
 from pebblehinge.raft.storage import Storage
+from pebblehinge.replicated_config.state_machine import State, Version, command
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.store.disk import RealDisk
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -10,11 +10,11 @@
 
 from slopes import Point, least_ms, point
 
-from pebblehinge.agreed.activation import careful
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.cli import clock_of
 from pebblehinge.head import HeadServer
 from pebblehinge.lab.village import Quiet
+from pebblehinge.replicated_config.activation import careful
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind, encode
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -30,13 +30,13 @@
 from agreed_document import document  # noqa: E402
 from agreed_group import Group  # noqa: E402
 
-from pebblehinge.agreed.ask import ask_group  # noqa: E402
-from pebblehinge.agreed.feed import Feed  # noqa: E402
-from pebblehinge.agreed.server import MemberServer  # noqa: E402
-from pebblehinge.agreed.taking import Taking  # noqa: E402
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
+from pebblehinge.replicated_config.config_watcher import Feed  # noqa: E402
+from pebblehinge.replicated_config.operator_client import ask_group  # noqa: E402
+from pebblehinge.replicated_config.server import MemberServer  # noqa: E402
+from pebblehinge.replicated_config.version_application import Taking  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 from pebblehinge.store.disk import RealDisk  # noqa: E402
 from pebblehinge.wire import Kind  # noqa: E402
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -52,9 +52,9 @@
 async def _group(
     loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Any
 ) -> int:
-    from pebblehinge.agreed.server import MemberServer
     from pebblehinge.daemon.files import allow_files, files_of
     from pebblehinge.raft.identity import identify
+    from pebblehinge.replicated_config.server import MemberServer
     from pebblehinge.store.disk import RealDisk, StorageError
 
     if told := allow_files(files_of("group", heads=len(config.head))):
@@ -94,7 +94,7 @@
 
 def ask(config: Config, verb: str, **values: Any) -> str:
     """The group's answer; a refusal is told and ends with exit 1, no answer with exit 2."""
-    from pebblehinge.agreed.ask import ask_group
+    from pebblehinge.replicated_config.operator_client import ask_group
 
     async def main(loop: asyncio.AbstractEventLoop) -> tuple[bool, str]:
         return await ask_group(loop, [b.listen for b in config.member.values()], verb, values)
@@ -114,7 +114,7 @@
 @click.pass_obj
 def propose(config: Config, file: str, base: int | None, note: str) -> None:
     """Propose FILE as the next version; refused where another came since BASE."""
-    from pebblehinge.agreed.bounds import too_large
+    from pebblehinge.replicated_config.size_limits import too_large
 
     read_settings(file)
     text = flat(file)
@@ -190,7 +190,7 @@
 @click.pass_obj
 def status(config: Config, as_json: bool) -> None:
     """What each instance says of itself."""
-    from pebblehinge.agreed.ask import ask_one
+    from pebblehinge.replicated_config.operator_client import ask_one
 
     async def main(loop: asyncio.AbstractEventLoop) -> int:
         found = 0
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -184,9 +184,9 @@
 def feed_of(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any, kept: str | None, log: Any) -> Any:
     """A head's way to the group. Until the group has told it a version, the file's own settings are in force, under
     the floor that holds for a head without a lease."""
-    from pebblehinge.agreed import Taking
-    from pebblehinge.agreed.activation import cut_off
-    from pebblehinge.agreed.feed import Feed
+    from pebblehinge.replicated_config import Taking
+    from pebblehinge.replicated_config.activation import cut_off
+    from pebblehinge.replicated_config.config_watcher import Feed
     from pebblehinge.store.beside import in_thread
     from pebblehinge.store.disk import RealDisk
 
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pebblehinge.agreed import Taking
-from pebblehinge.agreed.activation import cut_off
-from pebblehinge.agreed.feed import Feed
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.faults.player import OnFleet
 from pebblehinge.lab.faults.ways import Held
 from pebblehinge.lab.virtual import Node, VirtualLoop
+from pebblehinge.replicated_config import Taking
+from pebblehinge.replicated_config.activation import cut_off
+from pebblehinge.replicated_config.config_watcher import Feed
 from pebblehinge.settings import Config
 from pebblehinge.store.beside import Beside, Done, inline
 
--- a/pebblehinge/lab/proposer.py
+++ b/pebblehinge/lab/proposer.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from pebblehinge.agreed.ask import ask_group
+from pebblehinge.replicated_config.operator_client import ask_group
 from pebblehinge.settings import Config, show
 
 WITHIN_S = 2.0  # for one question while the group may be struck
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -11,7 +11,6 @@
 
 import msgspec
 
-from pebblehinge.agreed.server import MemberServer
 from pebblehinge.capture import CaptureWriter
 from pebblehinge.head import HeadCore, HeadServer
 from pebblehinge.lab.check import Day
@@ -25,6 +24,7 @@
 from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.listing import ListingServer
+from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings import Config, show
 from pebblehinge.shelf import Contents, ShelfServer
 
--- a/pebblehinge/agreed/__init__.py
+++ b/pebblehinge/replicated_config/__init__.py
@@ -7,8 +7,8 @@
 `ask` the operator's.
 """
 
-from pebblehinge.agreed.leases import Leases
-from pebblehinge.agreed.state import State
-from pebblehinge.agreed.taking import Taking
+from pebblehinge.replicated_config.leases import Leases
+from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.version_application import Taking
 
 __all__ = ["Leases", "State", "Taking"]
--- a/pebblehinge/agreed/feed.py
+++ b/pebblehinge/replicated_config/config_watcher.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.agreed.bounds import roomy
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.net import Peer, dial
+from pebblehinge.replicated_config.size_limits import roomy
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import Config
 from pebblehinge.store.beside import Beside, inline
 from pebblehinge.wire import Kind, Session
--- a/pebblehinge/agreed/granting.py
+++ b/pebblehinge/replicated_config/lease_granting.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pebblehinge.agreed.leases import Leases
-from pebblehinge.agreed.renewals import Renewal, Renewals
-from pebblehinge.agreed.state import State, command
 from pebblehinge.net import Peer
 from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config.leases import Leases
+from pebblehinge.replicated_config.renewals import Renewal, Renewals
+from pebblehinge.replicated_config.state_machine import State, command
 from pebblehinge.settings import Config
 from pebblehinge.wire import Kind
 
--- a/pebblehinge/agreed/leases.py
+++ b/pebblehinge/replicated_config/leases.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pebblehinge.agreed.activation import Aside, aside_of, fits, leaves_room
-from pebblehinge.agreed.reading import read
-from pebblehinge.agreed.state import State
+from pebblehinge.replicated_config.activation import Aside, aside_of, fits, leaves_room
+from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.version_cache import read
 from pebblehinge.settings import Config
 
 
--- a/pebblehinge/agreed/ask.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -6,8 +6,8 @@
 import itertools
 from typing import Any
 
-from pebblehinge.agreed.bounds import FRAME
 from pebblehinge.net import Peer, dial
+from pebblehinge.replicated_config.size_limits import FRAME
 from pebblehinge.wire import Kind, Session
 
 
--- a/pebblehinge/agreed/asking.py
+++ b/pebblehinge/replicated_config/operator_requests.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from pebblehinge.agreed.bounds import too_large
-from pebblehinge.agreed.leases import Leases
-from pebblehinge.agreed.proposals import Proposals
-from pebblehinge.agreed.reading import read
-from pebblehinge.agreed.state import State, command
 from pebblehinge.net import Peer
 from pebblehinge.raft import Membership, RaftError
 from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config.leases import Leases
+from pebblehinge.replicated_config.proposal_queue import Proposals
+from pebblehinge.replicated_config.size_limits import too_large
+from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.version_cache import read
 from pebblehinge.settings import Config, SettingsError
 from pebblehinge.wire import Kind
 
--- a/pebblehinge/agreed/proposals.py
+++ b/pebblehinge/replicated_config/proposal_queue.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pebblehinge.agreed.state import State, command
+from pebblehinge.replicated_config.state_machine import State, command
 
 MOST_QUEUED = 16  # versions that wait; each holds its text, a frame at most
 WAIT_MS = 2_500.0  # of one of them, less than an operator's command waits for its answer
--- a/pebblehinge/agreed/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -10,16 +10,16 @@
 
 import msgspec
 
-from pebblehinge.agreed.asking import Asking
-from pebblehinge.agreed.bounds import roomy
-from pebblehinge.agreed.granting import Granting
-from pebblehinge.agreed.leases import Leases
-from pebblehinge.agreed.state import State, command
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.raft import Entry, Raft, initial_snapshot
 from pebblehinge.raft.node import Node, NodeCallbacks
 from pebblehinge.raft.storage import Storage
 from pebblehinge.raft.transport import LinkSettings, PeerLink
+from pebblehinge.replicated_config.lease_granting import Granting
+from pebblehinge.replicated_config.leases import Leases
+from pebblehinge.replicated_config.operator_requests import Asking
+from pebblehinge.replicated_config.size_limits import roomy
+from pebblehinge.replicated_config.state_machine import State, command
 from pebblehinge.settings import Config
 from pebblehinge.store.disk import Disk, StorageError
 from pebblehinge.wire import Kind, Session, WireError
--- a/pebblehinge/agreed/state.py
+++ b/pebblehinge/replicated_config/state_machine.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pebblehinge.agreed.reading import read
 from pebblehinge.raft import Entry, EntryKind
+from pebblehinge.replicated_config.version_cache import read
 from pebblehinge.settings import SettingsError
 
 SESSIONS = 1024  # remembered: the one least recently used goes first
--- a/pebblehinge/agreed/taking.py
+++ b/pebblehinge/replicated_config/version_application.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from pebblehinge.agreed.activation import Aside, careful, cut_off, leave
-from pebblehinge.agreed.reading import read, same
+from pebblehinge.replicated_config.activation import Aside, careful, cut_off, leave
+from pebblehinge.replicated_config.version_cache import read, same
 from pebblehinge.settings import Config, SettingsError
 
 
--- a/tests/agreed_document.py
+++ b/tests/agreed_document.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblehinge.agreed.activation import parts_of
+from pebblehinge.replicated_config.activation import parts_of
 from pebblehinge.settings import Config
 
 SMALL = 1e-4  # a volume that a head may send nothing for has a millionth of a unit a second there
--- a/tests/compatibility/exchange.py
+++ b/tests/compatibility/exchange.py
@@ -9,12 +9,12 @@
 import random
 from pathlib import Path
 
-from pebblehinge.agreed.state import State, command
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
 from pebblehinge.raft.codec import decode_message, encode_message
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.ready import ReadState
 from pebblehinge.raft.storage import Storage
+from pebblehinge.replicated_config.state_machine import State, command
 from pebblehinge.store.disk import RealDisk
 
 VERSION = """\
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -13,12 +13,12 @@
 from plain import FIXTURES, native, plain, saved
 from samples import learned, rebuilt
 
-from pebblehinge.agreed.state import State
-from pebblehinge.agreed.taking import KeptVersion, Taking
 from pebblehinge.capture.files import BLOCK, FINALS, START, CaptureError, CaptureWriter, parse_capture
 from pebblehinge.raft import Entry, Snapshot
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.storage import Storage
+from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.version_application import KeptVersion, Taking
 from pebblehinge.settings import SettingsError, load
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk, StorageError
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -20,10 +20,10 @@
 from samples import FRAMES, JOURNAL, KEPT, MEMORY, ROWS, learned, rebuilt
 from test_settings_mark import marks
 
-from pebblehinge.agreed.taking import KeptVersion, Taking
 from pebblehinge.capture.files import CaptureWriter, parse_capture
 from pebblehinge.raft.codec import encode_message
 from pebblehinge.raft.storage import Storage
+from pebblehinge.replicated_config.version_application import KeptVersion, Taking
 from pebblehinge.settings import load
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -11,8 +11,8 @@
 from agreed_document import document
 from agreed_group import Group
 
-from pebblehinge.agreed.feed import Feed
 from pebblehinge.net import Peer
+from pebblehinge.replicated_config.config_watcher import Feed
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -10,11 +10,11 @@
 from agreed_document import SMALL, document, rate
 from agreed_group import Group, on_group
 
-from pebblehinge.agreed.activation import aside_of, careful, cut_off, fits, leave
-from pebblehinge.agreed.state import State
-from pebblehinge.agreed.state import command as packed
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.raft import Entry
+from pebblehinge.replicated_config.activation import aside_of, careful, cut_off, fits, leave
+from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.state_machine import command as packed
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings.load import loads
 
 # ---- arithmetic
--- a/tests/test_agreed_faults.py
+++ b/tests/test_agreed_faults.py
@@ -9,9 +9,9 @@
 from agreed_document import document
 from agreed_group import Group, on_group
 
-from pebblehinge.agreed.server import MemberServer
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
+from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings.load import loads
 
 
--- a/tests/test_agreed_reading.py
+++ b/tests/test_agreed_reading.py
@@ -9,10 +9,10 @@
 from agreed_document import document
 from test_faults_in_memory import STRUCK
 
-from pebblehinge.agreed import Leases, State, Taking, reading
-from pebblehinge.agreed.state import command
 from pebblehinge.lab.village import play
 from pebblehinge.raft import Entry
+from pebblehinge.replicated_config import Leases, State, Taking, version_cache
+from pebblehinge.replicated_config.state_machine import command
 from pebblehinge.settings import Config, SettingsError
 from pebblehinge.settings.load import loads
 
@@ -26,10 +26,10 @@
         names.append(name)
         return loads(text, name)
 
-    monkeypatch.setattr(reading, "loads", counted)
-    reading._held.clear()
+    monkeypatch.setattr(version_cache, "loads", counted)
+    version_cache._held.clear()
     yield names
-    reading._held.clear()
+    version_cache._held.clear()
 
 
 def test_heads_and_instances_of_one_process_read_a_version_once(reads: list[str]) -> None:
@@ -48,13 +48,13 @@
 
 
 def test_few_texts_are_held_and_the_one_least_recently_used_goes(reads: list[str]) -> None:
-    texts = [document(10 + n) for n in range(reading.MOST + 1)]
+    texts = [document(10 + n) for n in range(version_cache.MOST + 1)]
     for n, text in enumerate(texts):
-        reading.read(text, f"{n}")
-        reading.read(texts[0], "again")
-    assert len(reading._held) == reading.MOST
+        version_cache.read(text, f"{n}")
+        version_cache.read(texts[0], "again")
+    assert len(version_cache._held) == version_cache.MOST
     assert reads == [str(n) for n in range(len(texts))]
-    reading.read(texts[1], "gone")
+    version_cache.read(texts[1], "gone")
     assert reads[-1] == "gone"
 
 
@@ -62,7 +62,7 @@
     wrong = document() + "volume w {\n    plan nowhere\n}\n"
     for name in ("proposal", "version 7"):
         with pytest.raises(SettingsError, match=f"{name}:.*plan 'nowhere' is not there"):
-            reading.read(wrong, name)
+            version_cache.read(wrong, name)
     assert reads == ["proposal", "version 7"]
 
 
@@ -71,7 +71,7 @@
     found = []
     for limit in (10, 20):
         Path("plan.conf").write_text(f"plan p {{\n    rate 5/s\n    limit {limit}/s\n    burst 20\n}}\n")
-        found.append(reading.read("include plan.conf\n", "text").plan["p"].limit)
+        found.append(version_cache.read("include plan.conf\n", "text").plan["p"].limit)
     assert found == [10.0, 20.0]
 
 
@@ -80,6 +80,6 @@
     village, known = play(STRUCK, "struck", 3, script=[])
     assert known["faults"] == [] and len(reads) >= 3
     assert {s.state.active for n, s in village.servers.items() if n in STRUCK.member} != {0}
-    assert len(reading._held) >= 2
-    for text, config in reading._held.values():
+    assert len(version_cache._held) >= 2
+    for text, config in version_cache._held.values():
         assert config == loads(text, "anew")
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -12,10 +12,10 @@
 import uvloop
 from test_faults_in_memory import STRUCK
 
-from pebblehinge.agreed.feed import Feed
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import VirtualLoop
+from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import show
 from pebblehinge.store.beside import in_thread, inline
 from pebblehinge.wire import Kind
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -22,7 +22,7 @@
 from capacity_scale import broken, whole  # noqa: E402
 from caps import CAPS  # noqa: E402
 
-from pebblehinge.agreed.state import VERSIONS  # noqa: E402
+from pebblehinge.replicated_config.state_machine import VERSIONS  # noqa: E402
 from pebblehinge.service.door import Door  # noqa: E402
 from pebblehinge.settings.schema import GroupBlock, LimitsBlock  # noqa: E402
 
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -7,10 +7,10 @@
 import pytest
 from test_faults_in_memory import STRUCK, day
 
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.faults.ground_in_memory import AGREED
 from pebblehinge.lab.proposer import broken_word
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import show
 from pebblehinge.settings.load import loads
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -8,10 +8,10 @@
 from agreed_document import document
 from helpers import LOOPBACK
 
-from pebblehinge.agreed.feed import LEADERLESS, Feed
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.lab.village import Quiet
 from pebblehinge.lab.virtual import VirtualLoop
+from pebblehinge.replicated_config.config_watcher import LEADERLESS, Feed
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -12,8 +12,8 @@
 import pytest
 from fleet_rig import Fleet, on_fleet
 
-from pebblehinge.agreed.feed import Feed
-from pebblehinge.agreed.granting import Granting
+from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.lease_granting import Granting
 from pebblehinge.wire import Kind
 
 HEADS = 50
@@ -135,7 +135,7 @@
 def test_where_too_much_waits_heads_keep_their_connections_and_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen with 50 heads on loopback: 1,600 to 4,300 refused a version, each with an empty answer upon which the head
     closed its connection and turned elsewhere."""
-    monkeypatch.setattr("pebblehinge.agreed.renewals.MOST_RENEWALS", 5)
+    monkeypatch.setattr("pebblehinge.replicated_config.renewals.MOST_RENEWALS", 5)
 
     async def script(f: Fleet) -> None:
         f.made.clear()
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -10,9 +10,9 @@
 from agreed_group import Group, on_group
 from fleet_rig import Fleet, on_fleet
 
-from pebblehinge.agreed.proposals import MOST_QUEUED, WAIT_MS, Proposals
-from pebblehinge.agreed.state import State
 from pebblehinge.lab.virtual import VirtualLoop
+from pebblehinge.replicated_config.proposal_queue import MOST_QUEUED, WAIT_MS, Proposals
+from pebblehinge.replicated_config.state_machine import State
 
 
 class Instance:
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblehinge.agreed.renewals import MOST_RENEWALS, Renewal, Renewals
+from pebblehinge.replicated_config.renewals import MOST_RENEWALS, Renewal, Renewals
 
 TICK = 40.0
 
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -17,7 +17,7 @@
 from scale.following import Following, summed  # noqa: E402
 from scale.settings import REAL_HEADS, SHARED, Versions, hollow_names, scale_text  # noqa: E402
 
-from pebblehinge.agreed.activation import parts_of  # noqa: E402
+from pebblehinge.replicated_config.activation import parts_of  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 
 
--- a/tests/test_scale_small.py
+++ b/tests/test_scale_small.py
@@ -20,14 +20,14 @@
 
 import pytest
 
-from pebblehinge.agreed.ask import ask_group
-from pebblehinge.agreed.feed import Feed
-from pebblehinge.agreed.server import MemberServer
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.net import Peer
+from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.operator_client import ask_group
+from pebblehinge.replicated_config.server import MemberServer
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from pebblehinge.agreed.state import State, command
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.raft import Entry, EntryKind
+from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.version_application import Taking
 from pebblehinge.settings import SettingsError, show
 from pebblehinge.settings.load import loads
 
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -10,8 +10,8 @@
 from agreed_group import Group
 from click.testing import CliRunner
 
-from pebblehinge.agreed.bounds import TEXT
 from pebblehinge.cli import main as cli
+from pebblehinge.replicated_config.size_limits import TEXT
 
 LARGE = 1_400_000  # bytes: more than a frame of `limits frame`, half as much again as the coming size
 
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -7,9 +7,9 @@
 from agreed_document import document
 from agreed_group import Group, on_group
 
-from pebblehinge.agreed.state import State
-from pebblehinge.agreed.state import command as packed
 from pebblehinge.raft import Entry
+from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.state_machine import command as packed
 from pebblehinge.wire import Kind
 
 
--- a/tests/test_wide_group.py
+++ b/tests/test_wide_group.py
@@ -9,9 +9,9 @@
 from wide_faults import play
 from wide_world import OverLimit
 
-from pebblehinge.agreed import leases, taking
-from pebblehinge.agreed.activation import careful
-from pebblehinge.agreed.leases import Leases
+from pebblehinge.replicated_config import leases, version_application
+from pebblehinge.replicated_config.activation import careful
+from pebblehinge.replicated_config.leases import Leases
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -25,10 +25,10 @@
 # What holds the sum under the limit: (part of the program, its name, what stands in its place), seed, heads, seconds.
 DEFENCES: dict[str, tuple[list[tuple[Any, str, Any]], int, int, float]] = {
     "the leader waits for leases": ([(Leases, "runs_until", lambda self, head: 0.0)], 2, 12, 6.0),
-    "heads are careful": ([(taking, "careful", lambda old, new, head, floor: old)], 2, 12, 6.0),
+    "heads are careful": ([(version_application, "careful", lambda old, new, head, floor: old)], 2, 12, 6.0),
     "careful heads leave room for those who are away": (
         [
-            (taking, "careful", lambda old, new, head, floor: careful(old, new, head)),
+            (version_application, "careful", lambda old, new, head, floor: careful(old, new, head)),
             (leases, "leaves_room", lambda *_: True),
         ],
         1,
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -13,16 +13,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.agreed.activation import parts_of
-from pebblehinge.agreed.ask import ask_group
-from pebblehinge.agreed.feed import Feed
-from pebblehinge.agreed.reading import read
-from pebblehinge.agreed.server import MemberServer
-from pebblehinge.agreed.taking import Taking
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.proposer import broken_word
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
+from pebblehinge.replicated_config.activation import parts_of
+from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.operator_client import ask_group
+from pebblehinge.replicated_config.server import MemberServer
+from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.version_cache import read
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
