--- a/benchmarks/caps_group.py
+++ b/benchmarks/caps_group.py
@@ -18,15 +18,15 @@
 ASKING, RENEWALS = (f"pebblehinge/replicated_config/{n}.py" for n in ("operator_requests", "renewals"))
 
 
-BIGGEST = constant("pebblehinge.replicated_config.size_limits", "TEXT")
+BIGGEST = constant("pebblehinge.replicated_config.size_limits", "MAX_TEXT_BYTES")
 
 
 GROUP_CAPS = [
     Cap(
         "bytes of a frame of the group",
         BOUNDS,
-        "FRAME = ",
-        constant("pebblehinge.replicated_config.size_limits", "FRAME"),
+        "MAX_FRAME_BYTES = ",
+        constant("pebblehinge.replicated_config.size_limits", "MAX_FRAME_BYTES"),
         "bytes",
         "every frame between instances, heads and operators; `limits frame`, 1 MiB, before",
         grant_bytes(BIGGEST()),
@@ -52,8 +52,8 @@
     Cap(
         "questions that wait",
         ASKING,
-        "MOST_ASKED = ",
-        constant("pebblehinge.replicated_config.operator_requests", "MOST_ASKED"),
+        "MAX_PENDING_REQUESTS = ",
+        constant("pebblehinge.replicated_config.operator_requests", "MAX_PENDING_REQUESTS"),
         "questions",
         "proposals and reads of operators that wait; all renewals of heads are one read among them",
         8,
@@ -77,8 +77,8 @@
     Cap(
         "renewals that wait",
         RENEWALS,
-        "MOST_RENEWALS = ",
-        constant("pebblehinge.replicated_config.renewals", "MOST_RENEWALS"),
+        "MAX_PENDING_RENEWALS = ",
+        constant("pebblehinge.replicated_config.renewals", "MAX_PENDING_RENEWALS"),
         "renewals",
         "of heads that wait for their round, or for their acknowledgement in the log",
         HEADS + 64,
--- a/benchmarks/caps_settings.py
+++ b/benchmarks/caps_settings.py
@@ -110,8 +110,8 @@
     Cap(
         "bytes of a version's text",
         BOUNDS,
-        "TEXT = ",
-        constant("pebblehinge.replicated_config.size_limits", "TEXT"),
+        "MAX_TEXT_BYTES = ",
+        constant("pebblehinge.replicated_config.size_limits", "MAX_TEXT_BYTES"),
         "bytes",
         "a proposal; there was no bound of its own, and one over a frame left the operator with *no instance can be "
         "reached* after 10 s",
--- a/benchmarks/caps_versions.py
+++ b/benchmarks/caps_versions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from caps_points import ENOUGH, NAMED, RAISED, Cap, constant, default, inline
+from caps_points import ENOUGH, NAMED, RAISED, Cap, constant, default
 from caps_settings import SCHEMA, TEXT
 from caps_sizes import (
     COMING_HEADS,
@@ -12,20 +12,20 @@
 
 from pebblehinge.settings.schema import GroupBlock
 
-SERVER, STATE, FEED, LEASES, PROPOSALS = (
+SERVER, STATE, DIALER, LEASES, PROPOSALS = (
     f"pebblehinge/replicated_config/{n}.py"
-    for n in ("server", "state_machine", "config_watcher", "leases", "proposal_queue")
+    for n in ("server", "state_machine", "member_dialer", "leases", "proposal_queue")
 )
 
 
-KEPT = constant("pebblehinge.replicated_config.state_machine", "VERSIONS")
+KEPT = constant("pebblehinge.replicated_config.state_machine", "MAX_VERSIONS")
 
 
 VERSION_CAPS = [
     Cap(
         "versions kept",
         STATE,
-        "VERSIONS = ",
+        "MAX_VERSIONS = ",
         KEPT,
         "versions",
         "the history that `show`, `diff`, `rollback` reach",
@@ -38,8 +38,8 @@
     Cap(
         "sessions kept",
         STATE,
-        "SESSIONS = ",
-        constant("pebblehinge.replicated_config.state_machine", "SESSIONS"),
+        "MAX_SESSIONS = ",
+        constant("pebblehinge.replicated_config.state_machine", "MAX_SESSIONS"),
         "sessions",
         "proposals that are known when they come again",
         VERSIONS_A_DAY,
@@ -51,8 +51,8 @@
     Cap(
         "versions read by a leader",
         LEASES,
-        "for old in sorted(self.configs)",
-        inline(LEASES, r"\[:-(\d+)\]"),
+        "MAX_PARSED_VERSIONS = ",
+        constant("pebblehinge.replicated_config.leases", "MAX_PARSED_VERSIONS"),
         "versions",
         "what heads that are behind act on",
         2,
@@ -77,8 +77,8 @@
     Cap(
         "versions that wait for the pending one",
         PROPOSALS,
-        "MOST_QUEUED = ",
-        constant("pebblehinge.replicated_config.proposal_queue", "MOST_QUEUED"),
+        "MAX_QUEUED_PROPOSALS = ",
+        constant("pebblehinge.replicated_config.proposal_queue", "MAX_QUEUED_PROPOSALS"),
         "versions",
         "proposals that come while a version is pending; they were refused before",
         10,
@@ -89,9 +89,9 @@
     ),
     Cap(
         "time to connect to an instance",
-        FEED,
-        "asyncio.timeout(",
-        inline(FEED, r"asyncio\.timeout\(([0-9.]+)\)"),
+        DIALER,
+        "DIAL_TIMEOUT_S = ",
+        constant("pebblehinge.replicated_config.member_dialer", "DIAL_TIMEOUT_S"),
         "s",
         "a head's try at an instance",
         None,
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -29,11 +29,11 @@
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.raft import Raft  # noqa: E402
-from pebblehinge.replicated_config.config_watcher import Feed  # noqa: E402
+from pebblehinge.replicated_config.commands import CommandResult, ForgetGateway, encode_command  # noqa: E402
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: E402
 from pebblehinge.replicated_config.operator_client import ask_group  # noqa: E402
 from pebblehinge.replicated_config.server import MemberServer  # noqa: E402
-from pebblehinge.replicated_config.state_machine import command  # noqa: E402
-from pebblehinge.replicated_config.version_application import Taking  # noqa: E402
+from pebblehinge.replicated_config.version_application import VersionApplication  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 from pebblehinge.store.disk import RealDisk  # noqa: E402
 
@@ -65,7 +65,7 @@
         sent += 1
         began = time.perf_counter()
 
-        def told(said: str) -> None:
+        def told(result: CommandResult) -> None:
             nonlocal done
             took.append(time.perf_counter() - began)
             done += 1
@@ -74,7 +74,7 @@
             elif done == proposals:
                 finished.set_result(None)
 
-        assert leader.propose(command("forget", f"nobody-{sent}"), told)
+        assert leader.propose(encode_command(ForgetGateway(f"nobody-{sent}")), told)
 
     began = time.perf_counter()
     for _ in range(16):
@@ -135,15 +135,15 @@
     for m in members:
         await m.start()
     acts: dict[str, tuple[str, int]] = {}
-    feeds = []
+    watchers = []
     for name in config.head:
-        taking = Taking(name, config.group.floor)
+        application = VersionApplication(name, config.group.floor)
 
-        def adopt(config: Any, mode: str, name: str = name, taking: Taking = taking) -> None:
-            acts[name] = (mode, taking.active)
+        def adopt(config: Any, mode: str, name: str = name, application: VersionApplication = application) -> None:
+            acts[name] = (mode, application.active)
 
-        feeds.append(Feed(loop, clock, config, taking, adopt, (folder / name).write_bytes, Quiet()))
-        feeds[-1].start()
+        watchers.append(ConfigWatcher(loop, clock, config, application, adopt, (folder / name).write_bytes, Quiet()))
+        watchers[-1].start()
     took = []
     for serial in range(1, 22):
         while not any(m.node.is_leader and has_committed(m.node.raft) for m in members):
@@ -166,8 +166,8 @@
         while set(acts.values()) != {("active", serial)} or len(acts) < heads:
             await asyncio.sleep(0.002)
         took.append(clock() - began)
-    for thing in (*feeds, *members):
-        thing.close() if isinstance(thing, Feed) else thing.stop()
+    for thing in (*watchers, *members):
+        thing.close() if isinstance(thing, ConfigWatcher) else thing.stop()
     await asyncio.sleep(0.1)
     return {"median_ms": float(np.median(took[1:])), "worst_ms": max(took[1:])}
 
--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -20,7 +20,7 @@
 
 from agreed_document import document  # noqa: E402
 
-from pebblehinge.replicated_config.operator_client import ask_group, ask_one  # noqa: E402
+from pebblehinge.replicated_config.operator_client import ask_group, ask_member  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 
 
@@ -88,7 +88,7 @@
         notes = [line.split()[2] for line in history.splitlines()]
         commits = set()
         for _ in range(100):
-            rows = [json.loads((await ask_one(loop, a, "status", {"json": 1}))[1]) for a in addresses]
+            rows = [json.loads((await ask_member(loop, a, "status", {"json": 1}))[1]) for a in addresses]
             commits = {(r["commit"], r["version"]) for r in rows}
             if len(commits) == 1:
                 break
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -14,7 +14,7 @@
 
 from pebblehinge.net import Peer
 from pebblehinge.replicated_config import config_watcher
-from pebblehinge.replicated_config.activation import parts_of
+from pebblehinge.replicated_config.activation import allowances_of
 from pebblehinge.wire import Frames, Kind
 
 KIND_AT = 8  # a frame's kind stands behind its length and its checksum
@@ -45,7 +45,7 @@
         self.pending: list[str] = []
 
     def lay(self) -> None:
-        """Under connections, feeds and loop; after what the laboratory lays."""
+        """Under connections, watchers and loop; after what the laboratory lays."""
         if self.frames:
             self._under_frames()
         self._under_feeds()
@@ -81,18 +81,18 @@
     def _under_feeds(self) -> None:
         counting = self
 
-        class NotedFeed(config_watcher.Feed):
+        class NotedFeed(config_watcher.ConfigWatcher):
             """Tells of each change of what the head acts on."""
 
-            def __init__(self, loop: Any, clock: Any, config: Any, taking: Any, adopt: Any, *more: Any) -> None:
+            def __init__(self, loop: Any, clock: Any, config: Any, application: Any, adopt: Any, *more: Any) -> None:
                 def noted(new: Any, mode: str) -> None:
-                    part = parts_of(new, taking.head).get(counting.shared, (0.0, 0.0))[0]
-                    counting.note(head=taking.head, version=taking.active, mode=mode, part=part)
+                    part = allowances_of(new, application.gateway).get(counting.shared, (0.0, 0.0))[0]
+                    counting.note(head=application.gateway, version=application.active, mode=mode, part=part)
                     adopt(new, mode)
 
-                super().__init__(loop, clock, config, taking, noted, *more)
+                super().__init__(loop, clock, config, application, noted, *more)
 
-        config_watcher.Feed = NotedFeed  # type: ignore[misc]
+        config_watcher.ConfigWatcher = NotedFeed  # type: ignore[misc]
 
     def note(self, **values: Any) -> None:
         self.pending.append(json.dumps({"t": round(self.monotonic(), 4), **values}))
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -28,29 +28,31 @@
 
 
 class HollowHead:
-    """One head: what it acts on is noted by its feed, the list's shelfs are kept by name."""
+    """One head: what it acts on is noted by its watcher, the list's shelfs are kept by name."""
 
     def __init__(self, loop: Any, config: Config, name: str, given: dict[str, Any]) -> None:
         self.loop, self.config, self.name, self.given, self.seed = loop, config, name, given, given["seed"]
         self.kept = b""
         self.ready: set[str] = set()
         self.lives = self.wholes = 0
-        self.feed: Any = None
+        self.watcher: Any = None
         self.listing: ListingLink | None = None
         self.attempts: Attempts | None = None
 
     def begin(self) -> None:
         """Starts as a process would: on the last version that it kept, without a lease."""
-        from pebblehinge.replicated_config.config_watcher import Feed
+        from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 
         self.lives += 1
         floor, clock = self.config.group.floor, clock_of(self.loop)
-        pending = (
-            version_application.Taking.restore(self.name, floor, self.kept)
+        application = (
+            version_application.VersionApplication.restore(self.name, floor, self.kept)
             if self.kept
-            else version_application.Taking(self.name, floor)
+            else version_application.VersionApplication(self.name, floor)
+        )
+        self.watcher = ConfigWatcher(
+            self.loop, clock, self.config, application, lambda new, mode: None, self._keep, Quiet()
         )
-        self.feed = Feed(self.loop, clock, self.config, pending, lambda new, mode: None, self._keep, Quiet())
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
         self.listing = ListingLink(
             self.loop,
@@ -64,12 +66,12 @@
         )
         spread, rate = self.given["spread"], self.given["trips"]
         self.attempts = Attempts(self.loop, clock, self.name, self.config.limits, rng, spread, rate)
-        self.feed.start()
+        self.watcher.start()
         self.listing.start()
 
     def kill(self) -> None:
         """As SIGKILL: sockets are reset, nothing is told."""
-        for link in (self.feed, self.listing):
+        for link in (self.watcher, self.listing):
             if link is not None:
                 link.closed = True
                 if link.wire is not None:
@@ -77,7 +79,7 @@
                 link.close()
         if self.attempts is not None:
             self.attempts.close()
-        self.feed = self.listing = self.attempts = None
+        self.watcher = self.listing = self.attempts = None
         self.ready.clear()
 
     def _keep(self, data: bytes) -> None:
--- a/benchmarks/scale/waiting.py
+++ b/benchmarks/scale/waiting.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from pebblehinge.replicated_config.operator_client import ask_group, ask_one
+from pebblehinge.replicated_config.operator_client import ask_group, ask_member
 from scale.settings import LIMIT
 
 LOOK_S = 0.05
@@ -61,7 +61,7 @@
     async def find_leader(self) -> str:
         for address in self.members:
             try:
-                _, text, _ = await ask_one(self.loop, address, "status", {"json": 1})
+                _, text, _ = await ask_member(self.loop, address, "status", {"json": 1})
                 leader = json.loads(text)["leader"]
                 if leader:
                     return str(leader)
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -14,7 +14,9 @@
 from pebblehinge.head import HeadServer
 from pebblehinge.raft import Entry, EntryKind, initial_snapshot
 from pebblehinge.raft.storage import Storage
-from pebblehinge.replicated_config.state_machine import State, Version, command
+from pebblehinge.replicated_config.commands import Acknowledge, encode_command
+from pebblehinge.replicated_config.snapshot import Version
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.store.disk import RealDisk
@@ -64,16 +66,16 @@
     return head
 
 
-def state_of(heads: int, kept: int) -> State:
+def state_of(heads: int, kept: int) -> ConfigState:
     """A state after so many versions, the last of which all heads took up. The texts go in without being read, since
     reading one is a slope of its own."""
-    state = State()
+    state = ConfigState()
     for number in range(1, kept + 1):
         body = text(heads, VOLUMES, 100 + number % 50)
         state.versions[number] = Version(number, body, "someone", "a note of a few words")
         state.active = number
     for n in range(heads):
-        assert state.apply(Entry(1, n + 1, EntryKind.DATA, command("acknowledge", f"h{n}", kept))) == ""
+        assert state.apply(Entry(1, n + 1, EntryKind.DATA, encode_command(Acknowledge(f"h{n}", kept)))).ok
     return state
 
 
@@ -90,7 +92,7 @@
                 {"heads": heads, "versions": kept, "along": along},
                 snapshot_bytes=len(data),
                 dump_ms=least_ms(held.dump, 5),
-                restore_ms=least_ms(lambda d=data: State.restore(d), 5),
+                restore_ms=least_ms(lambda d=data: ConfigState.restore(d), 5),
                 memory_bytes=kept_by(lambda h=heads, v=kept: state_of(h, v)),
             )
         )
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -13,8 +13,9 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.head import HeadServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.replicated_config.activation import careful
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.activation import transitional
+from pebblehinge.replicated_config.application_types import Grant
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind, encode
@@ -76,11 +77,11 @@
     return found
 
 
-def pending(old: str, new: str) -> Taking:
+def pending(old: str, new: str) -> VersionApplication:
     """A head between two versions: one active, one pending."""
-    taking = Taking("h1", 0.25)
-    taking.answered(taking.asked(0.0), 3000.0, 1, old, 2, new, {})
-    return taking
+    application = VersionApplication("h1", 0.25)
+    application.apply_grant(Grant(application.begin_renewal(0.0), 3000.0, 1, old, 2, new, {}))
+    return application
 
 
 class Handle:
@@ -112,17 +113,17 @@
 def version(heads: int, volumes: int) -> dict[str, Any]:
     old, new = text(heads, volumes), text(heads, volumes, 90)
     one, other = loads(old), loads(new)
-    half, head = careful(one, other, "h1"), head_of(one)
+    half, head = transitional(one, other, "h1"), head_of(one)
     turns = itertools.cycle((half, one))  # settings that are as they were are not taken up anew
     grant = (1, 3000.0, 1, old, 2, new, {}, "")
     return {
         "text_bytes": len(old),
         "read_ms": least_ms(lambda: loads(old)),
-        "careful_ms": least_ms(lambda: careful(one, other, "h1")),
+        "careful_ms": least_ms(lambda: transitional(one, other, "h1")),
         "take_up_ms": least_ms(lambda: head.adopt(next(turns))),
         "kept_bytes": kept_by(lambda: pending(old, new)),
         "one_config_bytes": kept_by(lambda: loads(old)),
-        "careful_bytes": kept_by(lambda: careful(one, other, "h1")),
+        "careful_bytes": kept_by(lambda: transitional(one, other, "h1")),
         "grant_both_ms": least_ms(lambda: encode(Kind.GRANT, *grant)),
     }
 
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -33,10 +33,10 @@
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
-from pebblehinge.replicated_config.config_watcher import Feed  # noqa: E402
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: E402
 from pebblehinge.replicated_config.operator_client import ask_group  # noqa: E402
 from pebblehinge.replicated_config.server import MemberServer  # noqa: E402
-from pebblehinge.replicated_config.version_application import Taking  # noqa: E402
+from pebblehinge.replicated_config.version_application import VersionApplication  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 from pebblehinge.store.disk import RealDisk  # noqa: E402
 from pebblehinge.wire import Kind  # noqa: E402
@@ -48,22 +48,22 @@
 def counting() -> Iterator[Counter[str]]:
     """What connections send meanwhile, by kind; "made" are connections of heads."""
     found: Counter[str] = Counter()
-    send, opened = Peer.send, Feed.opened
+    send, opened = Peer.send, ConfigWatcher.on_connected
 
     def counted(self: Peer, kind: Kind, *values: Any) -> None:
         if kind in COUNTED:
             found[kind.name.lower()] += 1
         send(self, kind, *values)
 
-    def made(self: Feed, wire: Any) -> None:
+    def made(self: ConfigWatcher, wire: Any) -> None:
         found["made"] += 1
         opened(self, wire)
 
-    Peer.send, Feed.opened = counted, made  # type: ignore[method-assign]
+    Peer.send, ConfigWatcher.on_connected = counted, made  # type: ignore[method-assign]
     try:
         yield found
     finally:
-        Peer.send, Feed.opened = send, opened  # type: ignore[method-assign]
+        Peer.send, ConfigWatcher.on_connected = send, opened  # type: ignore[method-assign]
 
 
 class Spread:
@@ -179,15 +179,17 @@
             await asyncio.sleep(0.02)
         ok, said = await propose(1)
         assert ok, said
-        feeds = []
+        watchers = []
         for name in config.head:
-            taking = Taking(name, config.group.floor)
+            application = VersionApplication(name, config.group.floor)
 
-            def adopt(new: Any, mode: str, name: str = name, taking: Taking = taking) -> None:
-                acts[name] = (mode, taking.active)
+            def adopt(new: Any, mode: str, name: str = name, application: VersionApplication = application) -> None:
+                acts[name] = (mode, application.active)
 
-            feeds.append(Feed(loop, clock, config, taking, adopt, (folder / name).write_bytes, Quiet()))
-            feeds[-1].start()
+            watchers.append(
+                ConfigWatcher(loop, clock, config, application, adopt, (folder / name).write_bytes, Quiet())
+            )
+            watchers[-1].start()
 
         def active(number: int) -> int:
             return sum(v == ("active", number) for v in acts.values())
@@ -200,8 +202,8 @@
             heads, clock, active, lambda: max(m.node.raft.log.last_index for m in servers), propose, within_s, found
         )
         points = await spread.play(versions, pause_s)
-        for thing in (*feeds, *servers):
-            thing.close() if isinstance(thing, Feed) else thing.stop()
+        for thing in (*watchers, *servers):
+            thing.close() if isinstance(thing, ConfigWatcher) else thing.stop()
         await asyncio.sleep(0.1)
         return points
 
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -114,12 +114,15 @@
 @click.pass_obj
 def propose(config: Config, file: str, base: int | None, note: str) -> None:
     """Propose FILE as the next version; refused where another came since BASE."""
-    from pebblehinge.replicated_config.size_limits import too_large
+    from pebblehinge.replicated_config.errors import VersionTooLargeError
+    from pebblehinge.replicated_config.size_limits import check_text_size
 
     read_settings(file)
     text = flat(file)
-    if refused := too_large(text):
-        give_up(f"{file}: {refused}")
+    try:
+        check_text_size(text)
+    except VersionTooLargeError as error:
+        give_up(f"{file}: {error}")
     if base is None:
         lines = ask(config, "history").splitlines()
         base = 0 if lines[-1].startswith("no ") else int(lines[-1].split()[0])
@@ -190,13 +193,13 @@
 @click.pass_obj
 def status(config: Config, as_json: bool) -> None:
     """What each instance says of itself."""
-    from pebblehinge.replicated_config.operator_client import ask_one
+    from pebblehinge.replicated_config.operator_client import ask_member
 
     async def main(loop: asyncio.AbstractEventLoop) -> int:
         found = 0
         for name, block in config.member.items():
             try:
-                _, text, _ = await ask_one(loop, block.listen, "status", {"json": 1} if as_json else {})
+                _, text, _ = await ask_member(loop, block.listen, "status", {"json": 1} if as_json else {})
                 found += 1
             except (OSError, TimeoutError) as error:
                 text = f"{name}: can't be reached ({describe(error) or 'no answer'})"
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -152,10 +152,10 @@
 
     until_told(loop, stop)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    feed = None
+    watcher = None
     if config.member:
-        feed = feed_of(loop, config, name, server, agreed, log)
-        feed.start()
+        watcher = feed_of(loop, config, name, server, agreed, log)
+        watcher.start()
     console = None
     if server.block.console is not None:
         console = Console(server, server.block.console, server.block.console_token)
@@ -168,8 +168,8 @@
     notifier.ready(f"{name} serves {server.block.listen}")
     log.info("serving", listen=server.block.listen, metrics=server.block.metrics, version=__version__)
     await server.stopped
-    if feed is not None:
-        feed.close()
+    if watcher is not None:
+        watcher.close()
     if console is not None:
         await console.stop()
     notifier.close()
@@ -184,18 +184,18 @@
 def feed_of(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any, kept: str | None, log: Any) -> Any:
     """A head's way to the group. Until the group has told it a version, the file's own settings are in force, under
     the floor that holds for a head without a lease."""
-    from pebblehinge.replicated_config import Taking
+    from pebblehinge.replicated_config import VersionApplication
     from pebblehinge.replicated_config.activation import cut_off
-    from pebblehinge.replicated_config.config_watcher import Feed
+    from pebblehinge.replicated_config.config_watcher import ConfigWatcher
     from pebblehinge.store.beside import in_thread
     from pebblehinge.store.disk import RealDisk
 
     floor = config.group.floor
-    taking = Taking(name, floor)
+    application = VersionApplication(name, floor)
     path = Path(kept) if kept else None
     if path is not None and path.is_file():
         try:
-            taking = Taking.restore(name, floor, path.read_bytes())
+            application = VersionApplication.restore(name, floor, path.read_bytes())
         except (OSError, ValueError) as error:
             give_up(f"head {name}: {path} can't be used ({describe(error)}); without it the head begins anew")
 
@@ -204,8 +204,8 @@
             RealDisk(path.parent).replace(path.name, data)
 
     def adopt(new: Config, mode: str) -> None:
-        server.version_shown = {"version": taking.active, "pending": taking.pending, "mode": mode}
+        server.version_shown = {"version": application.active, "pending": application.pending, "mode": mode}
         server.adopt(new)
 
     server.adopt(cut_off(config, floor))
-    return Feed(loop, clock_of(loop), config, taking, adopt, keep, log, in_thread(loop))
+    return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, in_thread(loop))
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -11,9 +11,9 @@
 from pebblehinge.lab.faults.player import OnFleet
 from pebblehinge.lab.faults.ways import Held
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.replicated_config import Taking
+from pebblehinge.replicated_config import VersionApplication
 from pebblehinge.replicated_config.activation import cut_off
-from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.settings import Config
 from pebblehinge.store.beside import Beside, Done, inline
 
@@ -34,25 +34,25 @@
     disk: FaultyDisk,
     log: Any,
     beside: Beside,
-) -> Feed:
+) -> ConfigWatcher:
     """A head's way to the group, as the command line makes it."""
     floor = config.group.floor
-    taking = Taking(name, floor)
+    application = VersionApplication(name, floor)
     if disk.exists(AGREED):
-        taking = Taking.restore(name, floor, disk.read(AGREED))
+        application = VersionApplication.restore(name, floor, disk.read(AGREED))
     head.adopt(cut_off(config, floor))
-    feed = Feed(
+    watcher = ConfigWatcher(
         node,
         clock,
         config,
-        taking,
+        application,
         lambda new, mode: head.adopt(new),
         lambda data: disk.replace(AGREED, data),
         log,
         beside,
     )
-    feed.start()
-    return feed
+    watcher.start()
+    return watcher
 
 
 class Fleet(Protocol):
--- a/pebblehinge/replicated_config/__init__.py
+++ b/pebblehinge/replicated_config/__init__.py
@@ -1,14 +1,17 @@
-"""Configuration that a few instances agree on, and how heads take up a version so that a plan's limit holds meanwhile.
+"""Configuration that a few members agree on, and how gateways apply a version so that a plan's limit always holds.
 
-`state` is the replicated state machine, `activation` the arithmetic of limits between versions, `leases` what a
-leader knows of heads, `renewals` when it asks the majority, proposes and answers, `taking` what a head makes of what
-it is told, `reading` reads a version's text once a process: none of these has I/O or a clock. `server` is an instance
-on sockets, `granting` its side of heads, `asking` and `proposals` that of operators, `feed` a head's way to the group,
-`ask` the operator's.
+`state_machine` is the replicated state machine, with its `commands` and its `snapshot`; `activation` the arithmetic of
+limits between versions, `leases` what a leader knows of gateways, `renewals` when it asks the majority, proposes and
+answers, `version_application` what a gateway makes of its grants, `version_cache` parses a version's text once a
+process: none of these has I/O or a clock.
+
+`server` is a member on sockets: `member_connection` reads frames, `lease_granting` answers gateways,
+`operator_requests` operators, with `proposal_queue`, `membership_requests` and `status`. `config_watcher` is a
+gateway's way to the group, with `member_dialer` and `config_publisher`; `operator_client` the operator's.
 """
 
 from pebblehinge.replicated_config.leases import Leases
-from pebblehinge.replicated_config.state_machine import State
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.version_application import VersionApplication
 
-__all__ = ["Leases", "State", "Taking"]
+__all__ = ["ConfigState", "Leases", "VersionApplication"]
--- a/pebblehinge/replicated_config/activation.py
+++ b/pebblehinge/replicated_config/activation.py
@@ -1,124 +1,143 @@
-"""Limits between versions. Pure arithmetic: what a head may send for a volume, whichever version others act on.
-
-A head's part of a volume's limit is rate / heads and (burst + slack) / heads. Three modes keep the sum of all heads'
-parts at or under the limit at every moment:
-
-- *careful* (between N and N+1): each volume's part is the smaller of N's and N+1's less the floor's share. That share
-  is left for heads that may be cut off on an older version (`leaves_room`): what is set aside for them is heard of
-  with N+1 itself, and until then all who are careful act without it. A head is careful from the time that it has
-  acknowledged N+1 until it hears that N+1 is active.
-- *cut off* (no lease): a stated share, the floor, of its part of the last version it knows. Whoever may be cut off
-  is counted for so much.
-- *active*: the version as it stands, less what is set aside for heads that are cut off.
+"""Limits between versions. Pure arithmetic: what a gateway may send for a volume, whichever version others act on.
+
+A gateway's allowance of a volume's limit is rate / heads and (burst + slack) / heads. Three modes keep the sum of all
+gateways' allowances at or under the limit at every moment:
+
+- *transitional* (between N and N+1): each allowance is the smaller of N's and N+1's less the floor's share. That share
+  is left for gateways that may be unreachable on an older version (`leaves_capacity`): what is reserved for them comes
+  with N+1 itself, and until then all transitional gateways act without it. A gateway is transitional from the time
+  that it has acknowledged N+1 until it hears that N+1 is active.
+- *cut off* (no lease): a stated share, the floor, of its allowance in the last version that it knows. Whoever may be
+  cut off is counted for so much.
+- *active*: the version as it stands, less what is reserved for unreachable gateways.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import NamedTuple
+
 import msgspec
 
+from pebblehinge.replicated_config.commands import Reservations
 from pebblehinge.settings import Config
 from pebblehinge.settings.policy import PlanBlock, VolumeBlock
 
-Parts = dict[str, tuple[float, float]]  # volume -> rate and burst of one head
+MIN_RATE = 1e-6  # units a second; a volume with a rate of 0 would have no limit at all
+
+
+class Allowance(NamedTuple):
+    """Units a second, and units at once. Sent and stored as an array."""
+
+    rate: float
+    burst: float
+
+
+class UnreachableGateway(NamedTuple):
+    """A gateway whose lease has run out, and the last version that it acknowledged."""
 
+    name: str
+    config: Config
 
-def parts_of(config: Config, head: str) -> Parts:
-    """What one head may send for each volume with a limit; nothing for volumes that do not come through it."""
-    found: Parts = {}
+
+NOTHING = Allowance(0.0, 0.0)
+
+
+def allowances_of(config: Config, gateway: str) -> dict[str, Allowance]:
+    """What one gateway may send, by volume with a limit; nothing for volumes that do not come through it."""
+    found: dict[str, Allowance] = {}
     for name, volume in config.volume.items():
         plan = config.plan[volume.plan]
-        if plan.limit:
-            if volume.through and head not in volume.through:
-                found[name] = (0.0, 0.0)
-            else:
-                found[name] = (plan.limit / volume.heads, (plan.burst + plan.slack) / volume.heads)
+        if not plan.limit:
+            continue
+        if volume.through and gateway not in volume.through:
+            found[name] = NOTHING
+        else:
+            found[name] = Allowance(plan.limit / volume.heads, (plan.burst + plan.slack) / volume.heads)
     return found
 
 
-def careful(old: Config, new: Config, head: str, floor: float = 0.0) -> Config:
-    """The old version, with each volume's part no greater than the new one's less the floor's share. What only the new
-    one limits is limited already; what is gone in the new one keeps the old figures until it is gone."""
-    now, left = parts_of(old, head), 1.0 - floor
-    then = {name: (rate * left, burst * left) for name, (rate, burst) in parts_of(new, head).items()}
+def transitional(old: Config, new: Config, gateway: str, floor: float = 0.0) -> Config:
+    """The old version, with each allowance no greater than the new one's less the floor's share.
+
+    What only the new one limits is limited already; what is gone in the new one keeps the old figures until it is gone.
+    """
+    share = 1.0 - floor
+    old_allowances = allowances_of(old, gateway)
+    new_allowances = {
+        volume: Allowance(rate * share, burst * share) for volume, (rate, burst) in allowances_of(new, gateway).items()
+    }
     plans: dict[str, PlanBlock] = dict(old.plan)
     volumes: dict[str, VolumeBlock] = {}
     for name, volume in old.volume.items():
-        old_part, new_part = now.get(name), then.get(name)
-        if new_part is None and (name not in new.volume or old_part is None or not _unlimited(new, name)):
-            if old_part is None:
-                volumes[name] = volume
-                continue
-            new_part = old_part
-        if old_part is None and new_part is not None:
-            part = new_part
-        elif new_part is None:
-            part = old_part
-        else:
-            part = (min(old_part[0], new_part[0]), min(old_part[1], new_part[1]))
-        assert part is not None
-        volumes[name], plan = _with_part(volume, old.plan[volume.plan], part)
+        allowance = _smaller(old_allowances.get(name), new_allowances.get(name))
+        if allowance is None:
+            volumes[name] = volume
+            continue
+        volumes[name], plan = _with_allowance(volume, old.plan[volume.plan], allowance)
         plans[volumes[name].plan] = plan
     return msgspec.structs.replace(old, plan=plans, volume=volumes)
 
 
-def _unlimited(config: Config, volume: str) -> bool:
-    block = config.volume.get(volume)
-    return block is not None and not config.plan[block.plan].limit
+def _smaller(old: Allowance | None, new: Allowance | None) -> Allowance | None:
+    """None for no limit in either."""
+    if old is None or new is None:
+        return new if old is None else old
+    return Allowance(min(old.rate, new.rate), min(old.burst, new.burst))
 
 
-def _with_part(volume: VolumeBlock, plan: PlanBlock, part: tuple[float, float]) -> tuple[VolumeBlock, PlanBlock]:
-    """A plan of this volume's own whose part for one head is exactly so much."""
-    rate, burst = part
+def _with_allowance(volume: VolumeBlock, plan: PlanBlock, allowance: Allowance) -> tuple[VolumeBlock, PlanBlock]:
+    """The volume under a plan of its own, by which one gateway's allowance is exactly this."""
+    rate, burst = allowance
     heads = volume.heads
     name = f"{volume.plan}~{rate:g}~{burst:g}~{heads}"
-    # The module gives a volume without a rate no limit at all: a part of nothing is the smallest one instead.
-    own = msgspec.structs.replace(plan, limit=max(rate, 1e-6) * heads, burst=max(0.0, burst * heads), slack=0.0)
+    own = msgspec.structs.replace(plan, limit=max(rate, MIN_RATE) * heads, burst=max(0.0, burst * heads), slack=0.0)
     return msgspec.structs.replace(volume, plan=name), own
 
 
 def cut_off(config: Config, floor: float) -> Config:
-    """What a head without a lease acts on: the floor's share of every limit."""
-    plans = {
-        name: msgspec.structs.replace(p, limit=p.limit * floor, burst=p.burst * floor, slack=p.slack * floor)
-        if p.limit
-        else p
-        for name, p in config.plan.items()
-    }
+    """What a gateway without a lease acts on: the floor's share of every limit."""
+    plans = dict(config.plan)
+    for name, plan in config.plan.items():
+        if plan.limit:
+            plans[name] = msgspec.structs.replace(
+                plan, limit=plan.limit * floor, burst=plan.burst * floor, slack=plan.slack * floor
+            )
     return msgspec.structs.replace(config, plan=plans)
 
 
-Aside = dict[str, tuple[float, float]]  # volume -> rate and burst set aside, over all heads that may be cut off
-
-
-def aside_of(missing: list[tuple[str, Config]], floor: float) -> Aside:
-    """What heads that may be cut off could still send, each by the last version that it acknowledged."""
-    found: dict[str, tuple[float, float]] = {}
-    for head, config in missing:
-        for volume, (rate, burst) in parts_of(config, head).items():
-            have = found.get(volume, (0.0, 0.0))
-            found[volume] = (have[0] + rate * floor, have[1] + burst * floor)
-    return dict(sorted(found.items()))
+def reserved_for(unreachable: Sequence[UnreachableGateway], floor: float) -> Reservations:
+    """What unreachable gateways could still send by volume, each by the last version that it acknowledged."""
+    total: Reservations = {}
+    for gateway, config in unreachable:
+        for volume, (rate, burst) in allowances_of(config, gateway).items():
+            before = total.get(volume, NOTHING)
+            total[volume] = Allowance(before[0] + rate * floor, before[1] + burst * floor)
+    return dict(sorted(total.items()))
 
 
-def leave(config: Config, aside: Aside) -> Config:
-    """The active version, less what is set aside."""
-    if not aside:
+def less_reserved(config: Config, reserved: Reservations) -> Config:
+    """The active version, less what is reserved."""
+    if not reserved:
         return config
-    plans, volumes = dict(config.plan), dict(config.volume)
-    for name, (rate, burst) in aside.items():
+    plans = dict(config.plan)
+    volumes = dict(config.volume)
+    for name, (rate, burst) in reserved.items():
         volume = config.volume.get(name)
         plan = config.plan[volume.plan] if volume is not None else None
         if volume is None or plan is None or not plan.limit or (rate == 0 and burst == 0):
             continue
-        part = (max(0.0, plan.limit - rate) / volume.heads, max(0.0, plan.burst + plan.slack - burst) / volume.heads)
-        volumes[name], own = _with_part(volume, plan, part)
+        allowance = Allowance(
+            max(0.0, plan.limit - rate) / volume.heads, max(0.0, plan.burst + plan.slack - burst) / volume.heads
+        )
+        volumes[name], own = _with_allowance(volume, plan, allowance)
         plans[volumes[name].plan] = own
     return msgspec.structs.replace(config, plan=plans, volume=volumes)
 
 
-def fits(config: Config, aside: Aside) -> str | None:
-    """Why a version can't be active while so much is set aside, or None."""
-    for name, (rate, burst) in aside.items():
+def find_conflict(config: Config, reserved: Reservations) -> str | None:
+    """Why a version can't be active while so much is reserved, or None."""
+    for name, (rate, burst) in reserved.items():
         volume = config.volume.get(name)
         if volume is None:
             if rate > 0:
@@ -133,15 +152,19 @@
     return None
 
 
-def leaves_room(config: Config, aside: Aside, floor: float, away: list[str]) -> bool:
-    """Whether a version may be active with so much set aside though nobody has heard of that yet: heads that are
-    careful act on its parts less the floor's share, and those that are away on none of it."""
-    for name, (rate, burst) in aside.items():
+def leaves_capacity(config: Config, reserved: Reservations, floor: float, unreachable: Sequence[str]) -> bool:
+    """Whether a version may be active with so much reserved though no gateway has heard of that yet.
+
+    Transitional gateways act on its allowances less the floor's share, and unreachable ones on none of it.
+    """
+    for name, (rate, burst) in reserved.items():
         volume = config.volume.get(name)
-        if volume is None or not (plan := config.plan[volume.plan]).limit:
+        plan = config.plan[volume.plan] if volume is not None else None
+        if volume is None or plan is None or not plan.limit:
             continue
-        unused = sum(head in volume.through for head in away) / volume.heads  # who may send is known by name alone
-        room = floor + (1.0 - floor) * min(1.0, unused)
-        if rate > plan.limit * room or burst > (plan.burst + plan.slack) * room:
+        # Who may send is known by name alone.
+        unused = sum(gateway in volume.through for gateway in unreachable) / volume.heads
+        capacity = floor + (1.0 - floor) * min(1.0, unused)
+        if rate > plan.limit * capacity or burst > (plan.burst + plan.slack) * capacity:
             return False
     return True
--- a/pebblehinge/replicated_config/config_watcher.py
+++ b/pebblehinge/replicated_config/config_watcher.py
@@ -1,257 +1,231 @@
-"""A head's way to the group: asks for its lease at whichever instance leads, and hands on what it must act on."""
+"""A gateway's way to the group: renews its lease with whichever member leads, and applies what is granted.
+
+At most one renewal is out, and one timer runs beside the heartbeat; what comes up meanwhile makes one more renewal.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
 from collections.abc import Callable
-from typing import Any
 
-from pebblehinge.net import Peer, dial
-from pebblehinge.replicated_config.size_limits import roomy
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.application_types import Grant, Rejection
+from pebblehinge.replicated_config.config_publisher import Adopt, ConfigPublisher, Log, Persist
+from pebblehinge.replicated_config.member_dialer import MemberConnection, MemberDialer
+from pebblehinge.replicated_config.size_limits import with_group_frames
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
 from pebblehinge.store.beside import Beside, inline
-from pebblehinge.wire import Kind, Session
-
-LEADERLESS = 3  # answers without a leader before another instance is tried
-
-
-class _Wire(Peer):
-    FRAMES = frozenset({Kind.GRANT, Kind.NEWS})
-
-    def __init__(self, feed: Feed, session: Session, address: str) -> None:
-        super().__init__(feed.loop, session, feed.limits.stall)
-        self.feed, self.address = feed, address
-
-    def ready(self) -> None:
-        self.feed.opened(self)
-
-    def gone(self, exc: Exception | None) -> None:
-        self.feed.lost(self)
+from pebblehinge.wire import Kind
 
-    def on_news(self, changed: int) -> None:
-        self.feed.want()  # by its own versions: whatever it missed meanwhile comes with the answer
+MAX_LEADERLESS_GRANTS = 3  # before another member is tried
+SILENT_HEARTBEATS = 3  # without any answer, before another member is tried
+NO_REJECTION = Rejection(0, "")
+NEVER = float("-inf")
 
-    def on_grant(self, *values: Any) -> None:
-        self.feed.granted(*values)
 
-
-class Feed:
-    """At most one renewal is out, and one timer runs beside the beat; what comes up meanwhile makes one more renewal.
-
-    `adopt(config, mode)` is called whenever what the head is to act on has changed; `keep(bytes)` before it
-    acknowledges anything, so that a restart knows the last version; where it raises OSError, nothing is taken up.
-    `beside` does it without holding the loop."""
+class ConfigWatcher:
+    """Renews at each heartbeat, at each watch event, and as something was applied."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
         config: Config,
-        taking: Taking,
-        adopt: Callable[[Config, str], None],
-        keep: Callable[[bytes], None],
-        log: Any,
+        application: VersionApplication,
+        adopt: Adopt,
+        persist: Persist,
+        log: Log,
         beside: Beside = inline,
     ) -> None:
-        self.loop, self.clock, self.limits, self.group = loop, clock, roomy(config).limits, config.group
-        self.members = [block.listen for block in config.member.values()]
-        self.taking, self.adopt, self.keep, self.log = taking, adopt, keep, log
-        self.wire: _Wire | None = None
-        self.task: asyncio.Task | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.expiry: asyncio.TimerHandle | None = None
-        self.next_member = 0
-        self.wanted = ""  # an address that was named as the leader's
-        self.answered_ms = 0.0
-        self.shown: tuple[int, int, str, str] | None = None
+        """One gateway's.
+
+        Args:
+            loop: runs timers and connections.
+            clock: milliseconds.
+            config: names the members, and how the group keeps time.
+            application: the gateway's versions, as of its last life.
+            adopt: called with settings and mode whenever what the gateway is to act on has changed.
+            persist: called before anything is acknowledged, so that a restart knows the last version. If it raises
+                OSError, nothing is applied.
+            log: hears of versions and of faults.
+            beside: calls `persist` without holding the loop.
+        """
+        self.loop = loop
+        self.clock = clock
+        self.group = config.group
+        self.application = application
+        self.publisher = ConfigPublisher(
+            loop, clock, application, adopt, persist, log, beside, on_committed=self._on_committed
+        )
+        addresses = [block.listen for block in config.member.values()]
+        limits = with_group_frames(config).limits
+        self.dialer = MemberDialer(loop, application.gateway, addresses, limits, self)
+        self.rng = random.Random(application.gateway)  # spreads gateways that come back together
+        self.connection: MemberConnection | None = None
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
+        self.delayed: asyncio.TimerHandle | None = None  # a renewal or connection after a pause
         self.closed = False
-        self.beside = beside
-        self.rng = random.Random(taking.head)  # spreads heads that come back together
-        self.out = 0  # token of the renewal that is out
-        self.wanted_again = False  # something came up since it left
-        self.asked_ms, self.told = float("-inf"), -1  # when it left, and what it acknowledged
-        self.later: asyncio.TimerHandle | None = None
-        self.pause = self.group.tick  # before the next one where the group has not got on
-        self.leaderless = 0
-        self.keeping, self.unkept = False, ""  # an answer is on its way to the disk; why the last could not be kept
-        self.missed = False  # another answer came meanwhile
+        self.answered_ms = 0.0
+        self.sent_ms = NEVER  # when the last renewal left
+        self.sent_acknowledged = -1  # what it acknowledged
+        self.token_in_flight = 0  # of the renewal that is out
+        self.renew_again = False  # something came up since it left
+        self.backoff_ms = self.group.tick  # before the next one if the group has not got on
+        self.leaderless_grants = 0
 
     def start(self) -> None:
+        """Publishes what is known, and connects."""
         self.answered_ms = self.clock()
-        self._show()
-        self._beat()
+        self.publisher.publish()
+        self._heartbeat()
 
     def close(self) -> None:
+        """Stops for good."""
         self.closed = True
-        for handle in (self.task, self.timer, self.expiry, self.later):
-            if handle is not None:
-                handle.cancel()
-        if self.wire is not None:
-            self.wire.close()
-
-    def _beat(self) -> None:
-        renew, now = self.group.renew, self.clock()
-        self.timer = self.loop.call_later(renew / 1000.0, self._beat)
-        if self.wire is None:
+        self.dialer.close()
+        self.publisher.close()
+        for timer in (self.heartbeat_timer, self.delayed):
+            if timer is not None:
+                timer.cancel()
+        if self.connection is not None:
+            self.connection.close()
+
+    # ---- renewals
+
+    def _heartbeat(self) -> None:
+        interval_ms, now = self.group.renew, self.clock()
+        self.heartbeat_timer = self.loop.call_later(interval_ms / 1000.0, self._heartbeat)
+        if self.connection is None:
             self._connect()
-        elif now - self.answered_ms > 3 * renew:
-            wire, self.wire = self.wire, None
-            wire.abort()  # it does not answer: another instance may
-            self._idle()
-        elif not self.out and now - self.asked_ms >= renew / 2:
-            self.ask()
-
-    def want(self) -> None:
-        """A renewal now, or as soon as the one that is out has its answer."""
-        if self.out:
-            self.wanted_again = True
+        elif now - self.answered_ms > SILENT_HEARTBEATS * interval_ms:
+            connection, self.connection = self.connection, None
+            connection.abort()  # it does not answer: another member may
+            self._reset()
+        elif not self.token_in_flight and now - self.sent_ms >= interval_ms / 2:
+            self.renew()
+
+    def request_renewal(self) -> None:
+        """Renews now, or as soon as the renewal that is out is answered."""
+        if self.token_in_flight:
+            self.renew_again = True
         else:
-            self.ask()
-
-    def ask(self) -> None:
-        wire, taking = self.wire, self.taking
-        if wire is not None:
-            self._idle()
-            self.out = token = taking.asked(self.clock())
-            self.asked_ms, self.told = self.clock(), taking.acknowledges
-            refused, reason = taking.refused or (0, "")
-            known = max(taking.texts, default=0)
-            wire.send(Kind.RENEW, token, taking.head, taking.acknowledges, known, refused, reason)
+            self.renew()
 
-    def _idle(self) -> None:
+    def renew(self) -> None:
+        """Sends a renewal, if there is a connection."""
+        if self.connection is None:
+            return
+        application = self.application
+        self._reset()
+        token = application.begin_renewal(self.clock())
+        self.token_in_flight = token
+        self.sent_ms = self.clock()
+        self.sent_acknowledged = application.acknowledged
+        rejection = application.rejection or NO_REJECTION
+        known = max(application.texts, default=0)
+        self.connection.send(
+            Kind.RENEW,
+            token,
+            application.gateway,
+            application.acknowledged,
+            known,
+            rejection.version,
+            rejection.reason,
+        )
+
+    def _reset(self) -> None:
         """Nothing is out, and nothing is to follow."""
-        self.out, self.wanted_again = 0, False
-        if self.later is not None:
-            self.later.cancel()
-            self.later = None
+        self.token_in_flight = 0
+        self.renew_again = False
+        if self.delayed is not None:
+            self.delayed.cancel()
+            self.delayed = None
 
-    def _later(self, delay_ms: float, call: Callable[[], None]) -> None:
-        if self.later is None and not self.closed:
-            self.later = self.loop.call_later(delay_ms / 1000.0, self._now, call)
+    def _call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
+        """After a pause, unless something waits for one already."""
 
-    def _now(self, call: Callable[[], None]) -> None:
-        self.later = None
-        call()
+        def run() -> None:
+            self.delayed = None
+            action()
 
-    def _connect(self) -> None:
-        if self.task is None and self.wire is None and not self.closed:
-            address, self.wanted = self.wanted, ""
-            if not address:
-                address = self.members[self.next_member % len(self.members)]
-                self.next_member += 1
-            self.task = self.loop.create_task(self._try(address))
+        if self.delayed is None and not self.closed:
+            self.delayed = self.loop.call_later(delay_ms / 1000.0, run)
 
-    async def _try(self, address: str) -> None:
-        session = Session("head", self.taking.head, self.limits.frame, self.limits.streams, greets=True)
-        wire = _Wire(self, session, address)
-        try:
-            async with asyncio.timeout(1.0):
-                await dial(self.loop, wire, address)
-        except (OSError, TimeoutError):
-            pass
-        finally:
-            self.task = None
+    def _back_off(self) -> None:
+        """Renews after a pause that grows up to a heartbeat, jittered by a quarter."""
+        self._call_later(self.backoff_ms * self.rng.uniform(0.75, 1.25), self.request_renewal)
+        self.backoff_ms = min(2 * self.backoff_ms, self.group.renew)
 
-    def opened(self, wire: _Wire) -> None:
-        if self.closed or self.wire is not None:  # one that was given up came after all
-            wire.close()
-            return
-        self.wire, self.answered_ms, self.leaderless = wire, self.clock(), 0
-        self.ask()
+    # ---- connections
 
-    def lost(self, wire: _Wire) -> None:
-        """Without a better address the next beat finds an instance: heads beat at times of their own."""
-        if self.wire is wire:
-            self.wire = None
-            self._idle()
-            if self.wanted:
-                # All that a leader loses are sent to the next one at once: they come spread over half a beat.
-                self._later(self.rng.uniform(0.0, self.group.renew / 2), self._connect)
+    def _connect(self) -> None:
+        if self.connection is None and not self.closed:
+            self.dialer.connect()
 
-    def granted(
-        self,
-        token: int,
-        lease_ms: float,
-        active: int,
-        active_text: str,
-        pending: int,
-        pending_text: str,
-        aside: dict[str, tuple[float, float]],
-        leader: str,
-    ) -> None:
-        self.answered_ms = self.clock()
-        if token == self.out:
-            self.out = 0
-        if not active and not pending:
-            self._turned_away(leader)
+    def on_connected(self, connection: MemberConnection) -> None:
+        """A connection may be written to."""
+        if self.closed or self.connection is not None:  # one that was given up came after all
+            connection.close()
             return
-        self.leaderless = 0
-        taking, mark = self.taking, self.taking.mark()
-        if lease_ms:
-            self.pause = self.group.tick
-        if taking.answered(token, lease_ms, active, active_text, pending, pending_text, aside):
-            # Nothing of it is acted on or acknowledged before it lasts; the loop goes on meanwhile.
-            data, changed = taking.dump(), taking.hold(mark)
-            self.missed = self.keeping
-            if not self.keeping:
-                self.keeping = True
-                self.beside(lambda: self.keep(data), lambda error: self._kept(error, changed))
-        elif not lease_ms and taking.acknowledges >= active:
-            self._ask_later()  # it is acknowledged, and the group has not got on
-        self._show()
-        if self.wanted_again and not self.out:
-            self.ask()
+        self.connection = connection
+        self.answered_ms = self.clock()
+        self.leaderless_grants = 0
+        self.renew()
 
-    def _turned_away(self, leader: str) -> None:
-        """No version: there is none yet, or this instance does not lead, or too much waits there."""
-        wire = self.wire
-        if wire is None:
+    def on_connection_lost(self, connection: MemberConnection) -> None:
+        """Without a redirect the next heartbeat finds a member: gateways beat at times of their own."""
+        if self.connection is not connection:
             return
-        if leader and leader != wire.address:
-            self.wanted = leader
-            wire.close()
-        elif not leader and self.taking.active:
-            self.leaderless += 1
-            if self.leaderless >= LEADERLESS:
-                wire.close()  # it may be cut off from the others: the next beat tries another one
-            else:
-                self._ask_later()
-        elif leader:
-            self._ask_later()
+        self.connection = None
+        self._reset()
+        if self.dialer.redirect:
+            # All that a leader loses are redirected at once: they come spread over half a heartbeat.
+            self._call_later(self.rng.uniform(0.0, self.group.renew / 2), self._connect)
+
+    # ---- what the group says
 
-    def _ask_later(self) -> None:
-        """After a pause that grows up to a beat, spread by half."""
-        self._later(self.pause * self.rng.uniform(0.75, 1.25), self.want)
-        self.pause = min(2 * self.pause, self.group.renew)
+    def on_watch_event(self) -> None:
+        """The versions in force have changed."""
+        self.request_renewal()
 
-    def _kept(self, error: BaseException | None, changed: tuple[Any, ...]) -> None:
-        self.keeping = False
-        if error is not None:
-            if self.unkept != str(error):  # it comes again with each renewal: told once
-                self.unkept = str(error)
-                self.log.error("a version can't be kept and is not taken up", why=self.unkept)
+    def on_grant(self, grant: Grant) -> None:
+        """A renewal is answered."""
+        self.answered_ms = self.clock()
+        if grant.token == self.token_in_flight:
+            self.token_in_flight = 0
+        if not grant.has_version:
+            self._on_redirected(grant.leader)
             return
-        self.unkept = ""
-        if self.closed:
+        self.leaderless_grants = 0
+        if grant.lease_ms:
+            self.backoff_ms = self.group.tick
+        checkpoint = self.application.checkpoint()
+        if self.application.apply_grant(grant):
+            self.publisher.persist_then_commit(checkpoint)
+        elif not grant.lease_ms and self.application.acknowledged >= grant.active:
+            self._back_off()  # it is acknowledged, and the group has not got on
+        self.publisher.publish()
+        if self.renew_again and not self.token_in_flight:
+            self.renew()
+
+    def _on_redirected(self, leader: str) -> None:
+        """No version: there is none yet, or this member does not lead, or too much waits there."""
+        if self.connection is None:
             return
-        self.taking.take_up(changed)
-        self._show()
-        if self.missed or self.taking.acknowledges != self.told:
-            self.missed = False
-            self.want()  # what was taken up is told
+        if leader and leader != self.connection.address:
+            self.dialer.redirect = leader
+            self.connection.close()
+        elif leader:
+            self._back_off()
+        elif self.application.active:
+            self.leaderless_grants += 1
+            if self.leaderless_grants >= MAX_LEADERLESS_GRANTS:
+                self.connection.close()  # it may be cut off from the others: the next heartbeat tries another one
+            else:
+                self._back_off()
 
-    def _show(self) -> None:
-        """Hands on what to act on now, and comes again when the lease ends."""
-        config, mode = self.taking.config(self.clock())
-        what = (self.taking.active, self.taking.pending, mode, repr(self.taking.aside))
-        if config is not None and what != self.shown:
-            if self.shown is None or self.shown[2] != mode or self.shown[0] != what[0]:
-                self.log.info("configuration", version=what[0], pending=what[1], mode=mode)
-            self.shown = what
-            self.adopt(config, mode)
-        if self.expiry is not None:
-            self.expiry.cancel()
-        if (left := self.taking.lease_until - self.clock()) > 0:
-            self.expiry = self.loop.call_later(left / 1000.0 + 0.001, self._show)
+    def _on_committed(self, superseded: bool) -> None:
+        """What was applied is acknowledged at once."""
+        if superseded or self.application.acknowledged != self.sent_acknowledged:
+            self.request_renewal()
--- a/pebblehinge/replicated_config/lease_granting.py
+++ b/pebblehinge/replicated_config/lease_granting.py
@@ -1,173 +1,231 @@
-"""A leader's side of heads on sockets: leases, rounds, commands and news as `renewals` and `leases` decide them."""
+"""A leader's side of gateways on sockets: leases, rounds, commands, events as `renewals` and `leases` decide them."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Protocol
 
 from pebblehinge.net import Peer
 from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config.commands import AcknowledgeMany, AnyCommand, RejectVersion, encode_command
 from pebblehinge.replicated_config.leases import Leases
-from pebblehinge.replicated_config.renewals import Renewal, Renewals
-from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.renewals import Renewal, Renewals, VersionsInForce
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 from pebblehinge.wire import Kind
 
-AT_ONCE = 64  # answers in one turn of the loop: a new text for a thousand heads must not hold it
+GRANTS_PER_TURN = 64  # of the loop: a new text for a thousand gateways must not hold it
+GATEWAY_ROLE = "head"  # of a session, as its greeting names it
 
 
 class Member(Protocol):
-    """The instance."""
+    """The member that grants."""
 
     loop: asyncio.AbstractEventLoop
     name: str
     config: Config
     clock: Callable[[], float]
     node: Node
-    state: State
-    conns: dict[Any, None]
-    on_its_way: dict[tuple[Any, ...], int]
+    state: ConfigState
 
-    def read(self, call: Callable[[bool], None]) -> None: ...
-    def own(self, *parts: Any) -> None: ...
-    def leader_address(self) -> str: ...
+    @property
+    def connections(self) -> Iterable[Peer]:
+        """All that are open."""
+
+    @property
+    def commands_in_flight(self) -> Iterable[AnyCommand]:
+        """The leader's own, not applied yet."""
+
+    def forget_commands_in_flight(self) -> None:
+        """Begins with none: they were of another term."""
+
+    def read(self, done: Callable[[bool], None]) -> None:
+        """Calls back when a round of the majority that begins from now on is over; False if there was none."""
+
+    def propose_once(self, command: AnyCommand) -> None:
+        """Proposes a command of the leader's own, unless the same is in flight."""
+
+    def leader_address(self) -> str:
+        """Another member's, "" if none is known."""
 
 
-class Granting:
-    """`leases` is None where this instance does not lead. Nothing of a term outlives it."""
+@dataclass(frozen=True, slots=True)
+class RenewalRequest:
+    """The values of a RENEW frame, in its order. `rejected` is a version that the gateway can't use, 0 for none."""
+
+    token: int
+    gateway: str
+    acknowledged: int
+    known: int
+    rejected: int
+    reason: str
+
+
+class LeaseGranting:
+    """Answers renewals while this member leads; `leases` is None while it does not. Nothing of a term outlives it."""
 
     def __init__(self, member: Member) -> None:
-        self.member, self.group = member, member.config.group
+        """Begins as a follower."""
+        self.member = member
+        self.group = member.config.group
         self.leases: Leases | None = None
         self.term = 0
         self.renewals = Renewals(self.group.tick)
-        self.due: deque[Renewal] = deque()  # to be answered; each was counted by `renewals` until now
+        self.to_answer: deque[Renewal] = deque()  # each was counted by `renewals` until now
         self.answering = False
 
     @property
     def leads(self) -> bool:
-        """Whether this instance leads in the term that `leases` and `renewals` are of."""
+        """Whether this member leads in the term that `leases` and `renewals` are of."""
         node = self.member.node
         return self.leases is not None and node.is_leader and self.term == node.raft.current_term
 
     # ---- time
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Every tick of a leader: what came meanwhile, and whether a version may be activated."""
-        raft, now = self.member.node.raft, self.member.clock()
+        raft = self.member.node.raft
+        now = self.member.clock()
         if not self.leads:
-            self.lost()
+            self.lose_leadership()
             self.leases = Leases(self.group.lease, self.group.drift, self.group.floor, now)
             self.term = raft.current_term
-            self.member.on_its_way.clear()
+            self.member.forget_commands_in_flight()
         if raft.last_applied >= raft.term_start_index:  # it knows all that was agreed before it
             self._activate()
-            fresh = self.renewals.commit_due(now)
-            if fresh and (index := raft.propose(command("taken_up", fresh))) is not None:
-                self.renewals.proposed(now, index)
-                self.member.node.process_ready()
-        self._ask_majority()
-        self._tell()
-
-    def lost(self) -> None:
-        """This instance leads no more, or anew: whoever waits is sent on."""
+            self._propose_acknowledgements(now)
+        self._begin_round()
+        self._notify()
+
+    def lose_leadership(self) -> None:
+        """This member leads no more, or anew: whoever waits is redirected."""
         if self.leases is None:
             return  # nothing was taken in: the followers' look at each tick
         renewals, self.renewals = self.renewals, Renewals(self.group.tick)
         self.leases = None
-        waiting = [*self.due, *renewals.shown.values(), *renewals.asked.values(), *renewals.waiting.values()]
-        self.due.clear()
+        waiting = [*self.to_answer, *renewals.pending_renewals()]
+        self.to_answer.clear()
         for renewal in waiting:
-            self._send_on(renewal.conn, renewal.token, self.member.leader_address())
+            self._redirect(renewal.connection, renewal.token, self.member.leader_address())
 
     def _activate(self) -> None:
-        # Beside acknowledgements on their way it would be reckoned from a state that has moved on.
-        if self.leases is not None and not self.renewals.on_way:
-            wanted = self.leases.wanted(self.member.clock(), self.member.state)
-            if wanted is not None:
-                self.member.own(*wanted)
-
-    def _tell(self) -> None:
-        state, now = self.member.state, self.member.clock()
-        if self.renewals.news_due(now, state.active, state.pending):
-            self.renewals.news_told(now, state.active, state.pending)
-            for conn in self.member.conns:
-                if conn.session.peer_role == "head":
-                    conn.send(Kind.NEWS, state.changed)
+        # Beside acknowledgements in flight it would be computed from a state that has moved on.
+        if self.leases is not None and not self.renewals.in_flight:
+            command = self.leases.next_activation(self.member.clock(), self.member.state)
+            if command is not None:
+                self.member.propose_once(command)
+
+    def _propose_acknowledgements(self, now: float) -> None:
+        versions = self.renewals.acknowledgements_due(now)
+        if not versions:
+            return
+        index = self.member.node.raft.propose(encode_command(AcknowledgeMany(versions)))
+        if index is not None:
+            self.renewals.mark_proposed(now, index)
+            self.member.node.process_ready()
+
+    def _notify(self) -> None:
+        state = self.member.state
+        now = self.member.clock()
+        versions = VersionsInForce(state.active, state.pending)
+        if self.renewals.notification_due(now, versions):
+            self.renewals.mark_notified(now, versions)
+            for connection in self.member.connections:
+                if connection.session.peer_role == GATEWAY_ROLE:
+                    connection.send(Kind.NEWS, state.revision)
 
     # ---- events
 
-    def renewed(
-        self, conn: Peer, token: int, head: str, acknowledges: int, known: int, refused: int, reason: str
-    ) -> None:
-        """A head asks for its lease and tells what it has taken up."""
+    def on_renewal(self, connection: Peer, request: RenewalRequest) -> None:
+        """A gateway asks for its lease, and says which version it has acknowledged."""
         member, state = self.member, self.member.state
         if not self.leads:
-            self._send_on(conn, token, member.leader_address())
+            self._redirect(connection, request.token, member.leader_address())
             return
-        if refused and refused == state.pending:
-            if not any(key[:2] == ("refuse", str(refused)) for key in member.on_its_way):
-                member.own("refuse", refused, f"{head}: {reason}")
-        row = state.heads.get(head)
-        fresh = (row is None or row.version < acknowledges) and state.text(acknowledges) is not None
-        if not self.renewals.came(Renewal(conn, token, head, acknowledges, known), bool(acknowledges and fresh)):
-            self._send_on(conn, token, member.config.member[member.name].listen)  # here, and later
+        if request.rejected and request.rejected == state.pending:
+            self._reject_pending(request)
+        record = state.gateways.get(request.gateway)
+        is_new = record is None or record.version < request.acknowledged
+        is_known = request.acknowledged != 0 and state.text(request.acknowledged) is not None
+        renewal = Renewal(connection, request.token, request.gateway, request.acknowledged, request.known)
+        if not self.renewals.add(renewal, is_new and is_known):
+            self._redirect(connection, request.token, member.config.member[member.name].listen)  # here, and later
             return
-        self._ask_majority()
+        self._begin_round()
 
-    def applied(self, index: int) -> None:
+    def on_applied(self, index: int) -> None:
         """The state machine has gone on to an index."""
         if self.leads:
-            settled = self.renewals.applied(index)
+            settled = self.renewals.mark_applied(index)
             if settled:
                 self._activate()
                 self._answer(settled)
-            self._tell()
-
-    def _ask_majority(self) -> None:
-        """Only a round of the majority shows that no other leader has been reckoning without these heads meanwhile."""
-        renewals, now = self.renewals, self.member.clock()
+            self._notify()
+
+    def _reject_pending(self, request: RenewalRequest) -> None:
+        """The first gateway's reason counts."""
+        for command in self.member.commands_in_flight:
+            if isinstance(command, RejectVersion) and command.version == request.rejected:
+                return
+        self.member.propose_once(RejectVersion(request.rejected, f"{request.gateway}: {request.reason}"))
+
+    def _begin_round(self) -> None:
+        """Only a round of the majority shows that no other leader has computed without these gateways meanwhile."""
+        renewals = self.renewals
+        now = self.member.clock()
         if renewals.round_due(now):
             number = renewals.begin_round(now)
-            self.member.read(lambda sound: self._answered(renewals, number, sound))
+            self.member.read(lambda confirmed: self._on_round_over(renewals, number, confirmed))
 
-    def _answered(self, renewals: Renewals, number: int, sound: bool) -> None:
+    def _on_round_over(self, renewals: Renewals, number: int, confirmed: bool) -> None:
         if renewals is not self.renewals:
-            return  # of a term that is over; whoever waited was sent on
-        if sound:
-            self._answer(renewals.round_over(number))
+            return  # of a term that is over; whoever waited was redirected
+        if confirmed:
+            self._answer(renewals.end_round(number))
         else:
-            self.lost()
+            self.lose_leadership()
 
     # ---- answers
 
     def _answer(self, renewals: list[Renewal]) -> None:
-        self.due += renewals
-        if not self.answering and self.due:
-            self._some()
+        self.to_answer += renewals
+        if not self.answering and self.to_answer:
+            self._answer_some()
 
-    def _some(self) -> None:
+    def _answer_some(self) -> None:
         self.answering = False
-        for _ in range(min(AT_ONCE, len(self.due))):
-            self._grant(self.due.popleft())
-        if self.due:
+        for _ in range(min(GRANTS_PER_TURN, len(self.to_answer))):
+            self._grant(self.to_answer.popleft())
+        if self.to_answer:
             self.answering = True
-            self.member.loop.call_soon(self._some)
+            self.member.loop.call_soon(self._answer_some)
 
     def _grant(self, renewal: Renewal) -> None:
-        state, lease = self.member.state, 0.0
-        if self.leases is not None and self.leases.may_grant(state, renewal.head, renewal.acknowledges):
-            self.leases.granted(self.member.clock(), renewal.head)
-            lease = self.group.lease
-        active, pending = (
+        """The state as it is, with a lease if one may be granted, and with the texts that the gateway has not."""
+        state = self.member.state
+        lease_ms = 0.0
+        if self.leases is not None and self.leases.may_grant(state, renewal.gateway, renewal.acknowledged):
+            self.leases.record_grant(self.member.clock(), renewal.gateway)
+            lease_ms = self.group.lease
+        active_text, pending_text = (
             (state.text(number) or "") if number > renewal.known else "" for number in (state.active, state.pending)
         )
-        renewal.conn.send(
-            Kind.GRANT, renewal.token, lease, state.active, active, state.pending, pending, state.aside, ""
+        renewal.connection.send(
+            Kind.GRANT,
+            renewal.token,
+            lease_ms,
+            state.active,
+            active_text,
+            state.pending,
+            pending_text,
+            state.reserved,
+            "",
         )
 
     @staticmethod
-    def _send_on(conn: Peer, token: int, leader: str) -> None:
-        conn.send(Kind.GRANT, token, 0.0, 0, "", 0, "", {}, leader)
+    def _redirect(connection: Peer, token: int, leader: str) -> None:
+        """A GRANT without a version, which names the leader's address, "" if none is known."""
+        connection.send(Kind.GRANT, token, 0.0, 0, "", 0, "", {}, leader)
--- a/pebblehinge/replicated_config/leases.py
+++ b/pebblehinge/replicated_config/leases.py
@@ -1,97 +1,132 @@
-"""What a leader knows of heads' leases, and when it may activate. No I/O, no clock: times are handed in.
+"""What a leader knows of gateways' leases, and when it may activate a version. No I/O, no clock: times are handed in.
 
-A head counts its lease from the time at which it *asked*, a leader from the time at which it *answered*, which is
-later; so once `lease x (1 + drift)` has passed here since the last answer, the head's lease has surely run out
-there. A new leader can't know what the one before it granted: it treats every head as holding a lease until that
+A gateway counts its lease from the time at which it *asked*, a leader from the time at which it *answered*, which is
+later; so once `lease x (1 + drift)` has passed here since the last answer, the gateway's lease has surely expired
+there. A new leader can't know what the one before it granted: it treats every gateway as holding a lease until that
 time has passed since it was elected.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
-from pebblehinge.replicated_config.activation import Aside, aside_of, fits, leaves_room
-from pebblehinge.replicated_config.state_machine import State
-from pebblehinge.replicated_config.version_cache import read
+from pebblehinge.replicated_config.activation import (
+    UnreachableGateway,
+    find_conflict,
+    leaves_capacity,
+    reserved_for,
+)
+from pebblehinge.replicated_config.commands import Activate
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.version_cache import parse_version
 from pebblehinge.settings import Config
 
+MAX_PARSED_VERSIONS = 16
 
-@dataclass(slots=True)
-class Holding:
-    """One head's lease, as far as this leader granted it."""
 
-    answered_ms: float
+@dataclass(frozen=True, slots=True)
+class Lease:
+    """One gateway's lease, as far as this leader granted it."""
+
+    granted_ms: float
 
 
 class Leases:
-    """Kept by the leader alone; a new one begins with none."""
+    """Kept by the leader alone; a new one begins with none. Times are in milliseconds of the leader's clock."""
 
     def __init__(self, lease_ms: float, drift: float, floor: float, elected_ms: float) -> None:
-        self.lease_ms, self.drift, self.floor = lease_ms, drift, floor
+        """A leader's leases as it is elected.
+
+        Args:
+            lease_ms: how long a lease lasts.
+            drift: by what part clocks may run apart.
+            floor: what part of its allowance a gateway without a lease may send.
+            elected_ms: when the leader was elected.
+        """
+        self.lease_ms = lease_ms
+        self.drift = drift
+        self.floor = floor
         self.elected_ms = elected_ms
-        self.holding: dict[str, Holding] = {}
+        self.by_gateway: dict[str, Lease] = {}
         self.configs: dict[int, Config] = {}
 
-    def granted(self, now: float, head: str) -> None:
-        """This head was answered: its lease runs from its asking, at the latest from now."""
-        self.holding[head] = Holding(now)
+    def record_grant(self, now: float, gateway: str) -> None:
+        """This gateway was answered: its lease runs from its asking, at the latest from now."""
+        self.by_gateway[gateway] = Lease(now)
+
+    def may_grant(self, state: ConfigState, gateway: str, acknowledged: int) -> bool:
+        """Only to a gateway whose acknowledgement the group holds, and only for what is to come.
 
-    def may_grant(self, state: State, head: str, acknowledges: int) -> bool:
-        """Only to a head whose word the group holds, and only for what is to come: while a version is pending, a
-        head that has not prepared for it gets no further lease, or it could be activated behind its back."""
-        row = state.heads.get(head)
-        return row is not None and row.version == acknowledges >= max(state.active, state.pending) > 0
+        While a version is pending, a gateway that has not prepared for it gets no further lease, or the version could
+        be activated behind its back.
+        """
+        record = state.gateways.get(gateway)
+        return record is not None and record.version == acknowledged >= max(state.active, state.pending) > 0
 
-    def runs_until(self, head: str) -> float:
-        """When a head's lease has surely run out, by this leader's clock."""
-        last = self.holding.get(head)
-        return max(self.elected_ms, last.answered_ms if last is not None else 0.0) + self.lease_ms * (1.0 + self.drift)
+    def expires_at(self, gateway: str) -> float:
+        """When a gateway's lease has surely expired."""
+        lease = self.by_gateway.get(gateway)
+        granted_ms = lease.granted_ms if lease is not None else 0.0
+        return max(self.elected_ms, granted_ms) + self.lease_ms * (1.0 + self.drift)
 
-    def config(self, state: State, number: int) -> Config | None:
-        """A version, read once."""
+    def config(self, state: ConfigState, number: int) -> Config | None:
+        """The settings of a version, parsed once; None if it is not kept."""
         if number not in self.configs:
             text = state.text(number)
             if text is None:
                 return None
-            self.configs[number] = read(text, f"version {number}")
-            for old in sorted(self.configs)[:-16]:
+            self.configs[number] = parse_version(text, f"version {number}")
+            for old in sorted(self.configs)[:-MAX_PARSED_VERSIONS]:
                 del self.configs[old]
         return self.configs[number]
 
-    def wanted(self, now: float, state: State) -> tuple[Any, ...] | None:
-        """The command that may be proposed now: to activate what is pending, or to set aside less or more."""
+    def next_activation(self, now: float, state: ConfigState) -> Activate | None:
+        """What may be proposed now: to activate the pending version, or to reserve less or more under the active one.
+
+        None while a gateway may act on an older version in full, and where nothing would change.
+        """
         target = state.pending or state.active
         if not target:
             return None
-        missing: list[tuple[str, Config]] = []
-        for name in sorted(state.heads):
-            row = state.heads[name]
-            if row.version >= target:
-                # Taken up. While its lease runs it acts on it in full; once that ran out, on the floor of the same
-                # version, which is less than its part: nothing need be set aside.
-                continue
-            if now < self.runs_until(name):
-                return None  # it may act on an older version in full: wait for its word or its lease
-            config = self.config(state, row.version)
-            if config is not None:
-                missing.append((name, config))
-        aside: Aside = aside_of(missing, self.floor)
+        behind = self._gateways_behind(state, target)
+        if any(now < self.expires_at(name) for name in behind):
+            return None  # it may act on an older version in full: wait for its acknowledgement or its lease
+        unreachable = self._with_configs(state, behind)
+        reserved = reserved_for(unreachable, self.floor)
         config = self.config(state, target)
-        if config is None or fits(config, aside) is not None:
+        if config is None or find_conflict(config, reserved) is not None:
             return None
-        if target == state.pending and not leaves_room(config, aside, self.floor, [name for name, _ in missing]):
+        names = [gateway.name for gateway in unreachable]
+        if target == state.pending and not leaves_capacity(config, reserved, self.floor, names):
             return None
-        if target == state.active and aside == state.aside:
+        if target == state.active and reserved == state.reserved:
             return None
-        return ("activate", target, aside, state.changed)
-
-    def waits_for(self, now: float, state: State) -> list[str]:
-        """Why the pending version is not active yet, for people."""
-        found = []
-        for name, row in sorted(state.heads.items()):
-            if state.pending and row.version < state.pending:
-                left = self.runs_until(name) - now
-                lease = f", its lease for {left / 1000:.1f} s" if left > 0 else ", cut off"
-                found.append(f"{name} is at {row.version}{lease}")
+        return Activate(target, reserved, state.revision)
+
+    def describe_waiting(self, now: float, state: ConfigState) -> list[str]:
+        """Why the pending version is not active yet, for operators: a line for each gateway that is behind."""
+        if not state.pending:
+            return []
+        lines = []
+        for name in self._gateways_behind(state, state.pending):
+            left = self.expires_at(name) - now
+            lease = f", its lease for {left / 1000:.1f} s" if left > 0 else ", cut off"
+            lines.append(f"{name} is at {state.gateways[name].version}{lease}")
+        return lines
+
+    @staticmethod
+    def _gateways_behind(state: ConfigState, target: int) -> list[str]:
+        """Gateways that have not acknowledged a version, by name.
+
+        While the lease of another one runs it acts on the version in full; once that has expired, on the floor of the
+        same version, which is less than its allowance: nothing need be reserved.
+        """
+        return [name for name, record in sorted(state.gateways.items()) if record.version < target]
+
+    def _with_configs(self, state: ConfigState, names: list[str]) -> list[UnreachableGateway]:
+        found: list[UnreachableGateway] = []
+        for name in names:
+            config = self.config(state, state.gateways[name].version)
+            if config is not None:
+                found.append(UnreachableGateway(name, config))
         return found
--- /dev/null
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -0,0 +1,72 @@
+"""A connection to a member of the group: from another member, a gateway, or an operator."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, Protocol
+
+import msgspec
+
+from pebblehinge.net import Peer
+from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config.lease_granting import LeaseGranting, RenewalRequest
+from pebblehinge.replicated_config.operator_requests import OperatorRequests
+from pebblehinge.settings import Config
+from pebblehinge.wire import Kind, Session, WireError
+
+MEMBER_ROLE = "member"  # of a session, as its greeting names it
+
+
+class Server(Protocol):
+    """The member that is connected to."""
+
+    loop: asyncio.AbstractEventLoop
+    name: str
+    config: Config
+    node: Node
+    connections: dict[MemberConnection, None]
+    operator_requests: OperatorRequests
+    lease_granting: LeaseGranting
+
+
+class MemberConnection(Peer):
+    """Hands each frame on to the part that answers it."""
+
+    FRAMES = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
+
+    def __init__(self, server: Server) -> None:
+        """A connection that is being accepted."""
+        limits = server.config.limits
+        session = Session("group", server.name, limits.frame, limits.streams, greets=False)
+        super().__init__(server.loop, session, limits.stall, limits.keepalive)
+        self.server = server
+
+    def connection_made(self, transport: Any) -> None:
+        """The connection is open."""
+        super().connection_made(transport)
+        self.server.connections[self] = None
+
+    def gone(self, exc: Exception | None) -> None:
+        """The connection is over."""
+        self.server.connections.pop(self, None)
+
+    def on_raft(self, data: bytes) -> None:
+        """A message of another member."""
+        if self.session.peer_role != MEMBER_ROLE:
+            raise WireError("RAFT is for instances of the group")
+        group = self.server.config.group.id
+        if self.session.peer_name.rpartition("@")[2] != group:
+            raise WireError(f"this is group {group!r}: {self.session.peer_name!r} is of another")
+        try:
+            self.server.node.receive(data)
+        except msgspec.DecodeError as error:
+            raise WireError(f"RAFT: {error}") from None
+
+    def on_renew(self, token: int, gateway: str, acknowledged: int, known: int, rejected: int, reason: str) -> None:
+        """A gateway asks for its lease."""
+        request = RenewalRequest(token, gateway, acknowledged, known, rejected, reason)
+        self.server.lease_granting.on_renewal(self, request)
+
+    def on_ask(self, token: int, verb: str, values: dict[str, str | int]) -> None:
+        """An operator asks."""
+        self.server.operator_requests.on_request(self, token, verb, values)
--- a/pebblehinge/replicated_config/operator_client.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -1,71 +1,96 @@
-"""The operator's way to the group: finds the leader, asks, and asks again where a leader went meanwhile."""
+"""The operator's way to the group: finds the leader, asks, and asks again if leadership changed meanwhile."""
 
 from __future__ import annotations
 
 import asyncio
 import itertools
-from typing import Any
+from collections.abc import Mapping
 
 from pebblehinge.net import Peer, dial
-from pebblehinge.replicated_config.size_limits import FRAME
+from pebblehinge.replicated_config.replies import MemberReply, OperatorReply
+from pebblehinge.replicated_config.size_limits import MAX_FRAME_BYTES
 from pebblehinge.wire import Kind, Session
 
+ROLE = "operator"  # and name, in the greeting
+MAX_STREAMS = 64  # that the session announces
+STALL_MS = 5_000.0
+RETRY_DELAY_S = 0.1
+NO_LEADER = "no leader is known"
+# Reasons after which the same request may succeed, by a word of theirs.
+TRANSIENT_REASONS = ("ask whether it was done", "leads no more", "wait for it")
 
-class _Wire(Peer):
+Values = Mapping[str, str | int]
+
+
+class _Connection(Peer):
     FRAMES = frozenset({Kind.TOLD})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(loop, Session("operator", "operator", FRAME, 64, greets=True), 5000.0)
-        self.waiting: dict[int, asyncio.Future[tuple[bool, str, str]]] = {}
+        session = Session(ROLE, ROLE, MAX_FRAME_BYTES, MAX_STREAMS, greets=True)
+        super().__init__(loop, session, STALL_MS)
+        self.waiting: dict[int, asyncio.Future[MemberReply]] = {}
         self.tokens = itertools.count(1)
 
     def gone(self, exc: Exception | None) -> None:
+        """The connection is over."""
         for future in self.waiting.values():
             if not future.done():
                 future.set_exception(ConnectionError("the instance closed the connection"))
 
     def on_told(self, token: int, ok: bool, text: str, leader: str) -> None:
+        """A reply has come."""
         future = self.waiting.pop(token, None)
         if future is not None and not future.done():
-            future.set_result((ok, text, leader))
+            future.set_result(MemberReply(ok, text, leader))
 
-    async def ask(self, verb: str, values: dict[str, Any]) -> tuple[bool, str, str]:
+    async def ask(self, verb: str, values: Values) -> MemberReply:
+        """Sends a request and waits for its reply."""
         token = next(self.tokens)
         self.waiting[token] = self.loop.create_future()
         self.send(Kind.ASK, token, verb, values)
         return await self.waiting[token]
 
 
-async def ask_one(
-    loop: asyncio.AbstractEventLoop, address: str, verb: str, values: dict[str, Any], within_s: float = 3.0
-) -> tuple[bool, str, str]:
-    """One instance's answer; raises OSError or TimeoutError."""
-    wire = _Wire(loop)
+async def ask_member(
+    loop: asyncio.AbstractEventLoop, address: str, verb: str, values: Values, within_s: float = 3.0
+) -> MemberReply:
+    """One member's reply. Raises OSError or TimeoutError."""
+    connection = _Connection(loop)
     async with asyncio.timeout(within_s):
-        await dial(loop, wire, address)
+        await dial(loop, connection, address)
         try:
-            return await wire.ask(verb, values)
+            return await connection.ask(verb, values)
         finally:
-            wire.close()
+            connection.close()
 
 
 async def ask_group(
-    loop: asyncio.AbstractEventLoop, addresses: list[str], verb: str, values: dict[str, Any], within_s: float = 10.0
-) -> tuple[bool, str]:
-    """The leader's answer. A proposal carries a session and serial, so that asking again applies it once."""
-    until = loop.time() + within_s
-    last = "no instance of the group can be reached"
-    turn = itertools.cycle(addresses)
-    address = next(turn)
-    while loop.time() < until:
+    loop: asyncio.AbstractEventLoop, addresses: list[str], verb: str, values: Values, within_s: float = 10.0
+) -> OperatorReply:
+    """The leader's reply, or the last reason for which there is none.
+
+    A proposal carries a session and serial, so that asking again applies it once.
+    """
+    deadline = loop.time() + within_s
+    last_reason = "no instance of the group can be reached"
+    turns = itertools.cycle(addresses)
+    address = next(turns)
+    while loop.time() < deadline:
         try:
-            ok, text, leader = await ask_one(loop, address, verb, values)
-            again = not ok and any(said in text for said in ("ask whether it was done", "leads no more", "wait for it"))
-            if not again and not (not ok and (leader or text == "no leader is known")):
-                return ok, text
-            last = text
-            address = leader or next(turn)
+            reply = await ask_member(loop, address, verb, values)
+            if not _is_worth_retrying(reply):
+                return OperatorReply(reply.ok, reply.text)
+            last_reason = reply.text
+            address = reply.leader or next(turns)
         except (OSError, TimeoutError):
-            address = next(turn)
-        await asyncio.sleep(0.1)
-    return False, last
+            address = next(turns)
+        await asyncio.sleep(RETRY_DELAY_S)
+    return OperatorReply(False, last_reason)
+
+
+def _is_worth_retrying(reply: MemberReply) -> bool:
+    if reply.ok:
+        return False
+    if reply.leader or reply.text == NO_LEADER:
+        return True
+    return any(reason in reply.text for reason in TRANSIENT_REASONS)
--- a/pebblehinge/replicated_config/proposal_queue.py
+++ b/pebblehinge/replicated_config/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Versions that operators propose while another one is being taken up: they wait in order, each for a while."""
+"""Versions that operators propose while another one is pending: they wait in order, each for a while."""
 
 from __future__ import annotations
 
@@ -8,83 +8,101 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.commands import CommandResult, ProposeVersion, encode_command
+from pebblehinge.replicated_config.errors import (
+    LEADERSHIP_LOST,
+    NoProposalsError,
+    OutcomeUnknownError,
+    ProposalQueueFullError,
+    VersionPendingError,
+)
+from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.state_machine import ConfigState
 
-MOST_QUEUED = 16  # versions that wait; each holds its text, a frame at most
-WAIT_MS = 2_500.0  # of one of them, less than an operator's command waits for its answer
-
-Tell = Callable[[bool, str], None]
+MAX_QUEUED_PROPOSALS = 16  # each holds its text
+MAX_QUEUE_TIME_MS = 2_500.0  # of one of them, less than an operator's command waits for its answer
 
 
 class Member(Protocol):
-    """The instance, a leader."""
+    """The member that takes proposals, a leader."""
 
     loop: asyncio.AbstractEventLoop
-    state: State
+    state: ConfigState
+
+    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+        """Appends a command to the log; False if it can't now."""
+
 
-    def propose(self, data: bytes, tell: Callable[[str], None], session: str = "", serial: int = 0) -> bool: ...
+@dataclass(frozen=True, slots=True)
+class ProposalId:
+    """A session's proposal is the same one when it comes again; one without a session is known by a count."""
+
+    session: str
+    serial: int
 
 
 @dataclass(slots=True)
-class Queued:
-    """One proposal that was not proposed yet."""
+class QueuedProposal:
+    """One that was not proposed yet."""
 
     data: bytes
-    tell: Tell
+    reply: Reply
     session: str
     serial: int
     timer: asyncio.TimerHandle
 
 
-class Proposals:
-    """One version at a time is proposed, when none is pending. Which one a proposal is based on decides as ever: it is
-    compared when the proposal is applied."""
+class ProposalQueue:
+    """Proposes one version at a time, when none is pending.
+
+    The version that a proposal is based on decides as ever: it is compared when the proposal is applied.
+    """
 
     def __init__(self, member: Member) -> None:
+        """An empty queue."""
         self.member = member
-        self.queue: OrderedDict[tuple[str, int] | int, Queued] = OrderedDict()
-        self.taken = 0  # names those without a session
-        self.under_way = False
-
-    def come(self, base: int, text: str, author: str, note: str, session: str, serial: int, tell: Tell) -> None:
-        """One that is asked again takes its own place; what is answered is the newer question."""
-        self.taken += 1
-        key = (session, serial) if session else self.taken
-        before = self.queue.get(key)
-        if before is not None:
-            before.tell = tell
+        self.queue: OrderedDict[ProposalId, QueuedProposal] = OrderedDict()
+        self.count = 0  # names those without a session
+        self.in_flight = False
+
+    def add(self, command: ProposeVersion, session: str, serial: int, reply: Reply) -> None:
+        """One that comes again keeps its place; the newer request is answered."""
+        self.count += 1
+        key = ProposalId(session, serial) if session else ProposalId("", self.count)
+        queued = self.queue.get(key)
+        if queued is not None:
+            queued.reply = reply
             return
-        if len(self.queue) >= MOST_QUEUED:
-            tell(False, f"{len(self.queue)} versions wait already: expected {MOST_QUEUED} at most")
+        if len(self.queue) >= MAX_QUEUED_PROPOSALS:
+            reply(OperatorReply.failed(ProposalQueueFullError(len(self.queue), MAX_QUEUED_PROPOSALS)))
             return
-        timer = self.member.loop.call_later(WAIT_MS / 1000.0, self._waited, key)
-        data = command("propose", base, text, author, note)
-        self.queue[key] = Queued(data, tell, session, serial, timer)
-        self.go_on()
-
-    def go_on(self) -> None:
-        """Called whenever something was applied."""
-        while self.queue and not self.under_way and not self.member.state.pending:
-            _, first = self.queue.popitem(last=False)
-            first.timer.cancel()
-            self.under_way = True
-
-            def done(said: str, tell: Tell = first.tell) -> None:
-                self.under_way = False
-                tell(not said, said or str(self.member.state.newest))
-
-            if not self.member.propose(first.data, done, first.session, first.serial):
-                self.under_way = False
-                first.tell(False, "this instance takes no proposals now")
-
-    def lost(self) -> None:
-        """This instance leads no more."""
+        timer = self.member.loop.call_later(MAX_QUEUE_TIME_MS / 1000.0, self._on_timeout, key)
+        self.queue[key] = QueuedProposal(encode_command(command), reply, session, serial, timer)
+        self.propose_next()
+
+    def propose_next(self) -> None:
+        """Proposes what may be proposed now; called whenever something was applied."""
+        while self.queue and not self.in_flight and not self.member.state.pending:
+            _, proposal = self.queue.popitem(last=False)
+            proposal.timer.cancel()
+            self.in_flight = True
+
+            def done(result: CommandResult, reply: Reply = proposal.reply) -> None:
+                self.in_flight = False
+                reply(OperatorReply.of(result.error, str(self.member.state.newest)))
+
+            if not self.member.propose(proposal.data, done, proposal.session, proposal.serial):
+                self.in_flight = False
+                proposal.reply(OperatorReply.failed(NoProposalsError()))
+
+    def lose_leadership(self) -> None:
+        """This member leads no more: all that wait are told."""
         queue, self.queue = self.queue, OrderedDict()
-        for queued in queue.values():
-            queued.timer.cancel()
-            queued.tell(False, "this instance leads no more: ask whether it was done")
-
-    def _waited(self, key: tuple[str, int] | int) -> None:
-        queued = self.queue.pop(key, None)
-        if queued is not None:
-            queued.tell(False, f"version {self.member.state.pending} is being taken up: wait for it")
+        for proposal in queue.values():
+            proposal.timer.cancel()
+            proposal.reply(OperatorReply.failed(OutcomeUnknownError(LEADERSHIP_LOST)))
+
+    def _on_timeout(self, key: ProposalId) -> None:
+        proposal = self.queue.pop(key, None)
+        if proposal is not None:
+            proposal.reply(OperatorReply.failed(VersionPendingError(self.member.state.pending)))
--- a/pebblehinge/replicated_config/renewals.py
+++ b/pebblehinge/replicated_config/renewals.py
@@ -1,114 +1,141 @@
-"""What a leader owes heads that renew: when to ask the majority, what to propose, whom to answer, whom to tell.
+"""What a leader owes gateways that renew: when to ask the majority, what to propose, whom to answer, whom to notify.
 
-No I/O, no clock, no chance: renewals and times are handed in. However many heads there are,
+No I/O, no clock, no randomness: renewals and times are handed in. However many gateways there are,
 
 - at most one read round is out for them, and none begins sooner than a tick after the one before: it serves all
   renewals that came before it began, and none that came later;
-- at most one command is on its way with what they acknowledge, begun once a tick (group commit);
+- at most one command is in flight with what they acknowledge, proposed once a tick (group commit);
 - a renewal is answered once its round is over *and* what it acknowledges is in the log: nobody has to poll for that;
-- heads are told once a tick at most, and only of a version that they must act on.
+- gateways are notified once a tick at most, and only of a version that they must act on.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
-MOST_RENEWALS = 4096  # that wait at once, some 500 bytes each; a connection has one, or one for each state of it
+MAX_PENDING_RENEWALS = 4096  # some 500 bytes each; a connection has one, or one for each stage of it
 NEVER = float("-inf")
 
 
 @dataclass(slots=True, frozen=True)
 class Renewal:
-    """One head asks for its lease. `conn` is whoever hears the answer, `known` the newest text that it holds."""
+    """One gateway asks for its lease. `connection` hears the answer, `known` is the newest text that it holds."""
 
-    conn: Any
+    connection: Any  # any hashable: only its identity counts here
     token: int
-    head: str
-    acknowledges: int
+    gateway: str
+    acknowledged: int
     known: int
 
 
+class VersionsInForce(NamedTuple):
+    """The active and the pending version; 0 for none."""
+
+    active: int
+    pending: int
+
+
 class Renewals:
-    """One term of one leader. Of a connection the newest renewal counts: an older one that waits beside it is dropped,
-    and its head has the newer answer."""
+    """Renewals of one term of one leader, by stage. Times are in milliseconds.
+
+    Of a connection the newest renewal counts: an older one that waits beside it is dropped, and its gateway has the
+    newer answer.
+    """
 
     def __init__(self, tick_ms: float) -> None:
+        """Rounds, commands and notifications are a tick apart at least."""
         self.tick_ms = tick_ms
         self.waiting: dict[Any, Renewal] = {}  # for a round to begin
-        self.asked: dict[Any, Renewal] = {}  # served by the round that is out
-        self.shown: dict[Any, Renewal] = {}  # their round is over, what they acknowledge is not in the log yet
+        self.in_round: dict[Any, Renewal] = {}  # served by the round that is out
+        self.confirmed: dict[Any, Renewal] = {}  # the round is over, their acknowledgements are not in the log yet
         self.round = 0  # counts rounds
         self.round_out = False
-        self.round_ms = self.commit_ms = self.told_ms = NEVER
-        self.gathered: dict[str, int] = {}  # head -> version that it acknowledges, to be proposed
-        self.on_way: dict[str, int] = {}  # the same, proposed
-        self.index = 0  # of the entry that holds them
-        self.told: tuple[int, int] | None = None  # active and pending, as heads were told last
-
-    # ---- in
-
-    def came(self, renewal: Renewal, fresh: bool) -> bool:
-        """A renewal; `fresh` where the group does not hold yet what it acknowledges. False: too much waits."""
-        if len(self.waiting) + len(self.asked) + len(self.shown) >= MOST_RENEWALS and renewal.conn not in self.waiting:
+        self.round_ms = NEVER
+        self.proposed_ms = NEVER
+        self.notified_ms = NEVER
+        self.unproposed: dict[str, int] = {}  # gateway -> version that it acknowledges
+        self.in_flight: dict[str, int] = {}  # the same, proposed
+        self.in_flight_index = 0  # of the entry that holds them
+        self.notified: VersionsInForce | None = None  # as gateways were notified last
+
+    def add(self, renewal: Renewal, is_new: bool) -> bool:
+        """A renewal has come; `is_new`: the group does not hold its acknowledgement yet. False if too many wait."""
+        pending = len(self.waiting) + len(self.in_round) + len(self.confirmed)
+        if pending >= MAX_PENDING_RENEWALS and renewal.connection not in self.waiting:
             return False
-        self.waiting[renewal.conn] = renewal
-        if fresh and self.on_way.get(renewal.head) != renewal.acknowledges:
-            self.gathered[renewal.head] = renewal.acknowledges
+        self.waiting[renewal.connection] = renewal
+        if is_new and self.in_flight.get(renewal.gateway) != renewal.acknowledged:
+            self.unproposed[renewal.gateway] = renewal.acknowledged
         return True
 
+    def pending_renewals(self) -> list[Renewal]:
+        """All that were not answered yet."""
+        return [*self.confirmed.values(), *self.in_round.values(), *self.waiting.values()]
+
     # ---- rounds
 
     def round_due(self, now: float) -> bool:
+        """Whether a round may begin, and any renewal waits for it."""
         return bool(self.waiting) and not self.round_out and now - self.round_ms >= self.tick_ms
 
     def begin_round(self, now: float) -> int:
-        """A round begins now, for all that wait; its number, for `round_over`."""
+        """A round begins now, for all that wait. Returns its number, for `end_round`."""
         self.round += 1
-        self.round_out, self.round_ms = True, now
-        self.asked, self.waiting = self.waiting, {}
+        self.round_out = True
+        self.round_ms = now
+        self.in_round = self.waiting
+        self.waiting = {}
         return self.round
 
-    def round_over(self, number: int) -> list[Renewal]:
-        """The majority has answered: who is to be answered now."""
+    def end_round(self, number: int) -> list[Renewal]:
+        """The majority has answered. Returns the renewals to be answered now."""
         if not self.round_out or number != self.round:
             return []
         self.round_out = False
-        self.shown |= self.asked
-        self.asked = {}
-        return self._settled()
+        self.confirmed |= self.in_round
+        self.in_round = {}
+        return self._take_settled()
 
     # ---- acknowledgements
 
-    def commit_due(self, now: float) -> dict[str, int]:
-        """What is to be proposed now, in one command; nothing where none came, or one is on its way."""
-        if self.on_way or not self.gathered or now - self.commit_ms < self.tick_ms:
+    def acknowledgements_due(self, now: float) -> dict[str, int]:
+        """What is to be proposed now, in one command; nothing if none came, or one is in flight."""
+        if self.in_flight or not self.unproposed or now - self.proposed_ms < self.tick_ms:
             return {}
-        return dict(sorted(self.gathered.items()))
-
-    def proposed(self, now: float, index: int) -> None:
-        """What `commit_due` gave stands in the log at an index, not committed yet."""
-        self.commit_ms, self.index = now, index
-        self.on_way, self.gathered = self.gathered, {}
-
-    def applied(self, index: int) -> list[Renewal]:
-        """The state machine has applied all up to an index: who is to be answered now."""
-        if not self.on_way or index < self.index:
+        return dict(sorted(self.unproposed.items()))
+
+    def mark_proposed(self, now: float, index: int) -> None:
+        """What `acknowledgements_due` returned stands in the log at an index, not committed yet."""
+        self.proposed_ms = now
+        self.in_flight_index = index
+        self.in_flight = self.unproposed
+        self.unproposed = {}
+
+    def mark_applied(self, index: int) -> list[Renewal]:
+        """The state machine has applied all up to an index. Returns the renewals to be answered now."""
+        if not self.in_flight or index < self.in_flight_index:
             return []
-        self.on_way = {}
-        return self._settled()
-
-    def _settled(self) -> list[Renewal]:
-        done = [r for r in self.shown.values() if r.head not in self.gathered and r.head not in self.on_way]
-        for renewal in done:
-            del self.shown[renewal.conn]
-        return done
-
-    # ---- news
-
-    def news_due(self, now: float, active: int, pending: int) -> bool:
-        """Whether heads are to be told now. What is set aside is no news: every renewal brings it."""
-        return self.told != (active, pending) and now - self.told_ms >= self.tick_ms
-
-    def news_told(self, now: float, active: int, pending: int) -> None:
-        self.told, self.told_ms = (active, pending), now
+        self.in_flight = {}
+        return self._take_settled()
+
+    def _take_settled(self) -> list[Renewal]:
+        settled = [
+            renewal
+            for renewal in self.confirmed.values()
+            if renewal.gateway not in self.unproposed and renewal.gateway not in self.in_flight
+        ]
+        for renewal in settled:
+            del self.confirmed[renewal.connection]
+        return settled
+
+    # ---- watch events
+
+    def notification_due(self, now: float, versions: VersionsInForce) -> bool:
+        """Whether gateways are to be notified now. What is reserved is no event: every renewal brings it."""
+        return self.notified != versions and now - self.notified_ms >= self.tick_ms
+
+    def mark_notified(self, now: float, versions: VersionsInForce) -> None:
+        """Gateways are being notified of these versions."""
+        self.notified = versions
+        self.notified_ms = now
--- a/pebblehinge/replicated_config/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -1,4 +1,4 @@
-"""An instance of the group on sockets: other instances, heads that renew their leases, and operators that ask."""
+"""A member of the group on sockets: other members, gateways that renew their leases, and operators that ask."""
 
 from __future__ import annotations
 
@@ -6,64 +6,38 @@
 import itertools
 import random
 from collections.abc import Callable
-from typing import Any
 
-import msgspec
-
-from pebblehinge.net import Peer, parse_address
+from pebblehinge.net import parse_address
 from pebblehinge.raft import Entry, Raft, initial_snapshot
 from pebblehinge.raft.node import Node, NodeCallbacks
 from pebblehinge.raft.storage import Storage
 from pebblehinge.raft.transport import LinkSettings, PeerLink
-from pebblehinge.replicated_config.lease_granting import Granting
+from pebblehinge.replicated_config.commands import AnyCommand, CommandResult, encode_command
+from pebblehinge.replicated_config.config_publisher import Log
+from pebblehinge.replicated_config.errors import (
+    LEADER_CHANGED,
+    LEADERSHIP_LOST,
+    LeadershipLostError,
+    OutcomeUnknownError,
+    ReplicatedConfigError,
+    RequestError,
+)
+from pebblehinge.replicated_config.in_flight import CommandInFlight, PendingProposal
+from pebblehinge.replicated_config.lease_granting import LeaseGranting
 from pebblehinge.replicated_config.leases import Leases
-from pebblehinge.replicated_config.operator_requests import Asking
-from pebblehinge.replicated_config.size_limits import roomy
-from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.member_connection import MemberConnection
+from pebblehinge.replicated_config.operator_requests import OperatorRequests
+from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.size_limits import with_group_frames
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 from pebblehinge.store.disk import Disk, StorageError
-from pebblehinge.wire import Kind, Session, WireError
-
-BACKLOG = 2048  # connections that wait to be accepted: all heads come back after a leader's loss
-
-
-class MemberConn(Peer):
-    """A connection from another instance, a head, or an operator."""
-
-    FRAMES = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
-
-    def __init__(self, member: MemberServer) -> None:
-        limits = member.config.limits
-        session = Session("group", member.name, limits.frame, limits.streams, greets=False)
-        super().__init__(member.loop, session, limits.stall, limits.keepalive)
-        self.member = member
-
-    def connection_made(self, transport: Any) -> None:
-        super().connection_made(transport)
-        self.member.conns[self] = None
-
-    def gone(self, exc: Exception | None) -> None:
-        self.member.conns.pop(self, None)
-
-    def on_raft(self, data: bytes) -> None:
-        if self.session.peer_role != "member":
-            raise WireError("RAFT is for instances of the group")
-        if self.session.peer_name.rpartition("@")[2] != self.member.config.group.id:
-            raise WireError(f"this is group {self.member.config.group.id!r}: {self.session.peer_name!r} is of another")
-        try:
-            self.member.node.receive(data)
-        except msgspec.DecodeError as error:
-            raise WireError(f"RAFT: {error}") from None
 
-    def on_renew(self, *values: Any) -> None:
-        self.member.granting.renewed(self, *values)
-
-    def on_ask(self, token: int, verb: str, values: dict[str, str | int]) -> None:
-        self.member.asking.asked(self, token, verb, values)
+BACKLOG = 2048  # connections that wait to be accepted: all gateways come back after a leader's loss
 
 
 class MemberServer:
-    """Everything of one instance. `disk` is its folder."""
+    """Everything of one member."""
 
     def __init__(
         self,
@@ -72,142 +46,191 @@
         config: Config,
         name: str,
         disk: Disk,
-        log: Any,
+        log: Log,
         seed: int = 0,
     ) -> None:
-        config = roomy(config)
-        self.loop, self.clock, self.config, self.name, self.log = loop, clock, config, name, log
-        group, limits = config.group, config.limits
+        """A member as it starts from its folder.
+
+        Args:
+            loop: runs timers and connections.
+            clock: milliseconds.
+            config: names the members, and how the group keeps time.
+            name: of this one among them.
+            disk: its folder; raises StorageError for one that can't be read.
+            log: hears why it stops.
+            seed: of its election timeouts, with its name.
+        """
+        self.loop = loop
+        self.clock = clock
+        self.config = with_group_frames(config)
+        self.name = name
+        self.log = log
         storage = Storage(disk)
         snapshot = storage.snapshot or initial_snapshot(list(config.member))
+        self.state = ConfigState.restore(snapshot.data)
+        group = config.group
         rng = random.Random(f"{seed}/{name}")
         raft = Raft(name, snapshot, storage.entries, storage.hard_state, rng, group.election, group.heartbeat)
-        self.state = State.restore(snapshot.data)
-        link_settings = LinkSettings(f"{name}@{group.id}", limits.frame, limits.stall, limits.keepalive)
-        links = {
-            other: PeerLink(loop, block.listen, link_settings)
-            for other, block in config.member.items()
-            if other != name
-        }
         callbacks = NodeCallbacks(
-            self._apply, self._restore, lambda: self.state.dump(), self._read_done, self._storage_failed
+            self._apply, self._restore, lambda: self.state.dump(), self._on_read_done, self._on_storage_failed
         )
-        self.node = Node(loop, raft, storage, links, callbacks, group.tick, group.compact)
-        self.conns: dict[MemberConn, None] = {}
-        self.proposals: dict[int, tuple[int, Callable[[str], None]]] = {}  # index -> term, who waits
-        self.reads: dict[int, Callable[[bool], None]] = {}
+        self.node = Node(loop, raft, storage, self._links(), callbacks, group.tick, group.compact)
+        self.connections: dict[MemberConnection, None] = {}  # in the order of their coming
+        self.proposals: dict[int, PendingProposal] = {}  # by index
+        self.reads: dict[int, Callable[[bool], None]] = {}  # by context
         self.contexts = itertools.count(1)
-        self.on_its_way: dict[tuple[Any, ...], int] = {}  # commands of the leader itself -> index
-        self.asking, self.granting = Asking(self), Granting(self)
-        self.failure = ""
+        self.in_flight: dict[bytes, CommandInFlight] = {}  # commands of the leader itself, by their bytes
+        self.operator_requests = OperatorRequests(self)
+        self.lease_granting = LeaseGranting(self)
+        self.failure = ""  # why it stopped by itself
         self.stopped: asyncio.Future[None] = loop.create_future()
-        self.server: Any = None
+        self.server: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
 
+    def _links(self) -> dict[str, PeerLink]:
+        limits = self.config.limits
+        greeting = f"{self.name}@{self.config.group.id}"
+        settings = LinkSettings(greeting, limits.frame, limits.stall, limits.keepalive)
+        return {
+            other: PeerLink(self.loop, block.listen, settings)
+            for other, block in self.config.member.items()
+            if other != self.name
+        }
+
     async def start(self) -> None:
+        """Listens, and takes part. Raises OSError if it can't listen."""
         host, port = parse_address(self.config.member[self.name].listen)
-        self.server = await self.loop.create_server(lambda: MemberConn(self), host, port, backlog=BACKLOG)
+        self.server = await self.loop.create_server(lambda: MemberConnection(self), host, port, backlog=BACKLOG)
         self.node.start()
-        self._look()
+        self._tick()
 
-    def stop(self, why: str = "") -> None:
+    def stop(self, reason: str = "") -> None:
+        """Stops for good. The reason is a signal's name and is not used: handlers of signals hand it in."""
         self.node.stop()
         if self.server is not None:
             self.server.close()
         if self.timer is not None:
             self.timer.cancel()
-        for conn in list(self.conns):
-            conn.close()
+        for connection in list(self.connections):
+            connection.close()
         if not self.stopped.done():
             self.stopped.set_result(None)
 
-    def _storage_failed(self, error: StorageError) -> None:
+    def _on_storage_failed(self, error: StorageError) -> None:
         self.failure = str(error)
         self.log.error("stopped", why=self.failure)
         self.stop()
 
+    def _tick(self) -> None:
+        if not self.node.up:
+            return
+        self.timer = self.loop.call_later(self.config.group.tick / 1000.0, self._tick)
+        if self.node.is_leader:
+            self.lease_granting.tick()
+        else:
+            self.lease_granting.lose_leadership()
+            self._fail_proposals(OutcomeUnknownError(LEADERSHIP_LOST))
+            self.operator_requests.proposals.lose_leadership()
+
     # ---- the state machine
 
     def _apply(self, entry: Entry) -> None:
-        said = self.state.apply(entry)
-        waiting = self.proposals.pop(entry.index, None)
-        if waiting is not None:
-            term, tell = waiting
-            tell(said if term == entry.term else "another leader came: ask whether it was done")
-        for key in [k for k, index in self.on_its_way.items() if index <= entry.index]:
-            del self.on_its_way[key]
-        self.granting.applied(entry.index)
+        result = self.state.apply(entry)
+        pending = self.proposals.pop(entry.index, None)
+        if pending is not None:
+            is_ours = pending.term == entry.term
+            pending.done(result if is_ours else CommandResult(OutcomeUnknownError(LEADER_CHANGED)))
+        for key in [key for key, own in self.in_flight.items() if own.index <= entry.index]:
+            del self.in_flight[key]
+        self.lease_granting.on_applied(entry.index)
         if self.node.is_leader:
-            self.asking.proposals.go_on()
+            self.operator_requests.proposals.propose_next()
 
     def _restore(self, data: bytes) -> None:
-        self.state = State.restore(data)
-        for _, tell in self.proposals.values():
-            tell("another leader came: ask whether it was done")
-        self.proposals.clear()
+        self.state = ConfigState.restore(data)
+        self._fail_proposals(OutcomeUnknownError(LEADER_CHANGED))
+
+    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+        """Appends a command to the log, and calls back once its outcome is known or lost.
 
-    def propose(self, data: bytes, tell: Callable[[str], None], session: str = "", serial: int = 0) -> bool:
+        False if this member does not lead, hands over, or too much waits for its commit.
+        """
         index = self.node.raft.propose(data, session, serial)
         if index is None:
             return False
-        self.proposals[index] = (self.node.raft.current_term, tell)
+        self.proposals[index] = PendingProposal(self.node.raft.current_term, done)
         self.node.process_ready()
         return True
 
-    def own(self, *parts: Any) -> None:
-        """A command of the leader's own, once at a time."""
-        key = tuple(str(p) for p in parts)
-        if key in self.on_its_way:
+    def _fail_proposals(self, error: ReplicatedConfigError) -> None:
+        for pending in self.proposals.values():
+            pending.done(CommandResult(error))
+        self.proposals.clear()
+
+    def propose_once(self, command: AnyCommand) -> None:
+        """Proposes a command of the leader's own, unless the same is in flight."""
+        data = encode_command(command)
+        if data in self.in_flight:
             return
-        index = self.node.raft.propose(command(*parts))
+        index = self.node.raft.propose(data)
         if index is not None:
-            self.on_its_way[key] = index
+            self.in_flight[data] = CommandInFlight(command, index)
             self.node.process_ready()
 
-    def _look(self) -> None:
-        """Every tick."""
-        if not self.node.up:
-            return
-        self.timer = self.loop.call_later(self.config.group.tick / 1000.0, self._look)
-        if self.node.is_leader:
-            self.granting.look()
-        else:
-            self.granting.lost()
-            self._lost_lead()
+    @property
+    def commands_in_flight(self) -> list[AnyCommand]:
+        """The leader's own, not applied yet."""
+        return [own.command for own in self.in_flight.values()]
 
-    def _lost_lead(self) -> None:
-        for _, tell in self.proposals.values():
-            tell("this instance leads no more: ask whether it was done")
-        self.proposals.clear()
-        self.asking.proposals.lost()
+    def forget_commands_in_flight(self) -> None:
+        """Begins with none: they were of another term."""
+        self.in_flight.clear()
 
     # ---- reads
 
     @property
     def leases(self) -> Leases | None:
-        """None where this instance does not lead."""
-        return self.granting.leases
+        """None if this member does not lead."""
+        return self.lease_granting.leases
+
+    @property
+    def pending_requests(self) -> int:
+        """Proposals and reads that wait."""
+        return len(self.reads) + len(self.proposals)
 
-    def read(self, call: Callable[[bool], None]) -> None:
-        """Calls back when a round of the majority that begins from now on is over; False where there was none."""
+    def read(self, done: Callable[[bool], None]) -> None:
+        """Calls back when a round of the majority that begins from now on is over; False if there was none."""
         context = next(self.contexts)
-        self.reads[context] = call
+        self.reads[context] = done
         if not self.node.raft.read_index(context):
             self.reads.pop(context)(False)
         self.node.process_ready()
 
-    def _read_done(self, context: int, sound: bool) -> None:
-        call = self.reads.pop(context, None)
-        if call is not None:
-            call(sound)
+    def _on_read_done(self, context: int, confirmed: bool) -> None:
+        done = self.reads.pop(context, None)
+        if done is not None:
+            done(confirmed)
+
+    def after_read(self, reply: Reply, query: Callable[[], str]) -> None:
+        """Replies with what is agreed now, not with what this member believed when it led.
+
+        `query` may raise RequestError.
+        """
+
+        def done(confirmed: bool) -> None:
+            if not confirmed:
+                reply(OperatorReply.failed(LeadershipLostError()))
+                return
+            try:
+                answer = OperatorReply.done(query())
+            except RequestError as error:
+                answer = OperatorReply.failed(error)
+            reply(answer)
+
+        self.read(done)
 
     def leader_address(self) -> str:
+        """The address of the leader as far as it is another member and known, else ""."""
         leader = self.node.raft.leader_id
         block = self.config.member.get(leader or "")
         return block.listen if block is not None and leader != self.name else ""
-
-    # ---- what operators ask needs
-
-    def after_read(self, tell: Callable[[bool, str], None], look: Callable[[], tuple[bool, str]]) -> None:
-        """Answers with what is agreed now, not with what this instance believed when it led."""
-        self.read(lambda sound: tell(*look()) if sound else tell(False, "this instance leads no more"))
--- a/pebblehinge/replicated_config/size_limits.py
+++ b/pebblehinge/replicated_config/size_limits.py
@@ -4,20 +4,26 @@
 
 import msgspec
 
+from pebblehinge.replicated_config.errors import VersionTooLargeError
 from pebblehinge.settings import Config
 
-TEXT = 3 << 20  # bytes of a version's text; 1,024 heads, 2,048 shelfs, 2,000 volumes are 0.93 MB as they are proposed
-FRAME = 8 << 20  # bytes: a GRANT brings two texts and what is set aside, a diff may tell all lines of two
+# Bytes of a version's text; 1,024 gateways, 2,048 storage nodes, 2,000 volumes are 0.93 MB as they are proposed.
+MAX_TEXT_BYTES = 3 << 20
+MAX_FRAME_BYTES = 8 << 20  # a GRANT brings two texts and what is reserved, a diff may show all lines of two
 
 
-def roomy(config: Config) -> Config:
-    """The settings under which instances and heads talk about versions. Clients and shelfs keep `limits frame`: what
-    one of them may make a head hold stays as it is stated."""
+def with_group_frames(config: Config) -> Config:
+    """The settings under which members and gateways talk about versions: frames may have MAX_FRAME_BYTES at least.
+
+    Clients and storage nodes keep the settings' limit: what one of them may make a gateway hold stays as stated.
+    """
     limits = config.limits
-    return msgspec.structs.replace(config, limits=msgspec.structs.replace(limits, frame=max(limits.frame, FRAME)))
+    frame = max(limits.frame, MAX_FRAME_BYTES)
+    return msgspec.structs.replace(config, limits=msgspec.structs.replace(limits, frame=frame))
 
 
-def too_large(text: str) -> str:
-    """Why a text can't become a version, or nothing."""
+def check_text_size(text: str) -> None:
+    """Raises VersionTooLargeError for a text that can't become a version."""
     size = len(text.encode())
-    return f"the version's text has {size:,} bytes: expected at most {TEXT:,}" if size > TEXT else ""
+    if size > MAX_TEXT_BYTES:
+        raise VersionTooLargeError(size, MAX_TEXT_BYTES)
--- a/pebblehinge/replicated_config/state_machine.py
+++ b/pebblehinge/replicated_config/state_machine.py
@@ -1,200 +1,216 @@
-"""The replicated state machine: versions of the configuration, which one is active, and what heads have taken up.
+"""The replicated state machine: versions of the configuration, the active one, and what gateways have acknowledged.
 
-Commands are msgpack arrays in the log's entries. Everything here follows from the log alone: no clock, no chance, so
-every instance holds the same. A proposal that is sent twice is applied once, by its session and serial.
+Everything here follows from the log alone, without clock or randomness, so every member holds the same. A proposal
+that is sent twice is applied once, by its session and serial.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import Any
 
 import msgspec
 
 from pebblehinge.raft import Entry, EntryKind
-from pebblehinge.replicated_config.version_cache import read
+from pebblehinge.replicated_config.commands import (
+    Acknowledge,
+    AcknowledgeMany,
+    Activate,
+    AnyCommand,
+    CommandResult,
+    ForgetGateway,
+    ProposeVersion,
+    RejectVersion,
+    Reservations,
+    decode_command,
+)
+from pebblehinge.replicated_config.errors import (
+    CommandRejectedError,
+    InvalidVersionError,
+    NotPendingError,
+    StaleBaseError,
+    StaleRevisionError,
+    SupersededProposalError,
+    UnknownGatewayError,
+    UnknownVersionError,
+    VersionPendingError,
+)
+from pebblehinge.replicated_config.snapshot import ConfigSnapshot, GatewayRecord, SessionRecord, Version
+from pebblehinge.replicated_config.version_cache import parse_version
 from pebblehinge.settings import SettingsError
 
-SESSIONS = 1024  # remembered: the one least recently used goes first
-VERSIONS = 200  # kept with their text
+MAX_SESSIONS = 1024  # remembered: the one least recently used goes first
+MAX_VERSIONS = 200  # kept with their text
 
 
-class Version(msgspec.Struct, array_like=True):
-    """One version of the configuration."""
-
-    number: int
-    text: str
-    author: str
-    note: str
-    refused: str = ""  # why it was never activated
-
-
-class HeadRow(msgspec.Struct, array_like=True):
-    """What the group knows of one head: the newest version that it acknowledged."""
-
-    name: str
-    version: int
-
-
-class Kept(msgspec.Struct, array_like=True):
-    """A snapshot."""
-
-    versions: list[Version]
-    active: int
-    pending: int
-    aside: dict[str, tuple[float, float]]
-    heads: dict[str, HeadRow]
-    sessions: list[tuple[str, int, str]]
-    changed: int = 0
-
-
-def command(*parts: Any) -> bytes:
-    return msgspec.msgpack.encode(parts)
-
-
-class State:
-    """Version 0 is the empty beginning; `active` is what heads act on, `pending` what they prepare for, or 0."""
+class ConfigState:
+    """Versions count from 1. `active` is what gateways act on, `pending` what they prepare for; 0 for none."""
 
     def __init__(self) -> None:
+        """The state at the beginning of the log."""
         self.versions: OrderedDict[int, Version] = OrderedDict()
-        self.active = self.pending = 0
-        self.aside: dict[str, tuple[float, float]] = {}
-        self.heads: dict[str, HeadRow] = {}
-        self.sessions: OrderedDict[str, tuple[int, str]] = OrderedDict()
-        self.changed = 0  # counts what heads must hear of
-
-    def apply(self, entry: Entry) -> str:
-        """Applies a committed entry; "" where it was done, else the reason why not."""
+        self.active = 0
+        self.pending = 0
+        self.reserved: Reservations = {}
+        self.gateways: dict[str, GatewayRecord] = {}
+        self.sessions: OrderedDict[str, SessionRecord] = OrderedDict()
+        self.revision = 0  # counts the changes that concern gateways
+
+    def apply(self, entry: Entry) -> CommandResult:
+        """Applies a committed entry, once for each serial of a session; a repeated one has its first result."""
         if entry.kind != EntryKind.DATA:
-            return ""
+            return CommandResult()
         if entry.session:
             known = self.sessions.get(entry.session)
-            if known is not None and known[0] >= entry.serial:
-                return known[1] if known[0] == entry.serial else "an older proposal of this session"
-        verb, *rest = msgspec.msgpack.decode(entry.data)
-        said = getattr(self, f"_{verb}")(*rest)
+            if known is not None and known.serial > entry.serial:
+                return CommandResult(SupersededProposalError())
+            if known is not None and known.serial == entry.serial:
+                return CommandResult.from_stored(known.reason)
+        result = self._execute(decode_command(entry.data))
         if entry.session:
-            self.sessions[entry.session] = (entry.serial, said)
-            self.sessions.move_to_end(entry.session)
-            if len(self.sessions) > SESSIONS:
-                self.sessions.popitem(last=False)
-        return said
+            self._remember(SessionRecord(entry.session, entry.serial, result.stored_reason()))
+        return result
+
+    def _execute(self, command: AnyCommand) -> CommandResult:
+        try:
+            match command:
+                case ProposeVersion():
+                    self._propose(command)
+                case Acknowledge():
+                    self._acknowledge(command.gateway, command.version)
+                case AcknowledgeMany():
+                    self._acknowledge_many(command)
+                case RejectVersion():
+                    self._reject(command)
+                case Activate():
+                    self._activate(command)
+                case ForgetGateway():
+                    self._forget(command)
+        except CommandRejectedError as error:
+            return CommandResult(error)
+        return CommandResult()
+
+    def _remember(self, record: SessionRecord) -> None:
+        self.sessions[record.session] = record
+        self.sessions.move_to_end(record.session)
+        if len(self.sessions) > MAX_SESSIONS:
+            self.sessions.popitem(last=False)
 
     # ---- commands
 
-    def _propose(self, base: int, text: str, author: str, note: str) -> str:
-        """A new version, if none came since the proposer looked, and if it is sound."""
+    def _propose(self, command: ProposeVersion) -> None:
+        """A new version, if none came since the proposer looked, and if it is valid."""
         newest = self.newest
-        if base != newest:
-            return f"it is based on version {base}, the newest is {newest}: look again"
+        if command.base != newest:
+            raise StaleBaseError(command.base, newest)
         if self.pending:
-            return f"version {self.pending} is being taken up: wait for it"
+            raise VersionPendingError(self.pending)
+        number = newest + 1
         try:
-            read(text, f"version {newest + 1}")
+            parse_version(command.text, f"version {number}")
         except SettingsError as error:
-            return str(error)
-        self.versions[newest + 1] = Version(newest + 1, text, author, note)
-        self.pending = newest + 1
-        self.changed += 1
-        while len(self.versions) > VERSIONS:
-            for number in list(self.versions):
-                if number not in self._needed():
-                    del self.versions[number]
-                    break
-            else:
-                break
-        return ""
-
-    def _acknowledge(self, head: str, version: int) -> str:
-        """A head is careful between its version and this one, or acts on it already. Alone in an entry only in logs of
-        before `taken_up`."""
+            raise InvalidVersionError(str(error)) from None
+        self.versions[number] = Version(number, command.text, command.author, command.note)
+        self.pending = number
+        self.revision += 1
+        self._drop_old_versions()
+
+    def _drop_old_versions(self) -> None:
+        """Keeps MAX_VERSIONS, or more if more are needed."""
+        while len(self.versions) > MAX_VERSIONS:
+            needed = self._needed_versions()
+            oldest = next((number for number in self.versions if number not in needed), None)
+            if oldest is None:
+                return
+            del self.versions[oldest]
+
+    def _acknowledge(self, gateway: str, version: int) -> None:
         if version not in self.versions:
-            return f"version {version} is not known"
-        row = self.heads.get(head)
-        if row is None or version > row.version:
-            self.heads[head] = HeadRow(head, version)
-            self.changed += 1
-        return ""
-
-    def _taken_up(self, versions: dict[str, int]) -> str:
-        """What many heads acknowledge, in one entry. A version that is not known any more is passed over; so is one
-        that was refused while the word was on its way: its heads have gone back."""
-        for head, version in versions.items():
-            if version in self.versions and not self.versions[version].refused:
-                self._acknowledge(head, version)
-        return ""
-
-    def _refuse(self, version: int, reason: str) -> str:
-        """A head can't use it: it is given up as a whole, and heads that prepared go back."""
+            raise UnknownVersionError(version)
+        record = self.gateways.get(gateway)
+        if record is None or version > record.version:
+            self.gateways[gateway] = GatewayRecord(gateway, version)
+            self.revision += 1
+
+    def _acknowledge_many(self, command: AcknowledgeMany) -> None:
+        """Passes over versions that are not known any more, or were rejected meanwhile: their gateways went back."""
+        for gateway, version in command.versions.items():
+            if version in self.versions and not self.versions[version].rejection:
+                self._acknowledge(gateway, version)
+
+    def _reject(self, command: RejectVersion) -> None:
+        version = command.version
         if version != self.pending:
-            return f"version {version} is not pending"
-        self.versions[version].refused = reason
+            raise NotPendingError(f"version {version} is not pending")
+        self.versions[version].rejection = command.reason
         self.pending = 0
-        # Who acknowledged it was careful towards it; what it acts on is the active one again.
-        for row in self.heads.values():
-            row.version = min(row.version, self.active) if row.version == version else row.version
-        self.changed += 1
-        return ""
-
-    def _activate(self, version: int, aside: dict[str, Any], basis: int) -> str:
-        """Version is active, with so much set aside for heads that may be cut off. `basis` is the state that the
-        leader reckoned from: a head that was heard of since is not in its reckoning."""
-        if basis != self.changed:
-            return "the state has moved on since this was reckoned"
+        # Who acknowledged it was transitional towards it; what it acts on is the active one again.
+        for record in self.gateways.values():
+            if record.version == version:
+                record.version = min(record.version, self.active)
+        self.revision += 1
+
+    def _activate(self, command: Activate) -> None:
+        """A gateway that was heard of since the leader's revision is not in its computation: it computes anew."""
+        version = command.version
+        if command.revision != self.revision:
+            raise StaleRevisionError
         if version not in (self.pending, self.active):
-            return f"version {version} is neither pending nor active"
-        fresh = {k: (float(v[0]), float(v[1])) for k, v in aside.items()}
-        if version == self.active and fresh == self.aside:
-            return ""
-        self.active, self.aside = version, fresh
+            raise NotPendingError(f"version {version} is neither pending nor active")
+        if version == self.active and command.reserved == self.reserved:
+            return
+        self.active = version
+        self.reserved = command.reserved
         if self.pending == version:
             self.pending = 0
-        self.changed += 1
-        return ""
+        self.revision += 1
 
-    def _forget(self, head: str) -> str:
-        """The operator vouches that this head will not come back as it was."""
-        if head not in self.heads:
-            return f"head {head!r} is not known"
-        del self.heads[head]
-        self.changed += 1
-        return ""
+    def _forget(self, command: ForgetGateway) -> None:
+        if command.gateway not in self.gateways:
+            raise UnknownGatewayError(command.gateway)
+        del self.gateways[command.gateway]
+        self.revision += 1
 
-    # ---- looks
+    # ---- queries
 
     @property
     def newest(self) -> int:
+        """The newest version, whatever became of it; 0 for none."""
         return max(self.versions, default=0)
 
-    def _needed(self) -> set[int]:
-        return {self.active, self.pending, self.newest, *(r.version for r in self.heads.values())}
-
     def text(self, number: int) -> str | None:
+        """A version's text; None if it is not kept."""
         version = self.versions.get(number)
         return version.text if version is not None else None
 
+    def _needed_versions(self) -> set[int]:
+        return {self.active, self.pending, self.newest, *(record.version for record in self.gateways.values())}
+
     # ---- snapshots
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(
-            Kept(
-                list(self.versions.values()),
-                self.active,
-                self.pending,
-                self.aside,
-                self.heads,
-                [(name, serial, said) for name, (serial, said) in self.sessions.items()],
-                self.changed,
-            )
+        """The bytes of a snapshot."""
+        snapshot = ConfigSnapshot(
+            list(self.versions.values()),
+            self.active,
+            self.pending,
+            self.reserved,
+            self.gateways,
+            list(self.sessions.values()),
+            self.revision,
         )
+        return msgspec.msgpack.encode(snapshot)
 
     @classmethod
-    def restore(cls, data: bytes) -> State:
+    def restore(cls, data: bytes) -> ConfigState:
+        """The state of a snapshot's bytes; of none, the state at the beginning."""
         state = cls()
         if data:
-            kept = msgspec.msgpack.decode(data, type=Kept)
-            state.versions = OrderedDict((v.number, v) for v in kept.versions)
-            state.active, state.pending, state.aside = kept.active, kept.pending, kept.aside
-            state.heads, state.changed = kept.heads, kept.changed
-            state.sessions = OrderedDict((name, (serial, said)) for name, serial, said in kept.sessions)
+            snapshot = msgspec.msgpack.decode(data, type=ConfigSnapshot)
+            state.versions = OrderedDict((version.number, version) for version in snapshot.versions)
+            state.active = snapshot.active
+            state.pending = snapshot.pending
+            state.reserved = snapshot.reserved
+            state.gateways = snapshot.gateways
+            state.sessions = OrderedDict((record.session, record) for record in snapshot.sessions)
+            state.revision = snapshot.revision
         return state
--- a/pebblehinge/replicated_config/version_application.py
+++ b/pebblehinge/replicated_config/version_application.py
@@ -1,156 +1,199 @@
-"""What a head acts on, from what the group told it and how long ago. No I/O, no clock.
+"""What a gateway acts on, from what the group granted it and how long ago. No I/O, no clock.
 
-taking = Taking(head, floor)              # or Taking.restore(...): the last version, without a lease
-taking.asked(now)  -> token               # a renewal leaves
-taking.answered(token, ...)               # what the group said; may raise nothing, may refuse a version
-taking.config(now)                        # what to act on now, and in which mode
+application = VersionApplication(gateway, floor)  # or .restore(...): the last version, without a lease
+application.begin_renewal(now)                    # a renewal leaves; returns its token
+application.apply_grant(grant)                    # what the group answered
+application.effective_config(now)                 # what to act on now, and in which mode
 """
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
-from pebblehinge.replicated_config.activation import Aside, careful, cut_off, leave
-from pebblehinge.replicated_config.version_cache import read, same
+from pebblehinge.replicated_config.activation import cut_off, less_reserved, transitional
+from pebblehinge.replicated_config.application_types import (
+    Checkpoint,
+    EffectiveConfig,
+    Grant,
+    Mode,
+    Rejection,
+    StoredVersions,
+)
+from pebblehinge.replicated_config.commands import Reservations
+from pebblehinge.replicated_config.version_cache import parse_version, shared_text
 from pebblehinge.settings import Config, SettingsError
 
-
-class KeptVersion(msgspec.Struct, array_like=True):
-    """What a head keeps of the group over restarts."""
-
-    active: int
-    text: str
-    aside: dict[str, tuple[float, float]]
-    pending: int = 0
-    pending_text: str = ""
+MAX_RENEWALS_IN_FLIGHT = 16  # an answer to an older one counts for nothing
+MAX_UNUSED_VERSIONS = 2  # parsed ones that outlast a rollback
+NO_LEASE = -1.0
 
 
-class Taking:
-    """One head's side."""
+class VersionApplication:
+    """One gateway's versions and lease. Times are in milliseconds of its own clock."""
 
-    def __init__(self, head: str, floor: float) -> None:
-        self.head, self.floor = head, floor
-        self.active = self.pending = 0
+    def __init__(self, gateway: str, floor: float) -> None:
+        """Without any version; `floor` is the part of its allowance that it may send without a lease."""
+        self.gateway = gateway
+        self.floor = floor
+        self.active = 0
+        self.pending = 0
         self.texts: dict[int, str] = {}
         self.configs: dict[int, Config] = {}
-        self.aside: Aside = {}
-        self.lease_until = -1.0
-        self.asked_at: dict[int, float] = {}
-        self.tokens = 0
-        self.refused: tuple[int, str] | None = None
+        self.reserved: Reservations = {}
+        self.lease_until = NO_LEASE
+        self.renewals: dict[int, float] = {}  # token -> when it left
+        self.last_token = 0
+        self.rejection: Rejection | None = None
 
     @classmethod
-    def restore(cls, head: str, floor: float, data: bytes) -> Taking:
-        """After a restart: the last versions, and no lease, since none knows how long this head was away."""
-        taking = cls(head, floor)
-        kept = msgspec.msgpack.decode(data, type=KeptVersion)
-        for number, text in ((kept.active, kept.text), (kept.pending, kept.pending_text)):
+    def restore(cls, gateway: str, floor: float, data: bytes) -> VersionApplication:
+        """After a restart: the last versions, and no lease, since none knows how long this gateway was away.
+
+        Raises msgspec.DecodeError or SettingsError for bytes that `dump` did not return.
+        """
+        application = cls(gateway, floor)
+        stored = msgspec.msgpack.decode(data, type=StoredVersions)
+        for number, text in ((stored.active, stored.text), (stored.pending, stored.pending_text)):
             if number:
-                taking._read(number, text)
-        taking.active, taking.pending, taking.aside = kept.active, kept.pending, kept.aside
-        return taking
+                application._parse(number, text)
+        application.active = stored.active
+        application.pending = stored.pending
+        application.reserved = stored.reserved
+        return application
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(
-            KeptVersion(
-                self.active, self.texts.get(self.active, ""), self.aside, self.pending, self.texts.get(self.pending, "")
-            )
-        )
+        """The bytes to keep over restarts."""
+        active_text = self.texts.get(self.active, "")
+        pending_text = self.texts.get(self.pending, "")
+        stored = StoredVersions(self.active, active_text, self.reserved, self.pending, pending_text)
+        return msgspec.msgpack.encode(stored)
 
     @property
-    def acknowledges(self) -> int:
-        """The newest version that this head has taken up, or is careful towards."""
+    def acknowledged(self) -> int:
+        """The newest version that this gateway has applied, or is transitional towards."""
         return max(self.active, self.pending)
 
-    def asked(self, now: float) -> int:
-        self.tokens += 1
-        self.asked_at[self.tokens] = now
-        for old in list(self.asked_at)[:-16]:
-            del self.asked_at[old]
-        return self.tokens
-
-    def answered(
-        self, token: int, lease_ms: float, active: int, active_text: str, pending: int, pending_text: str, aside: Aside
-    ) -> bool:
-        """True where something changed that must be kept before it is acknowledged."""
-        asked = self.asked_at.pop(token, None)
-        if asked is None:
+    # ---- renewals
+
+    def begin_renewal(self, now: float) -> int:
+        """A renewal leaves now. Returns its token."""
+        self.last_token += 1
+        self.renewals[self.last_token] = now
+        for old in list(self.renewals)[:-MAX_RENEWALS_IN_FLIGHT]:
+            del self.renewals[old]
+        return self.last_token
+
+    def apply_grant(self, grant: Grant) -> bool:
+        """Takes an answer in; one with a version that can't be used changes nothing but `rejection`.
+
+        Returns whether something changed that must be persisted before it is acknowledged.
+        """
+        sent_at = self.renewals.pop(grant.token, None)
+        if sent_at is None:
             return False
-        before = (self.active, self.pending, self.aside)
-        for number, text in ((active, active_text), (pending, pending_text)):
-            if number and text and number not in self.configs and not self._usable(number, text):
+        before = (self.active, self.pending, self.reserved)
+        for number, text in ((grant.active, grant.active_text), (grant.pending, grant.pending_text)):
+            if number and text and number not in self.configs and not self._is_usable(number, text):
                 return False
-        if active in self.configs or active == 0:
-            if active >= self.active:
-                self.active, self.aside = active, aside
-                self.pending = 0 if self.pending <= active else self.pending
-            if pending in self.configs:
-                self.pending = pending
-            elif pending == 0 and self.pending > self.active:
-                self.pending = 0  # it was given up
-            # Only what this head really acts on earns it a lease.
-            if active == self.active:
-                self.lease_until = max(self.lease_until, asked + lease_ms)
-        for old in [n for n in self.configs if n < self.active and n not in (active, pending)]:
-            del self.configs[old], self.texts[old]
-        return before != (self.active, self.pending, self.aside)
-
-    def mark(self) -> tuple[Any, ...]:
-        """What `back_to` needs: everything that an answer may change."""
-        return self.active, self.pending, self.aside, self.lease_until, dict(self.configs), dict(self.texts)
-
-    def hold(self, mark: tuple[Any, ...]) -> tuple[Any, ...]:
-        """Puts an answer aside until it is kept: what is acted on is as it was at the mark. Returns what `take_up`
-        needs."""
-        changed = self.mark()
-        self.back_to(mark)
-        return changed
-
-    def take_up(self, changed: tuple[Any, ...]) -> None:
-        """What was held is kept now. The lease that came with it counts from its asking, as ever."""
-        lease = max(self.lease_until if self.active == changed[0] else -1.0, changed[3])
-        self.active, self.pending, self.aside, _, self.configs, self.texts = changed
-        self.lease_until = lease
-
-    def back_to(self, mark: tuple[Any, ...]) -> None:
-        """Takes an answer back that could not be kept: not acted on and not acknowledged, since a restart would know
-        nothing of it. The lease that it brought is none either; the old one runs out, and the floor is left. What was
-        read of the newest versions stays read, for the next time."""
-        read, texts = self.configs, self.texts
-        self.active, self.pending, self.aside, self.lease_until, self.configs, self.texts = mark
-        for number in sorted(set(read) - set(self.configs))[-2:]:
-            self.configs[number], self.texts[number] = read[number], texts[number]
-
-    def _usable(self, number: int, text: str) -> bool:
+        if grant.active in self.configs or grant.active == 0:
+            self._advance(grant, sent_at)
+        self._drop_old_versions(grant)
+        return before != (self.active, self.pending, self.reserved)
+
+    def _advance(self, grant: Grant, sent_at: float) -> None:
+        if grant.active >= self.active:
+            self.active = grant.active
+            self.reserved = grant.reserved
+            if self.pending <= grant.active:
+                self.pending = 0
+        if grant.pending in self.configs:
+            self.pending = grant.pending
+        elif grant.pending == 0 and self.pending > self.active:
+            self.pending = 0  # it was given up
+        # Only what this gateway really acts on earns it a lease.
+        if grant.active == self.active:
+            self.lease_until = max(self.lease_until, sent_at + grant.lease_ms)
+
+    def _drop_old_versions(self, grant: Grant) -> None:
+        needed = (grant.active, grant.pending)
+        for old in [number for number in self.configs if number < self.active and number not in needed]:
+            del self.configs[old]
+            del self.texts[old]
+
+    # ---- what was applied, and is not persisted yet
+
+    def checkpoint(self) -> Checkpoint:
+        """What `withhold` and `roll_back` go back to."""
+        return Checkpoint(
+            self.active, self.pending, self.reserved, self.lease_until, dict(self.configs), dict(self.texts)
+        )
+
+    def withhold(self, checkpoint: Checkpoint) -> Checkpoint:
+        """Goes back to a checkpoint until what came since is persisted. Returns what `commit` needs."""
+        applied = self.checkpoint()
+        self.roll_back(checkpoint)
+        return applied
+
+    def commit(self, applied: Checkpoint) -> None:
+        """What was withheld is persisted now. The lease that came with it counts from its asking, as ever."""
+        lease_until = max(self.lease_until if self.active == applied.active else NO_LEASE, applied.lease_until)
+        self._set(applied)
+        self.lease_until = lease_until
+
+    def roll_back(self, checkpoint: Checkpoint) -> None:
+        """Takes back an answer that could not be persisted.
+
+        It is not acted on and not acknowledged, since a restart would know nothing of it. The lease that it brought is
+        none either; the old one runs out, and the floor is left. What was parsed of the newest versions stays, for the
+        next time.
+        """
+        configs, texts = self.configs, self.texts
+        self._set(checkpoint)
+        for number in sorted(set(configs) - set(self.configs))[-MAX_UNUSED_VERSIONS:]:
+            self.configs[number] = configs[number]
+            self.texts[number] = texts[number]
+
+    def _set(self, checkpoint: Checkpoint) -> None:
+        self.active = checkpoint.active
+        self.pending = checkpoint.pending
+        self.reserved = checkpoint.reserved
+        self.lease_until = checkpoint.lease_until
+        self.configs = checkpoint.configs
+        self.texts = checkpoint.texts
+
+    # ---- versions
+
+    def _is_usable(self, number: int, text: str) -> bool:
         try:
-            self._read(number, text)
+            self._parse(number, text)
         except SettingsError as error:
-            self.refused = (number, str(error).splitlines()[0])
+            self.rejection = Rejection(number, str(error).splitlines()[0])
             return False
-        config = self.configs[number]
-        if self.head not in config.head:
-            self.refused = (number, f"it has no head {self.head!r}")
-            del self.configs[number], self.texts[number]
+        if self.gateway not in self.configs[number].head:
+            self.rejection = Rejection(number, f"it has no head {self.gateway!r}")
+            del self.configs[number]
+            del self.texts[number]
             return False
         return True
 
-    def _read(self, number: int, text: str) -> None:
-        self.configs[number] = read(text, f"version {number}")
-        self.texts[number] = same(text)
+    def _parse(self, number: int, text: str) -> None:
+        self.configs[number] = parse_version(text, f"version {number}")
+        self.texts[number] = shared_text(text)
 
-    def config(self, now: float) -> tuple[Config | None, str]:
-        """What to act on, and the mode: none, cut off, careful or active."""
+    def effective_config(self, now: float) -> EffectiveConfig:
+        """What to act on now, and the mode."""
         if not self.active:
-            return None, "none"
-        current = leave(self.configs[self.active], self.aside)
-        if self.pending:
-            current = careful(current, self.configs[self.pending], self.head, self.floor)
+            return EffectiveConfig(None, Mode.NONE.value)
         if now >= self.lease_until:
-            # Whatever came since, the group counts this head for the floor of what it acknowledged last.
-            base = self.configs[self.active]
-            if self.pending:
-                base = careful(base, self.configs[self.pending], self.head, self.floor)
-            return cut_off(base, self.floor), "cut off"
-        return current, "careful" if self.pending else "active"
+            # Whatever was reserved since, the group counts this gateway for the floor of what it acknowledged last.
+            return EffectiveConfig(
+                cut_off(self._towards_pending(self.configs[self.active]), self.floor), Mode.CUT_OFF.value
+            )
+        config = self._towards_pending(less_reserved(self.configs[self.active], self.reserved))
+        mode = Mode.TRANSITIONAL if self.pending else Mode.ACTIVE
+        return EffectiveConfig(config, mode.value)
+
+    def _towards_pending(self, config: Config) -> Config:
+        if not self.pending:
+            return config
+        return transitional(config, self.configs[self.pending], self.gateway, self.floor)
--- a/tests/agreed_document.py
+++ b/tests/agreed_document.py
@@ -2,7 +2,13 @@
 
 from __future__ import annotations
 
-from pebblehinge.replicated_config.activation import parts_of
+from typing import Any
+
+import msgspec
+
+from pebblehinge.raft import Entry
+from pebblehinge.replicated_config.activation import allowances_of
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 
 SMALL = 1e-4  # a volume that a head may send nothing for has a millionth of a unit a second there
@@ -46,4 +52,14 @@
 
 
 def rate(config: Config | None, head: str) -> float:
-    return 0.0 if config is None else parts_of(config, head).get("v", (0.0, 0.0))[0]
+    return 0.0 if config is None else allowances_of(config, head).get("v", (0.0, 0.0))[0]
+
+
+def packed(*parts: Any) -> bytes:
+    """A command as the log stores it."""
+    return msgspec.msgpack.encode(parts)
+
+
+def applied(state: ConfigState, entry: Entry) -> str:
+    """Applies an entry; the reason for which it was not done, or "" as the log's sessions have it."""
+    return state.apply(entry).stored_reason()
--- a/tests/agreed_group.py
+++ b/tests/agreed_group.py
@@ -12,10 +12,10 @@
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.operator_client import ask_group
 from pebblehinge.replicated_config.server import MemberServer
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
@@ -30,7 +30,7 @@
         self.members: dict[str, MemberServer] = {}
         self.nodes: dict[str, Node] = {}
         self.disks: dict[str, FaultyDisk] = {}
-        self.feeds: dict[str, Feed] = {}
+        self.watchers: dict[str, ConfigWatcher] = {}
         self.acts: dict[str, tuple[Config | None, str, int]] = {}
         self.kept: dict[str, bytes] = {}
         self.lives = 0
@@ -68,16 +68,22 @@
         node = self.nodes[name] = self.loop.node(name)
         node.rate = self.rates.get(name, 1.0)
         kept = self.kept.get(name)
-        taking = Taking.restore(name, 0.2, kept) if kept else Taking(name, 0.2)
+        application = VersionApplication.restore(name, 0.2, kept) if kept else VersionApplication(name, 0.2)
 
         def adopt(config: Config, mode: str) -> None:
-            self.acts[name] = (config, mode, taking.active)
+            self.acts[name] = (config, mode, application.active)
 
         self.acts[name] = (None, "none", 0)
-        feed = self.feeds[name] = Feed(
-            node, self.clock_of(node), self.config, taking, adopt, lambda data: self.kept.update({name: data}), Quiet()
+        watcher = self.watchers[name] = ConfigWatcher(
+            node,
+            self.clock_of(node),
+            self.config,
+            application,
+            adopt,
+            lambda data: self.kept.update({name: data}),
+            Quiet(),
         )
-        feed.start()
+        watcher.start()
 
     def kill_head(self, name: str) -> None:
         self.nodes[name].kill()
--- a/tests/compatibility/exchange.py
+++ b/tests/compatibility/exchange.py
@@ -9,12 +9,14 @@
 import random
 from pathlib import Path
 
+import msgspec
+
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
 from pebblehinge.raft.codec import decode_message, encode_message
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.ready import ReadState
 from pebblehinge.raft.storage import Storage
-from pebblehinge.replicated_config.state_machine import State, command
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.store.disk import RealDisk
 
 VERSION = """\
@@ -48,6 +50,11 @@
     return VERSION.format(limit=limit)
 
 
+def stored(*parts: object) -> bytes:
+    """A command as the log stores it."""
+    return msgspec.msgpack.encode(parts)
+
+
 class Member:
     """One member: its core, its folder and its state machine."""
 
@@ -57,7 +64,7 @@
         self.storage = Storage(disk)
         snapshot = initial_snapshot(["a", "b", "c"])
         self.raft = Raft(name, snapshot, [], HardState(), random.Random(f"exchange/{name}"))
-        self.state = State()
+        self.state = ConfigState()
         self.reads: list[ReadState] = []
 
     def apply(self, entry: Entry) -> None:
@@ -96,7 +103,7 @@
                 member.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
                 member.raft.persisted(member.raft.log.last_index)
             if ready.snapshot_to_restore is not None:
-                member.state = State.restore(ready.snapshot_to_restore.data)
+                member.state = ConfigState.restore(ready.snapshot_to_restore.data)
                 member.raft.applied(ready.snapshot_to_restore.index)
             for entry in ready.committed_entries:
                 member.apply(entry)
@@ -113,7 +120,7 @@
             self.settle()
 
     def propose(self, name: str, serial: int, *parts: object) -> None:
-        assert self.members[name].raft.propose(command(*parts), "operator", serial) is not None
+        assert self.members[name].raft.propose(stored(*parts), "operator", serial) is not None
         self.settle()
 
 
@@ -135,7 +142,7 @@
     assert leader.raft.read_index(7)
     group.settle()
     group.isolated = "a"
-    assert leader.raft.propose(command("forget", "h1"), "lost", 1) is not None
+    assert leader.raft.propose(stored("forget", "h1"), "lost", 1) is not None
     group.settle()
     group.tick("bc", 30)
     group.isolated = ""
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -17,8 +17,8 @@
 from pebblehinge.raft import Entry, Snapshot
 from pebblehinge.raft.identity import identify
 from pebblehinge.raft.storage import Storage
-from pebblehinge.replicated_config.state_machine import State
-from pebblehinge.replicated_config.version_application import KeptVersion, Taking
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.version_application import StoredVersions, VersionApplication
 from pebblehinge.settings import SettingsError, load
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk, StorageError
@@ -41,7 +41,7 @@
     assert plain(storage.snapshot) == expected["snapshot"]
     assert plain(storage.entries) == expected["entries"]
     assert storage.snapshot is not None
-    state = State.restore(storage.snapshot.data)
+    state = ConfigState.restore(storage.snapshot.data)
     assert state.dump() == storage.snapshot.data
     for entry in storage.entries:
         state.apply(entry)
@@ -86,17 +86,17 @@
 
 def check_kept_version(data: bytes, expected: dict[str, Any]) -> None:
     """A head's kept version: what it acts on without a lease, what it acknowledges, and the same bytes again."""
-    taking = Taking.restore("h1", 0.2, data)
-    acts_on, mode = taking.config(0.0)
+    application = VersionApplication.restore("h1", 0.2, data)
+    acts_on, mode = application.effective_config(0.0)
     assert acts_on is not None
-    assert [mode, taking.acknowledges] == [expected["mode"], expected["acknowledges"]]
+    assert [mode, application.acknowledged] == [expected["mode"], expected["acknowledges"]]
     assert plain(acts_on.plan) == expected["acts_on"]
-    assert taking.dump() == data
-    assert plain(msgspec.msgpack.decode(data, type=KeptVersion)) == expected["values"]
+    assert application.dump() == data
+    assert plain(msgspec.msgpack.decode(data, type=StoredVersions)) == expected["values"]
     active, text, aside, pending, pending_text = expected["values"]
     assert [text, pending_text] == expected["texts"]
-    assert plain(KeptVersion(active, text, aside, pending, pending_text)) == expected["values"]
-    assert taking.active == active and taking.pending == pending and plain(taking.aside) == aside
+    assert plain(StoredVersions(active, text, aside, pending, pending_text)) == expected["values"]
+    assert application.active == active and application.pending == pending and plain(application.reserved) == aside
 
 
 def check_capture(data: bytes, expected: dict[str, Any]) -> None:
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -23,7 +23,7 @@
 from pebblehinge.capture.files import CaptureWriter, parse_capture
 from pebblehinge.raft.codec import encode_message
 from pebblehinge.raft.storage import Storage
-from pebblehinge.replicated_config.version_application import KeptVersion, Taking
+from pebblehinge.replicated_config.version_application import StoredVersions, VersionApplication
 from pebblehinge.settings import load
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk
@@ -104,12 +104,12 @@
     later = rebuilt(config, read.state)
     save("memory", {"values": plain(read), "settings": mark, "later": plain(later.remembered(9_000.0))})
 
-    held = KeptVersion(*KEPT)
+    held = StoredVersions(*KEPT)
     (FIXTURES / "kept_version").write_bytes(msgspec.msgpack.encode(held))
-    taking = Taking.restore("h1", 0.2, msgspec.msgpack.encode(held))
-    acts, mode = taking.config(0.0)
+    application = VersionApplication.restore("h1", 0.2, msgspec.msgpack.encode(held))
+    acts, mode = application.effective_config(0.0)
     assert acts is not None
-    save("kept_version", {"values": plain(held), "mode": mode, "acknowledges": taking.acknowledges,
+    save("kept_version", {"values": plain(held), "mode": mode, "acknowledges": application.acknowledged,
                           "acts_on": plain(acts.plan), "texts": [version(100), version(80)]})  # fmt: skip
 
 
--- a/tests/fleet_rig.py
+++ b/tests/fleet_rig.py
@@ -12,7 +12,7 @@
 from agreed_group import Group
 
 from pebblehinge.net import Peer
-from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
@@ -46,14 +46,14 @@
 def on_fleet(script: Callable[[Fleet], Coroutine[Any, Any, None]], heads: int, seed: int = 1) -> Fleet:
     """Plays a script once version 1 is in force at all heads, with the parts summed up all the while."""
     fleet = Fleet(heads, seed)
-    send, opened = Peer.send, Feed.opened
+    send, opened = Peer.send, ConfigWatcher.on_connected
 
     def counted(self: Peer, kind: Kind, *values: Any) -> None:
         fleet.sent[kind] += 1
         send(self, kind, *values)
 
-    def made(self: Feed, wire: Any) -> None:
-        fleet.made.append((fleet.clock(), self.taking.head, wire.address))
+    def made(self: ConfigWatcher, wire: Any) -> None:
+        fleet.made.append((fleet.clock(), self.application.gateway, wire.address))
         opened(self, wire)
 
     async def main() -> None:
@@ -73,7 +73,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(Peer, "send", counted)
-        patch.setattr(Feed, "opened", made)
+        patch.setattr(ConfigWatcher, "on_connected", made)
         fleet.loop.run_until_complete(main())
         for task in asyncio.all_tasks(fleet.loop):
             task.cancel()
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -7,14 +7,15 @@
 from typing import Any
 
 import pytest
-from agreed_document import SMALL, document, rate
+from agreed_document import SMALL, applied, document, packed, rate
 from agreed_group import Group, on_group
 
 from pebblehinge.raft import Entry
-from pebblehinge.replicated_config.activation import aside_of, careful, cut_off, fits, leave
-from pebblehinge.replicated_config.state_machine import State
-from pebblehinge.replicated_config.state_machine import command as packed
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.activation import cut_off, find_conflict, less_reserved, reserved_for, transitional
+from pebblehinge.replicated_config.application_types import Grant
+from pebblehinge.replicated_config.commands import CommandResult
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings.load import loads
 
 # ---- arithmetic
@@ -27,63 +28,68 @@
         old = loads(document(rng.choice([20, 50, 100, 300]), rng.randint(1, 4)))
         new = loads(document(rng.choice([20, 50, 100, 300]), rng.randint(1, 4)))
         low = min(old.plan["capped"].limit, new.plan["capped"].limit)
-        assert sum(rate(careful(old, new, h), h) for h in names) <= low + SMALL
+        assert sum(rate(transitional(old, new, h), h) for h in names) <= low + SMALL
         missing = rng.sample(names, rng.randint(0, 3))
-        aside = aside_of([(h, old) for h in missing], 0.2)
-        if fits(new, aside) is None:
-            rest = leave(new, aside)
+        aside = reserved_for([(h, old) for h in missing], 0.2)
+        if find_conflict(new, aside) is None:
+            rest = less_reserved(new, aside)
             total = sum(rate(rest, h) for h in names if h not in missing)
             total += sum(rate(cut_off(old, 0.2), h) for h in missing)
             assert total <= new.plan["capped"].limit + SMALL
 
 
 def test_the_state_machine_applies_a_repeated_proposal_once_and_guards_the_base() -> None:
-    state = State()
+    state = ConfigState()
 
     def apply(index: int, *parts: Any, session: str = "", serial: int = 0) -> str:
-        return state.apply(Entry(1, index, 1, packed(*parts), session, serial))
+        return applied(state, Entry(1, index, 1, packed(*parts), session, serial))
 
     first = ("propose", 0, document(), "a", "")
     assert apply(1, *first, session="s", serial=1) == "" and state.pending == 1
     assert apply(2, *first, session="s", serial=1) == "" and state.newest == 1  # sent twice
     assert "wait for it" in apply(3, "propose", 1, document(50), "a", "")
-    assert "moved on" in apply(4, "activate", 1, {}, state.changed - 1)
-    assert apply(5, "activate", 1, {}, state.changed) == "" and (state.active, state.pending) == (1, 0)
+    assert "moved on" in apply(4, "activate", 1, {}, state.revision - 1)
+    assert apply(5, "activate", 1, {}, state.revision) == "" and (state.active, state.pending) == (1, 0)
     assert "based on version 0" in apply(6, "propose", 0, document(50), "b", "")
     assert "unknown directive" in apply(7, "propose", 1, "rubbish 1\n", "b", "")
-    assert State.restore(state.dump()).dump() == state.dump()
+    assert ConfigState.restore(state.dump()).dump() == state.dump()
     assert apply(8, "propose", 1, document(50), "b", "") == ""
-    assert apply(9, "refuse", 2, "h1: no") == "" and state.pending == 0 and state.versions[2].refused == "h1: no"
+    assert apply(9, "refuse", 2, "h1: no") == "" and state.pending == 0 and state.versions[2].rejection == "h1: no"
 
 
 def test_without_sessions_a_repeated_proposal_would_be_applied_twice() -> None:
-    class Forgetful(State):
-        def apply(self, entry: Entry) -> str:
+    class Forgetful(ConfigState):
+        def apply(self, entry: Entry) -> CommandResult:
             self.sessions.clear()
             return super().apply(entry)
 
-    for kind, wanted in ((State, ""), (Forgetful, "wait for it")):
+    for kind, wanted in ((ConfigState, ""), (Forgetful, "wait for it")):
         state = kind()
         entry = Entry(1, 1, 1, packed("propose", 0, document(), "a", ""), "s", 1)
         again = Entry(1, 2, 1, packed("propose", 1, document(), "a", ""), "s", 1)
-        assert state.apply(entry) == ""
-        assert wanted in state.apply(again)
-        assert kind is State or "wait for it" in state.apply(again)
+        assert applied(state, entry) == ""
+        assert wanted in applied(state, again)
+        assert kind is ConfigState or "wait for it" in applied(state, again)
 
 
 def test_a_head_restarts_on_its_last_version_without_a_lease() -> None:
-    taking = Taking("h1", 0.2)
-    token = taking.asked(100.0)
-    assert taking.answered(token, 0.0, 1, document(100), 0, "", {})
-    assert taking.config(100.0)[1] == "cut off"
-    token = taking.asked(200.0)
-    taking.answered(token, 1000.0, 1, "", 0, "", {})
-    assert taking.config(1199.0)[1] == "active" and taking.config(1200.0)[1] == "cut off"  # from its own asking
-    config, mode = Taking.restore("h1", 0.2, taking.dump()).config(300.0)
+    application = VersionApplication("h1", 0.2)
+    token = application.begin_renewal(100.0)
+    assert application.apply_grant(Grant(token, 0.0, 1, document(100), 0, "", {}))
+    assert application.effective_config(100.0)[1] == "cut off"
+    token = application.begin_renewal(200.0)
+    application.apply_grant(Grant(token, 1000.0, 1, "", 0, "", {}))
+    assert (
+        application.effective_config(1199.0)[1] == "active" and application.effective_config(1200.0)[1] == "cut off"
+    )  # from its own asking
+    config, mode = VersionApplication.restore("h1", 0.2, application.dump()).effective_config(300.0)
     assert mode == "cut off" and rate(config, "h1") == pytest.approx(100 / 3 * 0.2)
-    assert not taking.answered(999, 5000.0, 1, "", 0, "", {})  # an answer to nothing that was asked
-    token = taking.asked(400.0)
-    assert not taking.answered(token, 0.0, 1, "", 2, "rubbish 1\n", {}) and taking.refused[0] == 2
+    assert not application.apply_grant(Grant(999, 5000.0, 1, "", 0, "", {}))  # an answer to nothing that was asked
+    token = application.begin_renewal(400.0)
+    assert (
+        not application.apply_grant(Grant(token, 0.0, 1, "", 2, "rubbish 1\n", {}))
+        and application.rejection.version == 2
+    )
 
 
 # ---- the group
@@ -165,12 +171,12 @@
         # Its lease with the clocks' drift, and one more where a leader came anew; a renewal, the ways, an election.
         assert g.clock() - began < 2 * 2000 * 1.05 + 300 + 4 * 1 + 800
         assert g.acts["h1"][1:] == ("cut off", 1)
-        aside = g.leader().state.aside["v"][0]
+        aside = g.leader().state.reserved["v"][0]
         assert aside == pytest.approx(100 / 3 * 0.2)
         assert rate(g.acts["h2"][0], "h2") == pytest.approx((40 - aside) / 3, rel=1e-4)
         g.loop.net.heal(["h1"], [f"g{n}" for n in range(1, 6)])
         await g.until(lambda: all((m, v) == ("active", 2) for _, m, v in g.acts.values()))
-        await g.until(lambda: not any(r for r, _ in g.leader().state.aside.values()))
+        await g.until(lambda: not any(r for r, _ in g.leader().state.reserved.values()))
         await g.until(lambda: rate(g.acts["h2"][0], "h2") == pytest.approx(40 / 3, rel=1e-4))
 
     on_group(script, 4)
@@ -194,8 +200,8 @@
     async def script(g: Group) -> None:
         ok, said = await g.propose(document(70, 2, names=2), 2)  # heads 3 and 4 are not in it
         assert ok, said
-        await g.until(lambda: g.leader() and g.leader().state.versions[2].refused)
-        assert "it has no head 'h" in g.leader().state.versions[2].refused
+        await g.until(lambda: g.leader() and g.leader().state.versions[2].rejection)
+        assert "it has no head 'h" in g.leader().state.versions[2].rejection
         await g.until(lambda: all((m, v) == ("active", 1) for _, m, v in g.acts.values()))
         ok, said = await g.propose(document(70), 3)
         await g.until(lambda: all((m, v) == ("active", 3) for _, m, v in g.acts.values()))
--- a/tests/test_agreed_faults.py
+++ b/tests/test_agreed_faults.py
@@ -81,7 +81,11 @@
                     g.acts[name] = (None, "frozen", acts[2])
                     await asyncio.sleep(rng.uniform(0.2, 5.0))
                     g.nodes[name].thaw()
-                    g.acts[name] = (g.feeds[name].taking.config(g.clock_of(g.nodes[name])())[0], "thawed", acts[2])
+                    g.acts[name] = (
+                        g.watchers[name].application.effective_config(g.clock_of(g.nodes[name])())[0],
+                        "thawed",
+                        acts[2],
+                    )
                     g.frozen.discard(name)
             elif what < 0.85:
                 g.loop.net.heal(members + heads, members + heads)
@@ -99,7 +103,7 @@
             if g.acts[h][1] == "dead":
                 g.start_head(h)
         await g.until(lambda: g.active() and all((m, v) == ("active", g.active()) for _, m, v in g.acts.values()), 60)
-        await g.until(lambda: not any(r for r, _ in g.leader().state.aside.values()))
+        await g.until(lambda: not any(r for r, _ in g.leader().state.reserved.values()))
 
     rng = random.Random(f"{seed}/clocks")
     names = [f"g{n}" for n in range(1, 6)] + [f"h{n}" for n in range(1, 5)]
@@ -112,7 +116,7 @@
     async def script(g: Group) -> None:
         leader = g.leader()
         others = [n for n in g.members if n != leader.name]
-        await g.until(lambda: g.feeds["h1"].wire is not None)
+        await g.until(lambda: g.watchers["h1"].connection is not None)
         g.cut.add("h1")
         g.loop.net.partition([leader.name], others)
         g.loop.net.partition(["h1"], others)
@@ -120,7 +124,7 @@
         await asyncio.sleep(0.3)
         assert leader.node.is_leader
         await asyncio.sleep(1.0)
-        assert g.feeds["h1"].taking.lease_until <= cut_at + 2000.0 + 5.0
+        assert g.watchers["h1"].application.lease_until <= cut_at + 2000.0 + 5.0
 
     on_group(script, 8)
 
--- a/tests/test_agreed_reading.py
+++ b/tests/test_agreed_reading.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 
 import pytest
-from agreed_document import document
+from agreed_document import applied, document, packed
 from test_faults_in_memory import STRUCK
 
 from pebblehinge.lab.village import play
 from pebblehinge.raft import Entry
-from pebblehinge.replicated_config import Leases, State, Taking, version_cache
-from pebblehinge.replicated_config.state_machine import command
+from pebblehinge.replicated_config import ConfigState, Leases, VersionApplication, version_cache
+from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.settings import Config, SettingsError
 from pebblehinge.settings.load import loads
 
@@ -27,34 +27,34 @@
         return loads(text, name)
 
     monkeypatch.setattr(version_cache, "loads", counted)
-    version_cache._held.clear()
+    version_cache._cache.clear()
     yield names
-    version_cache._held.clear()
+    version_cache._cache.clear()
 
 
 def test_heads_and_instances_of_one_process_read_a_version_once(reads: list[str]) -> None:
     text = document(100)
-    states = [State() for _ in range(3)]
+    states = [ConfigState() for _ in range(3)]
     for state in states:
-        assert state.apply(Entry(1, 1, 1, command("propose", 0, text, "a", ""))) == ""
-    takings = [Taking(f"h{n}", 0.2) for n in range(1, 5)]
-    for taking in takings:
+        assert applied(state, Entry(1, 1, 1, packed("propose", 0, text, "a", ""))) == ""
+    applications = [VersionApplication(f"h{n}", 0.2) for n in range(1, 5)]
+    for application in applications:
         copy = text.encode().decode()  # as it comes out of a frame: another string of the same characters
-        taking.answered(taking.asked(0.0), 1000.0, 1, copy, 0, "", {})
+        application.apply_grant(Grant(application.begin_renewal(0.0), 1000.0, 1, copy, 0, "", {}))
     leases = Leases(2000.0, 0.05, 0.2, 0.0)
     assert reads == ["version 1"]
-    assert len({id(t.configs[1]) for t in takings} | {id(leases.config(states[0], 1))}) == 1
-    assert len({id(t.texts[1]) for t in takings}) == 1 and takings[0].texts[1] == text
+    assert len({id(t.configs[1]) for t in applications} | {id(leases.config(states[0], 1))}) == 1
+    assert len({id(t.texts[1]) for t in applications}) == 1 and applications[0].texts[1] == text
 
 
 def test_few_texts_are_held_and_the_one_least_recently_used_goes(reads: list[str]) -> None:
-    texts = [document(10 + n) for n in range(version_cache.MOST + 1)]
+    texts = [document(10 + n) for n in range(version_cache.MAX_CACHED_TEXTS + 1)]
     for n, text in enumerate(texts):
-        version_cache.read(text, f"{n}")
-        version_cache.read(texts[0], "again")
-    assert len(version_cache._held) == version_cache.MOST
+        version_cache.parse_version(text, f"{n}")
+        version_cache.parse_version(texts[0], "again")
+    assert len(version_cache._cache) == version_cache.MAX_CACHED_TEXTS
     assert reads == [str(n) for n in range(len(texts))]
-    version_cache.read(texts[1], "gone")
+    version_cache.parse_version(texts[1], "gone")
     assert reads[-1] == "gone"
 
 
@@ -62,7 +62,7 @@
     wrong = document() + "volume w {\n    plan nowhere\n}\n"
     for name in ("proposal", "version 7"):
         with pytest.raises(SettingsError, match=f"{name}:.*plan 'nowhere' is not there"):
-            version_cache.read(wrong, name)
+            version_cache.parse_version(wrong, name)
     assert reads == ["proposal", "version 7"]
 
 
@@ -71,7 +71,7 @@
     found = []
     for limit in (10, 20):
         Path("plan.conf").write_text(f"plan p {{\n    rate 5/s\n    limit {limit}/s\n    burst 20\n}}\n")
-        found.append(version_cache.read("include plan.conf\n", "text").plan["p"].limit)
+        found.append(version_cache.parse_version("include plan.conf\n", "text").plan["p"].limit)
     assert found == [10.0, 20.0]
 
 
@@ -80,6 +80,6 @@
     village, known = play(STRUCK, "struck", 3, script=[])
     assert known["faults"] == [] and len(reads) >= 3
     assert {s.state.active for n, s in village.servers.items() if n in STRUCK.member} != {0}
-    assert len(version_cache._held) >= 2
-    for text, config in version_cache._held.values():
-        assert config == loads(text, "anew")
+    assert len(version_cache._cache) >= 2
+    for parsed in version_cache._cache.values():
+        assert parsed.config == loads(parsed.text, "anew")
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -14,8 +14,9 @@
 
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import VirtualLoop
-from pebblehinge.replicated_config.config_watcher import Feed
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.application_types import Grant
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import show
 from pebblehinge.store.beside import in_thread, inline
 from pebblehinge.wire import Kind
@@ -38,7 +39,7 @@
 
 
 class Rig:
-    """A feed whose disk takes as long as the test wants."""
+    """A watcher whose disk takes as long as the test wants."""
 
     def __init__(self) -> None:
         self.world = VirtualLoop(seed=1)
@@ -47,22 +48,22 @@
         self.adopted: list[tuple[float, str]] = []
         self.kept: list[bytes] = []
         self.log = Quiet()
-        self.feed = Feed(
+        self.watcher = ConfigWatcher(
             node,
             lambda: node.time() * 1000.0,
             STRUCK,
-            Taking("h1", 0.2),
+            VersionApplication("h1", 0.2),
             lambda config, mode: self.adopted.append((config.plan["basico"].limit, mode)),
             self.kept.append,
             self.log,
             lambda call, done: self.waiting.append((call, done)),
         )
         self.wire = Wire()
-        self.feed.wire = self.wire  # type: ignore[assignment]
+        self.watcher.connection = self.wire  # type: ignore[assignment]
 
     def grant(self, active: int, text: str, lease_ms: float = 60_000.0) -> None:
-        self.feed.ask()
-        self.feed.granted(self.wire.renewals[-1][0], lease_ms, active, text, 0, "", {}, "")
+        self.watcher.renew()
+        self.watcher.on_grant(Grant(self.wire.renewals[-1][0], lease_ms, active, text, 0, "", {}, ""))
 
     def disk(self, error: OSError | None = None) -> None:
         call, done = self.waiting.pop(0)
@@ -71,7 +72,7 @@
         done(error)
 
     def acknowledges(self) -> int:
-        self.feed.ask()
+        self.watcher.renew()
         return self.wire.renewals[-1][2]
 
 
@@ -89,7 +90,7 @@
     assert rig.adopted[-1] == (50.0, "active") and rig.acknowledges() == 1
     rig.disk()
     assert rig.adopted[-1] == (20.0, "active") and rig.acknowledges() == 2
-    assert Taking.restore("h1", 0.2, rig.kept[-1]).active == 2
+    assert VersionApplication.restore("h1", 0.2, rig.kept[-1]).active == 2
 
 
 def test_what_a_disk_refused_is_told_once_and_tried_with_each_renewal() -> None:
@@ -106,8 +107,8 @@
 def test_a_feed_that_closed_meanwhile_takes_nothing_up() -> None:
     rig = Rig()
     rig.grant(1, TEXT)
-    rig.feed.wire = None
-    rig.feed.close()
+    rig.watcher.connection = None
+    rig.watcher.close()
     rig.disk()
     assert rig.adopted == []
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -22,7 +22,7 @@
 from capacity_scale import broken, whole  # noqa: E402
 from caps import CAPS  # noqa: E402
 
-from pebblehinge.replicated_config.state_machine import VERSIONS  # noqa: E402
+from pebblehinge.replicated_config.state_machine import MAX_VERSIONS  # noqa: E402
 from pebblehinge.service.door import Door  # noqa: E402
 from pebblehinge.settings.schema import GroupBlock, LimitsBlock  # noqa: E402
 
@@ -190,7 +190,7 @@
     assert common["compact"] == group.compact
     assert common["tick_s"] * 1000 == group.tick
     assert common["election_s"] * 1000 == group.tick * group.election
-    assert common["versions_kept"] == VERSIONS
+    assert common["versions_kept"] == MAX_VERSIONS
     assert common["frame_limit"] == limits.frame
     assert common["framed_clients"] == limits.connections
     assert common["keepalive_s"] * 1000 == limits.keepalive
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -10,7 +10,8 @@
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.faults.ground_in_memory import AGREED
 from pebblehinge.lab.proposer import broken_word
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.application_types import Grant
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import show
 from pebblehinge.settings.load import loads
 
@@ -67,22 +68,36 @@
     told = [line for line in village.log.lines if "can't be kept" in line[1]]
     assert len(told) == 1 and told[0][0] == "error"
     head, other = village.struck.disks["h1"], village.struck.disks["h2"]
-    last = Taking.restore("h1", 0.2, head.read(AGREED)).active
-    assert last == Taking.restore("h2", 0.2, other.read(AGREED)).active > 3  # it caught up when the disk was well
+    last = VersionApplication.restore("h1", 0.2, head.read(AGREED)).active
+    assert (
+        last == VersionApplication.restore("h2", 0.2, other.read(AGREED)).active > 3
+    )  # it caught up when the disk was well
 
 
 def test_an_answer_is_taken_back_whole() -> None:
-    taking = Taking("h1", 0.2)
-    assert taking.answered(taking.asked(0.0), 2_000.0, 1, TEXT, 0, "", {})
-    mark = taking.mark()
-    before = taking.dump(), taking.config(100.0)[1], taking.acknowledges, taking.lease_until
+    application = VersionApplication("h1", 0.2)
+    assert application.apply_grant(Grant(application.begin_renewal(0.0), 2_000.0, 1, TEXT, 0, "", {}))
+    mark = application.checkpoint()
+    before = (
+        application.dump(),
+        application.effective_config(100.0)[1],
+        application.acknowledged,
+        application.lease_until,
+    )
     lower = TEXT.replace("limit 50/s", "limit 20/s")
     assert loads(lower).plan["basico"].limit == 20.0
     for given in ((0, "", 2, lower, {}), (2, lower, 0, "", {}), (1, "", 0, "", {"v": (1.0, 1.0)})):
         active, text, pending, pending_text, aside = given
-        assert taking.answered(taking.asked(500.0), 2_000.0, active or 1, text, pending, pending_text, aside)
-        assert taking.dump() != before[0]
-        taking.back_to(mark)
-        assert 2 in taking.configs or not (text or pending_text)  # read once, for when it can be kept
-        mark = taking.mark()
-        assert (taking.dump(), taking.config(100.0)[1], taking.acknowledges, taking.lease_until) == before
+        assert application.apply_grant(
+            Grant(application.begin_renewal(500.0), 2_000.0, active or 1, text, pending, pending_text, aside)
+        )
+        assert application.dump() != before[0]
+        application.roll_back(mark)
+        assert 2 in application.configs or not (text or pending_text)  # read once, for when it can be kept
+        mark = application.checkpoint()
+        assert (
+            application.dump(),
+            application.effective_config(100.0)[1],
+            application.acknowledged,
+            application.lease_until,
+        ) == before
