--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -12,8 +12,8 @@
 import pytest
 from fleet_rig import Fleet, on_fleet
 
-from pebblehinge.replicated_config.config_watcher import Feed
-from pebblehinge.replicated_config.lease_granting import Granting
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
+from pebblehinge.replicated_config.lease_granting import LeaseGranting
 from pebblehinge.wire import Kind
 
 HEADS = 50
@@ -49,13 +49,13 @@
 def test_the_count_notices_heads_that_are_told_of_each_others_words(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was before: each change of the state is news to all."""
 
-    def tell(self: Granting) -> None:
-        for conn in self.member.conns:
-            if conn.session.peer_role == "head" and self.member.state.changed != getattr(conn, "told", 0):
-                conn.told = self.member.state.changed
-                conn.send(Kind.NEWS, self.member.state.changed)
+    def tell(self: LeaseGranting) -> None:
+        for conn in self.member.connections:
+            if conn.session.peer_role == "head" and self.member.state.revision != getattr(conn, "told", 0):
+                conn.told = self.member.state.revision
+                conn.send(Kind.NEWS, self.member.state.revision)
 
-    monkeypatch.setattr(Granting, "_tell", tell)
+    monkeypatch.setattr(LeaseGranting, "_notify", tell)
     found: list[Counter[Kind]] = []
 
     async def script(f: Fleet) -> None:
@@ -106,26 +106,29 @@
         for name in dead:  # a zone's heads come back all at once
             f.start_head(name)
         await f.until(lambda: f.in_force(2), 3.0)
-        await f.until(lambda: not any(r for r, _ in f.leader().state.aside.values()), 3.0)
+        await f.until(lambda: not any(r for r, _ in f.leader().state.reserved.values()), 3.0)
 
     on_fleet(script, HEADS, 5)
 
 
-class Impatient(Feed):
+class Impatient(ConfigWatcher):
     """Asks as heads of before did: at once at each news, and each tick for as long as it has no lease."""
 
-    def want(self) -> None:
-        self.ask()
+    def request_renewal(self) -> None:
+        self.renew()
 
-    def _ask_later(self) -> None:
-        self.loop.call_later(self.group.tick / 1000.0, self.ask)
+    def _back_off(self) -> None:
+        self.loop.call_later(self.group.tick / 1000.0, self.renew)
 
 
 def test_heads_that_ask_as_those_of_before_are_served_beside_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("agreed_group.Feed", lambda *given: (Impatient if int(given[3].head[1:]) % 2 else Feed)(*given))
+    monkeypatch.setattr(
+        "agreed_group.ConfigWatcher",
+        lambda *given: (Impatient if int(given[3].gateway[1:]) % 2 else ConfigWatcher)(*given),
+    )
 
     async def script(f: Fleet) -> None:
-        assert sum(isinstance(feed, Impatient) for feed in f.feeds.values()) == 10
+        assert sum(isinstance(watcher, Impatient) for watcher in f.watchers.values()) == 10
         for number in range(2, 5):
             assert await f.version(number) < 1_000
 
@@ -135,7 +138,7 @@
 def test_where_too_much_waits_heads_keep_their_connections_and_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen with 50 heads on loopback: 1,600 to 4,300 refused a version, each with an empty answer upon which the head
     closed its connection and turned elsewhere."""
-    monkeypatch.setattr("pebblehinge.replicated_config.renewals.MOST_RENEWALS", 5)
+    monkeypatch.setattr("pebblehinge.replicated_config.renewals.MAX_PENDING_RENEWALS", 5)
 
     async def script(f: Fleet) -> None:
         f.made.clear()
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -11,8 +11,10 @@
 from fleet_rig import Fleet, on_fleet
 
 from pebblehinge.lab.virtual import VirtualLoop
-from pebblehinge.replicated_config.proposal_queue import MOST_QUEUED, WAIT_MS, Proposals
-from pebblehinge.replicated_config.state_machine import State
+from pebblehinge.replicated_config.commands import CommandResult, ProposeVersion
+from pebblehinge.replicated_config.proposal_queue import MAX_QUEUE_TIME_MS, MAX_QUEUED_PROPOSALS, ProposalQueue
+from pebblehinge.replicated_config.replies import OperatorReply
+from pebblehinge.replicated_config.state_machine import ConfigState
 
 
 class Instance:
@@ -20,28 +22,30 @@
 
     def __init__(self) -> None:
         self.loop = VirtualLoop(seed=1)
-        self.state = State()
-        self.proposed: list[Callable[[str], None]] = []
+        self.state = ConfigState()
+        self.proposed: list[Callable[[CommandResult], None]] = []
         self.told: list[tuple[str, bool, str]] = []
-        self.proposals = Proposals(self)
+        self.proposals = ProposalQueue(self)
 
-    def propose(self, data: bytes, tell: Callable[[str], None], session: str = "", serial: int = 0) -> bool:
-        self.proposed.append(tell)
+    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+        self.proposed.append(done)
         return True
 
     def come(self, name: str, session: str = "") -> None:
-        tell = lambda ok, said: self.told.append((name, ok, said))  # noqa: E731
-        self.proposals.come(0, document(), name, "", session, 1, tell)
+        def reply(answer: OperatorReply) -> None:
+            self.told.append((name, answer.ok, answer.text))
+
+        self.proposals.add(ProposeVersion(0, document(), name, ""), session, 1, reply)
 
     def commit(self) -> None:
         """The proposal that is under way is applied, and pending from now on."""
         self.state.pending += 1
-        self.proposed[-1]("")
-        self.proposals.go_on()
+        self.proposed[-1](CommandResult())
+        self.proposals.propose_next()
 
     def taken_up(self) -> None:
         self.state.pending = 0
-        self.proposals.go_on()
+        self.proposals.propose_next()
 
 
 def test_one_is_proposed_at_a_time_and_the_next_when_nothing_is_pending() -> None:
@@ -77,17 +81,17 @@
     instance = Instance()
     instance.come("first")
     instance.commit()
-    for n in range(MOST_QUEUED + 1):
+    for n in range(MAX_QUEUED_PROPOSALS + 1):
         instance.come(f"n{n}")
     assert instance.told[1:] == [
-        (f"n{MOST_QUEUED}", False, f"{MOST_QUEUED} versions wait already: expected 16 at most")
+        (f"n{MAX_QUEUED_PROPOSALS}", False, f"{MAX_QUEUED_PROPOSALS} versions wait already: expected 16 at most")
     ]
-    instance.loop.run_until_complete(passes(instance.loop, WAIT_MS / 1000.0 + 0.001))
+    instance.loop.run_until_complete(passes(instance.loop, MAX_QUEUE_TIME_MS / 1000.0 + 0.001))
     said = {said for _, ok, said in instance.told[2:] if not ok}
-    assert said == {"version 1 is being taken up: wait for it"} and len(instance.told) == 2 + MOST_QUEUED
+    assert said == {"version 1 is being taken up: wait for it"} and len(instance.told) == 2 + MAX_QUEUED_PROPOSALS
     assert not instance.proposals.queue
     instance.come("late")
-    instance.proposals.lost()
+    instance.proposals.lose_leadership()
     assert "leads no more" in instance.told[-1][2] and not instance.proposals.queue
 
 
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblehinge.replicated_config.renewals import MOST_RENEWALS, Renewal, Renewals
+from pebblehinge.replicated_config.renewals import MAX_PENDING_RENEWALS, Renewal, Renewals, VersionsInForce
 
 TICK = 40.0
 
@@ -26,7 +26,7 @@
         self.turn = 0  # orders what happens at one time
         self.version, self.pending = 1, 0
         self.held = dict.fromkeys(self.heads, 1)  # what the state machine holds
-        self.pending = dict.fromkeys(self.heads, 1)  # what heads have taken up
+        self.acknowledged = dict.fromkeys(self.heads, 1)  # what heads acknowledge
         self.came: dict[int, int] = {}  # token -> turn
         self.newest: dict[str, Renewal] = {}
         self.answered: dict[int, float] = {}
@@ -50,13 +50,13 @@
             if self.round is not None and self.round[2] <= self.now:
                 number, begun, _ = self.round
                 self.round = None
-                self.answer(self.renewals.round_over(number), begun)
+                self.answer(self.renewals.end_round(number), begun)
             if self.commit is not None and self.commit[2] <= self.now:
                 index, given, _ = self.commit
                 self.commit = None
                 for head, version in given.items():
                     self.held[head] = max(self.held[head], version)
-                self.answer(self.renewals.applied(index), None)
+                self.answer(self.renewals.mark_applied(index), None)
                 self.tell()
             if self.now % TICK < 10.0:
                 self.look()
@@ -75,10 +75,10 @@
     def renew(self, head: str) -> None:
         self.turn += 1
         if self.rng.random() < 0.5:
-            self.pending[head] = max(self.version, self.pending)
-        renewal = Renewal(head, self.turn, head, self.pending[head], 0)
+            self.acknowledged[head] = max(self.version, self.pending)
+        renewal = Renewal(head, self.turn, head, self.acknowledged[head], 0)
         self.came[renewal.token] = self.turn
-        assert self.renewals.came(renewal, self.held[head] < renewal.acknowledges)
+        assert self.renewals.add(renewal, self.held[head] < renewal.acknowledged)
         self.newest[head] = renewal
         self.ask()
 
@@ -92,27 +92,27 @@
             self.shown_by: int = self.turn
 
     def look(self) -> None:
-        given = self.renewals.commit_due(self.now)
+        given = self.renewals.acknowledgements_due(self.now)
         if given:
             assert self.commit is None, "two commands at once"
             index = len(self.commits) + 1
-            self.renewals.proposed(self.now, index)
+            self.renewals.mark_proposed(self.now, index)
             self.commit = (index, given, self.now + self.rng.choice([1.0, 5.0, 90.0]))
             self.commits.append(self.now)
         self.ask()
         self.tell()
 
     def tell(self) -> None:
-        if self.renewals.news_due(self.now, self.version, self.pending):
-            self.renewals.news_told(self.now, self.version, self.pending)
+        if self.renewals.notification_due(self.now, VersionsInForce(self.version, self.pending)):
+            self.renewals.mark_notified(self.now, VersionsInForce(self.version, self.pending))
             self.news.append((self.now, self.version, self.pending))
 
     def answer(self, renewals: list[Renewal], begun: int | None) -> None:
         for renewal in renewals:
             last = begun if begun is not None else self.shown_by
             assert renewal.token not in self.answered, "answered twice"
-            assert self.came[renewal.token] < last, f"{renewal.head} by a round begun before it came"
-            assert self.held[renewal.head] >= renewal.acknowledges, f"{renewal.head} before the log has its word"
+            assert self.came[renewal.token] < last, f"{renewal.gateway} by a round begun before it came"
+            assert self.held[renewal.gateway] >= renewal.acknowledged, f"{renewal.gateway} before the log has its word"
             self.answered[renewal.token] = self.now
 
     def check(self) -> None:
@@ -148,34 +148,34 @@
 
 
 class JoinsTheRound(Renewals):
-    def came(self, renewal: Renewal, fresh: bool) -> bool:
+    def add(self, renewal: Renewal, is_new: bool) -> bool:
         if self.round_out:
-            self.asked[renewal.conn] = renewal
+            self.in_round[renewal.connection] = renewal
             return True
-        return super().came(renewal, fresh)
+        return super().add(renewal, is_new)
 
 
 class BeforeTheLog(Renewals):
-    def round_over(self, number: int) -> list[Renewal]:
-        done = super().round_over(number)
-        done += self.shown.values()
-        self.shown = {}
+    def end_round(self, number: int) -> list[Renewal]:
+        done = super().end_round(number)
+        done += self.confirmed.values()
+        self.confirmed = {}
         return done
 
 
 class ForgetsWhoWaits(Renewals):
-    def applied(self, index: int) -> list[Renewal]:
-        done = super().applied(index)
-        self.shown = {}
+    def mark_applied(self, index: int) -> list[Renewal]:
+        done = super().mark_applied(index)
+        self.confirmed = {}
         return done[:-1]
 
 
 class EachAtOnce(Renewals):
-    def news_due(self, now: float, active: int, pending: int) -> bool:
-        return self.told != (active, pending)
+    def notification_due(self, now: float, versions: VersionsInForce) -> bool:
+        return self.notified != versions
 
-    def commit_due(self, now: float) -> dict[str, int]:
-        return {} if self.on_way else dict(self.gathered)
+    def acknowledgements_due(self, now: float) -> dict[str, int]:
+        return {} if self.in_flight else dict(self.unproposed)
 
 
 @pytest.mark.parametrize(
@@ -195,21 +195,21 @@
 
 def test_what_waits_is_bounded_and_a_connection_counts_once_for_each_state() -> None:
     renewals = Renewals(TICK)
-    for n in range(MOST_RENEWALS):
-        assert renewals.came(Renewal(n, n, f"h{n}", 0, 0), False)
-    assert not renewals.came(Renewal("one more", 0, "x", 0, 0), False)
-    assert renewals.came(Renewal(7, 99_999, "h7", 0, 0), False)  # the newer one of a connection takes its place
+    for n in range(MAX_PENDING_RENEWALS):
+        assert renewals.add(Renewal(n, n, f"h{n}", 0, 0), False)
+    assert not renewals.add(Renewal("one more", 0, "x", 0, 0), False)
+    assert renewals.add(Renewal(7, 99_999, "h7", 0, 0), False)  # the newer one of a connection takes its place
     number = renewals.begin_round(0.0)
-    assert not renewals.came(Renewal("one more", 0, "x", 0, 0), False)
-    answered = renewals.round_over(number)
-    assert len(answered) == MOST_RENEWALS and {r.token for r in answered if r.conn == 7} == {99_999}
-    assert renewals.came(Renewal("one more", 0, "x", 0, 0), False)
+    assert not renewals.add(Renewal("one more", 0, "x", 0, 0), False)
+    answered = renewals.end_round(number)
+    assert len(answered) == MAX_PENDING_RENEWALS and {r.token for r in answered if r.connection == 7} == {99_999}
+    assert renewals.add(Renewal("one more", 0, "x", 0, 0), False)
 
 
 def test_a_round_of_before_answers_nobody() -> None:
     renewals = Renewals(TICK)
-    renewals.came(Renewal("a", 1, "a", 0, 0), False)
+    renewals.add(Renewal("a", 1, "a", 0, 0), False)
     number = renewals.begin_round(0.0)
-    assert renewals.round_over(number - 1) == [] and renewals.round_out
-    assert [r.token for r in renewals.round_over(number)] == [1]
-    assert renewals.round_over(number) == []
+    assert renewals.end_round(number - 1) == [] and renewals.round_out
+    assert [r.token for r in renewals.end_round(number)] == [1]
+    assert renewals.end_round(number) == []
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -17,7 +17,7 @@
 from scale.following import Following, summed  # noqa: E402
 from scale.settings import REAL_HEADS, SHARED, Versions, hollow_names, scale_text  # noqa: E402
 
-from pebblehinge.replicated_config.activation import parts_of  # noqa: E402
+from pebblehinge.replicated_config.activation import allowances_of  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 
 
@@ -49,7 +49,7 @@
         read = loads(versions.text(number))
         assert read.plan["everywhere"].limit == versions.limits[number] < config.plan["everywhere"].limit
         assert all(read.plan[n].limit <= p.limit for n, p in config.plan.items())
-        part = parts_of(read, hollow_names(910)[0])
+        part = allowances_of(read, hollow_names(910)[0])
         assert part[SHARED][0] == pytest.approx(versions.limits[number] / 910)
         assert part["basico-1"] == (0.0, 0.0)  # clients come through real heads alone
 
--- a/tests/test_scale_small.py
+++ b/tests/test_scale_small.py
@@ -24,10 +24,10 @@
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.net import Peer
-from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.operator_client import ask_group
 from pebblehinge.replicated_config.server import MemberServer
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
@@ -99,13 +99,17 @@
             self.members.append(MemberServer(node, self.clock_of(node), self.config, name, disk, Quiet(), n))
             await self.members[-1].start()
         for name in self.config.head:
-            node, pending = self.loop.node(name), Taking(name, self.config.group.floor)
+            node, application = self.loop.node(name), VersionApplication(name, self.config.group.floor)
 
-            def adopt(config: Config, mode: str, name: str = name, pending: Taking = pending) -> None:
-                self.acts[name] = (mode, pending.active)
+            def adopt(
+                config: Config, mode: str, name: str = name, application: VersionApplication = application
+            ) -> None:
+                self.acts[name] = (mode, application.active)
 
-            feed = Feed(node, self.clock_of(node), self.config, pending, adopt, lambda data: None, Quiet())
-            node.call_later(self.rng.uniform(0.0, 1.0), feed.start)
+            watcher = ConfigWatcher(
+                node, self.clock_of(node), self.config, application, adopt, lambda data: None, Quiet()
+            )
+            node.call_later(self.rng.uniform(0.0, 1.0), watcher.start)
 
     async def until(self, what: Any, limit_s: float, most: float = float("inf")) -> bool:
         end = self.loop.now + limit_s
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 import pytest
+from agreed_document import applied, packed
 
 from pebblehinge.raft import Entry, EntryKind
-from pebblehinge.replicated_config.state_machine import State, command
-from pebblehinge.replicated_config.version_application import Taking
+from pebblehinge.replicated_config.application_types import Grant
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import SettingsError, show
 from pebblehinge.settings.load import loads
 
@@ -46,11 +48,11 @@
 
 def test_it_is_agreed_on_and_taken_up() -> None:
     text = "\n".join(show(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
-    state = State()
-    assert state.apply(Entry(1, 1, EntryKind.DATA, command("propose", 0, text, "a", ""))) == ""
-    taking = Taking("h1023", 0.25)
-    assert taking.answered(taking.asked(0.0), 3000.0, 0, "", 1, state.text(1) or "", {})
-    assert taking.refused is None and taking.acknowledges == 1
+    state = ConfigState()
+    assert applied(state, Entry(1, 1, EntryKind.DATA, packed("propose", 0, text, "a", ""))) == ""
+    application = VersionApplication("h1023", 0.25)
+    assert application.apply_grant(Grant(application.begin_renewal(0.0), 3000.0, 0, "", 1, state.text(1) or "", {}))
+    assert application.rejection is None and application.acknowledged == 1
 
 
 def test_a_line_that_is_longer_still_is_refused_with_its_place_and_length() -> None:
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from pebblehinge.cli import main as cli
-from pebblehinge.replicated_config.size_limits import TEXT
+from pebblehinge.replicated_config.size_limits import MAX_TEXT_BYTES
 
 LARGE = 1_400_000  # bytes: more than a frame of `limits frame`, half as much again as the coming size
 
@@ -52,8 +52,8 @@
         ok, said = await group.propose(padded(document(90), LARGE), 2)
         assert ok, said
         group.start_head("h3")
-        await group.until(lambda: len(group.feeds["h3"].taking.texts) == 2)
-        assert set(map(len, group.feeds["h3"].taking.texts.values())) == {LARGE}
+        await group.until(lambda: len(group.watchers["h3"].application.texts) == 2)
+        assert set(map(len, group.watchers["h3"].application.texts.values())) == {LARGE}
         await group.until(lambda: all(group.acts[h][1:] == ("active", 2) for h in ("h1", "h3")))
         ok, said = await group.ask("diff", a=1, b=2)
         assert ok and "-    limit 100/s" in said
@@ -63,9 +63,9 @@
 
 def test_a_text_beyond_the_bound_is_refused_with_both_sizes_and_the_next_one_is_agreed_on() -> None:
     async def script(group: Group) -> None:
-        ok, said = await group.propose(padded(document(100), TEXT + 1), 1)
+        ok, said = await group.propose(padded(document(100), MAX_TEXT_BYTES + 1), 1)
         assert not ok and said == "the version's text has 3,145,729 bytes: expected at most 3,145,728"
-        ok, said = await group.propose(padded(document(100), TEXT), 2)
+        ok, said = await group.propose(padded(document(100), MAX_TEXT_BYTES), 2)
         assert ok and said == "1", said
 
     in_a_group(script)
--- a/tests/test_taken_up.py
+++ b/tests/test_taken_up.py
@@ -4,17 +4,17 @@
 
 from typing import Any
 
-from agreed_document import document
+from agreed_document import document, packed
 from agreed_group import Group, on_group
 
 from pebblehinge.raft import Entry
-from pebblehinge.replicated_config.state_machine import State
-from pebblehinge.replicated_config.state_machine import command as packed
+from pebblehinge.replicated_config.lease_granting import RenewalRequest
+from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.wire import Kind
 
 
-def state_with(*commands: tuple[Any, ...]) -> State:
-    state = State()
+def state_with(*commands: tuple[Any, ...]) -> ConfigState:
+    state = ConfigState()
     for index, parts in enumerate(commands, 1):
         state.apply(Entry(1, index, 1, packed(*parts)))
     return state
@@ -27,11 +27,11 @@
     heads = [f"h{n}" for n in range(1, 101)]
     many = state_with(PROPOSED, *(("acknowledge", head, 1) for head in heads))
     one = state_with(PROPOSED, ("taken_up", dict.fromkeys(heads, 1)))
-    assert many.heads == one.heads and len(one.heads) == 100
-    assert State.restore(one.dump()).dump() == one.dump()
-    before = one.changed
+    assert many.gateways == one.gateways and len(one.gateways) == 100
+    assert ConfigState.restore(one.dump()).dump() == one.dump()
+    before = one.revision
     one.apply(Entry(1, 9, 1, packed("taken_up", dict.fromkeys(heads, 1))))  # nothing new: nothing to reckon from anew
-    assert one.changed == before
+    assert one.revision == before
 
 
 def test_a_batch_keeps_what_is_newer_and_passes_over_what_is_not_known_or_was_refused() -> None:
@@ -44,9 +44,9 @@
         ("refuse", 2, "h2: no"),
         ("taken_up", {"h1": 1, "h2": 2, "h3": 1}),
     )
-    assert state.active == 1 and state.versions[2].refused
+    assert state.active == 1 and state.versions[2].rejection
     # h2's word was on its way when the version was refused: it goes back, and its lease is asked for by version 1.
-    assert {name: row.version for name, row in state.heads.items()} == {"h1": 1, "h2": 1, "h3": 1}
+    assert {name: row.version for name, row in state.gateways.items()} == {"h1": 1, "h2": 1, "h3": 1}
 
 
 class Conn:
@@ -65,19 +65,19 @@
 
     async def script(g: Group) -> None:
         leader = g.leader()
-        granting, raft = leader.granting, leader.node.raft
+        granting, raft = leader.lease_granting, leader.node.raft
         waiting, later = Conn(), Conn()
         granting.renewals.begin_round(g.clock())  # one that will not be over in this term
-        granting.renewed(waiting, 1, "h1", 1, 1, 0, "")
+        granting.on_renewal(waiting, RenewalRequest(1, "h1", 1, 1, 0, ""))
         assert granting.leads and waiting.grants == []
         raft.state.current_term += 1  # it lost the lead and has it again, within a tick
-        granting.renewed(later, 2, "h2", 1, 1, 0, "")
+        granting.on_renewal(later, RenewalRequest(2, "h2", 1, 1, 0, ""))
         assert later.grants == [(2, 0.0, 0, "", 0, "", {}, "")]
         was = granting.leases
-        granting.look()
+        granting.tick()
         assert granting.leases is not was and granting.leases.elected_ms == g.clock()
         assert waiting.grants == [(1, 0.0, 0, "", 0, "", {}, "")]
-        assert not granting.renewals.waiting and not granting.renewals.asked  # answered once, and not again
+        assert not granting.renewals.waiting and not granting.renewals.in_round  # answered once, and not again
         raft.state.current_term -= 1
 
     on_group(script)
@@ -85,21 +85,21 @@
 
 def test_a_lease_is_for_heads_alone_whose_word_for_what_is_to_come_is_in_the_log() -> None:
     async def script(g: Group) -> None:
-        granting = g.leader().granting
+        granting = g.leader().lease_granting
 
         async def lease(head: str, acknowledges: int) -> float:
             conn = Conn()
-            granting.renewed(conn, 1, head, acknowledges, 1, 0, "")
+            granting.on_renewal(conn, RenewalRequest(1, head, acknowledges, 1, 0, ""))
             await g.until(lambda: conn.grants, 1.0)
             return conn.grants[0][1]
 
         assert await lease("h1", 1) == 2_000.0
         assert await lease("h1", 0) == 0.0  # it has lost what it acknowledged
-        assert await lease("new", 0) == 0.0 and "new" not in g.leader().state.heads
+        assert await lease("new", 0) == 0.0 and "new" not in g.leader().state.gateways
         g.kill_head("h4")  # the next version stays pending for as long as its lease runs
         ok, said = await g.propose(document(40), 2)
         assert ok, said
         assert await lease("h2", 1) == 0.0 and g.leader().state.pending == 2
-        assert await lease("new", 2) == 2_000.0 and g.leader().state.heads["new"].version == 2
+        assert await lease("new", 2) == 2_000.0 and g.leader().state.gateways["new"].version == 2
 
     on_group(script)
--- a/tests/test_wide_group.py
+++ b/tests/test_wide_group.py
@@ -10,7 +10,7 @@
 from wide_world import OverLimit
 
 from pebblehinge.replicated_config import leases, version_application
-from pebblehinge.replicated_config.activation import careful
+from pebblehinge.replicated_config.activation import transitional
 from pebblehinge.replicated_config.leases import Leases
 
 
@@ -24,12 +24,12 @@
 
 # What holds the sum under the limit: (part of the program, its name, what stands in its place), seed, heads, seconds.
 DEFENCES: dict[str, tuple[list[tuple[Any, str, Any]], int, int, float]] = {
-    "the leader waits for leases": ([(Leases, "runs_until", lambda self, head: 0.0)], 2, 12, 6.0),
-    "heads are careful": ([(version_application, "careful", lambda old, new, head, floor: old)], 2, 12, 6.0),
+    "the leader waits for leases": ([(Leases, "expires_at", lambda self, head: 0.0)], 2, 12, 6.0),
+    "heads are careful": ([(version_application, "transitional", lambda old, new, gateway, floor: old)], 2, 12, 6.0),
     "careful heads leave room for those who are away": (
         [
-            (version_application, "careful", lambda old, new, head, floor: careful(old, new, head)),
-            (leases, "leaves_room", lambda *_: True),
+            (version_application, "transitional", lambda old, new, gateway, floor: transitional(old, new, gateway)),
+            (leases, "leaves_capacity", lambda *_: True),
         ],
         1,
         6,
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -1,7 +1,8 @@
 """Hundreds of heads and a group in virtual time, struck by chance: what all heads may send together, at every change.
 
-Heads are the program's own `Feed` and `Taking` without clients; instances are whole. The sum of all heads' parts is
-kept up at each change of one head's settings and looked at then and every few milliseconds: 200 heads cost little.
+Heads are the program's own `ConfigWatcher` and `VersionApplication` without clients; instances are whole. The sum of
+all heads' parts is kept up at each change of one head's settings and looked at then and every few milliseconds: 200
+heads cost little.
 """
 
 from __future__ import annotations
@@ -13,71 +14,23 @@
 from collections.abc import Callable
 from typing import Any
 
+from wide_settings import MEMBERS, VOLUMES, document
+
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.proposer import broken_word
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
-from pebblehinge.replicated_config.activation import parts_of
-from pebblehinge.replicated_config.config_watcher import Feed
+from pebblehinge.replicated_config.activation import allowances_of
+from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.operator_client import ask_group
 from pebblehinge.replicated_config.server import MemberServer
-from pebblehinge.replicated_config.version_application import Taking
-from pebblehinge.replicated_config.version_cache import read
+from pebblehinge.replicated_config.version_application import VersionApplication
+from pebblehinge.replicated_config.version_cache import parse_version
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
-MEMBERS = [f"g{n}" for n in range(1, 6)]
-VOLUMES = {"even": "wide", "some": "narrow"}  # volume -> its plan
-LIMITS = (60.0, 150.0, 400.0, 1000.0)
 LOOK_S = 0.007  # between two looks at the sum
 FLOOR = 0.2
-DOCUMENT = """
-profile look {{
-    importance 1
-    expected 400ms
-    patience 2s
-    repeat redoable
-}}
-plan wide {{
-    rate 5/s
-    limit {wide}/s
-    burst 2000
-    slack 0
-}}
-plan narrow {{
-    rate 5/s
-    limit {narrow}/s
-    burst 2000
-    slack 0
-}}
-volume even {{
-    plan wide
-    heads {heads}
-}}
-volume some {{
-    plan narrow
-    heads {some}
-    through {through}
-}}
-group {{
-    lease 2s
-    drift 5%
-    floor 20%
-    renew 300ms
-    tick 40ms
-}}
-"""
-
-
-def document(rng: random.Random, heads: int) -> str:
-    """Settings with limits, and heads that a volume comes through, drawn anew."""
-    names = [f"h{n}" for n in range(1, heads + 1)]
-    through = sorted(rng.sample(names, rng.randint(2, min(30, heads))))
-    text = DOCUMENT.format(
-        wide=rng.choice(LIMITS), narrow=rng.choice(LIMITS), heads=heads, some=len(through), through=" ".join(through)
-    )
-    text += "".join(f"head {h} {{\n    listen 127.0.0.1:{7000 + i}\n}}\n" for i, h in enumerate(names))
-    return text + "".join(f"member {m} {{\n    listen 127.0.0.1:{6000 + i}\n}}\n" for i, m in enumerate(MEMBERS))
 
 
 class OverLimit(AssertionError):
@@ -96,7 +49,7 @@
         self.nodes: dict[str, Node] = {}
         self.members: dict[str, MemberServer] = {}
         self.disks: dict[str, FaultyDisk] = {}
-        self.feeds: dict[str, Feed] = {}
+        self.watchers: dict[str, ConfigWatcher] = {}
         self.kept: dict[str, bytes] = {}
         self.modes: dict[str, tuple[str, int]] = {}  # head -> mode, version that it acts on
         self.parts: dict[str, dict[str, float]] = {v: {} for v in VOLUMES}  # volume -> head -> rate
@@ -115,7 +68,7 @@
         """From now on this head acts on these settings, or on none."""
         self.modes[head] = (mode, version)
         self.counts[mode] += 1
-        found = parts_of(config, head) if config is not None else {}
+        found = allowances_of(config, head) if config is not None else {}
         for volume, parts in self.parts.items():
             fresh = found.get(volume, (0.0, 0.0))[0]
             self.sums[volume] += fresh - parts.get(head, 0.0)
@@ -127,7 +80,7 @@
         text = next((t for m in self.members.values() if (t := m.state.text(newest)) is not None), None)
         if text is None:
             return
-        config = read(text, "newest")
+        config = parse_version(text, "newest")
         for volume, plan in VOLUMES.items():
             limit = config.plan[plan].limit
             room = limit + 2e-6 * len(self.heads)  # who may send nothing has a millionth of a unit a second
@@ -171,18 +124,18 @@
 
     def start_head(self, name: str) -> None:
         node, kept = self._node(name), self.kept.get(name)
-        taking = Taking.restore(name, FLOOR, kept) if kept else Taking(name, FLOOR)
-        self.feeds[name] = Feed(
+        application = VersionApplication.restore(name, FLOOR, kept) if kept else VersionApplication(name, FLOOR)
+        self.watchers[name] = ConfigWatcher(
             node,
             self.clock_of(node),
             self.config,
-            taking,
-            lambda config, mode: self.acts(name, config, mode, taking.active),
+            application,
+            lambda config, mode: self.acts(name, config, mode, application.active),
             lambda data: self.kept.update({name: data}),
             Quiet(),
         )
         self.acts(name, None, "none", 0)
-        self.feeds[name].start()
+        self.watchers[name].start()
 
     def kill_head(self, name: str) -> None:
         self.nodes[name].kill()
@@ -194,10 +147,10 @@
         self.acts(name, None, "frozen", 0)
 
     def thaw_head(self, name: str) -> None:
-        taking, node = self.feeds[name].taking, self.nodes[name]
+        application, node = self.watchers[name].application, self.nodes[name]
         if not node.dead:
-            config, mode = taking.config(self.clock_of(node)())
-            self.acts(name, config, mode, taking.active)
+            config, mode = application.effective_config(self.clock_of(node)())
+            self.acts(name, config, mode, application.active)
             node.thaw()
 
     def is_up(self, name: str) -> bool:
@@ -213,7 +166,7 @@
     def settled(self) -> bool:
         """All heads act in full on the newest version of all, and nothing is set aside."""
         leader = self.leader()
-        if leader is None or leader.state.pending or any(r for r, _ in leader.state.aside.values()):
+        if leader is None or leader.state.pending or any(r for r, _ in leader.state.reserved.values()):
             return False
         return set(self.modes.values()) == {("active", leader.state.newest)}
 
