--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from agreed_document import document  # noqa: E402
+from config_document import document  # noqa: E402
 
 from pebblehinge.replicated_config.operator_client import ask_group, ask_member  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -48,7 +48,7 @@
         """Under connections, watchers and loop; after what the laboratory lays."""
         if self.frames:
             self._under_frames()
-        self._under_feeds()
+        self._under_watchers()
         make = uvloop.new_event_loop
 
         def new_event_loop() -> Any:
@@ -78,10 +78,10 @@
 
         Peer._write, Frames.next = counted_write, counted_next  # type: ignore[method-assign]
 
-    def _under_feeds(self) -> None:
+    def _under_watchers(self) -> None:
         counting = self
 
-        class NotedFeed(config_watcher.ConfigWatcher):
+        class NotedWatcher(config_watcher.ConfigWatcher):
             """Tells of each change of what the head acts on."""
 
             def __init__(self, loop: Any, clock: Any, config: Any, application: Any, adopt: Any, *more: Any) -> None:
@@ -92,7 +92,7 @@
 
                 super().__init__(loop, clock, config, application, noted, *more)
 
-        config_watcher.ConfigWatcher = NotedFeed  # type: ignore[misc]
+        config_watcher.ConfigWatcher = NotedWatcher  # type: ignore[misc]
 
     def note(self, **values: Any) -> None:
         self.pending.append(json.dumps({"t": round(self.monotonic(), 4), **values}))
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -11,9 +11,9 @@
 import random
 from typing import Any
 
-from test_agreed import document, on_group
+from config_document import document
+from config_group import Group, on_group
 
-from pebblehinge.interface import DeduplicationScope
 from pebblehinge.wirehost.loop import Process, serve
 
 SETTINGS: dict[str, Any] = {
@@ -147,7 +147,7 @@
     """Each question of an operator with its answer, of a group in virtual time."""
     answers: list[list[Any]] = []
 
-    async def script(group: DeduplicationScope) -> None:
+    async def script(group: Group) -> None:
         for verb, values in QUESTIONS:
             ok, text = await group.ask(verb, **values)
             answers.append([verb, values, ok, text])
--- a/tests/agreed_group.py
+++ b/tests/config_group.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from agreed_document import SMALL, document, rate
+from config_document import SMALL, document, rate
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
--- a/tests/fleet_rig.py
+++ b/tests/gateway_fleet.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from agreed_document import document
-from agreed_group import Group
+from config_document import document
+from config_group import Group
 
 from pebblehinge.net import Peer
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
--- a/tests/test_taken_up.py
+++ b/tests/test_acknowledgements.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from agreed_document import document, packed
-from agreed_group import Group, on_group
+from config_document import document, packed
+from config_group import Group, on_group
 
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config.lease_granting import RenewalRequest
--- a/tests/test_feed.py
+++ b/tests/test_config_watcher.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from agreed_document import document
+from config_document import document
 from helpers import LOOPBACK
 
 from pebblehinge.lab.village import Quiet
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -10,7 +10,7 @@
 from collections import Counter
 
 import pytest
-from fleet_rig import Fleet, on_fleet
+from gateway_fleet import Fleet, on_fleet
 
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.lease_granting import LeaseGranting
@@ -123,7 +123,7 @@
 
 def test_heads_that_ask_as_those_of_before_are_served_beside_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        "agreed_group.ConfigWatcher",
+        "config_group.ConfigWatcher",
         lambda *given: (Impatient if int(given[3].gateway[1:]) % 2 else ConfigWatcher)(*given),
     )
 
--- a/tests/test_lowering.py
+++ b/tests/test_lowering.py
@@ -9,8 +9,8 @@
 
 import asyncio
 
-from agreed_document import document
-from agreed_group import Group, on_group
+from config_document import document
+from config_group import Group, on_group
 
 
 def lowered(limit: float, through: int) -> Group:
--- a/tests/test_proposals.py
+++ b/tests/test_proposal_queue.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 import pytest
-from agreed_document import document
-from agreed_group import Group, on_group
-from fleet_rig import Fleet, on_fleet
+from config_document import document
+from config_group import Group, on_group
+from gateway_fleet import Fleet, on_fleet
 
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.replicated_config.commands import CommandResult, ProposeVersion
--- a/tests/test_agreed.py
+++ b/tests/test_replicated_config.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from agreed_document import SMALL, applied, document, packed, rate
-from agreed_group import Group, on_group
+from config_document import SMALL, applied, document, packed, rate
+from config_group import Group, on_group
 
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config.activation import cut_off, find_conflict, less_reserved, reserved_for, transitional
--- a/tests/test_agreed_faults.py
+++ b/tests/test_replicated_config_faults.py
@@ -6,8 +6,8 @@
 import random
 
 import pytest
-from agreed_document import document
-from agreed_group import Group, on_group
+from config_document import document
+from config_group import Group, on_group
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
--- a/tests/test_agreed_processes.py
+++ b/tests/test_replicated_config_processes.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from agreed_document import document
+from config_document import document
 from helpers import LOOPBACK
 from test_lab import command
 
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from agreed_document import applied, packed
+from config_document import applied, packed
 
 from pebblehinge.raft import Entry, EntryKind
 from pebblehinge.replicated_config.application_types import Grant
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from agreed_document import document
-from agreed_group import Group
 from click.testing import CliRunner
+from config_document import document
+from config_group import Group
 
 from pebblehinge.cli import main as cli
 from pebblehinge.replicated_config.size_limits import MAX_TEXT_BYTES
--- a/tests/test_agreed_reading.py
+++ b/tests/test_version_cache.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from agreed_document import applied, document, packed
+from config_document import applied, document, packed
 from test_faults_in_memory import STRUCK
 
 from pebblehinge.lab.village import play
