--- a/tests/wide_settings.py
+++ b/tests/wide_document.py
@@ -1,4 +1,4 @@
-"""Settings of a group with hundreds of heads, drawn anew for each version."""
+"""Settings of hundreds of heads and a group, with limits and the heads of a volume drawn."""
 
 from __future__ import annotations
 
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wide_settings import MEMBERS, VOLUMES, document
+from wide_document import MEMBERS, VOLUMES, document
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.proposer import broken_word
