--- a/pebblehinge/replicated_config/lease_granting.py
+++ b/pebblehinge/replicated_config/lease_granting.py
@@ -10,6 +10,7 @@
 
 from pebblehinge.net import Peer
 from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config import session_roles
 from pebblehinge.replicated_config.commands import AcknowledgeMany, AnyCommand, RejectVersion, encode_command
 from pebblehinge.replicated_config.leases import Leases
 from pebblehinge.replicated_config.renewals import Renewal, Renewals, VersionsInForce
@@ -18,7 +19,6 @@
 from pebblehinge.wire import Kind
 
 GRANTS_PER_TURN = 64  # of the loop: a new text for a thousand gateways must not hold it
-GATEWAY_ROLE = "head"  # of a session, as its greeting names it
 
 
 class Member(Protocol):
@@ -134,7 +134,7 @@
         if self.renewals.notification_due(now, versions):
             self.renewals.mark_notified(now, versions)
             for connection in self.member.connections:
-                if connection.session.peer_role == GATEWAY_ROLE:
+                if connection.session.peer_role == session_roles.GATEWAY:
                     connection.send(Kind.NEWS, state.revision)
 
     # ---- events
--- a/pebblehinge/replicated_config/member_connection.py
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -9,13 +9,12 @@
 
 from pebblehinge.net import Peer
 from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config import session_roles
 from pebblehinge.replicated_config.lease_granting import LeaseGranting, RenewalRequest
 from pebblehinge.replicated_config.operator_requests import OperatorRequests
 from pebblehinge.settings import Config
 from pebblehinge.wire import Kind, Session, WireError
 
-MEMBER_ROLE = "member"  # of a session, as its greeting names it
-
 
 class Server(Protocol):
     """The member that is connected to."""
@@ -52,7 +51,7 @@
 
     def on_raft(self, data: bytes) -> None:
         """A message of another member."""
-        if self.session.peer_role != MEMBER_ROLE:
+        if self.session.peer_role != session_roles.MEMBER:
             raise WireError("RAFT is for instances of the group")
         group = self.server.config.group.id
         if self.session.peer_name.rpartition("@")[2] != group:
--- a/pebblehinge/replicated_config/member_dialer.py
+++ b/pebblehinge/replicated_config/member_dialer.py
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 from pebblehinge.net import Peer, dial
+from pebblehinge.replicated_config import session_roles
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.commands import Reservations
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session
 
 DIAL_TIMEOUT_S = 1.0
-GATEWAY_ROLE = "head"  # of a session, as its greeting names it
 
 
 class Listener(Protocol):
@@ -109,7 +109,7 @@
             self.task.cancel()
 
     async def _dial(self, address: str) -> None:
-        session = Session(GATEWAY_ROLE, self.gateway, self.limits.frame, self.limits.streams, greets=True)
+        session = Session(session_roles.GATEWAY, self.gateway, self.limits.frame, self.limits.streams, greets=True)
         connection = MemberConnection(self.loop, session, self.limits.stall, address, self.listener)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
--- a/pebblehinge/replicated_config/operator_client.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 
 from pebblehinge.net import Peer, dial
+from pebblehinge.replicated_config import session_roles
 from pebblehinge.replicated_config.replies import MemberReply, OperatorReply
 from pebblehinge.replicated_config.size_limits import MAX_FRAME_BYTES
 from pebblehinge.wire import Kind, Session
 
-ROLE = "operator"  # and name, in the greeting
 MAX_STREAMS = 64  # that the session announces
 STALL_MS = 5_000.0
 RETRY_DELAY_S = 0.1
@@ -26,7 +26,7 @@
     FRAMES = frozenset({Kind.TOLD})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        session = Session(ROLE, ROLE, MAX_FRAME_BYTES, MAX_STREAMS, greets=True)
+        session = Session(session_roles.OPERATOR, session_roles.OPERATOR, MAX_FRAME_BYTES, MAX_STREAMS, greets=True)
         super().__init__(loop, session, STALL_MS)
         self.waiting: dict[int, asyncio.Future[MemberReply]] = {}
         self.tokens = itertools.count(1)
