--- /dev/null
+++ b/pebblehinge/replicated_config/operator_requests.py
@@ -0,0 +1,163 @@
+"""What operators ask a member of the group: proposals, versions, members, status."""
+
+from __future__ import annotations
+
+import asyncio
+import difflib
+from collections.abc import Callable
+from typing import Protocol
+
+from pebblehinge.net import Peer
+from pebblehinge.raft.node import Node
+from pebblehinge.replicated_config.commands import CommandResult, ForgetGateway, ProposeVersion, encode_command
+from pebblehinge.replicated_config.errors import NoProposalsError, ReplicatedConfigError, RequestError
+from pebblehinge.replicated_config.leases import Leases
+from pebblehinge.replicated_config.membership_requests import MembershipRequests, Values
+from pebblehinge.replicated_config.proposal_queue import ProposalQueue
+from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.size_limits import check_text_size
+from pebblehinge.replicated_config.state_machine import ConfigState
+from pebblehinge.replicated_config.status import status_json, status_text
+from pebblehinge.replicated_config.version_cache import parse_version
+from pebblehinge.settings import Config, SettingsError
+from pebblehinge.wire import Kind
+
+MAX_PENDING_REQUESTS = 64  # of operators, and one read for all renewals
+
+
+class Member(Protocol):
+    """The member that is asked."""
+
+    loop: asyncio.AbstractEventLoop
+    name: str
+    config: Config
+    clock: Callable[[], float]
+    node: Node
+    state: ConfigState
+
+    @property
+    def leases(self) -> Leases | None:
+        """None if this member does not lead."""
+
+    @property
+    def pending_requests(self) -> int:
+        """Proposals and reads that wait."""
+
+    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+        """Appends a command to the log; False if it can't now."""
+
+    def after_read(self, reply: Reply, query: Callable[[], str]) -> None:
+        """Replies with what is agreed now."""
+
+    def leader_address(self) -> str:
+        """Another member's, "" if none is known."""
+
+
+class OperatorRequests:
+    """Answers each request once; by the leader alone where it is about what is agreed."""
+
+    def __init__(self, member: Member) -> None:
+        """Requests to one member."""
+        self.member = member
+        self.proposals = ProposalQueue(member)
+        membership = MembershipRequests(member)
+        self.handlers: dict[str, Callable[[Values, Reply], None]] = {
+            "propose": self._propose,
+            "rollback": self._roll_back,
+            "forget": self._forget,
+            "show": self._show,
+            "diff": self._diff,
+            "history": self._history,
+            "members": membership.members,
+            "transfer": membership.transfer,
+        }
+
+    def on_request(self, connection: Peer, token: int, verb: str, values: Values) -> None:
+        """An ASK frame has come."""
+
+        def reply(answer: OperatorReply) -> None:
+            connection.send(Kind.TOLD, token, answer.ok, answer.text, "")
+
+        if verb == "status":
+            reply(OperatorReply.done(status_json(self.member) if values.get("json") else status_text(self.member)))
+            return
+        if not self.member.node.is_leader:
+            leader = self.member.leader_address()
+            connection.send(Kind.TOLD, token, False, "not the leader" if leader else "no leader is known", leader)
+            return
+        try:
+            self._dispatch(verb, values, reply)
+        except ReplicatedConfigError as error:
+            reply(OperatorReply.failed(error))
+        except (KeyError, TypeError, ValueError) as error:
+            reply(OperatorReply(False, f"{verb}: {error}"))
+
+    def _dispatch(self, verb: str, values: Values, reply: Reply) -> None:
+        if self.member.pending_requests > MAX_PENDING_REQUESTS:
+            raise RequestError("too much is asked at once")
+        handler = self.handlers.get(verb)
+        if handler is None:
+            raise RequestError(f"{verb!r} is not known")
+        handler(values, reply)
+
+    # ---- proposals
+
+    def _propose(self, values: Values, reply: Reply) -> None:
+        text = str(values["text"])
+        check_text_size(text)
+        try:
+            parse_version(text, "proposal")
+        except SettingsError as error:
+            raise RequestError(str(error)) from None
+        command = ProposeVersion(int(values["base"]), text, str(values.get("author", "")), str(values.get("note", "")))
+        self.proposals.add(command, str(values.get("session", "")), int(values.get("serial", 0)), reply)
+
+    def _roll_back(self, values: Values, reply: Reply) -> None:
+        """Proposes an older version's text as the next version."""
+        text = self.member.state.text(int(values["version"]))
+        if text is None:
+            raise RequestError(f"version {values['version']} is not kept")
+        note = f"back to version {values['version']}"
+        self._propose({**values, "text": text, "base": self.member.state.newest, "note": note}, reply)
+
+    def _forget(self, values: Values, reply: Reply) -> None:
+        def done(result: CommandResult) -> None:
+            reply(OperatorReply.of(result.error, "forgotten"))
+
+        if not self.member.propose(encode_command(ForgetGateway(str(values["head"]))), done):
+            raise NoProposalsError
+
+    # ---- versions
+
+    def _show(self, values: Values, reply: Reply) -> None:
+        def query() -> str:
+            number = int(values.get("version", 0)) or self.member.state.active
+            text = self.member.state.text(number)
+            if text is None:
+                raise RequestError(f"version {number} is not kept")
+            return text
+
+        self.member.after_read(reply, query)
+
+    def _diff(self, values: Values, reply: Reply) -> None:
+        def query() -> str:
+            old = self.member.state.text(int(values["a"]))
+            new = self.member.state.text(int(values["b"]))
+            if old is None or new is None:
+                raise RequestError("one of the versions is not kept")
+            names = (f"version {values['a']}", f"version {values['b']}")
+            return "\n".join(difflib.unified_diff(old.splitlines(), new.splitlines(), *names, lineterm=""))
+
+        self.member.after_read(reply, query)
+
+    def _history(self, values: Values, reply: Reply) -> None:
+        def query() -> str:
+            state = self.member.state
+            lines = []
+            for number, version in state.versions.items():
+                what = "active" if number == state.active else "pending" if number == state.pending else ""
+                what = f"refused: {version.rejection}" if version.rejection else what
+                lines.append(f"{number}  {version.author or '-'}  {version.note or '-'}  {what}".rstrip())
+            return "\n".join(lines) or "no version yet"
+
+        self.member.after_read(reply, query)
--- /dev/null
+++ b/pebblehinge/replicated_config/state_machine.py
@@ -0,0 +1,216 @@
+"""The replicated state machine: versions of the configuration, the active one, and what gateways have acknowledged.
+
+Everything here follows from the log alone, without clock or randomness, so every member holds the same. A proposal
+that is sent twice is applied once, by its session and serial.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+import msgspec
+
+from pebblehinge.raft import Entry, EntryKind
+from pebblehinge.replicated_config.commands import (
+    Acknowledge,
+    AcknowledgeMany,
+    Activate,
+    AnyCommand,
+    CommandResult,
+    ForgetGateway,
+    ProposeVersion,
+    RejectVersion,
+    Reservations,
+    decode_command,
+)
+from pebblehinge.replicated_config.errors import (
+    CommandRejectedError,
+    InvalidVersionError,
+    NotPendingError,
+    StaleBaseError,
+    StaleRevisionError,
+    SupersededProposalError,
+    UnknownGatewayError,
+    UnknownVersionError,
+    VersionPendingError,
+)
+from pebblehinge.replicated_config.snapshot import ConfigSnapshot, GatewayRecord, SessionRecord, Version
+from pebblehinge.replicated_config.version_cache import parse_version
+from pebblehinge.settings import SettingsError
+
+MAX_SESSIONS = 1024  # remembered: the one least recently used goes first
+MAX_VERSIONS = 200  # kept with their text
+
+
+class ConfigState:
+    """Versions count from 1. `active` is what gateways act on, `pending` what they prepare for; 0 for none."""
+
+    def __init__(self) -> None:
+        """The state at the beginning of the log."""
+        self.versions: OrderedDict[int, Version] = OrderedDict()
+        self.active = 0
+        self.pending = 0
+        self.reserved: Reservations = {}
+        self.gateways: dict[str, GatewayRecord] = {}
+        self.sessions: OrderedDict[str, SessionRecord] = OrderedDict()
+        self.revision = 0  # counts the changes that concern gateways
+
+    def apply(self, entry: Entry) -> CommandResult:
+        """Applies a committed entry, once for each serial of a session; a repeated one has its first result."""
+        if entry.kind != EntryKind.DATA:
+            return CommandResult()
+        if entry.session:
+            known = self.sessions.get(entry.session)
+            if known is not None and known.serial > entry.serial:
+                return CommandResult(SupersededProposalError())
+            if known is not None and known.serial == entry.serial:
+                return CommandResult.from_stored(known.reason)
+        result = self._execute(decode_command(entry.data))
+        if entry.session:
+            self._remember(SessionRecord(entry.session, entry.serial, result.stored_reason()))
+        return result
+
+    def _execute(self, command: AnyCommand) -> CommandResult:
+        try:
+            match command:
+                case ProposeVersion():
+                    self._propose(command)
+                case Acknowledge():
+                    self._acknowledge(command.gateway, command.version)
+                case AcknowledgeMany():
+                    self._acknowledge_many(command)
+                case RejectVersion():
+                    self._reject(command)
+                case Activate():
+                    self._activate(command)
+                case ForgetGateway():
+                    self._forget(command)
+        except CommandRejectedError as error:
+            return CommandResult(error)
+        return CommandResult()
+
+    def _remember(self, record: SessionRecord) -> None:
+        self.sessions[record.session] = record
+        self.sessions.move_to_end(record.session)
+        if len(self.sessions) > MAX_SESSIONS:
+            self.sessions.popitem(last=False)
+
+    # ---- commands
+
+    def _propose(self, command: ProposeVersion) -> None:
+        """A new version, if none came since the proposer looked, and if it is valid."""
+        newest = self.newest
+        if command.base != newest:
+            raise StaleBaseError(command.base, newest)
+        if self.pending:
+            raise VersionPendingError(self.pending)
+        number = newest + 1
+        try:
+            parse_version(command.text, f"version {number}")
+        except SettingsError as error:
+            raise InvalidVersionError(str(error)) from None
+        self.versions[number] = Version(number, command.text, command.author, command.note)
+        self.pending = number
+        self.revision += 1
+        self._drop_old_versions()
+
+    def _drop_old_versions(self) -> None:
+        """Keeps MAX_VERSIONS, or more if more are needed."""
+        while len(self.versions) > MAX_VERSIONS:
+            needed = self._needed_versions()
+            oldest = next((number for number in self.versions if number not in needed), None)
+            if oldest is None:
+                return
+            del self.versions[oldest]
+
+    def _acknowledge(self, gateway: str, version: int) -> None:
+        if version not in self.versions:
+            raise UnknownVersionError(version)
+        record = self.gateways.get(gateway)
+        if record is None or version > record.version:
+            self.gateways[gateway] = GatewayRecord(gateway, version)
+            self.revision += 1
+
+    def _acknowledge_many(self, command: AcknowledgeMany) -> None:
+        """Passes over versions that are not known any more, or were rejected meanwhile: their gateways went back."""
+        for gateway, version in command.versions.items():
+            if version in self.versions and not self.versions[version].rejection:
+                self._acknowledge(gateway, version)
+
+    def _reject(self, command: RejectVersion) -> None:
+        version = command.version
+        if version != self.pending:
+            raise NotPendingError(f"version {version} is not pending")
+        self.versions[version].rejection = command.reason
+        self.pending = 0
+        # Who acknowledged it was transitional towards it; what it acts on is the active one again.
+        for record in self.gateways.values():
+            if record.version == version:
+                record.version = min(record.version, self.active)
+        self.revision += 1
+
+    def _activate(self, command: Activate) -> None:
+        """A gateway that was heard of since the leader's revision is not in its computation: it computes anew."""
+        version = command.version
+        if command.revision != self.revision:
+            raise StaleRevisionError
+        if version not in (self.pending, self.active):
+            raise NotPendingError(f"version {version} is neither pending nor active")
+        if version == self.active and command.reserved == self.reserved:
+            return
+        self.active = version
+        self.reserved = command.reserved
+        if self.pending == version:
+            self.pending = 0
+        self.revision += 1
+
+    def _forget(self, command: ForgetGateway) -> None:
+        if command.gateway not in self.gateways:
+            raise UnknownGatewayError(command.gateway)
+        del self.gateways[command.gateway]
+        self.revision += 1
+
+    # ---- queries
+
+    @property
+    def newest(self) -> int:
+        """The newest version, whatever became of it; 0 for none."""
+        return max(self.versions, default=0)
+
+    def text(self, number: int) -> str | None:
+        """A version's text; None if it is not kept."""
+        version = self.versions.get(number)
+        return version.text if version is not None else None
+
+    def _needed_versions(self) -> set[int]:
+        return {self.active, self.pending, self.newest, *(record.version for record in self.gateways.values())}
+
+    # ---- snapshots
+
+    def dump(self) -> bytes:
+        """The bytes of a snapshot."""
+        snapshot = ConfigSnapshot(
+            list(self.versions.values()),
+            self.active,
+            self.pending,
+            self.reserved,
+            self.gateways,
+            list(self.sessions.values()),
+            self.revision,
+        )
+        return msgspec.msgpack.encode(snapshot)
+
+    @classmethod
+    def restore(cls, data: bytes) -> ConfigState:
+        """The state of a snapshot's bytes; of none, the state at the beginning."""
+        state = cls()
+        if data:
+            snapshot = msgspec.msgpack.decode(data, type=ConfigSnapshot)
+            state.versions = OrderedDict((version.number, version) for version in snapshot.versions)
+            state.active = snapshot.active
+            state.pending = snapshot.pending
+            state.reserved = snapshot.reserved
+            state.gateways = snapshot.gateways
+            state.sessions = OrderedDict((record.session, record) for record in snapshot.sessions)
+            state.revision = snapshot.revision
+        return state
