--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -26,7 +26,7 @@
         self.turn = 0  # orders what happens at one time
         self.version, self.pending = 1, 0
         self.held = dict.fromkeys(self.heads, 1)  # what the state machine holds
-        self.pending = dict.fromkeys(self.heads, 1)  # what heads have taken up
+        self.applied = dict.fromkeys(self.heads, 1)  # what heads have applied
         self.came: dict[int, int] = {}  # token -> turn
         self.newest: dict[str, Renewal] = {}
         self.answered: dict[int, float] = {}
@@ -75,8 +75,8 @@
     def renew(self, head: str) -> None:
         self.turn += 1
         if self.rng.random() < 0.5:
-            self.pending[head] = max(self.version, self.pending)
-        renewal = Renewal(head, self.turn, head, self.pending[head], 0)
+            self.applied[head] = max(self.version, self.pending)
+        renewal = Renewal(head, self.turn, head, self.applied[head], 0)
         self.came[renewal.token] = self.turn
         assert self.renewals.came(renewal, self.held[head] < renewal.acknowledges)
         self.newest[head] = renewal
