--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Two events in one instant, each order forced: timers and what they time, the end of a life."""
+"""Two events in one instant, each order forced: timers and what they time, and the shutdown."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     async def script(rig: Rig) -> None:
         shelfs, gate, dials = rig.head.pools, Gate(rig.head.loop), []
         shelfs.loop = gate  # type: ignore[assignment]
-        late = shelfs._late
-        shelfs._late = lambda dial: dials.append(dial)  # type: ignore[method-assign]
+        late = shelfs._cancel_dial
+        shelfs._cancel_dial = lambda dial: dials.append(dial)  # type: ignore[method-assign]
         client = await rig.client()
         client.write(ask(X_Deadline_Ms="800"))
         await until(lambda: dials)
-        shelfs._late = late  # type: ignore[method-assign]
+        shelfs._cancel_dial = late  # type: ignore[method-assign]
         acts = [gate.opens.set, lambda: late(dials[0])]
         for act in acts if first == "the connection" else acts[::-1]:
             act()
         answer = await client.answer()
         assert answer.status in (200, 503)
-        await until(lambda: not shelfs.out and not shelfs.dialling)
+        await until(lambda: not shelfs.attempts and not shelfs.dialling)
         kept = len(shelfs.table["s0"].idle)
         await until(lambda: shelfs.connections == kept)
         assert rig.head.core.outcomes[Outcome.SUCCEEDED] == (answer.status == 200)
@@ -56,7 +56,7 @@
         (pending,) = rig.head.core.pending.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.pools._timed_out(pending.attempt)
+            rig.head.pools._time_out(pending.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.pending)
@@ -128,14 +128,14 @@
         rig.shelfs[0].does = SPOILT[what]
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="400"))
         assert answer.status == 502 and answer.body == b"" and len(rig.shelfs[0].asked) == 1
-        await until(lambda: rig.head.pools.held == 0 and rig.head.pools.connections == 0)
+        await until(lambda: rig.head.pools.buffered_bytes == 0 and rig.head.pools.connections == 0)
         rig.shelfs[0].does = lambda conn, request: conn.write(OK)
         assert (await rig.ask(ask("save", 0, b"abc"))).body == b"ok"
 
     on_rig(script)
 
 
-# ---- the end of a life
+# ---- the shutdown
 
 
 def test_an_answer_that_is_partly_written_goes_out_whole_before_the_end() -> None:
@@ -145,8 +145,8 @@
         raw, conn = await slow_reader(rig)
         assert conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         raw.sendall(ask())
-        await until(lambda: conn.full)
-        rig.head.leave()
+        await until(lambda: conn.write_paused)
+        rig.head.shutdown.begin()
         await asyncio.sleep(1.2)  # past the kill, which may come late
         assert not rig.head.stopped.done()
         raw.settimeout(5.0)
@@ -162,7 +162,7 @@
         assert got.endswith(body)
         raw.close()
 
-    on_rig(script, longest_ms=400.0)
+    on_rig(script, longest_wait_ms=400.0)
 
 
 def test_a_reload_beside_the_end_changes_neither_the_end_nor_what_is_owed(tmp_path: Path) -> None:
@@ -180,13 +180,13 @@
         file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{rig.discovery.port}", "settings": less}))
         rig.head.path = str(file)
         rig.head.reload()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         rig.head.reload()
-        rig.head.leave()
+        rig.head.shutdown.begin()
         kept.sendall(ask())  # its class is gone
         assert await status(kept) == b"400"
         assert (await client.answer()).status == 503
         await rig.head.stopped
         assert rig.head.core.open == 0 and not rig.head.core.pending
 
-    on_rig(script, longest_ms=400.0)
+    on_rig(script, longest_wait_ms=400.0)
--- a/tests/test_service_settings.py
+++ b/tests/test_service_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a service: heads of one process share none of them; bounded tables that are full drop nothing owed."""
+"""Gateways with other settings in one process, and tables that are bounded."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     async def script(rig: Rig) -> None:
         config = dataclasses.replace(rig.head.config, settings=read_settings(other))
         second = Service(rig.head.loop, config)
-        second.say = lambda what, **facts: None  # type: ignore[method-assign]
+        second.log = lambda event, **facts: None  # type: ignore[method-assign]
         await second.start()
         await until(lambda: second.pools.table)
         assert second.listener.socket is not None
