--- a/benchmarks/slopes_framed.py
+++ b/benchmarks/slopes_framed.py
@@ -178,7 +178,7 @@
                 held = resident_kib(heads.pid)
             finally:
                 heads.stop()
-            found.append(point({"shelfs": count}, request_ms=told["cpu_us"] / 1000.0, resident_kib=held))
+            found.append(point({"shelfs": count}, access_ms=told["cpu_us"] / 1000.0, resident_kib=held))
         return found
 
     return whole(script)
--- a/benchmarks/slopes_service.py
+++ b/benchmarks/slopes_service.py
@@ -127,11 +127,11 @@
                     resident_kib=held,
                     grown_kib=held - first,
                     shelf_connections=up,
-                    dialled_request_ms=dials,
-                    dialled_succeeded=well / count,
+                    dialled_access_ms=dials,
+                    dialled_honoured=well / count,
                     rest_ms_a_s=rest,
-                    request_ms=cost,
-                    succeeded=succeeded / REQUESTS,
+                    access_ms=cost,
+                    honoured=succeeded / REQUESTS,
                     resident_after_kib=after,
                 )
             )
