--- a/pebblehinge/capture/files.py
+++ b/pebblehinge/capture/files.py
@@ -35,7 +35,7 @@
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
-    """One request that was over. Times in ms from the capture's start; `trip_ms` is its last attempt's, or 0."""
+    """One request that was over. Times in ms from the capture's start; `attempt_ms` is its last attempt's, or 0."""
 
     t: float
     volume: str
--- a/pebblehinge/head/link.py
+++ b/pebblehinge/head/link.py
@@ -1,7 +1,7 @@
 """The way to one shelf: one connection that many attempts share, made when it is needed.
 
 What an outcome may say is settled here by what was written: an attempt of which no byte was handed to the socket
-never ran (`UNREACHED`); from the first byte on it may have run, however the connection ends (`BROKEN`).
+never ran (`CONNECT_FAILED`); from the first byte on it may have run, however the connection ends (`BROKEN`).
 """
 
 from __future__ import annotations
