--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from pebblehinge.core import PendingRequest, RequestTable
+from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
@@ -154,7 +154,7 @@
         """Cancel the attempt that is out."""
         self.pools.cancel(pending.attempt)
 
-    def answer(self, pending: PendingRequest, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Send the final answer."""
         self.registry.answer(pending, final, stay_ms, data)
 
