--- /dev/null
+++ b/tests/test_gateway_metrics.py
@@ -0,0 +1,51 @@
+"""The metrics of a running gateway, as they are scraped."""
+
+from __future__ import annotations
+
+from helpers import Rig, on_rig, until
+from prometheus_client import CollectorRegistry
+from raw_frames import LOOK, SILENT
+
+from pebblehinge.gateway.metrics import GatewayMetrics
+
+NAMES = [
+    "pebblehinge_accesses",
+    "pebblehinge_not_honoured",
+    "pebblehinge_trips",
+    "pebblehinge_further_trips",
+    "pebblehinge_wakes",
+    "pebblehinge_client_faults",
+    "pebblehinge_open",
+    "pebblehinge_held_bytes",
+    "pebblehinge_connections",
+    "pebblehinge_shelf_held",
+    "pebblehinge_shelf_away",
+    "pebblehinge_latency_seconds",
+    "pebblehinge_latency_quantile_seconds",
+]
+
+
+def test_each_metric_is_there_under_its_name_and_tells_of_requests_and_nodes() -> None:
+    """Once an attribute of the node table had another name than the collector's, and each scrape failed."""
+
+    async def script(rig: Rig) -> None:
+        client = await rig.client()
+        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        rig.shelfs[0].does = SILENT
+        client.read("v", "y", 1, **LOOK)
+        await until(lambda: len(rig.shelfs[0].attempts) == 2)
+        registry = CollectorRegistry()
+        registry.register(GatewayMetrics(rig.head))
+        assert [metric.name for metric in registry.collect()] == NAMES
+        value = registry.get_sample_value
+        assert value("pebblehinge_accesses_total", {"end": "taken"}) == 2.0
+        assert value("pebblehinge_accesses_total", {"end": "honoured"}) == 1.0
+        assert value("pebblehinge_accesses_total", {"end": "pushed_back"}) == 0.0
+        assert value("pebblehinge_trips_total", {"outcome": "honoured"}) == 1.0
+        assert value("pebblehinge_open") == 1.0 and value("pebblehinge_connections") == 1.0
+        assert value("pebblehinge_shelf_held", {"shelf": "s1"}) == 0.0
+        assert value("pebblehinge_shelf_away", {"shelf": "s1"}) == 1.0
+        assert value("pebblehinge_latency_seconds_count") == 1.0
+        assert (value("pebblehinge_latency_quantile_seconds", {"quantile": "0.5"}) or 0.0) > 0.0
+
+    on_rig(script)
