--- a/benchmarks/caps_head.py
+++ b/benchmarks/caps_head.py
@@ -30,8 +30,8 @@
     Cap(
         "bytes of a head's memory",
         "pebblehinge/store/memory.py",
-        "MOST = ",
-        constant("pebblehinge.store.memory", "MOST"),
+        "MAX_BYTES = ",
+        constant("pebblehinge.store.memory", "MAX_BYTES"),
         "bytes",
         "the file of what it has learned, read at its start",
         memory_bytes(),
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -101,4 +101,4 @@
         "further": [1.5] * 1000,
         "lives": {f"shelf-{n}": (n, 123_456.7) for n in range(shelfs)},
     }
-    return len(memory.packed(memory.Kept("h1", "0" * 16, 1.5, 1.5, "boot", True, state)))
+    return len(memory.encode(memory.Snapshot("h1", "0" * 16, 1.5, 1.5, "boot", True, state)))
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -23,7 +23,8 @@
 from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.disk import RealDisk
-from pebblehinge.store.journal import Batch, Journal, Write
+from pebblehinge.store.journal import Batch, Journal
+from pebblehinge.store.records import Write
 
 MORE = """
 volume direct {
@@ -105,7 +106,7 @@
     """Records a second with so many waiting together."""
     disk = RealDisk(folder / f"g{together}")
     journal = Journal(disk)
-    journal.begin()
+    journal.recover()
 
     async def lasts(batch: Batch) -> None:
         disk.append(batch.name, batch.data)
@@ -127,15 +128,15 @@
     """Reading a journal that holds so much of 256 MiB, in writes of 16 KiB."""
     disk = RealDisk(folder / f"r{part}")
     journal = Journal(disk)
-    journal.begin()
+    journal.recover()
     count = int(part * (256 << 20) / (16 << 10))
     for at in range(1, count + 1, 64):
-        batch = journal.add([record(n, 16 << 10) for n in range(at, min(at + 64, count + 1))])
+        batch = journal.prepare([record(n, 16 << 10) for n in range(at, min(at + 64, count + 1))])
         disk.append(batch.name, batch.data)
-        journal.synced(batch)
+        journal.committed(batch)
     began = time.perf_counter()
     again = Journal(disk)
-    again.begin()
+    again.recover()
     assert len(again.writes) == count
     return {"writes": count, "seconds": round(time.perf_counter() - began, 3)}
 
--- a/pebblehinge/agreed/feed.py
+++ b/pebblehinge/agreed/feed.py
@@ -11,7 +11,7 @@
 from pebblehinge.agreed.taking import Taking
 from pebblehinge.net import Peer, dial
 from pebblehinge.settings import Config
-from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.background import Background, inline
 from pebblehinge.wire import Kind, Session
 
 LEADERLESS = 3  # answers without a leader before another instance is tried
@@ -53,7 +53,7 @@
         adopt: Callable[[Config, str], None],
         keep: Callable[[bytes], None],
         log: Any,
-        beside: Beside = inline,
+        beside: Background = inline,
     ) -> None:
         self.loop, self.clock, self.limits, self.group = loop, clock, roomy(config).limits, config.group
         self.members = [block.listen for block in config.member.values()]
--- a/pebblehinge/agreed/server.py
+++ b/pebblehinge/agreed/server.py
@@ -21,7 +21,8 @@
 from pebblehinge.raft.storage import Storage
 from pebblehinge.raft.transport import LinkSettings, PeerLink
 from pebblehinge.settings import Config
-from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.errors import StorageError
 from pebblehinge.wire import Kind, Session, WireError
 
 BACKLOG = 2048  # connections that wait to be accepted: all heads come back after a leader's loss
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -55,7 +55,7 @@
     from pebblehinge.agreed.server import MemberServer
     from pebblehinge.daemon.files import allow_files, files_of
     from pebblehinge.raft.identity import identify
-    from pebblehinge.store.disk import RealDisk, StorageError
+    from pebblehinge.store import RealDisk, StorageError
 
     if told := allow_files(files_of("group", heads=len(config.head))):
         log.warning("limits", why=told)
--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -191,7 +191,7 @@
     from pebblehinge.agreed import Taking
     from pebblehinge.agreed.activation import cut_off
     from pebblehinge.agreed.feed import Feed
-    from pebblehinge.store.beside import in_thread
+    from pebblehinge.store.background import in_thread
     from pebblehinge.store.disk import RealDisk
 
     floor = config.group.floor
--- a/pebblehinge/cli/head_storage.py
+++ b/pebblehinge/cli/head_storage.py
@@ -22,9 +22,9 @@
 
 def buffer_of(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: Any) -> None:
     """Gives a head its journal, where it has buffered volumes; syncs go to a thread, so that the loop goes on."""
-    from pebblehinge.store import RealDisk, StorageError
-    from pebblehinge.store.beside import in_thread
-    from pebblehinge.store.journal import Batch
+    from pebblehinge.store import JournalFencedError, RealDisk, StorageError
+    from pebblehinge.store.background import in_thread
+    from pebblehinge.store.journal import FENCE_FILE, Batch
 
     buffered = any(v.save == "buffered" for v in config.volume.values())
     if config.head[name].store is None:
@@ -42,12 +42,12 @@
     def write(batch: Batch) -> None:
         disk.append(batch.name, batch.data)
         disk.sync(batch.name)
-        if batch.fresh:
+        if batch.new_file:
             disk.sync_folder()
 
-    async def lasts(batch: Batch) -> None:
-        if disk.exists("fence"):
-            raise StorageError("another has taken this journal over")
+    async def write_batch(batch: Batch) -> None:
+        if disk.exists(FENCE_FILE):
+            raise JournalFencedError("another has taken this journal over")
         await loop.run_in_executor(None, write, batch)
 
-    server.buffer(disk, lasts)
+    server.buffer(disk, write_batch)
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -21,12 +21,12 @@
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
-def journal_of(folder: str) -> tuple[Any, dict[str, Any]]:
+def journal_of(folder: str) -> tuple[Any, Any]:
     from pebblehinge.store import RealDisk
-    from pebblehinge.store.inspection import look
+    from pebblehinge.store.inspection import inspect
 
     disk = RealDisk(folder)
-    return disk, look(disk)
+    return disk, inspect(disk)
 
 
 @store.command(name="inspect")
@@ -34,21 +34,22 @@
 @AS_JSON
 def store_inspect(folder: str, as_json: bool) -> None:
     """What FOLDER holds: nothing is changed."""
-    _, told = journal_of(folder)
-    writes = told.pop("writes")
-    told |= {"live": len(writes), "live_bytes": sum(len(w.data) for w in writes)}
+    _, found = journal_of(folder)
+    live, live_bytes = len(found.writes), sum(len(w.data) for w in found.writes)
     if as_json:
+        words = ("segments", "bytes", "fenced", "damage", "done", "barriers")
+        told = {word: getattr(found, word) for word in words} | {"live": live, "live_bytes": live_bytes}
         click.echo(json.dumps(told))
         return
     click.echo(
-        f"{told['segments']} segments, {told['bytes']} bytes; {told['live']} writes not yet at their shelfs "
-        f"({told['live_bytes']} bytes), {told['done']} done, {told['barriers']} barriers"
+        f"{found.segments} segments, {found.bytes} bytes; {live} writes not yet at their shelfs "
+        f"({live_bytes} bytes), {found.done} done, {found.barriers} barriers"
     )
-    for write in writes[:20]:
+    for write in found.writes[:20]:
         click.echo(f"  {write.number}: {write.volume}/{write.extent} at {write.offset}, {len(write.data)} bytes")
-    for line in told["damage"]:
+    for line in found.damage:
         click.echo(f"damage: {line}")
-    if told["fenced"]:
+    if found.fenced:
         click.echo("fenced: another has taken it over")
 
 
@@ -59,7 +60,7 @@
     from pebblehinge.store import StorageError
     from pebblehinge.store.segment import read_segment
 
-    disk, told = journal_of(folder)
+    disk, found = journal_of(folder)
     names = sorted(n for n in disk.names() if n.startswith("journal-"))
     try:
         for i, name in enumerate(names):
@@ -67,7 +68,7 @@
     except StorageError as error:
         click.echo(str(error))
         sys.exit(1)
-    click.echo(f"sound: {len(told['writes'])} writes not yet at their shelfs")
+    click.echo(f"sound: {len(found.writes)} writes not yet at their shelfs")
 
 
 @store.command(name="export")
@@ -75,15 +76,15 @@
 @click.argument("target", type=click.Path(file_okay=False))
 def store_export(folder: str, target: str) -> None:
     """Write what can be read of FOLDER's live writes to files below TARGET: VOLUME/EXTENT, by offset."""
-    _, told = journal_of(folder)
-    for write in told["writes"]:
+    _, found = journal_of(folder)
+    for write in found.writes:
         path = Path(target) / write.volume / write.extent.replace("/", "%2F")
         path.parent.mkdir(parents=True, exist_ok=True)
         with path.open("r+b" if path.exists() else "wb") as file:
             file.seek(write.offset)
             file.write(write.data)
-    click.echo(f"{len(told['writes'])} writes")
-    sys.exit(1 if told["damage"] else 0)
+    click.echo(f"{len(found.writes)} writes")
+    sys.exit(1 if found.damage else 0)
 
 
 @store.command(name="replay")
@@ -96,19 +97,19 @@
     from pebblehinge.store import StorageError
     from pebblehinge.store.journal import fence
 
-    disk, told = journal_of(folder)
+    disk, found = journal_of(folder)
     try:
         disk.own()
     except StorageError as error:
         give_up(f"{error}: a head that runs brings its writes itself")
-    if told["damage"] and any("promised" in line for line in told["damage"]):
-        click.echo("\n".join(told["damage"]), err=True)
+    if found.damage and any("promised" in line for line in found.damage):
+        click.echo("\n".join(found.damage), err=True)
     fence(disk, f"replay through {address}")
 
     async def bring(loop: asyncio.AbstractEventLoop) -> int:
         client = await connect(address, name="replay", loop=loop)
         brought = stood = 0
-        for write in told["writes"]:
+        for write in found.writes:
             where = {"profile": profile, "slot": write.slot, "units": write.units, "patience_ms": 4000.0}
             for _ in range(50):
                 got = await client.read(write.volume, write.extent, len(write.data), offset=write.offset, **where)
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -137,7 +137,7 @@
                 "dirty_bytes": back.dirty.bytes,
                 **back.counts,
                 "bytes": back.journal.size(),
-                "failed": back.committer.failed,
+                "failed": str(back.committer.failure or ""),
             }
         if head.version_shown:
             told["configuration"] = head.version_shown
--- a/pebblehinge/head/landing.py
+++ b/pebblehinge/head/landing.py
@@ -10,10 +10,10 @@
 from pebblehinge.head.house import House
 from pebblehinge.head.inside import Inside
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
-from pebblehinge.store.flushing import Flushing, next_step
+from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.journal import Journal
 from pebblehinge.store.records import Done, Write
+from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, next_step
 from pebblehinge.wire.frames import READ, WRITE
 
 
@@ -25,14 +25,14 @@
         house: House,
         journal: Journal,
         committer: Committer,
-        dirty: Dirty,
-        flushing: Flushing,
+        dirty: DirtyWrites,
+        policy: WritebackPolicy,
         counts: dict[str, int],
         moved: Callable[[], None],
     ) -> None:
         self.house, self.loop, self.clock, self.moved = house, house.loop, house.clock, moved
         self.block = house.config.buffer
-        self.journal, self.committer, self.dirty, self.flushing = journal, committer, dirty, flushing
+        self.journal, self.committer, self.dirty, self.policy = journal, committer, dirty, policy
         self.inside = Inside(house, "write-back")
         self.landed: list[int] = []  # not yet noted as done
         self.tasks: dict[asyncio.Task[None], None] = {}
@@ -46,33 +46,36 @@
         if self.given_up or self.closed:
             return
         now = self.clock()
-        for write in self.flushing.due(now, self.dirty):
-            self.dirty.out[write.number] = None
+        for write in self.policy.due(now, self.dirty):
+            self.dirty.in_flight[write.number] = None
             self.spawn(self._land(write))
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        at = self.flushing.wake_ms(now, self.dirty)
+        at = self.policy.wake_ms(now, self.dirty)
         if at < float("inf"):
             self.timer = self.loop.call_later(max(0.5, at - now) / 1000.0, self.pump)
 
     async def _land(self, write: Write) -> None:
-        step = next_step(write, write.number in self.dirty.risky, None)
-        if step == "look":
+        step = next_step(write, write.number in self.dirty.maybe_applied, None)
+        if step is WritebackStep.READ_BACK:
             answer = await self._request(write, READ, b"")
             if answer.final == "honoured":
                 step = next_step(write, True, answer.data)
-        if step == "write":
+        if step is WritebackStep.WRITE:
             answer = await self._request(write, WRITE, write.data)
             if answer.final != "pushed back":
-                self.dirty.risky[write.number] = None  # it may have run, whatever becomes of it
+                self.dirty.maybe_applied[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
-        self.dirty.out.pop(write.number, None)
-        final, stay = ("honoured", 0.0) if step == "done" else (answer.final, answer.stay_ms)
-        self.flushing.ended(now, self.dirty, write, final, stay)
-        if step == "done" or (step == "write" and final == "honoured"):
-            self.counts["stood already" if step == "done" else "landed"] += 1
-            self.dirty.landed(write)
+        self.dirty.in_flight.pop(write.number, None)
+        final, stay = ("honoured", 0.0) if step is WritebackStep.DONE else (answer.final, answer.stay_ms)
+        if final == "honoured":
+            self.policy.succeeded(write)
+        else:
+            self.policy.failed(now, write, stay)
+        if step is WritebackStep.DONE or (step is WritebackStep.WRITE and final == "honoured"):
+            self.counts["stood already" if step is WritebackStep.DONE else "landed"] += 1
+            self.dirty.remove(write)
             self.landed.append(write.number)
             self._note_soon()
         self.pump()
@@ -105,7 +108,7 @@
     def _note(self) -> None:
         """What landed is noted, so that it is not brought again after a crash; then segments may go."""
         self.noting = None
-        if not self.landed or self.committer.failed or self.closed:
+        if not self.landed or self.committer.failure or self.closed:
             return
         numbers, self.landed = self.landed, []
         self.committer.add(Done(numbers), lambda lasts: self._noted(lasts))
@@ -115,8 +118,8 @@
     def _noted(self, lasts: bool) -> None:
         if lasts and not self.closed:
             self.journal.reclaim()
-            for record in self.journal.sparse():
-                self.committer.move(record)
+            for record in self.journal.records_to_relocate():
+                self.committer.relocate(record)
 
     def spawn(self, coro: Any) -> None:
         task = self.loop.create_task(coro)
--- a/pebblehinge/head/remembering.py
+++ b/pebblehinge/head/remembering.py
@@ -8,14 +8,14 @@
 
 from pebblehinge.head.house import House
 from pebblehinge.store import StorageError, memory
-from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.background import Background, inline
 
 
 class Remembering:
     """Takes up and keeps. A disk that fails costs the memory and nothing else."""
 
     def __init__(
-        self, house: House, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline
+        self, house: House, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Background = inline
     ) -> None:
         self.house, self.disk, self.times, self.beside = house, disk, times, beside
         self.writing = threading.Lock()  # one at a time: the last of a life waits for the one before it
@@ -27,19 +27,20 @@
             return
         try:
             data = self.disk.read(memory.FILE)
-            state, age, whole, word = memory.recalled(data, house.name, self.mark, *self.times())
+            recalled = memory.recall(data, house.name, self.mark, *self.times())
         except (StorageError, OSError) as error:
             house.log.warning("memory is not taken up", why=str(error))
             return
-        house.core.module.recall(house.clock(), state, age, whole)
-        house.log.info("memory", what=word, shelfs=len(state["shelfs"]), extents=len(state["thinks"]))
+        house.core.module.recall(house.clock(), recalled.state, recalled.age_ms, recalled.complete)
+        shelfs, extents = len(recalled.state["shelfs"]), len(recalled.state["thinks"])
+        house.log.info("memory", what=recalled.summary, shelfs=shelfs, extents=extents)
 
     def keep(self, whole: bool = False) -> None:
         """Writes what is known now; whole where nothing is sent after it."""
         house = self.house
         self.mark = memory.mark_of(house.config.module_settings(house.block))
         state = house.core.module.remembered(house.clock())
-        kept = memory.Kept(house.name, self.mark, *self.times(), whole, state)
+        kept = memory.Snapshot(house.name, self.mark, *self.times(), whole, state)
 
         def write() -> None:
             with self.writing:
--- a/pebblehinge/head/server.py
+++ b/pebblehinge/head/server.py
@@ -15,7 +15,7 @@
 from pebblehinge.net import parse_address
 from pebblehinge.records import NoRecords, Records
 from pebblehinge.settings.schema import Config
-from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.background import Background, inline
 
 BACKLOG = 8192  # connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)
 
@@ -63,7 +63,7 @@
         """Before `start`: buffered volumes are confirmed from a journal on this disk."""
         self.back = Back(self, disk, lasts)
 
-    def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Beside = inline) -> None:
+    def remember(self, disk: Any, times: Callable[[], tuple[float, float, str]], beside: Background = inline) -> None:
         """Before `start`: takes up what an earlier life learned, and keeps what this one learns, beside the loop.
         `times` gives the wall clock and the machine's time since its start, in ms, and which start that was."""
         self.memory = Remembering(self, disk, times, beside)
--- a/pebblehinge/head/writeback.py
+++ b/pebblehinge/head/writeback.py
@@ -1,6 +1,6 @@
 """Buffered volumes of a head: confirms writes from its journal, brings them to their shelfs, lays them over reads.
 
-Decides nothing: `store.flushing` says what is taken and what goes when, the decision module all of a request.
+Decides nothing: `store.writeback_policy` says what is taken and what goes when, the decision module all of a request.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from pebblehinge.head.inside import FINALS
 from pebblehinge.head.landing import Landing
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
+from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.disk import Disk
-from pebblehinge.store.flushing import Flushing
 from pebblehinge.store.journal import Batch, Journal
-from pebblehinge.store.records import Barrier, Write
+from pebblehinge.store.records import Barrier, Record, Write
+from pebblehinge.store.writeback_policy import WritebackPolicy, WriteRefusal
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 
@@ -31,29 +31,27 @@
         block = self.block = server.config.buffer
         self.journal = Journal(disk, block.segment)
         self.committer = Committer(self.journal, lasts)
-        self.dirty = Dirty()
-        self.flushing = Flushing(block.most, block.age, block.delay, block.out)
+        self.dirty = DirtyWrites()
+        self.policy = WritebackPolicy(block.most, block.age, block.delay, block.out)
         self.flushes: list[Asked] = []
         self.open = 0  # answers that are owed
         self.stopping = self.closed = False
         self.counts = {"confirmed": 0, "landed": 0, "stood already": 0, "refused": 0}
-        self.landing = Landing(
-            server, self.journal, self.committer, self.dirty, self.flushing, self.counts, self._moved
-        )
+        self.landing = Landing(server, self.journal, self.committer, self.dirty, self.policy, self.counts, self._moved)
 
     def begin(self) -> None:
         """Takes up what an earlier life of this head had confirmed; raises StorageError where that can't be read."""
-        self.journal.begin()
+        self.journal.recover()
         now = self.clock()
         everything = [*self.journal.writes.values(), *self.journal.barriers.values()]
         for record in sorted(everything, key=lambda r: r.number):
             if isinstance(record, Write):
-                self.dirty.add(now, record, risky=True)
+                self.dirty.add(now, record, maybe_applied=True)
             else:
-                self.dirty.barrier(record)
-        if everything or self.journal.cut:
+                self.dirty.add_barrier(record)
+        if everything or self.journal.truncated_bytes:
             writes, size = len(self.journal.writes), self.dirty.bytes
-            self.server.log.info("journal", writes=writes, bytes=size, cut=self.journal.cut)
+            self.server.log.info("journal", writes=writes, bytes=size, cut=self.journal.truncated_bytes)
 
     def buffers(self, volume: str) -> bool:
         block = self.server.config.volume.get(volume)
@@ -81,7 +79,7 @@
         """True where the request is this one's: a write, a barrier or a flush; a read that dirty writes cover whole."""
         now = self.server.now
         if op == READ:
-            found = self.dirty.newest(volume, extent, offset, length) if length else None
+            found = self.dirty.read_covered(volume, extent, offset, length) if length else None
             if found is not None:
                 self._answer(Asked(conn, id_, slot, trace), FinalStatus.SUCCEEDED, 0.0, "", found)
             return found is not None
@@ -89,18 +87,24 @@
             return False
         asked = Asked(conn, id_, slot, trace)
         odd = odd_time(left_ms)
-        why = (odd, 0.0) if odd else self._refuses(now, volume, profile, op, offset, units, data)
+        why = WriteRefusal(odd, 0.0) if odd else self._refuses(now, volume, profile, op, offset, units, data)
         if why is not None:
             self.counts["refused"] += 1
-            self._answer(asked, FinalStatus.REJECTED, why[1] or self.server.config.rules.stay_away_max, why[0], b"")
+            self._answer(
+                asked,
+                FinalStatus.REJECTED,
+                why.retry_after_ms or self.server.config.rules.stay_away_max,
+                why.reason,
+                b"",
+            )
             return True
         self.open += 1
         left = max(0.0, left_ms - self.server.block.answer_margin)
         asked.timer = self.loop.call_later(left / 1000.0, self._too_late, asked)
         if op == FLUSH:
             # All that was confirmed or is on its way by now.
-            asked.volume, asked.up_to = volume, self.journal.number
-            self.flushing.flush(volume, asked.up_to)
+            asked.volume, asked.up_to = volume, self.journal.last_number
+            self.policy.flush(volume, asked.up_to)
             self.flushes.append(asked)
             self._look_at_flushes()
             self.pump()
@@ -117,29 +121,32 @@
 
     def _refuses(
         self, now: float, volume: str, profile: str, op: int, offset: int, units: float, data: bytes
-    ) -> tuple[str, float] | None:
+    ) -> WriteRefusal | None:
         if self.stopping:
-            return "this head is stopping: another one takes new accesses", 0.0
+            return WriteRefusal("this head is stopping: another one takes new accesses", 0.0)
         if op == WRITE and (profile not in self.server.config.profile or offset < 0):
-            return f"profile {profile[:60]!r} is not known here, or there is no such place", 0.0
+            return WriteRefusal(f"profile {profile[:60]!r} is not known here, or there is no such place", 0.0)
         if op == WRITE and not 0 < units <= self.server.config.rules.most_units:
-            return f"{units:g} units: at most {self.server.config.rules.most_units:g} are taken", 0.0
+            return WriteRefusal(f"{units:g} units: at most {self.server.config.rules.most_units:g} are taken", 0.0)
         if op == FLUSH:
             return None
-        return self.flushing.refuses(now, self.dirty, len(data) + self._on_the_way(), self.committer.failed)
+        return self.policy.check_write(now, self.dirty, len(data) + self._on_the_way(), self.committer.failure)
+
+    def _waiting_records(self) -> list[Record]:
+        return [row.record for row in self.committer.waiting]
 
     def _on_the_way(self) -> int:
-        return sum(len(getattr(record, "data", b"")) for record, _ in self.committer.waiting)
+        return sum(len(getattr(record, "data", b"")) for record in self._waiting_records())
 
     def _committed(self, asked: Asked, record: Write | Barrier, lasts: bool) -> None:
         if self.closed:
             return
         if not lasts:
             # It may be on the disk or not: that is all that can be said.
-            self._answer(asked, FinalStatus.FAILED, 0.0, self.committer.failed, b"")
+            self._answer(asked, FinalStatus.FAILED, 0.0, str(self.committer.failure), b"")
             return
         if isinstance(record, Barrier):
-            self.dirty.barrier(record)
+            self.dirty.add_barrier(record)
         else:
             self.dirty.add(self.clock(), record)
             self.counts["confirmed"] += 1
@@ -169,11 +176,11 @@
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
     def after_read(self, pending: PendingRequest, seen: tuple[Write, ...], data: bytes) -> bytes:
-        shown = Dirty()
+        shown = DirtyWrites()
         for write in seen:
             shown.add(0.0, write)
-        base = shown.over(pending.volume, pending.extent, pending.offset, pending.length, data)
-        return self.dirty.over(pending.volume, pending.extent, pending.offset, pending.length, base)
+        base = shown.overlay(pending.volume, pending.extent, pending.offset, pending.length, data)
+        return self.dirty.overlay(pending.volume, pending.extent, pending.offset, pending.length, base)
 
     # ---- what is waited for
 
@@ -192,10 +199,10 @@
         for asked in self.flushes:
             waits = any(
                 r.volume == asked.volume and r.number <= asked.up_to
-                for r, _ in self.committer.waiting
+                for r in self._waiting_records()
                 if isinstance(r, Write)
             )
-            waits = waits or self.committer.running or not self.dirty.clean(asked.volume, asked.up_to)
+            waits = waits or self.committer.running or not self.dirty.is_clean(asked.volume, asked.up_to)
             if waits and not asked.answered:
                 left.append(asked)
             else:
@@ -208,7 +215,7 @@
         """No new writes; what is dirty goes to its shelfs for a while, and what does not stays in the journal."""
         self.stopping = True
         for volume in list(self.dirty.volumes):
-            self.flushing.flush(volume, self.journal.number)
+            self.policy.flush(volume, self.journal.last_number)
         self.pump()
         self.loop.call_later(self.block.stop / 1000.0, self._give_up)
 
@@ -222,7 +229,7 @@
         """Whether the head may end: nothing is owed, all has landed and is noted, or the time for that is over."""
         if self.open:
             return False
-        noted = not self.landing.landed or bool(self.committer.failed)
+        noted = not self.landing.landed or self.committer.failure is not None
         return self.landing.given_up or (not len(self.dirty) and noted and not self.committer.running)
 
     def close(self) -> None:
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.faults.ways import Held
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.settings import Config
-from pebblehinge.store.beside import Beside, Done, inline
+from pebblehinge.store.background import Background, Done, inline
 
 AGREED = "agreed"  # the file in which a head keeps the version that it took up
 
@@ -33,7 +33,7 @@
     head: Any,
     disk: FaultyDisk,
     log: Any,
-    beside: Beside,
+    beside: Background,
 ) -> Feed:
     """A head's way to the group, as the command line makes it."""
     floor = config.group.floor
@@ -75,7 +75,7 @@
             self.disks[name] = FaultyDisk(random.Random(f"{seed}/{name}"))
         return self.disks[name]
 
-    def beside(self, name: str) -> Beside:
+    def beside(self, name: str) -> Background:
         """What a head has done beside its loop: over when its disk has taken its time; the node goes on meanwhile."""
 
         def begin(call: Callable[[], Any], done: Done) -> None:
--- a/pebblehinge/raft/errors.py
+++ b/pebblehinge/raft/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import StorageError
 
 
 class RaftError(Exception):
--- a/pebblehinge/raft/node.py
+++ b/pebblehinge/raft/node.py
@@ -14,7 +14,7 @@
 from pebblehinge.raft.state import Role
 from pebblehinge.raft.storage import Storage
 from pebblehinge.raft.transport import PeerLink
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import StorageError
 
 
 @dataclass(frozen=True, slots=True)
--- a/pebblehinge/store/__init__.py
+++ b/pebblehinge/store/__init__.py
@@ -1,10 +1,30 @@
-"""What a head keeps on disk: writes that it has confirmed and not yet brought to their shelfs, and what it has learned.
+"""What a gateway keeps on disk: confirmed writes that are not yet on their storage nodes, and learned state.
 
-`disk` has the file operations, `records` what a journal records, `segment` its format on disk, `journal` which records
-are live and where, `inspection` a look at a folder that changes nothing, `dirty` what is confirmed and not yet written
-back; `flushing` decides when that happens, `committer` shares fsyncs. docs/durability.md has the promises.
+`disk` has the file operations and `errors` the exceptions. The journal is a write-ahead log: `records` are its records,
+`segment` is their format on disk, `journal` knows which records are live and in which segment, `committer` groups
+fsyncs, `inspection` reads a folder without changing it. `dirty_writes` holds the confirmed writes in memory, and
+`writeback_policy` decides when they are written back. `memory` is the snapshot of the scheduler's learned state, whose
+settings are told apart by `settings_mark`. `background` runs what waits for a disk beside the loop.
+docs/durability.md states the guarantees.
 """
 
-from pebblehinge.store.disk import Disk, RealDisk, StorageError
+from pebblehinge.store.disk import Disk, RealDisk
+from pebblehinge.store.errors import (
+    FolderInUseError,
+    JournalDamagedError,
+    JournalFailedError,
+    JournalFencedError,
+    SnapshotRejectedError,
+    StorageError,
+)
 
-__all__ = ["Disk", "RealDisk", "StorageError"]
+__all__ = [
+    "Disk",
+    "FolderInUseError",
+    "JournalDamagedError",
+    "JournalFailedError",
+    "JournalFencedError",
+    "RealDisk",
+    "SnapshotRejectedError",
+    "StorageError",
+]
--- a/pebblehinge/store/committer.py
+++ b/pebblehinge/store/committer.py
@@ -1,75 +1,117 @@
-"""Shares one fsync among all who wait for one: what comes while a batch is on its way goes with the next."""
+"""Group commit: one fsync serves all records that wait; those that arrive meanwhile go with the next."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import JournalFailedError, StorageError
 from pebblehinge.store.journal import Batch, Journal
 from pebblehinge.store.records import Barrier, Done, Record, Write
 
-MOST = 4 << 20  # bytes of writes in one batch
+MAX_BATCH_BYTES = 4 << 20
+RECORD_OVERHEAD_BYTES = 100  # estimate of what a record takes beside its data
+
+
+@dataclass(slots=True, frozen=True)
+class WaitingRecord:
+    """A record that isn't appended yet; `on_result` gets True once it is durable, False if that can't be known."""
+
+    record: Record
+    on_result: Callable[[bool], None]
 
 
 class Committer:
-    """`lasts(batch)` is awaited: it appends and syncs, or raises OSError. After one failure nothing is written any
-    more: what a failed fsync left on the disk is not known, and a later success would not mean that it is there."""
+    """Appends records to a journal in batches.
 
-    def __init__(self, journal: Journal, lasts: Callable[[Batch], Awaitable[None]]) -> None:
-        self.journal, self.lasts = journal, lasts
-        self.waiting: list[tuple[Record, Callable[[bool], None]]] = []
-        self.moved: dict[int, None] = {}  # numbers of live records on their way to a newer segment
-        self.running = False
-        self.failed = ""
-        self.batches = self.records = 0
+    After one failure nothing is written any more: what a failed fsync left on the disk is unknown, and a later success
+    would not mean that it is there.
 
-    def add(self, record: Record, told: Callable[[bool], None]) -> None:
-        """`told(True)` once the record lasts, `told(False)` where that is not known and never will be."""
-        self.waiting.append((record, told))
+    Attributes:
+        waiting: The records of the next batches.
+        relocating: Numbers of live records that are being written to a newer segment.
+        running: Whether `run` is under way.
+        failure: The first failure, None as long as there was none.
+        batches: Batches that were made durable.
+        records: Records in these.
+    """
 
-    def move(self, record: Write | Barrier) -> None:
-        """A live record once more, so that its old segment can go."""
-        if record.number not in self.moved:
-            self.moved[record.number] = None
-            self.waiting.append((record, lambda lasts: self.moved.pop(record.number, None)))
+    def __init__(self, journal: Journal, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
+        """`write_batch` appends and syncs a batch; it raises OSError or StorageError if it can't."""
+        self.journal = journal
+        self.write_batch = write_batch
+        self.waiting: list[WaitingRecord] = []
+        self.relocating: dict[int, None] = {}
+        self.running = False
+        self.failure: JournalFailedError | None = None
+        self.batches = 0
+        self.records = 0
+
+    def add(self, record: Record, on_result: Callable[[bool], None]) -> None:
+        """Takes a record for the next batch; `run` has to be called."""
+        self.waiting.append(WaitingRecord(record, on_result))
 
-    def _is_over(self, record: Record) -> bool:
-        """Whether it was to be moved on, and is done by now."""
-        moved = not isinstance(record, Done) and record.number in self.moved
-        return moved and record.number not in self.journal.where
+    def relocate(self, record: Write | Barrier) -> None:
+        """Takes a live record once more, so that its old segment can be removed."""
+        number = record.number
+        if number not in self.relocating:
+            self.relocating[number] = None
+            self.add(record, lambda durable: self.relocating.pop(number, None))
 
     async def run(self) -> None:
-        """Until nothing waits. One at a time: whoever adds and sees `running` need do nothing."""
+        """Commits until nothing waits. Returns at once if it is running already."""
         if self.running:
             return
         self.running = True
         try:
             while self.waiting:
-                await self._one()
+                await self._commit_batch()
         finally:
             self.running = False
 
-    async def _one(self) -> None:
-        size = count = 0
-        while count < len(self.waiting) and size < MOST:
-            size += len(getattr(self.waiting[count][0], "data", b"")) + 100
-            count += 1
-        taken, self.waiting = self.waiting[:count], self.waiting[count:]
-        for record, told in [row for row in taken if self._is_over(row[0])]:
-            taken.remove((record, told))  # added again it would live for ever
-            told(True)
-        if not taken:
+    async def _commit_batch(self) -> None:
+        batch = self._without_obsolete(self._next_batch())
+        if not batch:
             return
-        if not self.failed:
-            batch = self.journal.add([record for record, _ in taken])
-            try:
-                await self.lasts(batch)
-            except (OSError, StorageError) as error:
-                why = getattr(error, "strerror", None) or error
-                self.failed = f"the journal failed ({why}): this head buffers no more until it is started again"
-            else:
-                self.journal.synced(batch)
-                self.batches += 1
-                self.records += len(taken)
-        for _, told in taken:
-            told(not self.failed)
+        if self.failure is None:
+            await self._write([row.record for row in batch])
+        for row in batch:
+            row.on_result(self.failure is None)
+
+    def _next_batch(self) -> list[WaitingRecord]:
+        """Takes the records of a batch off the waiting ones."""
+        size = 0
+        count = 0
+        while count < len(self.waiting) and size < MAX_BATCH_BYTES:
+            size += len(getattr(self.waiting[count].record, "data", b"")) + RECORD_OVERHEAD_BYTES
+            count += 1
+        batch = self.waiting[:count]
+        self.waiting = self.waiting[count:]
+        return batch
+
+    def _without_obsolete(self, batch: list[WaitingRecord]) -> list[WaitingRecord]:
+        """Drops records that were to be relocated and are done by now: written again they would live for ever."""
+        obsolete = [row for row in batch if self._is_obsolete(row.record)]
+        for row in obsolete:
+            batch.remove(row)
+            row.on_result(True)
+        return batch
+
+    def _is_obsolete(self, record: Record) -> bool:
+        if isinstance(record, Done) or record.number not in self.relocating:
+            return False
+        return record.number not in self.journal.segment_of
+
+    async def _write(self, records: list[Record]) -> None:
+        batch = self.journal.prepare(records)
+        try:
+            await self.write_batch(batch)
+        except (OSError, StorageError) as error:
+            why = getattr(error, "strerror", None) or error
+            self.failure = JournalFailedError(
+                f"the journal failed ({why}): this head buffers no more until it is started again"
+            )
+        else:
+            self.journal.committed(batch)
+            self.batches += 1
+            self.records += len(records)
--- a/pebblehinge/store/inspection.py
+++ b/pebblehinge/store/inspection.py
@@ -1,50 +1,78 @@
-"""What a journal's folder holds, read without a change to it: for the commands that look at and export a journal."""
+"""A look at a journal's folder that changes nothing, for the commands that inspect and export a journal."""
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass, field
 
-from pebblehinge.store.disk import Disk, StorageError
-from pebblehinge.store.journal import FENCE
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.errors import JournalDamagedError
+from pebblehinge.store.journal import FENCE_FILE
 from pebblehinge.store.records import Done, Record, Write
-from pebblehinge.store.segment import BATCH, batch_at, later_batch, read_segment
+from pebblehinge.store.segment import batch_size, decode_batch, find_batch, read_segment, segment_names
 
 
-def look(disk: Disk) -> dict[str, Any]:
-    """What a folder holds, whether it is sound or not; nothing is changed."""
-    names = sorted(n for n in disk.names() if n.startswith("journal-") and n.endswith(".seg"))
-    told: dict[str, Any] = {"segments": len(names), "bytes": 0, "fenced": disk.exists(FENCE), "damage": []}
+@dataclass(slots=True)
+class Inspection:
+    """What a folder holds, sound or not.
+
+    Attributes:
+        segments: Number of segment files.
+        bytes: Their size.
+        fenced: Whether another process has taken the journal over.
+        damage: One line for each damaged place.
+        writes: Writes that are not done, by number.
+        done: How many of the writes found are done.
+        barriers: How many barriers were found.
+    """
+
+    segments: int
+    fenced: bool
+    bytes: int = 0
+    damage: list[str] = field(default_factory=list)
+    writes: list[Write] = field(default_factory=list)
+    done: int = 0
+    barriers: int = 0
+
+
+def inspect(disk: Disk) -> Inspection:
+    """Reads all that can be read of a folder, past damage too."""
+    names = segment_names(disk.names())
+    found = Inspection(len(names), disk.exists(FENCE_FILE))
     writes: dict[int, Write] = {}
     done: dict[int, None] = {}
-    barriers = 0
-    for i, name in enumerate(names):
+    for name in names:
         data = disk.read(name)
-        told["bytes"] += len(data)
-        try:
-            batches, sound = read_segment(name, data, i == len(names) - 1)
-            if sound < len(data):
-                told["damage"].append(f"{name}: {len(data) - sound} bytes at its end are cut off (never promised)")
-        except StorageError as error:
-            told["damage"].append(str(error))
-            batches = _all_sound(data)
-        for record in (r for batch in batches for r in batch):
+        found.bytes += len(data)
+        for record in _records(name, data, name == names[-1], found.damage):
             if isinstance(record, Done):
                 done.update(dict.fromkeys(record.numbers))
             elif isinstance(record, Write):
                 writes[record.number] = record
             else:
-                barriers += 1
-    told["writes"] = [writes[n] for n in sorted(writes) if n not in done]
-    told["done"], told["barriers"] = len([n for n in writes if n in done]), barriers
-    return told
-
-
-def _all_sound(data: bytes) -> list[list[Record]]:
-    """All batches that can be read, wherever they stand."""
-    found, at = [], 0
-    while (at := later_batch(data, at)) >= 0:
-        records = batch_at(data, at)
-        assert records is not None
-        found.append(records)
-        at += BATCH.size + BATCH.unpack_from(data, at)[1]
+                found.barriers += 1
+    found.writes = [writes[number] for number in sorted(writes) if number not in done]
+    found.done = sum(number in done for number in writes)
+    return found
+
+
+def _records(name: str, data: bytes, last: bool, damage: list[str]) -> list[Record]:
+    """The records of a segment that can be read; what is damaged is added to `damage`."""
+    try:
+        contents = read_segment(name, data, last)
+    except JournalDamagedError as error:
+        damage.append(str(error))
+        return _sound_records(data)
+    if contents.sound_bytes < len(data):
+        cut = len(data) - contents.sound_bytes
+        damage.append(f"{name}: {cut} bytes at its end are cut off (never promised)")
+    return [record for batch in contents.batches for record in batch]
+
+
+def _sound_records(data: bytes) -> list[Record]:
+    """The records of all sound batches, wherever they are."""
+    found: list[Record] = []
+    at = find_batch(data, 0)
+    while at is not None:
+        found += decode_batch(data, at) or []
+        at = find_batch(data, at + batch_size(data, at))
     return found
--- a/pebblehinge/store/journal.py
+++ b/pebblehinge/store/journal.py
@@ -1,164 +1,216 @@
-"""The journal of a head: which writes are confirmed, which of them are done, and in which segments they stand.
+"""A gateway's journal: which writes are confirmed, which of them are done, and in which segments they are.
 
-`records` has the kinds of records, `segment` the format on disk. Nothing here reads a clock or waits; `committer` does
-what `Batch` says.
+`records` has the records, `segment` their format on disk. Nothing here reads a clock or waits; `committer` appends and
+syncs each `Batch`.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.errors import JournalFencedError
 from pebblehinge.store.records import Barrier, Done, Record, Write
-from pebblehinge.store.segment import HEADER, MAGIC, VERSION, frame, name_of, read_segment
-
-SEGMENT = 8 << 20  # bytes after which a new segment begins
-FENCE = "fence"
+from pebblehinge.store.segment import (
+    decode_header,
+    encode_batch,
+    encode_header,
+    read_segment,
+    segment_name,
+    segment_names,
+    segment_number,
+)
+
+SEGMENT_BYTES = 8 << 20  # a new segment begins beyond this
+SPARSE_PART = 0.25  # of a segment: with less in live records these are written again
+WRITE_OVERHEAD_BYTES = 200  # estimate of what a write takes beside its data
+BARRIER_BYTES = 50  # likewise of a barrier
+FENCE_FILE = "fence"
 
 
 @dataclass(slots=True)
 class Batch:
-    """Bytes that are to be appended to a file and synced, before any of its records counts."""
+    """Bytes to append to a file and to sync, before any of the records counts.
+
+    Attributes:
+        name: Name of the segment's file.
+        data: The bytes.
+        new_file: Whether this makes the file, so that the folder has to be synced, too.
+        records: The records in the bytes.
+    """
 
     name: str
     data: bytes
-    fresh: bool  # the file is new: its folder is synced, too
+    new_file: bool
     records: list[Record]
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file: which of its writes are not done, and its barriers."""
+    """One file: its bytes so far, and the numbers of its live writes and barriers."""
 
     size: int = 0
     live: dict[int, None] = field(default_factory=dict)
 
 
 class Journal:
-    """The books of one folder: what is live, and where. `begin` reads it; then `add` gives batches to be synced."""
-
-    def __init__(self, disk: Disk, segment: int = SEGMENT) -> None:
-        self.disk, self.most = disk, segment
+    """The journal of one folder. `recover` reads it; then `prepare` gives batches, each to be reported `committed`.
+
+    Attributes:
+        segments: The segments by number, the oldest first.
+        segment_of: The segment of each live record, by the record's number.
+        writes: Live writes by number.
+        barriers: Live barriers by number.
+        last_number: The highest record number that was given out.
+        segment: Number of the segment that is written to.
+        truncated_bytes: Bytes of torn tails that `recover` cut.
+    """
+
+    def __init__(self, disk: Disk, segment_bytes: int = SEGMENT_BYTES) -> None:
+        self.disk = disk
+        self.segment_bytes = segment_bytes
         self.segments: dict[int, Segment] = {}
-        self.where: dict[int, int] = {}  # number of a live write -> its segment
+        self.segment_of: dict[int, int] = {}
         self.writes: dict[int, Write] = {}
         self.barriers: dict[int, Barrier] = {}
-        self.number = 0  # of the last record
+        self.last_number = 0
         self.segment = 0
-        self.cut = 0  # bytes of torn tails that were cut at the start
+        self.truncated_bytes = 0
 
     # ---- reading
 
-    def begin(self) -> None:
-        """Reads what the folder holds; raises StorageError where it can't be trusted."""
-        if self.disk.exists(FENCE):
-            by = self.disk.read(FENCE).decode("utf-8", "replace")
-            raise StorageError(f"this journal was taken over ({by.strip()}): its writes are another's now")
-        names = sorted(n for n in self.disk.names() if n.startswith("journal-") and n.endswith(".seg"))
+    def recover(self) -> None:
+        """Reads what the folder holds, and cuts the torn end of the newest segment.
+
+        Raises:
+            JournalFencedError: Another process has taken the journal over.
+            JournalDamagedError: The journal can't be trusted.
+        """
+        if self.disk.exists(FENCE_FILE):
+            by = self.disk.read(FENCE_FILE).decode("utf-8", "replace")
+            raise JournalFencedError(f"this journal was taken over ({by.strip()}): its writes are another's now")
+        names = segment_names(self.disk.names())
         done: dict[int, None] = {}
-        for i, name in enumerate(names):
-            number, data = int(name[8:-4]), self.disk.read(name)
-            batches, sound = read_segment(name, data, i == len(names) - 1)
-            if sound < len(data):
-                self.cut += len(data) - sound
-                self.disk.truncate(name, sound)
-            segment = self.segments[number] = Segment(sound)
-            if sound:
-                # Numbers are never given twice: what is done of an earlier life must not end a write of this one.
-                self.number = max(self.number, HEADER.unpack_from(data)[3])
-            for record in (r for batch in batches for r in batch):
-                self._take(record, number, segment, done)
-            self.segment = number
+        for name in names:
+            self._recover_segment(name, name == names[-1], done)
         for number in done:
-            self._forget(number)
+            self._remove_record(number)
         self.segment += 1  # what was read is not written to again: a tail that was cut stays cut
         self.reclaim()
 
-    def _take(self, record: Record, number: int, segment: Segment, done: dict[int, None]) -> None:
+    def _recover_segment(self, name: str, last: bool, done: dict[int, None]) -> None:
+        number = segment_number(name)
+        data = self.disk.read(name)
+        contents = read_segment(name, data, last)
+        if contents.sound_bytes < len(data):
+            self.truncated_bytes += len(data) - contents.sound_bytes
+            self.disk.truncate(name, contents.sound_bytes)
+        self.segments[number] = Segment(contents.sound_bytes)
+        if contents.sound_bytes:
+            # Numbers are never given out twice: what an earlier run noted as done must not end a write of this one.
+            self.last_number = max(self.last_number, decode_header(data).last_number)
+        for batch in contents.batches:
+            for record in batch:
+                self._add_record(record, number, done)
+        self.segment = number
+
+    def _add_record(self, record: Record, segment: int, done: dict[int, None]) -> None:
+        """Enters a record of a segment; the numbers of a Done are put into `done`."""
         if isinstance(record, Done):
             done.update(dict.fromkeys(record.numbers))
-            self.number = max([self.number, *record.numbers])
+            self.last_number = max([self.last_number, *record.numbers])
             return
-        self.number = max(self.number, record.number)
-        if record.number in self.where:  # it was moved on to a later segment
-            self.segments[self.where[record.number]].live.pop(record.number, None)
+        self.last_number = max(self.last_number, record.number)
+        if record.number in self.segment_of:  # it was relocated to a later segment
+            self.segments[self.segment_of[record.number]].live.pop(record.number, None)
         if isinstance(record, Write):
             self.writes[record.number] = record
         else:
             self.barriers[record.number] = record
-        self.where[record.number] = number
-        segment.live[record.number] = None
+        self.segment_of[record.number] = segment
+        self.segments[segment].live[record.number] = None
 
-    def _forget(self, number: int) -> None:
-        at = self.where.pop(number, None)
-        if at is not None:
-            self.segments[at].live.pop(number, None)
+    def _remove_record(self, number: int) -> None:
+        segment = self.segment_of.pop(number, None)
+        if segment is not None:
+            self.segments[segment].live.pop(number, None)
             self.writes.pop(number, None)
             self.barriers.pop(number, None)
 
     # ---- writing
 
     def next_number(self) -> int:
-        self.number += 1
-        return self.number
-
-    def add(self, records: list[Record]) -> Batch:
-        """What is to be appended for these records. They count once `synced` is called for it."""
-        name = name_of(self.segment)
-        fresh = self.segment not in self.segments
-        data = frame(records)
-        if fresh:
+        """Gives out the number of a new write or barrier."""
+        self.last_number += 1
+        return self.last_number
+
+    def prepare(self, records: list[Record]) -> Batch:
+        """What is to be appended for these records, which count once the batch is reported `committed`."""
+        data = encode_batch(records)
+        new_file = self.segment not in self.segments
+        if new_file:
             self.segments[self.segment] = Segment()
-            data = HEADER.pack(MAGIC, VERSION, self.segment, self.number) + data
+            data = encode_header(self.segment, self.last_number) + data
         self.segments[self.segment].size += len(data)
-        return Batch(name, data, fresh, records)
+        return Batch(segment_name(self.segment), data, new_file, records)
 
-    def synced(self, batch: Batch) -> None:
-        """The batch lasts."""
-        number = int(batch.name[8:-4])
+    def committed(self, batch: Batch) -> None:
+        """The batch is durable."""
+        segment = segment_number(batch.name)
         done: dict[int, None] = {}
         for record in batch.records:
-            self._take(record, number, self.segments[number], done)
-        for n in done:
-            self._forget(n)
-        if self.segments[self.segment].size >= self.most:
+            self._add_record(record, segment, done)
+        for number in done:
+            self._remove_record(number)
+        if self.segments[self.segment].size >= self.segment_bytes:
             self.segment += 1
 
-    def settle_barriers(self) -> None:
-        """A barrier with nothing live before it has done its work."""
+    # ---- removing segments
+
+    def reclaim(self) -> int:
+        """Removes segments without live records; returns how many."""
+        self._remove_settled_barriers()
+        empty = [n for n, s in self.segments.items() if not s.live and n != self.segment]
+        for number in empty:
+            self.disk.remove(segment_name(number))
+            del self.segments[number]
+        return len(empty)
+
+    def _remove_settled_barriers(self) -> None:
+        """Removes barriers with no live write of their volume before them."""
         oldest: dict[str, int] = {}
         for number, write in self.writes.items():
             oldest[write.volume] = min(number, oldest.get(write.volume, number))
         for number, barrier in list(self.barriers.items()):
-            if oldest.get(barrier.volume, self.number + 1) > number:
-                self._forget(number)
+            if oldest.get(barrier.volume, self.last_number + 1) > number:
+                self._remove_record(number)
 
-    def reclaim(self) -> int:
-        """Removes segments with nothing live in them; how many."""
-        self.settle_barriers()
-        gone = [n for n, s in self.segments.items() if not s.live and n != self.segment]
-        for number in gone:
-            self.disk.remove(name_of(number))
-            del self.segments[number]
-        return len(gone)
+    def records_to_relocate(self, part: float = SPARSE_PART) -> list[Write | Barrier]:
+        """A checkpoint: the live records of old segments that hold little else, by number.
 
-    def sparse(self, part: float = 0.25) -> list[Record]:
-        """A checkpoint: live records of old segments that hold little else, to be added once more so that the segments
-        can go. Numbers stay, so what is read later is the same."""
-        found: list[Record] = []
+        They are to be appended once more, under their numbers, so that these segments can be removed.
+
+        Args:
+            part: How much of a segment's bytes may be live for it to count as sparse.
+        """
+        found: list[Write | Barrier] = []
         for number, segment in self.segments.items():
             if number == self.segment or not segment.live:
                 continue
             live = [self.writes.get(n) or self.barriers[n] for n in segment.live]
-            size = sum(len(r.data) + 200 if isinstance(r, Write) else 50 for r in live)
-            if size < part * segment.size:
+            if sum(map(_estimated_bytes, live)) < part * segment.size:
                 found += live
-        return sorted(found, key=lambda r: r.number)  # type: ignore[union-attr]
+        return sorted(found, key=lambda record: record.number)
 
     def size(self) -> int:
-        return sum(s.size for s in self.segments.values())
+        """Bytes of all segments."""
+        return sum(segment.size for segment in self.segments.values())
+
+
+def _estimated_bytes(record: Write | Barrier) -> int:
+    return len(record.data) + WRITE_OVERHEAD_BYTES if isinstance(record, Write) else BARRIER_BYTES
 
 
 def fence(disk: Disk, by: str) -> None:
-    """From now on the head that this journal belonged to may not write by it."""
-    disk.replace(FENCE, by.encode())
+    """Takes a journal over: from now on its gateway may not write to it. `by` says who did it."""
+    disk.replace(FENCE_FILE, by.encode())
--- a/pebblehinge/store/memory.py
+++ b/pebblehinge/store/memory.py
@@ -1,109 +1,160 @@
-"""What a head has learned, as one file: written whole or not at all, taken up only where it is this head's and sound.
+"""The snapshot of a gateway's learned state: one file, written whole or not at all.
 
     memory    `magic 8 | version u16 | XXH64 u64 | msgpack`
 
-How much it still counts is decided by the decision module, which is told its age. The age comes from the machine's own
-clock since it started, where the machine is still up; else from the wall clock, which may have been set: an age that
-can't be is no age, and the file is left alone.
+It is used only by the gateway that wrote it, and only if it is sound. How much it still counts is decided by the
+scheduler, which is told its age. The age comes from the machine's own clock since it started, where the machine is
+still up; else from the wall clock, which may have been set: a negative age is none, and the file is left alone.
 """
 
 from __future__ import annotations
 
+import math
 import struct
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 import xxhash
 
-from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.interface import Settings
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.errors import SnapshotRejectedError
 from pebblehinge.store.settings_mark import stored_text
 
-MAGIC, VERSION = b"pbhmemo\n", 1
-HEAD = struct.Struct(">8sHQ")
+MAGIC = b"pbhmemo\n"
+VERSION = 1
+HEADER = struct.Struct(">8sHQ")
 FILE = "memory"
-OLDEST_MS = 3_600_000.0  # beyond an hour nothing of it is worth reading
-MOST = 16 << 20
+MAX_AGE_MS = 3_600_000.0  # beyond an hour nothing of it is worth reading
+MAX_BYTES = 16 << 20
 
 
-class Kept(msgspec.Struct, array_like=True):
-    """A snapshot with what says whose it is and when it was made. `whole`: nothing was sent after it."""
+class Snapshot(msgspec.Struct, array_like=True):
+    """The learned state with what says whose it is and when it was taken; stored as an array in this order.
 
-    head: str
+    Attributes:
+        gateway: Name of the gateway.
+        settings: The mark of its settings.
+        wall_ms: Wall clock time.
+        up_ms: Time since the machine started.
+        boot: Identifies that start of the machine, "" if unknown.
+        complete: Whether nothing was sent to storage nodes after it was taken.
+        state: What `Scheduler.remembered` returned.
+    """
+
+    gateway: str
     settings: str
     wall_ms: float
-    up_ms: float  # since the machine started
-    boot: str  # which start that was
-    whole: bool
+    up_ms: float
+    boot: str
+    complete: bool
     state: dict[str, Any]
 
 
-class State(msgspec.Struct):
-    """The types that a snapshot must have; the module gives and takes it as a dictionary."""
+class StoredState(msgspec.Struct):
+    """The keys and types that a snapshot's state must have; the scheduler gives and takes it as a dictionary.
+
+    The names are stored, so they stay as they are.
+    """
 
     shelfs: dict[str, tuple[float, float, float, float, float, float]]
     every: tuple[float, float, float, float]
     thinks: dict[str, dict[int, float]]
     limits: dict[str, tuple[float, float]]
     further: list[float]
-    lives: dict[str, tuple[int, float]] = {}  # slot and age of each shelf's process; none in files of before
+    lives: dict[str, tuple[int, float]] = {}  # slot and age of each node's process; not in files of older versions
+
+
+@dataclass(slots=True, frozen=True)
+class Recalled:
+    """A snapshot that may be used.
+
+    Attributes:
+        state: For `Scheduler.recall`.
+        age_ms: How old it is.
+        complete: Whether nothing was sent after it, so that units of limits can be counted on.
+        summary: Age and reservations in a few words for the log.
+    """
+
+    state: dict[str, Any]
+    age_ms: float
+    complete: bool
+    summary: str
 
 
-def mark_of(settings: Any) -> str:
-    """What tells one version of the settings from another, as far as the module is handed them."""
+def mark_of(settings: Settings) -> str:
+    """A hash that tells versions of the settings apart, as far as the scheduler is handed them."""
     return xxhash.xxh3_64_hexdigest(stored_text(settings).encode())
 
 
-def packed(kept: Kept) -> bytes:
-    body = msgspec.msgpack.encode(kept)
-    return HEAD.pack(MAGIC, VERSION, xxhash.xxh64_intdigest(body)) + body
+def encode(snapshot: Snapshot) -> bytes:
+    """The bytes of the file."""
+    body = msgspec.msgpack.encode(snapshot)
+    return HEADER.pack(MAGIC, VERSION, xxhash.xxh64_intdigest(body)) + body
 
 
-def save(disk: Disk, kept: Kept) -> None:
-    disk.replace(FILE, packed(kept))
+def save(disk: Disk, snapshot: Snapshot) -> None:
+    """Writes the file."""
+    disk.replace(FILE, encode(snapshot))
 
 
-def read(data: bytes) -> Kept:
-    """A snapshot; StorageError says why it is none."""
-    if len(data) < HEAD.size or len(data) > MOST:
-        raise StorageError(f"it has {len(data)} bytes")
-    magic, version, wanted = HEAD.unpack_from(data)
+def decode(data: bytes) -> Snapshot:
+    """Reads the bytes of a file; raises SnapshotRejectedError, which says why, if they are no sound snapshot."""
+    if len(data) < HEADER.size or len(data) > MAX_BYTES:
+        raise SnapshotRejectedError(f"it has {len(data)} bytes")
+    magic, version, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise StorageError("it is no memory of this program")
+        raise SnapshotRejectedError("it is no memory of this program")
     if version != VERSION:
-        raise StorageError(f"it has format {version}, and {VERSION} is known here")
-    body = data[HEAD.size :]
-    if xxhash.xxh64_intdigest(body) != wanted:
-        raise StorageError("it is damaged")
+        raise SnapshotRejectedError(f"it has format {version}, and {VERSION} is known here")
+    body = data[HEADER.size :]
+    if xxhash.xxh64_intdigest(body) != digest:
+        raise SnapshotRejectedError("it is damaged")
     try:
-        kept = msgspec.msgpack.decode(body, type=Kept)
-        state = msgspec.convert(kept.state, State, strict=False, str_keys=False)
+        snapshot = msgspec.msgpack.decode(body, type=Snapshot)
+        state = msgspec.convert(snapshot.state, StoredState, strict=False, str_keys=False)
     except msgspec.MsgspecError as error:
-        raise StorageError(f"it holds what is not known here: {error}") from None
-    kept.state = {f: getattr(state, f) for f in State.__struct_fields__}
-    if any(x != x or abs(x) == float("inf") for row in state.shelfs.values() for x in row[:3]):
-        raise StorageError("it holds figures that are none")
-    return kept
-
-
-def recalled(
-    data: bytes, head: str, settings: str, wall_ms: float, up_ms: float, boot: str
-) -> tuple[dict[str, Any], float, bool, str]:
-    """State, its age, whether nothing was sent after it, a word for the log. StorageError: none of it is taken up."""
-    kept = read(data)
-    if kept.head != head:
-        raise StorageError(f"it is head {kept.head}'s")
-    same = kept.boot == boot and bool(boot)
-    age = up_ms - kept.up_ms if same else wall_ms - kept.wall_ms
-    if age < 0:
-        raise StorageError(f"it is from {-age / 1000:.0f} s ahead: a clock was set")
-    if age > OLDEST_MS:
-        raise StorageError(f"it is {age / 60_000:.0f} minutes old")
-    whole, state, word = kept.whole, dict(kept.state), f"{age / 1000:.1f} s old"
-    if not same:
+        raise SnapshotRejectedError(f"it holds what is not known here: {error}") from None
+    if not all(math.isfinite(figure) for row in state.shelfs.values() for figure in row[:3]):
+        raise SnapshotRejectedError("it holds figures that are none")
+    snapshot.state = {name: getattr(state, name) for name in StoredState.__struct_fields__}
+    return snapshot
+
+
+def recall(data: bytes, gateway: str, settings: str, wall_ms: float, up_ms: float, boot: str) -> Recalled:
+    """Reads the bytes of a file for use now.
+
+    Args:
+        data: The bytes.
+        gateway: Name of this gateway.
+        settings: The mark of its settings.
+        wall_ms: Wall clock time.
+        up_ms: Time since the machine started.
+        boot: Identifies that start of the machine, "" if unknown.
+
+    Raises:
+        SnapshotRejectedError: It must not be used; the message says why.
+    """
+    snapshot = decode(data)
+    if snapshot.gateway != gateway:
+        raise SnapshotRejectedError(f"it is head {snapshot.gateway}'s")
+    same_boot = snapshot.boot == boot and bool(boot)
+    age_ms = up_ms - snapshot.up_ms if same_boot else wall_ms - snapshot.wall_ms
+    if age_ms < 0:
+        raise SnapshotRejectedError(f"it is from {-age_ms / 1000:.0f} s ahead: a clock was set")
+    if age_ms > MAX_AGE_MS:
+        raise SnapshotRejectedError(f"it is {age_ms / 60_000:.0f} minutes old")
+    complete = snapshot.complete
+    state = dict(snapshot.state)
+    summary = f"{age_ms / 1000:.1f} s old"
+    if not same_boot:
         # Units are counted by a clock that can be trusted or not at all.
-        whole, word = False, word + ", by the wall clock"
-    if kept.settings != settings:
+        complete = False
+        summary += ", by the wall clock"
+    if snapshot.settings != settings:
         # Latencies and thinktimes are the fleet's; what a limit has left and what a unit earns are the settings'.
-        whole, word = False, word + ", from other settings"
+        complete = False
+        summary += ", from other settings"
         state["every"] = (*state["every"][:3], 0.0)
-    return state, age, whole, word
+    return Recalled(state, age_ms, complete, summary)
--- a/pebblehinge/store/records.py
+++ b/pebblehinge/store/records.py
@@ -1,4 +1,4 @@
-"""What the journal of a head records: confirmed writes, barriers, and which of them are done."""
+"""Records of a gateway's journal. Each is stored as an array of its tag and its values, in this order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,19 @@
 
 
 class Write(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """One confirmed write; `number` grows by one a record, over all volumes."""
+    """One confirmed write.
+
+    Attributes:
+        number: Its place among all records of the journal's whole life, over all volumes.
+        volume: Name of the volume.
+        extent: Name of the extent within the volume.
+        slot: Slot of placement.
+        offset: Where the bytes begin, in bytes from the start of the extent.
+        data: The bytes.
+        label: The idempotency key.
+        profile: Name of its request class.
+        units: Size in units of work.
+    """
 
     number: int
     volume: str
@@ -20,14 +32,14 @@
 
 
 class Barrier(msgspec.Struct, array_like=True, tag="b", frozen=True):
-    """What was written to a volume before lands before what is written to it after."""
+    """What was written to a volume before is written back before what is written to it after."""
 
     number: int
     volume: str
 
 
 class Done(msgspec.Struct, array_like=True, tag="d", frozen=True):
-    """These writes stand at their shelfs."""
+    """The writes of these numbers are on their storage nodes."""
 
     numbers: list[int]
 
--- a/pebblehinge/store/settings_mark.py
+++ b/pebblehinge/store/settings_mark.py
@@ -1,18 +1,33 @@
-"""The text of a gateway's settings whose hash its memory file keeps. The words are stored ones: they stay as they are
-whatever the code calls its types, fields and members, or a gateway would take its own memory for one of other settings.
+"""The text of a gateway's settings whose hash its memory file keeps.
 
-Values are taken by place, so a new value belongs at the end of its type and of its row here.
+The words are stored ones: they stay as they are whatever the code calls its types, fields and members, or a gateway
+would take its own memory for one of other settings. Values are taken by place, so a new value belongs at the end of its
+type and of its row here.
 """
 
 from __future__ import annotations
 
 import dataclasses
+from collections.abc import Sequence
 from enum import Enum
 from typing import Any
 
-PROFILE = ("name", "importance", "expected_ms", "patience_ms", "late_share", "repeat", "group", "window_ms", "in_order")
-PLAN = ("name", "rate", "reserve", "limit_rate", "limit_burst", "limit_slack", "weight", "worth_factor")
-REST = (
+from pebblehinge.interface import Settings
+
+# The stored words of RequestClass, QuotaPlan and the rest of Settings, field by field.
+REQUEST_CLASS_WORDS = (
+    "name",
+    "importance",
+    "expected_ms",
+    "patience_ms",
+    "late_share",
+    "repeat",
+    "group",
+    "window_ms",
+    "in_order",
+)
+QUOTA_PLAN_WORDS = ("name", "rate", "reserve", "limit_rate", "limit_burst", "limit_slack", "weight", "worth_factor")
+SETTINGS_WORDS = (
     "mean_units",
     "most_units",
     "share_worth",
@@ -31,7 +46,8 @@
     "budget_free",
     "budget_window_ms",
 )
-MEMBERS = {
+# Values of Idempotency and DeduplicationScope: the stored words of these members.
+MEMBER_WORDS = {
     "redoable": "Repeat.REDOABLE",
     "labelled": "Repeat.LABELLED",
     "irreversible": "Repeat.IRREVERSIBLE",
@@ -41,28 +57,29 @@
 }
 
 
-def stored_text(settings: Any) -> str:
-    """The settings that a module is handed, as memory files know them."""
-    profiles, plans, *rest = _values(settings)
-    written_profiles = _tuple([_object("Profile", PROFILE, _values(profile)) for profile in profiles])
-    written_plans = _tuple([_object("Plan", PLAN, _values(plan)) for plan in plans])
-    return f"Settings(profiles={written_profiles}, plans={written_plans}, {_pairs(REST, rest)})"
+def stored_text(settings: Settings) -> str:
+    """The settings that a scheduler is handed, in the words of memory files."""
+    request_classes, quota_plans, *rest = _values(settings)
+    profiles = _tuple([_object("Profile", REQUEST_CLASS_WORDS, _values(each)) for each in request_classes])
+    plans = _tuple([_object("Plan", QUOTA_PLAN_WORDS, _values(each)) for each in quota_plans])
+    return f"Settings(profiles={profiles}, plans={plans}, {_pairs(SETTINGS_WORDS, rest)})"
 
 
 def _values(row: Any) -> list[Any]:
+    """The values of a dataclass, field by field."""
     return [getattr(row, field.name) for field in dataclasses.fields(row)]
 
 
-def _object(word: str, names: tuple[str, ...], values: list[Any]) -> str:
+def _object(word: str, names: Sequence[str], values: Sequence[Any]) -> str:
     return f"{word}({_pairs(names, values)})"
 
 
-def _pairs(names: tuple[str, ...], values: list[Any]) -> str:
+def _pairs(names: Sequence[str], values: Sequence[Any]) -> str:
     return ", ".join(f"{name}={_word(value)}" for name, value in zip(names, values, strict=True))
 
 
 def _word(value: Any) -> str:
-    return f"<{MEMBERS[value.value]}: {value.value!r}>" if isinstance(value, Enum) else repr(value)
+    return f"<{MEMBER_WORDS[value.value]}: {value.value!r}>" if isinstance(value, Enum) else repr(value)
 
 
 def _tuple(rows: list[str]) -> str:
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -20,9 +20,9 @@
 from pebblehinge.raft.log import Entry, Snapshot
 from pebblehinge.raft.storage import Storage
 from pebblehinge.settings import SettingsError, load
-from pebblehinge.store import memory
-from pebblehinge.store.disk import RealDisk, StorageError
-from pebblehinge.store.journal import Barrier, Done, Journal, Record, Write
+from pebblehinge.store import RealDisk, StorageError, memory
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Barrier, Done, Record, Write
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -51,17 +51,21 @@
 def check_journal(folder: Path, expected: dict[str, Any]) -> None:
     """A journal: its live writes and barriers, where they stand, and the same bytes for the same records."""
     before = files(folder)
-    journal = Journal(RealDisk(folder), segment=600)
-    journal.begin()
+    journal = Journal(RealDisk(folder), 600)
+    journal.recover()
     assert plain(journal.writes) == expected["writes"]
     assert plain(journal.barriers) == expected["barriers"]
-    assert plain(journal.where) == expected["where"]
-    assert [journal.number, journal.segment, journal.cut] == [expected["number"], expected["segment"], expected["cut"]]
-    again = Journal(RealDisk(folder / "again"), segment=600)
+    assert plain(journal.segment_of) == expected["where"]
+    assert [journal.last_number, journal.segment, journal.truncated_bytes] == [
+        expected["number"],
+        expected["segment"],
+        expected["cut"],
+    ]
+    again = Journal(RealDisk(folder / "again"), 600)
     written: dict[str, bytes] = {}
     for rows in native(expected["batches"]):
-        batch = again.add([record(*row) for row in rows])
-        again.synced(batch)
+        batch = again.prepare([record(*row) for row in rows])
+        again.committed(batch)
         written[batch.name] = written.get(batch.name, b"") + batch.data
     assert sorted(written) == expected["files"] == sorted(before)
     last = max(written)
@@ -76,12 +80,12 @@
 def check_memory(data: bytes, expected: dict[str, Any]) -> None:
     """A memory file: its values, its bytes, whose settings it names, what a module makes of it and writes itself."""
     config = load(str(ROOT / "examples" / "head.conf"))
-    found = memory.read(data)
+    found = memory.decode(data)
     assert plain(found) == expected["values"]
     assert memory.mark_of(config.module_settings(config.head["h1"])) == expected["settings"]
     assert plain(rebuilt(config, found.state).remembered(9_000.0)) == expected["later"]
     name, mark, *times, _ = expected["values"]
-    assert memory.packed(memory.Kept(name, mark, *times, learned(config).remembered(5_000.0))) == data
+    assert memory.encode(memory.Snapshot(name, mark, *times, learned(config).remembered(5_000.0))) == data
 
 
 def check_kept_version(data: bytes, expected: dict[str, Any]) -> None:
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -26,7 +26,8 @@
 from pebblehinge.settings import load
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk
-from pebblehinge.store.journal import Barrier, Done, Journal, Write
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Barrier, Done, Write
 from pebblehinge.wire import Frames, Kind, Session, WireError, encode
 
 ROOT = Path(__file__).parent.parent.parent
@@ -75,30 +76,31 @@
 
 def write_head() -> None:
     folder = FIXTURES / "journal"
-    journal = Journal(RealDisk(folder), segment=600)
+    journal = Journal(RealDisk(folder), segment_bytes=600)
     for batch_rows in JOURNAL:
         records = [{"w": Write, "b": Barrier, "d": Done}[row[0]](*row[1:]) for row in batch_rows]
-        batch = journal.add(records)
+        batch = journal.prepare(records)
         journal.disk.append(batch.name, batch.data)
         journal.disk.sync(batch.name)
-        journal.synced(batch)
+        journal.committed(batch)
     journal.disk.append(batch.name, b"\xc5PB\x9e\0\0")  # the tail that a power cut left
     with tempfile.TemporaryDirectory() as copy:
         shutil.copytree(folder, copy, dirs_exist_ok=True)
-        again = Journal(RealDisk(copy), segment=600)
-        again.begin()
+        again = Journal(RealDisk(copy), segment_bytes=600)
+        again.recover()
     save("journal", {
         "batches": plain(JOURNAL), "writes": plain(again.writes), "barriers": plain(again.barriers),
-        "number": again.number, "segment": again.segment, "cut": again.cut, "where": plain(again.where),
+        "number": again.last_number, "segment": again.segment, "cut": again.truncated_bytes,
+        "where": plain(again.segment_of),
         "files": sorted(p.name for p in folder.iterdir()),
     })  # fmt: skip
 
     config = load(str(ROOT / "examples" / "head.conf"))
     mark = memory.mark_of(config.module_settings(config.head["h1"]))
     head = learned(config)
-    kept = memory.Kept("h1", mark, *MEMORY, head.remembered(5_000.0))
-    (FIXTURES / "memory").write_bytes(memory.packed(kept))
-    read = memory.read(memory.packed(kept))
+    kept = memory.Snapshot("h1", mark, *MEMORY, head.remembered(5_000.0))
+    (FIXTURES / "memory").write_bytes(memory.encode(kept))
+    read = memory.decode(memory.encode(kept))
     later = rebuilt(config, read.state)
     save("memory", {"values": plain(read), "settings": mark, "later": plain(later.remembered(9_000.0))})
 
--- a/tests/journal_disk.py
+++ b/tests/journal_disk.py
@@ -17,14 +17,14 @@
 
 
 def put(journal: Journal, disk: FaultyDisk, *records: Any) -> None:
-    batch = journal.add(list(records))
+    batch = journal.prepare(list(records))
     disk.append(batch.name, batch.data)
     disk.sync(batch.name)
-    journal.synced(batch)
+    journal.committed(batch)
 
 
 def fresh(seed: int = 1) -> tuple[FaultyDisk, Journal]:
     disk = FaultyDisk(random.Random(seed))
     journal = Journal(disk)
-    journal.begin()
+    journal.recover()
     return disk, journal
--- a/tests/raft_instance.py
+++ b/tests/raft_instance.py
@@ -12,7 +12,7 @@
 from pebblehinge.raft import Entry, EntryKind, Raft, initial_snapshot
 from pebblehinge.raft.ready import ReadState
 from pebblehinge.raft.storage import Storage
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import StorageError
 
 if TYPE_CHECKING:
     from raft_client import Client
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -17,7 +17,7 @@
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.settings import show
-from pebblehinge.store.beside import in_thread, inline
+from pebblehinge.store.background import in_thread, inline
 from pebblehinge.wire import Kind
 
 TEXT = "\n".join(show(STRUCK)) + "\n"
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -12,16 +12,13 @@
 
 from pebblehinge.lab.crash import verdict, virtual
 from pebblehinge.lab.disk import FaultyDisk
+from pebblehinge.store import RealDisk, StorageError
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
-from pebblehinge.store.disk import RealDisk, StorageError
-from pebblehinge.store.journal import (
-    HEADER,
-    Done,
-    Journal,
-    Write,
-    name_of,
-)
+from pebblehinge.store.dirty_writes import DirtyWrites
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Done, Write
+from pebblehinge.store.segment import HEADER, segment_name
+from pebblehinge.store.writeback_policy import WritebackStep
 
 
 @pytest.mark.parametrize("block", range(4))
@@ -69,13 +66,13 @@
 
 
 def test_a_replay_without_a_look_and_without_labels_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pebblehinge.head.landing.next_step", lambda write, risky, read_back: "write")
+    monkeypatch.setattr("pebblehinge.head.landing.next_step", lambda write, risky, read_back: WritebackStep.WRITE)
     monkeypatch.setattr("pebblehinge.shelf.contents.Contents.done", lambda self, label, now, window: False)
     assert broken(range(10))["doubled"]
 
 
 def test_barriers_that_are_forgotten_are_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Dirty, "barrier", lambda self, barrier: None)
+    monkeypatch.setattr(DirtyWrites, "add_barrier", lambda self, barrier: None)
     assert broken(range(10))["order_broken"]
 
 
@@ -93,8 +90,8 @@
 def test_a_folder_is_looked_at_exported_and_verified(tmp_path: Any) -> None:
     disk = RealDisk(tmp_path / "h1")
     journal = Journal(disk)
-    journal.begin()
-    batch = journal.add([write(1, "a/b", 2, b"hello"), write(2, "c"), Done([2])])
+    journal.recover()
+    batch = journal.prepare([write(1, "a/b", 2, b"hello"), write(2, "c"), Done([2])])
     disk.append(batch.name, batch.data)
     disk.close()
 
@@ -110,6 +107,6 @@
     raw = bytearray((tmp_path / "h1" / batch.name).read_bytes())
     raw[40] ^= 1
     (tmp_path / "h1" / batch.name).write_bytes(bytes(raw) + raw[HEADER.size :][:0])
-    (tmp_path / "h1" / name_of(9)).write_bytes(b"")
+    (tmp_path / "h1" / segment_name(9)).write_bytes(b"")
     code, said = ask("verify", str(tmp_path / "h1"))
     assert code == 1 and "byte 22" in said
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.store import memory
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import StorageError
 
 
 def learned(seed: int = 1, now: float = 10_000.0) -> Scheduler:
@@ -63,38 +63,40 @@
 
 
 def snapshot(**more: Any) -> bytes:
-    values = {"head": "h1", "settings": "s", "wall_ms": 1e6, "up_ms": 5e5, "boot": "b", "whole": True}
-    return memory.packed(memory.Kept(**{**values, **more}, state=learned().remembered(2_100.0)))
+    values = {"gateway": "h1", "settings": "s", "wall_ms": 1e6, "up_ms": 5e5, "boot": "b", "complete": True}
+    return memory.encode(memory.Snapshot(**{**values, **more}, state=learned().remembered(2_100.0)))
 
 
 def test_a_snapshot_cut_off_or_damaged_anywhere_is_none() -> None:
     """Killed while it was written, at every byte: sound knowledge, or none."""
     data = snapshot()
-    assert memory.read(data).head == "h1"
+    assert memory.decode(data).gateway == "h1"
     for kept in range(len(data)):
         with pytest.raises(StorageError):
-            memory.read(data[:kept])
+            memory.decode(data[:kept])
     for at in range(len(data)):
         hurt = bytearray(data)
         hurt[at] ^= 8
         with pytest.raises(StorageError):
-            memory.read(bytes(hurt))
+            memory.decode(bytes(hurt))
 
 
 def test_whose_and_how_old_a_snapshot_is() -> None:
     def ask(data: bytes, **more: Any) -> Any:
-        values = {"head": "h1", "settings": "s", "wall_ms": 1e6 + 9, "up_ms": 5e5 + 9, "boot": "b"} | more
-        return memory.recalled(data, **values)
-
-    assert ask(snapshot())[1:3] == (9.0, True)
-    assert ask(snapshot(), wall_ms=9e9)[1] == 9.0  # the wall clock was set, the machine is still up
-    assert ask(snapshot(), boot="c", wall_ms=1e6 + 70)[1:3] == (70.0, False)
-    state, _, whole, word = ask(snapshot(), settings="other")
-    assert not whole and state["every"][3] == 0.0 and "other settings" in word
+        values = {"gateway": "h1", "settings": "s", "wall_ms": 1e6 + 9, "up_ms": 5e5 + 9, "boot": "b"} | more
+        return memory.recall(data, **values)
+
+    found = ask(snapshot())
+    assert (found.age_ms, found.complete) == (9.0, True)
+    assert ask(snapshot(), wall_ms=9e9).age_ms == 9.0  # the wall clock was set, the machine is still up
+    found = ask(snapshot(), boot="c", wall_ms=1e6 + 70)
+    assert (found.age_ms, found.complete) == (70.0, False)
+    found = ask(snapshot(), settings="other")
+    assert not found.complete and found.state["every"][3] == 0.0 and "other settings" in found.summary
     for more, why in [
         ({"boot": "c", "wall_ms": 1.0}, "a clock was set"),
         ({"up_ms": 9e9}, "minutes old"),
-        ({"head": "h2"}, "h1's"),
+        ({"gateway": "h2"}, "h1's"),
     ]:
         with pytest.raises(StorageError, match=why):
             ask(snapshot(), **more)
--- a/tests/test_raft_broken.py
+++ b/tests/test_raft_broken.py
@@ -17,7 +17,7 @@
 from pebblehinge.raft.model import Bounds, explore
 from pebblehinge.raft.ready import ReadState
 from pebblehinge.raft.storage import Storage
-from pebblehinge.store.disk import StorageError
+from pebblehinge.store.errors import StorageError
 
 
 def test_every_order_of_events_of_a_small_group_is_sound() -> None:
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -12,9 +12,7 @@
 from pebblehinge.head.writeback import Back
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.settings import SettingsError
-from pebblehinge.store.journal import (
-    Batch,
-)
+from pebblehinge.store.journal import Batch
 from pebblehinge.wire import Kind
 
 BUFFERED = """
