--- a/benchmarks/caps_settings.py
+++ b/benchmarks/caps_settings.py
@@ -12,7 +12,7 @@
     version_text,
 )
 
-SCHEMA, BOUNDS = "pebblehinge/settings/schema.py", "pebblehinge/agreed/bounds.py"
+SCHEMA, BOUNDS = "pebblehinge/settings/schema.py", "pebblehinge/replicated_config/size_limits.py"
 
 
 LINES, LOAD, UNITS = (f"pebblehinge/settings/{n}.py" for n in ("lines", "load", "units"))
@@ -25,8 +25,8 @@
     Cap(
         "characters of a line of settings",
         LINES,
-        "LONGEST = ",
-        constant("pebblehinge.settings.lines", "LONGEST"),
+        "MAX_LINE_LENGTH = ",
+        constant("pebblehinge.settings.lines", "MAX_LINE_LENGTH"),
         "characters",
         "a directive with its values, `through` the longest of them",
         longest_line(),
@@ -38,8 +38,8 @@
     Cap(
         "blocks within blocks, includes within includes",
         LINES,
-        "DEEPEST = ",
-        constant("pebblehinge.settings.lines", "DEEPEST"),
+        "MAX_DEPTH = ",
+        constant("pebblehinge.settings.lines", "MAX_DEPTH"),
         "deep",
         "open blocks, files that include files",
         4,
@@ -49,9 +49,9 @@
     ),
     Cap(
         "volumes in one `volumes` block",
-        LOAD,
-        "if not 1 <= count <=",
-        inline(LOAD, r"1 <= count <= ([0-9_]+)"),
+        "pebblehinge/settings/builder.py",
+        "MAX_VOLUMES = ",
+        constant("pebblehinge.settings.builder", "MAX_VOLUMES"),
         "volumes",
         "`volumes PREFIX COUNT`",
         VOLUMES,
@@ -110,8 +110,8 @@
     Cap(
         "bytes of a version's text",
         BOUNDS,
-        "TEXT = ",
-        constant("pebblehinge.agreed.bounds", "TEXT"),
+        "MAX_TEXT_BYTES = ",
+        constant("pebblehinge.replicated_config.size_limits", "MAX_TEXT_BYTES"),
         "bytes",
         "a proposal; there was no bound of its own, and one over a frame left the operator with *no instance can be "
         "reached* after 10 s",
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -16,11 +16,11 @@
 
 import uvloop
 
-from pebblehinge.agreed import taking
 from pebblehinge.cli import clock_of
 from pebblehinge.head.listing import ListingLink
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.lab.quiet import Quiet
+from pebblehinge.replicated_config import version_application
 from pebblehinge.settings import Config, load
 from scale.hollow_links import Attempts
 
@@ -28,25 +28,31 @@
 
 
 class HollowHead:
-    """One head: what it acts on is noted by its feed, the list's shelfs are kept by name."""
+    """One head: what it acts on is noted by its watcher, the list's shelfs are kept by name."""
 
     def __init__(self, loop: Any, config: Config, name: str, given: dict[str, Any]) -> None:
         self.loop, self.config, self.name, self.given, self.seed = loop, config, name, given, given["seed"]
         self.kept = b""
         self.ready: set[str] = set()
         self.lives = self.wholes = 0
-        self.feed: Any = None
+        self.watcher: Any = None
         self.listing: ListingLink | None = None
         self.attempts: Attempts | None = None
 
     def begin(self) -> None:
         """Starts as a process would: on the last version that it kept, without a lease."""
-        from pebblehinge.agreed.feed import Feed
+        from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 
         self.lives += 1
         floor, clock = self.config.group.floor, clock_of(self.loop)
-        pending = taking.Taking.restore(self.name, floor, self.kept) if self.kept else taking.Taking(self.name, floor)
-        self.feed = Feed(self.loop, clock, self.config, pending, lambda new, mode: None, self._keep, Quiet())
+        application = (
+            version_application.VersionApplication.restore(self.name, floor, self.kept)
+            if self.kept
+            else version_application.VersionApplication(self.name, floor)
+        )
+        self.watcher = ConfigWatcher(
+            self.loop, clock, self.config, application, lambda new, mode: None, self._keep, Quiet()
+        )
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
         self.listing = ListingLink(
             self.loop,
@@ -60,12 +66,12 @@
         )
         spread, rate = self.given["spread"], self.given["trips"]
         self.attempts = Attempts(self.loop, clock, self.name, self.config.limits, rng, spread, rate)
-        self.feed.start()
+        self.watcher.start()
         self.listing.start()
 
     def kill(self) -> None:
         """As SIGKILL: sockets are reset, nothing is told."""
-        for link in (self.feed, self.listing):
+        for link in (self.watcher, self.listing):
             if link is not None:
                 link.closed = True
                 if link.wire is not None:
@@ -73,7 +79,7 @@
                 link.close()
         if self.attempts is not None:
             self.attempts.close()
-        self.feed = self.listing = self.attempts = None
+        self.watcher = self.listing = self.attempts = None
         self.ready.clear()
 
     def _keep(self, data: bytes) -> None:
@@ -167,8 +173,8 @@
 
 
 def main(given: dict[str, Any], counting: Any) -> None:
-    if hasattr(taking, "loads"):
-        taking.loads = functools.lru_cache(maxsize=8)(taking.loads)
+    if hasattr(version_application, "loads"):
+        version_application.loads = functools.lru_cache(maxsize=8)(version_application.loads)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     owner = HollowHeads(loop, given, counting)
