--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -55,7 +55,7 @@
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.raft.identity import identify
     from pebblehinge.replicated_config.server import MemberServer
-    from pebblehinge.store.disk import RealDisk, StorageError
+    from pebblehinge.store import RealDisk, StorageError
 
     if told := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
         log.warning("limits", why=told)
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -157,5 +157,5 @@
         "dirty_bytes": write_back.dirty.bytes,
         **write_back.counts,
         "bytes": write_back.journal.size(),
-        "failed": write_back.committer.failed,
+        "failed": str(write_back.committer.failure or ""),
     }
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -7,7 +7,7 @@
 
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.store import StorageError, memory
-from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.background import Background, inline
 from pebblehinge.store.disk import Disk
 
 Times = Callable[[], tuple[float, float, str]]
@@ -17,12 +17,12 @@
 class SnapshotKeeper:
     """Restores and saves snapshots. A disk that fails costs the snapshot and nothing else."""
 
-    def __init__(self, context: GatewayContext, disk: Disk, times: Times, beside: Beside = inline) -> None:
+    def __init__(self, context: GatewayContext, disk: Disk, times: Times, background: Background = inline) -> None:
         """Keeps them on `disk`; `beside` runs what waits for it beside the loop."""
         self.context = context
         self.disk = disk
         self.times = times
-        self.beside = beside
+        self.background = background
         self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
         self._write_lock = threading.Lock()  # the last snapshot of an incarnation waits for the one before it
 
@@ -33,25 +33,26 @@
             return
         try:
             data = self.disk.read(memory.FILE)
-            state, age, whole, word = memory.recalled(data, context.name, self.settings_mark, *self.times())
+            recalled = memory.recall(data, context.name, self.settings_mark, *self.times())
         except (StorageError, OSError) as error:
             context.log.warning("memory is not taken up", why=str(error))
             return
-        context.core.module.recall(context.clock(), state, age, whole)
-        context.log.info("memory", what=word, shelfs=len(state["shelfs"]), extents=len(state["thinks"]))
+        context.core.module.recall(context.clock(), recalled.state, recalled.age_ms, recalled.complete)
+        shelfs, extents = len(recalled.state["shelfs"]), len(recalled.state["thinks"])
+        context.log.info("memory", what=recalled.summary, shelfs=shelfs, extents=extents)
 
     def save(self, complete: bool = False) -> None:
         """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
         context = self.context
         self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
         state = context.core.module.remembered(context.clock())
-        snapshot = memory.Kept(context.name, self.settings_mark, *self.times(), complete, state)
+        snapshot = memory.Snapshot(context.name, self.settings_mark, *self.times(), complete, state)
 
         def write() -> None:
             with self._write_lock:
                 memory.save(self.disk, snapshot)
 
-        (inline if complete else self.beside)(write, self._on_saved)
+        (inline if complete else self.background)(write, self._on_saved)
 
     def begin(self) -> None:
         """Saves from now on, each time `buffer memory` has passed, as long as the gateway runs."""
--- a/pebblehinge/replicated_config/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -31,7 +31,8 @@
 from pebblehinge.replicated_config.size_limits import with_group_frames
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
-from pebblehinge.store.disk import Disk, StorageError
+from pebblehinge.store.disk import Disk
+from pebblehinge.store.errors import StorageError
 
 BACKLOG = 2048  # connections that wait to be accepted: all gateways come back after a leader's loss
 
