--- a/pebblehinge/console/node_health.py
+++ b/pebblehinge/console/node_health.py
@@ -41,7 +41,7 @@
         losses = nodes.consecutive_losses[node]
         return HealthReport(NodeHealth.DOWN, f"{losses} trips lost in a row, or silent with trips out")
     started_ms = nodes.slow_start_ms[node]
-    if started_ms is not None and now_ms - started_ms < nodes.given.cfg.warm_ms:
+    if started_ms is not None and now_ms - started_ms < nodes.settings.current.warm_ms:
         return HealthReport(NodeHealth.WARMING_UP, f"{(now_ms - started_ms) / 1000:.1f} s since its start")
     limit = nodes.concurrency_limit[node]
     if limit < CONCURRENCY_LIMIT:
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -129,10 +129,10 @@
     async def why(self, request: web.Request) -> web.Response:
         """Where a volume's time went, in words; raises HTTPNotFound if there is no such volume, or no accounting."""
         name = self._volume_name(request)
-        accounting = self.gateway.core.account
+        accounting = self.gateway.core.wait_accounting
         if accounting is None:
             raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
-        return web.Response(text="\n".join(accounting.words(name)) + "\n")
+        return web.Response(text="\n".join(accounting.report(name)) + "\n")
 
     async def events(self, request: web.Request) -> web.StreamResponse:
         """Streams snapshots as they are made; one may be left out, since each is complete."""
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -50,14 +50,14 @@
                     why=report.reason,
                     held=len(nodes.queued[node]),
                     out=len(nodes.in_flight[node]),
-                    mean_ms=round(nodes.mean(node, now_ms), 1),
+                    mean_ms=round(nodes.mean_latency(node, now_ms), 1),
                 )
             )
         return sorted(rows, key=lambda row: row["slot"])
 
     def volumes(self) -> list[VolumeRow]:
         """The volumes that were used last, the latest first, with the quotas that this gateway has of them."""
-        buckets = self.gateway.core.module.path.valuation.stores
+        buckets = self.gateway.core.module.dispatcher.valuation.buckets
         return [self._volume_row(name, buckets[name]) for name in islice(reversed(list(buckets)), MAX_VOLUMES)]
 
     def snapshot(self) -> Snapshot:
@@ -65,7 +65,8 @@
         gateway = self.gateway
         core = gateway.core
         now_ms = gateway.clock()
-        rates = self._rates(core.counts, now_ms)
+        counts = core.counts.by_word()
+        rates = self._rates(counts, now_ms)
         nodes = self.storage_nodes(now_ms)
         self._note_health(nodes, now_ms)
         snapshot = Snapshot(
@@ -76,7 +77,7 @@
             open=core.open,
             held_bytes=core.bytes,
             connections=len(gateway.conns),
-            counts=dict(core.counts),
+            counts=counts,
             a_second=rates,
             further_trips=core.retries,
             outcomes={outcome.value: count for outcome, count in core.outcomes.items()},
@@ -117,7 +118,7 @@
             }
         else:
             rates = dict.fromkeys(counts, 0.0)
-        self._last_counts = dict(counts)
+        self._last_counts = counts
         self._last_ms = now_ms
         return rates
 
--- a/pebblehinge/head/metrics.py
+++ b/pebblehinge/head/metrics.py
@@ -21,7 +21,7 @@
     def collect(self) -> Iterator[Metric]:
         core, head = self.head.core, self.head
         answers = CounterMetricFamily("pebblehinge_accesses", "Accesses by how they ended", labels=["end"])
-        for end, count in core.counts.items():
+        for end, count in core.counts.by_word().items():
             answers.add_metric([end.replace(" ", "_")], count)
         yield answers
         why = CounterMetricFamily("pebblehinge_not_honoured", "By the module's reason", labels=["why"])
@@ -51,8 +51,8 @@
         held = GaugeMetricFamily("pebblehinge_shelf_held", "Accesses held, by shelf", labels=["shelf"])
         away = GaugeMetricFamily("pebblehinge_shelf_away", "Trips out, by shelf", labels=["shelf"])
         for s, name in enumerate(list(module.names)):
-            held.add_metric([name], len(module.held[s]))
-            away.add_metric([name], len(module.away[s]))
+            held.add_metric([name], len(module.queued[s]))
+            away.add_metric([name], len(module.in_flight[s]))
         yield held
         yield away
         latency = head.latency
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -108,7 +108,7 @@
         _, port = heads.start(silent, known)
         assert await ready(port) < WITHIN_S
         answer = await asks(port, ask())
-        assert answer.status == 503 and answer.all(b"retry-after")
+        assert answer.status == 503 and answer.header_values(b"retry-after")
 
     asyncio.run(script())
 
@@ -123,9 +123,10 @@
 
 def test_signals_are_kept_before_anything_else_is_loaded() -> None:
     lines = (Path(early.__file__).parent / "__main__.py").read_text().splitlines()
-    loads = [n for n, line in enumerate(lines) if line.startswith(("import", "from")) and "E402" in line]
-    assert 0 < next(n for n, line in enumerate(lines) if "early.hold()" in line) < loads[0]
-    before = [line for line in lines[: loads[0]] if line.startswith(("import", "from"))]
+    held = next(n for n, line in enumerate(lines) if "early.hold()" in line)
+    loads = [n for n, line in enumerate(lines) if line.startswith(("import", "from"))]
+    assert held < loads[-1]
+    before = [lines[n] for n in loads if n < held]
     assert before == ["import os", "import sys", "from pebblehinge.service import early"]
 
 
