--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from pebblehinge.agreed import feed
-from pebblehinge.agreed.activation import parts_of
 from pebblehinge.net import Peer
+from pebblehinge.replicated_config import config_watcher
+from pebblehinge.replicated_config.activation import allowances_of
 from pebblehinge.wire import Frames, Kind
 
 KIND_AT = 8  # a frame's kind stands behind its length and its checksum
@@ -45,10 +45,10 @@
         self.pending: list[str] = []
 
     def lay(self) -> None:
-        """Under connections, feeds and loop; after what the laboratory lays."""
+        """Under connections, watchers and loop; after what the laboratory lays."""
         if self.frames:
             self._under_frames()
-        self._under_feeds()
+        self._under_watchers()
         make = uvloop.new_event_loop
 
         def new_event_loop() -> Any:
@@ -78,21 +78,21 @@
 
         Peer._write, Frames.next = counted_write, counted_next  # type: ignore[method-assign]
 
-    def _under_feeds(self) -> None:
+    def _under_watchers(self) -> None:
         counting = self
 
-        class NotedFeed(feed.Feed):
+        class NotedWatcher(config_watcher.ConfigWatcher):
             """Tells of each change of what the head acts on."""
 
-            def __init__(self, loop: Any, clock: Any, config: Any, taking: Any, adopt: Any, *more: Any) -> None:
+            def __init__(self, loop: Any, clock: Any, config: Any, application: Any, adopt: Any, *more: Any) -> None:
                 def noted(new: Any, mode: str) -> None:
-                    part = parts_of(new, taking.head).get(counting.shared, (0.0, 0.0))[0]
-                    counting.note(head=taking.head, version=taking.active, mode=mode, part=part)
+                    part = allowances_of(new, application.gateway).get(counting.shared, (0.0, 0.0))[0]
+                    counting.note(head=application.gateway, version=application.active, mode=mode, part=part)
                     adopt(new, mode)
 
-                super().__init__(loop, clock, config, taking, noted, *more)
+                super().__init__(loop, clock, config, application, noted, *more)
 
-        feed.Feed = NotedFeed  # type: ignore[misc]
+        config_watcher.ConfigWatcher = NotedWatcher  # type: ignore[misc]
 
     def note(self, **values: Any) -> None:
         self.pending.append(json.dumps({"t": round(self.monotonic(), 4), **values}))
--- a/pebblehinge/settings/checks.py
+++ b/pebblehinge/settings/checks.py
@@ -7,15 +7,12 @@
 
 from pebblehinge.settings.builder import BlockPath, expect_one_of
 from pebblehinge.settings.lines import Position, Problem
-from pebblehinge.settings.module_checks import find_module_problems
+from pebblehinge.settings.module_checks import FRAME_OVERHEAD, find_module_problems
 from pebblehinge.settings.policy import ProfileBlock, VolumeBlock
 from pebblehinge.settings.schema import Config
 from pebblehinge.settings.stand_ins import MixBlock
 
 MIN_FRAME = 4096
-FRAME_OVERHEAD = 1024
-"""Bytes of a frame that a request's data can't use."""
-
 SETTINGS_START = Position("settings", 1, 1)
 """Where a problem is if nobody knows."""
 
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -11,8 +11,8 @@
 import random
 from typing import Any
 
-from agreed_document import document
-from agreed_group import Group, on_group
+from config_document import document
+from config_group import Group, on_group
 
 from pebblehinge.wirehost.loop import Process, serve
 
