--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -118,7 +118,7 @@
             }
         else:
             rates = dict.fromkeys(counts, 0.0)
-        self._last_counts = dict(counts)
+        self._last_counts = counts
         self._last_ms = now_ms
         return rates
 
