--- a/benchmarks/caps_clients.py
+++ b/benchmarks/caps_clients.py
@@ -11,10 +11,10 @@
     SHELFS,
 )
 
-from pebblehinge.daemon.files import files_of
+from pebblehinge.daemon.open_files import needed_open_files
 from pebblehinge.settings.schema import LimitsBlock, RsyncBlock
 
-SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/head/server.py"
+SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/gateway/server.py"
 
 
 CLI = "pebblehinge/cli/head.py"
@@ -41,7 +41,7 @@
         "backlog of a framed head",
         HEAD,
         "BACKLOG = ",
-        constant("pebblehinge.head.server", "BACKLOG"),
+        constant("pebblehinge.gateway.server", "BACKLOG"),
         "connections",
         "connections not yet accepted: all clients after a restart",
         CONNECTIONS,
@@ -53,8 +53,8 @@
     Cap(
         "open files of a framed head",
         CLI,
-        'files_of("head"',
-        lambda: files_of("head", connections=default(LimitsBlock, "connections")()),
+        'needed_open_files("head"',
+        lambda: needed_open_files("head", connections=default(LimitsBlock, "connections")()),
         "files",
         "the soft limit is raised to so many",
         CONNECTIONS + SHELFS + 64,
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from pebblehinge.cli import clock_of
-from pebblehinge.head.listing import ListingLink
+from pebblehinge.gateway.discovery_link import DiscoveryLink
 from pebblehinge.interface import Entry, ListKind, Standing
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.replicated_config import version_application
@@ -36,7 +36,7 @@
         self.ready: set[str] = set()
         self.lives = self.wholes = 0
         self.watcher: Any = None
-        self.listing: ListingLink | None = None
+        self.listing: DiscoveryLink | None = None
         self.attempts: Attempts | None = None
 
     def begin(self) -> None:
@@ -54,7 +54,7 @@
             self.loop, clock, self.config, application, lambda new, mode: None, self._keep, Quiet()
         )
         rng = random.Random(f"{self.seed}/{self.name}/{self.lives}")
-        self.listing = ListingLink(
+        self.listing = DiscoveryLink(
             self.loop,
             clock,
             self.name,
@@ -74,8 +74,8 @@
         for link in (self.watcher, self.listing):
             if link is not None:
                 link.closed = True
-                if link.wire is not None:
-                    link.wire.abort()
+                if link.connection is not None:
+                    link.connection.abort()
                 link.close()
         if self.attempts is not None:
             self.attempts.close()
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -11,7 +11,7 @@
 from slopes import ROOT, Point, least_ms, point
 from slopes_version import HEADS, VOLUMES, head_of, kept_by, text, versions
 
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.raft import Entry, EntryKind, initial_snapshot
 from pebblehinge.raft.storage import Storage
 from pebblehinge.replicated_config.commands import Acknowledge, encode_command
@@ -52,17 +52,17 @@
                 change_bytes=len(encode(Kind.LIST, 0, "changes", rows[:1])),
                 write_ms=least_ms(lambda r=rows: encode(Kind.LIST, 1, "whole", r)),
                 read_ms=least_ms(read),
-                first_ms=least_ms(lambda f=fresh, t=told: next(f).listing.came("whole", t)),
-                again_ms=least_ms(lambda h=head, t=told: h.listing.came("whole", t)),
+                first_ms=least_ms(lambda f=fresh, t=told: next(f).discovery.on_list("whole", t)),
+                again_ms=least_ms(lambda h=head, t=told: h.discovery.on_list("whole", t)),
                 kept_bytes=kept_by(lambda t=told: listed(config, t)) - kept_by(lambda: head_of(config)),
             )
         )
     return found
 
 
-def listed(config: Config, rows: list[Any]) -> HeadServer:
+def listed(config: Config, rows: list[Any]) -> GatewayServer:
     head = head_of(config)
-    head.listing.came("whole", rows)
+    head.discovery.on_list("whole", rows)
     return head
 
 
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -52,12 +52,12 @@
 async def _group(
     loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Any
 ) -> int:
-    from pebblehinge.daemon.files import allow_files, files_of
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
     from pebblehinge.raft.identity import identify
     from pebblehinge.replicated_config.server import MemberServer
     from pebblehinge.store.disk import RealDisk, StorageError
 
-    if told := allow_files(files_of("group", heads=len(config.head))):
+    if told := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
         log.warning("limits", why=told)
     try:
         disk = RealDisk(folder)
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -88,10 +88,10 @@
             volumes=self.volumes(),
             events=self.events.latest(),
         )
-        if gateway.door is not None:
-            snapshot["transfers"] = _transfers(gateway.door)
-        if gateway.back is not None:
-            snapshot["journal"] = _journal(gateway.back)
+        if gateway.rsync_listener is not None:
+            snapshot["transfers"] = _transfers(gateway.rsync_listener)
+        if gateway.write_back is not None:
+            snapshot["journal"] = _journal(gateway.write_back)
         if gateway.version_shown:
             snapshot["configuration"] = gateway.version_shown
         return snapshot
--- /dev/null
+++ b/pebblehinge/gateway/rsync_session.py
@@ -0,0 +1,221 @@
+"""One rsync client of a gateway: whether the settings admit it, its transfer, and how that ended."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import ipaddress
+import random
+import traceback
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any, Protocol, cast
+
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.internal_client import InternalClient
+from pebblehinge.rsync.line import Line
+from pebblehinge.rsync.module_store import Place
+from pebblehinge.rsync.serve import serve
+from pebblehinge.rsync.sharing import admits
+from pebblehinge.rsync.stream import ERROR, RsyncError
+from pebblehinge.rsync.transfer import Transfer
+from pebblehinge.rsync.transfer_report import Told
+from pebblehinge.settings.rsync import ModuleBlock
+from pebblehinge.settings.schema import Config
+
+LINGER_S = 3.0
+"""Seconds in which what a client sent before it went is still taken in."""
+
+MAX_SECRET_BYTES = 4096
+CHALLENGE_BYTES = 18
+
+HIDDEN = "hidden"
+"""Why a client may not use a module that is shown to it as if it were not there."""
+
+
+class SessionContext(Protocol):
+    """The listener, as its sessions see it; its attributes are those of `RsyncListener`."""
+
+    loop: asyncio.AbstractEventLoop
+    clock: Callable[[], float]
+    log: Any
+    context: GatewayContext
+    config: Config
+    rng: random.Random
+    sessions: dict[RsyncSession, None]
+    client: InternalClient
+    transfers: int
+    counts: dict[str, int]
+    stopping: bool
+    late_ms: float
+
+    def place(self, name: str) -> Place:
+        """Returns the state of a module."""
+
+
+class RsyncSession(Line):
+    """One connection, and what its protocol may see of the gateway.
+
+    Attributes:
+        report: What became of the transfer.
+        task: Runs the protocol.
+        address: The client's address.
+        transfer: The transfer that is under way.
+    """
+
+    def __init__(self, listener: SessionContext) -> None:
+        super().__init__(listener.loop, listener.config.rsync.stall)
+        self.listener = listener
+        self.report = Told()
+        self.task: asyncio.Task[None] | None = None
+        self.address = ""
+        self.transfer: Transfer | None = None
+        self._began_ms = listener.clock()
+        self._login_timer: asyncio.TimerHandle | None = None
+
+    # ---- the connection
+
+    def connection_made(self, transport: Any) -> None:
+        """The connection is established; it is cut if there are too many."""
+        super().connection_made(transport)
+        listener = self.listener
+        peer = transport.get_extra_info("peername")
+        self.address = peer[0] if peer else ""
+        listener.sessions[self] = None
+        if len(listener.sessions) > listener.config.limits.connections or listener.stopping:
+            self.abort()
+            return
+        self._login_timer = self.loop.call_later(listener.config.rsync.login / 1000.0, self._time_out_login)
+        self.task = self.loop.create_task(self._serve())
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over. What came before is still taken in, and kept for the client's next try."""
+        super().connection_lost(exc)
+        listener = self.listener
+        listener.sessions.pop(self, None)
+        if self.task is not None and not self.task.done():
+            self.loop.call_later(LINGER_S, self.task.cancel)
+        if listener.stopping:
+            self.loop.call_soon(listener.context.stop_if_done)
+
+    def end(self, reason: str) -> None:
+        """Ends a transfer with a message that its tool shows."""
+        self.why = reason
+        if self.task is not None:
+            self.task.cancel()
+        if self.stream.mux_out:
+            self.stream.out.clear()
+            self.stream.message(ERROR, (reason + "\n").encode())
+        self.close()
+
+    def _time_out_login(self) -> None:
+        if not self.report.module:
+            self.why = "no module was named in time"
+            self.abort()
+
+    async def _serve(self) -> None:
+        try:
+            await serve(self.stream, cast(Any, self), self.report)
+        except RsyncError as error:
+            self.report.error = str(error)
+            self.report.code = error.code
+        except Exception as error:  # a fault of this program: one transfer ends, the gateway goes on and says where
+            self.report.error = repr(error)
+            self.listener.log.error("fault", error=repr(error), where=traceback.format_exc(limit=-6))
+        finally:
+            self._end_transfer()
+            self.close()
+
+    def _end_transfer(self) -> None:
+        listener, report = self.listener, self.report
+        if self._login_timer is not None:
+            self._login_timer.cancel()
+        if self.transfer is None:
+            listener.counts["refused"] += bool(report.error)
+            return
+        transfer, self.transfer = self.transfer, None
+        transfer.end()
+        listener.transfers -= 1
+        is_complete = report.ended and not report.error and not report.failed
+        listener.counts["completed" if is_complete else "failed"] += 1
+        listener.counts["saves"] += len(report.saved)
+        self._log_transfer()
+
+    def _log_transfer(self) -> None:
+        report = self.report
+        self.listener.log.info(
+            "transfer",
+            module=report.module,
+            user=report.user,
+            address=self.address,
+            push=report.push,
+            files=report.files,
+            bytes=report.bytes,
+            literal=report.literal,
+            matched=report.matched,
+            failed=len(report.failed),
+            error=report.error or self.why,
+            code=report.code,
+            ms=round(self.listener.clock() - self._began_ms, 1),
+        )
+
+    # ---- what the protocol may see
+
+    @property
+    def modules(self) -> dict[str, ModuleBlock]:
+        """The modules of the settings, by their names."""
+        return self.listener.config.module
+
+    @property
+    def motd(self) -> str:
+        """The message of the day."""
+        return self.listener.config.rsync.motd
+
+    def admits(self, module: str) -> str | None:
+        """Returns `HIDDEN` if this address may not use a module, None if it may."""
+        block = self.modules[module]
+        try:
+            address = ipaddress.ip_address(self.address)
+        except ValueError:
+            return HIDDEN if block.allow or block.deny else None
+        if block.allow and not _is_among(address, block.allow):
+            return HIDDEN
+        return HIDDEN if _is_among(address, block.deny) else None
+
+    def secret(self, user: str) -> bytes | None:
+        """Returns a user's secret, or None if there is no such user or it can't be read."""
+        block = self.listener.config.user.get(user)
+        if block is None:
+            return None
+        if block.secret_file is None:
+            return block.secret.encode()
+        try:
+            with Path(block.secret_file).open("rb") as file:
+                return file.read(MAX_SECRET_BYTES).strip()
+        except OSError as error:
+            self.listener.log.error("secret", user=user, error=str(error))
+            return None
+
+    def challenge(self) -> bytes:
+        """Returns a random challenge for a login."""
+        return base64.b64encode(self.listener.rng.randbytes(CHALLENGE_BYTES)).rstrip(b"=")
+
+    def seed(self) -> int:
+        """Returns a random seed for the checksums of a transfer."""
+        return self.listener.rng.randrange(1, 1 << 31)
+
+    def begin(self, module: str, user: str) -> Transfer | str:
+        """Begins a transfer, or returns why there can be none now."""
+        listener, block = self.listener, self.listener.config.rsync
+        refusal = admits(listener.transfers, block.transfers, listener.stopping, listener.late_ms > block.lag)
+        if refusal is not None:
+            return refusal
+        place = listener.place(module)
+        listener.transfers += 1
+        trace = f"{listener.context.name}.t{listener.client.ids}.{listener.rng.getrandbits(32):08x}"
+        self.transfer = Transfer(place, trace, place.block.deadline)
+        return self.transfer
+
+
+def _is_among(address: ipaddress.IPv4Address | ipaddress.IPv6Address, networks: list[str]) -> bool:
+    return any(address in ipaddress.ip_network(network, strict=False) for network in networks)
--- /dev/null
+++ b/pebblehinge/gateway/snapshots.py
@@ -0,0 +1,67 @@
+"""Snapshots of what a running gateway's scheduler has learned, on a disk for its next incarnation."""
+
+from __future__ import annotations
+
+import threading
+from collections.abc import Callable
+
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.store import StorageError, memory
+from pebblehinge.store.beside import Beside, inline
+from pebblehinge.store.disk import Disk
+
+Times = Callable[[], tuple[float, float, str]]
+"""Returns the wall clock, the time since the machine started (both in milliseconds), and which start that was."""
+
+
+class SnapshotKeeper:
+    """Restores and saves snapshots. A disk that fails costs the snapshot and nothing else."""
+
+    def __init__(self, context: GatewayContext, disk: Disk, times: Times, beside: Beside = inline) -> None:
+        """Keeps them on `disk`; `beside` runs what waits for it beside the loop."""
+        self.context = context
+        self.disk = disk
+        self.times = times
+        self.beside = beside
+        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        self._write_lock = threading.Lock()  # the last snapshot of an incarnation waits for the one before it
+
+    def restore(self) -> None:
+        """Gives the scheduler what an earlier incarnation saved, if that is sound and recent."""
+        context = self.context
+        if not self.disk.exists(memory.FILE):
+            return
+        try:
+            data = self.disk.read(memory.FILE)
+            state, age, whole, word = memory.recalled(data, context.name, self.settings_mark, *self.times())
+        except (StorageError, OSError) as error:
+            context.log.warning("memory is not taken up", why=str(error))
+            return
+        context.core.module.recall(context.clock(), state, age, whole)
+        context.log.info("memory", what=word, shelfs=len(state["shelfs"]), extents=len(state["thinks"]))
+
+    def save(self, complete: bool = False) -> None:
+        """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
+        context = self.context
+        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        state = context.core.module.remembered(context.clock())
+        snapshot = memory.Kept(context.name, self.settings_mark, *self.times(), complete, state)
+
+        def write() -> None:
+            with self._write_lock:
+                memory.save(self.disk, snapshot)
+
+        (inline if complete else self.beside)(write, self._on_saved)
+
+    def begin(self) -> None:
+        """Saves from now on, each time `buffer memory` has passed, as long as the gateway runs."""
+        self.context.loop.call_later(self.context.config.buffer.memory / 1000.0, self._save_again)
+
+    def _on_saved(self, error: BaseException | None) -> None:
+        if error is not None:
+            self.context.log.warning("memory is not kept", why=str(error))
+
+    def _save_again(self) -> None:
+        if not self.context.stopped.done():
+            self.save()
+            self.begin()
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import FLEET, Rig, config, on_rig, until
 
-from pebblehinge.head.writeback import Back
+from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.settings import SettingsError
 from pebblehinge.store.journal import (
@@ -58,19 +58,19 @@
         self.disk.sync(batch.name)
 
 
-async def buffered(rig: Rig, disk: OnDisk) -> Back:
+async def buffered(rig: Rig, disk: OnDisk) -> WriteBack:
     """Starts the rig's head anew, with a journal."""
-    from pebblehinge.head import HeadServer
+    from pebblehinge.gateway import GatewayServer
     from pebblehinge.lab.village import Quiet
 
     rig.kill_head()
     await asyncio.sleep(0.02)
-    rig.head = HeadServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
-    rig.head.buffer(disk.disk, disk.lasts)
+    rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+    rig.head.enable_write_back(disk.disk, disk.lasts)
     await rig.head.start()
     await until(lambda: len(rig.head.core.module.shelfs.at_slot) == len(rig.shelfs))
-    assert rig.head.back is not None
-    return rig.head.back
+    assert rig.head.write_back is not None
+    return rig.head.write_back
 
 
 WHERE = {"profile": "save", "slot": 0, "units": 1.0, "patience_ms": 1000.0}
@@ -82,7 +82,7 @@
     async def script(rig: Rig) -> None:
         await buffered(rig, OnDisk())
         client, seen = await rig.client(), []
-        client.noted = lambda event, **values: seen.append((event, values.get("id"), values.get("final")))
+        client.observer = lambda event, **values: seen.append((event, values.get("id"), values.get("final")))
         for n, (volume, left) in enumerate([("b", math.inf), ("b", math.nan), ("v", math.inf), ("v", math.nan)]):
             rest = (None, "save", "x", 0, 1.0, left, None, None, 1, 0, 1, b"1")
             client.send(Kind.TAKE, 900 + n, f"t{n}", volume, *rest)
@@ -142,7 +142,7 @@
         disk.hold.set_result(None)
         disk.hold = None
         await asyncio.sleep(0.05)
-        assert client.open == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
+        assert client.open_requests == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
 
     on_rig(script, BUFFERED)
 
@@ -161,7 +161,7 @@
         rig.shelfs[0].does = lambda attempt: attempt.answer()
         began = rig.clock()
         await asyncio.wait_for(rig.head.stopped, 8.0)
-        assert not len(back.dirty) and not back.landing.landed
+        assert not len(back.dirty) and not back.node_committer.committed
         assert rig.clock() - began < 2000.0  # once all is noted it ends, and not with its grace
 
     on_rig(script, BUFFERED)
