--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -1,6 +1,7 @@
 """Buffered volumes of a gateway: confirms writes from its journal, commits them to their nodes, shows them to reads.
 
-Decides nothing: `store.writeback_policy` says what is accepted and what is committed when, the scheduler all of a request.
+Decides nothing: `store.writeback_policy` says what is accepted and what is committed when, the scheduler all of a
+request.
 """
 
 from __future__ import annotations
