--- a/pebblehinge/cli/head.py
+++ b/pebblehinge/cli/head.py
@@ -191,7 +191,7 @@
     from pebblehinge.replicated_config import VersionApplication
     from pebblehinge.replicated_config.activation import cut_off
     from pebblehinge.replicated_config.config_watcher import ConfigWatcher
-    from pebblehinge.store.beside import in_thread
+    from pebblehinge.store.background import in_thread
     from pebblehinge.store.disk import RealDisk
 
     floor = config.group.floor
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -118,7 +118,7 @@
             }
         else:
             rates = dict.fromkeys(counts, 0.0)
-        self._last_counts = dict(counts)
+        self._last_counts = counts
         self._last_ms = now_ms
         return rates
 
@@ -157,5 +157,5 @@
         "dirty_bytes": write_back.dirty.bytes,
         **write_back.counts,
         "bytes": write_back.journal.size(),
-        "failed": write_back.committer.failed,
+        "failed": str(write_back.committer.failure or ""),
     }
--- a/pebblehinge/gateway/commit.py
+++ b/pebblehinge/gateway/commit.py
@@ -13,10 +13,10 @@
 from pebblehinge.gateway.framed_request import FINAL_WORDS
 from pebblehinge.gateway.internal_client import InternalClient, InternalResult
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
-from pebblehinge.store.flushing import Flushing, next_step
+from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.journal import Journal
 from pebblehinge.store.records import Done, Write
+from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, next_step
 from pebblehinge.wire.frames import READ, WRITE
 
 MIN_WAIT_MS = 0.5
@@ -38,8 +38,8 @@
         context: GatewayContext,
         journal: Journal,
         committer: Committer,
-        dirty: Dirty,
-        flushing: Flushing,
+        dirty: DirtyWrites,
+        policy: WritebackPolicy,
         counts: dict[str, int],
         progressed: Callable[[], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self.journal = journal
         self.committer = committer
         self.dirty = dirty
-        self.flushing = flushing
+        self.policy = policy
         self.counts = counts
         self.progressed = progressed
         self.client = InternalClient(context, "write-back")
@@ -67,13 +67,13 @@
         if self.gave_up or self.closed:
             return
         now = self.clock()
-        for write in self.flushing.due(now, self.dirty):
-            self.dirty.out[write.number] = None
+        for write in self.policy.due(now, self.dirty):
+            self.dirty.in_flight[write.number] = None
             self.spawn(self._commit(write))
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wake_ms = self.flushing.wake_ms(now, self.dirty)
+        wake_ms = self.policy.wake_ms(now, self.dirty)
         if wake_ms < math.inf:
             self._timer = self.loop.call_later(max(MIN_WAIT_MS, wake_ms - now) / 1000.0, self.pump)
 
@@ -93,23 +93,26 @@
             task.cancel()
 
     async def _commit(self, write: Write) -> None:
-        step = next_step(write, write.number in self.dirty.risky, None)
-        if step == "look":
+        step = next_step(write, write.number in self.dirty.maybe_applied, None)
+        if step is WritebackStep.READ_BACK:
             result = await self._request(write, READ, b"")
             if result.final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
                 step = next_step(write, True, result.data)
-        if step == "write":
+        if step is WritebackStep.WRITE:
             result = await self._request(write, WRITE, write.data)
             if result.final != FINAL_WORDS[FinalStatus.REJECTED]:
-                self.dirty.risky[write.number] = None  # it may have run, whatever becomes of it
+                self.dirty.maybe_applied[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
-        self.dirty.out.pop(write.number, None)
-        is_there = step == "done"
+        self.dirty.in_flight.pop(write.number, None)
+        is_there = step is WritebackStep.DONE
         final, stay_ms = (FINAL_WORDS[FinalStatus.SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
-        self.flushing.ended(now, self.dirty, write, final, stay_ms)
-        if is_there or (step == "write" and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
+        if final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
+            self.policy.succeeded(write)
+        else:
+            self.policy.failed(now, write, stay_ms)
+        if is_there or (step is WritebackStep.WRITE and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
             self.counts["stood already" if is_there else "landed"] += 1
-            self.dirty.landed(write)
+            self.dirty.remove(write)
             self.committed.append(write.number)
             self._record_soon()
         self.pump()
@@ -142,7 +145,7 @@
     def _record(self) -> None:
         """Records what is committed, so that it is not written again after a crash; then segments may go."""
         self._record_timer = None
-        if not self.committed or self.committer.failed or self.closed:
+        if not self.committed or self.committer.failure or self.closed:
             return
         numbers, self.committed = self.committed, []
         self.committer.add(Done(numbers), self._on_recorded)
@@ -152,9 +155,8 @@
     def _on_recorded(self, is_durable: bool) -> None:
         if is_durable and not self.closed:
             self.journal.reclaim()
-            for record in self.journal.sparse():
-                assert not isinstance(record, Done)
-                self.committer.move(record)
+            for record in self.journal.records_to_relocate():
+                self.committer.relocate(record)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.pop(task, None)
--- a/pebblehinge/gateway/flush_requests.py
+++ b/pebblehinge/gateway/flush_requests.py
@@ -6,14 +6,14 @@
 
 from pebblehinge.gateway.buffered_request import BufferedRequest
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
+from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.records import Write
 
 
 class FlushRequests:
     """The flushes that wait."""
 
-    def __init__(self, committer: Committer, dirty: Dirty, succeed: Callable[[BufferedRequest], None]) -> None:
+    def __init__(self, committer: Committer, dirty: DirtyWrites, succeed: Callable[[BufferedRequest], None]) -> None:
         """Calls `succeed` for a flush that waits for nothing any more."""
         self.committer = committer
         self.dirty = dirty
@@ -36,8 +36,8 @@
 
     def _waits(self, request: BufferedRequest) -> bool:
         is_unconfirmed = any(
-            record.volume == request.volume and record.number <= request.up_to
-            for record, _ in self.committer.waiting
-            if isinstance(record, Write)
+            row.record.volume == request.volume and row.record.number <= request.up_to
+            for row in self.committer.waiting
+            if isinstance(row.record, Write)
         )
-        return is_unconfirmed or self.committer.running or not self.dirty.clean(request.volume, request.up_to)
+        return is_unconfirmed or self.committer.running or not self.dirty.is_clean(request.volume, request.up_to)
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -1,6 +1,7 @@
 """Buffered volumes of a gateway: confirms writes from its journal, commits them to their nodes, shows them to reads.
 
-Decides nothing: `store.flushing` says what is accepted and what is committed when, the scheduler all of a request.
+Decides nothing: `store.writeback_policy` says what is accepted and what is committed when, the scheduler all of a
+request.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 from pebblehinge.gateway.flush_requests import FlushRequests
 from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 from pebblehinge.store.committer import Committer
-from pebblehinge.store.dirty import Dirty
+from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.disk import Disk
-from pebblehinge.store.flushing import Flushing
 from pebblehinge.store.journal import Batch, Journal
 from pebblehinge.store.records import Barrier, Write
+from pebblehinge.store.writeback_policy import WritebackPolicy
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 
@@ -31,7 +32,7 @@
         journal: The journal of confirmed writes.
         committer: Appends to it, several records with one sync.
         dirty: Writes that are confirmed and not yet committed to their storage nodes.
-        flushing: Says when they are.
+        policy: Says when they are.
         node_committer: Commits them.
         open: How many requests are owed an answer.
         counts: Writes by what became of them.
@@ -45,30 +46,30 @@
         block = self.block = context.config.buffer
         self.journal = Journal(disk, block.segment)
         self.committer = Committer(self.journal, make_durable)
-        self.dirty = Dirty()
-        self.flushing = Flushing(block.most, block.age, block.delay, block.out)
+        self.dirty = DirtyWrites()
+        self.policy = WritebackPolicy(block.most, block.age, block.delay, block.out)
         self.flushes = FlushRequests(self.committer, self.dirty, self._succeed)
         self.open = 0
         self.stopping = False
         self.closed = False
         self.counts = {"confirmed": 0, "landed": 0, "stood already": 0, "refused": 0}
         self.node_committer = NodeCommitter(
-            context, self.journal, self.committer, self.dirty, self.flushing, self.counts, self._on_progress
+            context, self.journal, self.committer, self.dirty, self.policy, self.counts, self._on_progress
         )
 
     def begin(self) -> None:
         """Restores what an earlier incarnation had confirmed; raises StorageError if that can't be read."""
-        self.journal.begin()
+        self.journal.recover()
         now = self.clock()
         records: list[Write | Barrier] = [*self.journal.writes.values(), *self.journal.barriers.values()]
         for record in sorted(records, key=lambda record: record.number):
             if isinstance(record, Write):
-                self.dirty.add(now, record, risky=True)
+                self.dirty.add(now, record, maybe_applied=True)
             else:
-                self.dirty.barrier(record)
-        if records or self.journal.cut:
+                self.dirty.add_barrier(record)
+        if records or self.journal.truncated_bytes:
             writes, size = len(self.journal.writes), self.dirty.bytes
-            self.context.log.info("journal", writes=writes, bytes=size, cut=self.journal.cut)
+            self.context.log.info("journal", writes=writes, bytes=size, cut=self.journal.truncated_bytes)
 
     def buffers(self, volume: str) -> bool:
         """Whether a volume is buffered."""
@@ -100,7 +101,7 @@
         """
         now = self.context.now
         if op == READ:
-            found = self.dirty.newest(volume, extent, offset, length) if length else None
+            found = self.dirty.read_covered(volume, extent, offset, length) if length else None
             if found is not None:
                 self._answer(BufferedRequest(conn, id_, slot, trace), FinalStatus.SUCCEEDED, 0.0, "", found)
             return found is not None
@@ -134,11 +135,11 @@
 
     def after_read(self, pending: FramedRequest, dirty_writes: tuple[Write, ...], data: bytes) -> bytes:
         """Returns the bytes of a read with the dirty writes of before it, then those of now, over them."""
-        before = Dirty()
+        before = DirtyWrites()
         for write in dirty_writes:
             before.add(0.0, write)
-        base = before.over(pending.volume, pending.extent, pending.offset, pending.length, data)
-        return self.dirty.over(pending.volume, pending.extent, pending.offset, pending.length, base)
+        base = before.overlay(pending.volume, pending.extent, pending.offset, pending.length, data)
+        return self.dirty.overlay(pending.volume, pending.extent, pending.offset, pending.length, base)
 
     def pump(self) -> None:
         """Starts the commits that are due, and comes again when others are."""
@@ -150,7 +151,7 @@
         """Accepts no new writes; what is dirty is committed for a while, and what is left stays in the journal."""
         self.stopping = True
         for volume in list(self.dirty.volumes):
-            self.flushing.flush(volume, self.journal.number)
+            self.policy.flush(volume, self.journal.last_number)
         self.pump()
         self.loop.call_later(self.block.stop / 1000.0, self._give_up)
 
@@ -158,7 +159,7 @@
         """Whether the gateway may end: nothing is owed, all is committed and recorded, or the time for that is over."""
         if self.open:
             return False
-        is_recorded = not self.node_committer.committed or bool(self.committer.failed)
+        is_recorded = not self.node_committer.committed or self.committer.failure is not None
         is_clean = not len(self.dirty) and is_recorded and not self.committer.running
         return self.node_committer.gave_up or is_clean
 
@@ -187,16 +188,16 @@
             raise RequestRejectedError(f"{units:g} units: at most {config.rules.most_units:g} are taken")
         if op == FLUSH:
             return
-        unconfirmed_bytes = sum(len(getattr(record, "data", b"")) for record, _ in self.committer.waiting)
-        refusal = self.flushing.refuses(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failed)
+        unconfirmed_bytes = sum(len(getattr(row.record, "data", b"")) for row in self.committer.waiting)
+        refusal = self.policy.check_write(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failure)
         if refusal is not None:
-            raise RequestRejectedError(*refusal)
+            raise RequestRejectedError(refusal.reason, refusal.retry_after_ms)
 
     def _flush(self, request: BufferedRequest, volume: str) -> None:
         """Waits until all is committed that was confirmed, or is being confirmed, by now."""
         request.volume = volume
-        request.up_to = self.journal.number
-        self.flushing.flush(volume, request.up_to)
+        request.up_to = self.journal.last_number
+        self.policy.flush(volume, request.up_to)
         self.flushes.add(request)
         self.flushes.check()
         self.pump()
@@ -212,10 +213,10 @@
             return
         if not is_durable:
             # It may be on the disk or not: that is all that can be said.
-            self._answer(request, FinalStatus.FAILED, 0.0, self.committer.failed, b"")
+            self._answer(request, FinalStatus.FAILED, 0.0, str(self.committer.failure), b"")
             return
         if isinstance(record, Barrier):
-            self.dirty.barrier(record)
+            self.dirty.add_barrier(record)
         else:
             self.dirty.add(self.clock(), record)
             self.counts["confirmed"] += 1
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -18,7 +18,7 @@
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import show
-from pebblehinge.store.beside import in_thread, inline
+from pebblehinge.store.background import in_thread, inline
 from pebblehinge.wire import Kind
 
 TEXT = "\n".join(show(STRUCK)) + "\n"
