--- a/benchmarks/caps_clients.py
+++ b/benchmarks/caps_clients.py
@@ -17,7 +17,7 @@
 SCHEMA, HEAD = "pebblehinge/settings/schema.py", "pebblehinge/gateway/server.py"
 
 
-CLI = "pebblehinge/cli/head.py"
+CLI = "pebblehinge/cli/gateway_process.py"
 
 
 OPEN = int(REQUESTS * PATIENCE_S)
--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -10,7 +10,7 @@
 import sys
 import time
 from collections.abc import Callable, Coroutine
-from typing import Any, NoReturn
+from typing import Any, Literal, NoReturn
 
 import click
 import structlog
@@ -21,6 +21,9 @@
 from pebblehinge.settings import Config, SettingsError, load, show
 from pebblehinge.settings.schema import LogBlock
 
+BlockKind = Literal["head", "shelf", "member", "day"]
+"""The kinds of named blocks of which a command takes one."""
+
 
 def give_up(reason: str) -> NoReturn:
     """One plain line, exit 2."""
@@ -29,6 +32,7 @@
 
 
 def read_settings(file: str, loopback: str | None = None) -> Config:
+    """Returns a file's settings; exits with a line for each fault in them."""
     try:
         return load(file, loopback)
     except SettingsError as error:
@@ -39,7 +43,7 @@
 
 
 def logger(block: LogBlock, **context: Any) -> Any:
-    """structlog on standard error, as JSON or for a console."""
+    """Returns a structlog logger on standard error, as JSON or for a console, with fields that each line carries."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -55,8 +59,10 @@
 
 
 def clock_of(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
-    """Milliseconds of the monotonic clock, which no change of the wall clock moves. The loop's own time has the
-    same origin but stands still within a turn, and is too coarse for latencies."""
+    """Milliseconds of the monotonic clock, which no change of the wall clock moves.
+
+    The loop's own time has the same origin but stands still within a turn, and is too coarse for latencies.
+    """
     monotonic = time.monotonic
     return lambda: monotonic() * 1000.0
 
@@ -76,6 +82,7 @@
 
 
 def describe(error: Exception) -> str:
+    """Returns an error as one line, with the file that it concerns if there is one."""
     if isinstance(error, OSError):
         return f"{error.strerror or error}{f': {error.filename}' if error.filename else ''}"
     return str(error)
@@ -87,6 +94,17 @@
     loop: asyncio.AbstractEventLoop,
     failed: Callable[[EventLogError], None] | None = None,
 ) -> EventLog | NullEventLog:
+    """Returns the event log of a process in a folder, or one that keeps nothing without a folder.
+
+    Args:
+        folder: Of the records, if any are kept.
+        name: Of the process; names its file.
+        loop: Writes after the turn in which an event came.
+        failed: Hears of the first event that can't be written.
+
+    Raises:
+        EventLogError: The file can't be opened.
+    """
     return EventLog(folder, name, loop.call_soon, failed) if folder else NullEventLog()
 
 
@@ -96,7 +114,8 @@
     sys.stdout.flush()
 
 
-def until_told(loop: asyncio.AbstractEventLoop, stop: Callable[[str], None]) -> None:
+def until_told(loop: asyncio.AbstractEventLoop, stop: Callable[[str], object]) -> None:
+    """Calls `stop` with a signal's name on SIGTERM and SIGINT."""
     for sig in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sig, stop, sig.name)
 
@@ -139,11 +158,12 @@
         click.echo(f"{file}: sound")
 
 
-def pick(config: Config, what: str, name: str | None) -> str:
-    known = getattr(config, what)
+def pick(config: Config, what: BlockKind, name: str | None) -> str:
+    """Returns the name of a block: the one asked for, or the only one; exits where that is none of the file's."""
+    known: dict[str, Any] = getattr(config, what)
     if name is None and len(known) == 1:
         return next(iter(known))
-    if name not in known:
+    if name is None or name not in known:
         has = ", ".join(known) or "none"
         give_up(f"{what} {name!r} is not in the settings: they have {has}" if name else f"name one {what} of {has}")
     return name
@@ -165,4 +185,5 @@
 
 
 def jobs_of(jobs: int | None) -> int:
+    """Returns how many processes work at once: as asked, else one for each core."""
     return jobs or max(1, (os.cpu_count() or 2))
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -1,10 +1,11 @@
-"""`pebblehinge why`, `rsync` and `capacity_planner`: what asks others or only reckons."""
+"""`pebblehinge why` and `plan`: a question to a gateway's console, and the capacity planner.
+
+Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
-import asyncio
 import json
-import os
 from pathlib import Path
 
 import click
@@ -18,11 +19,9 @@
     jobs_of,
     main,
     read_settings,
-    run,
     say_progress,
 )
 from pebblehinge.cli.days import MOST_ROWS
-from pebblehinge.net import parse_address
 
 
 @main.command(name="why")
@@ -31,9 +30,9 @@
 @click.option("--token", default="", help="Where the console wants one.")
 def why(volume: str, console: str, token: str) -> None:
     """Where the time of VOLUME's requests went at a head, and behind whom they waited."""
-    import urllib.error
-    import urllib.parse
-    import urllib.request
+    import urllib.error  # noqa: PLC0415
+    import urllib.parse  # noqa: PLC0415
+    import urllib.request  # noqa: PLC0415
 
     url = f"http://{console}/why/{urllib.parse.quote(volume, safe='')}"
     request = urllib.request.Request(url, headers={"Authorization": f"Bearer {token}"} if token else {})
@@ -46,83 +45,6 @@
         give_up(f"{console}: {getattr(error, 'reason', error)}")
 
 
-@main.command(name="rsync-client")
-@click.argument("verb", type=click.Choice(["modules", "list", "pull", "push"]))
-@click.argument("where", metavar="HOST:PORT[/MODULE[/PATH]]")
-@click.argument("local", required=False, type=click.Path())
-@click.option("--version", type=click.IntRange(27, 31), default=31, show_default=True, help="Of the protocol.")
-@click.option("--user", default="", help="Who logs in; the secret comes from --secret-file.")
-@click.option("--secret-file", type=click.Path(dir_okay=False), help="Its first line.")
-@click.option("--compress", is_flag=True, help="Deflate what is sent.")
-@click.option("--checksum", is_flag=True, help="Compare files by their sums.")
-@click.option("--delete", is_flag=True, help="With push: remove there what is not here.")
-@click.option("--filter", "filters", multiple=True, help="A rule such as '- *.tmp'.")
-@AS_JSON
-def rsync_client(
-    verb: str,
-    where: str,
-    local: str | None,
-    version: int,
-    user: str,
-    secret_file: str | None,
-    compress: bool,
-    checksum: bool,
-    delete: bool,
-    filters: tuple[str, ...],
-    as_json: bool,
-) -> None:
-    """The stand-in rsync client: list modules or files, pull to LOCAL or push LOCAL. Exits as such tools do."""
-    from pebblehinge.lab.local import LocalError, read_tree, write_tree
-    from pebblehinge.lab.rsync_call import Call
-    from pebblehinge.lab.rsync_client import call
-    from pebblehinge.rsync.line import Line
-
-    address, _, path = where.partition("/")
-    module, _, path = path.partition("/")
-    if verb != "modules" and not module:
-        give_up("a module is missing: HOST:PORT/MODULE")
-    if verb in ("pull", "push") and local is None:
-        give_up(f"{verb} needs a local path")
-
-    async def ask(loop: asyncio.AbstractEventLoop) -> int:
-        wanted = Call(module, version, user=user, compress=compress, checksum=checksum, delete=delete)
-        wanted.filters = [os.fsencode(f) for f in filters]
-        try:
-            host, port = parse_address(address)
-            if secret_file is not None:
-                wanted.secret = Path(secret_file).read_bytes().splitlines()[0]
-            if local is not None and (verb == "push" or Path(local).is_dir()):
-                wanted.files = read_tree(Path(local))
-        except (ValueError, IndexError, LocalError) as error:
-            give_up(str(error) or f"{secret_file} is empty")
-        line = Line(loop, 60_000.0)
-        await loop.create_connection(lambda: line, host, port)
-        await call(line.stream, wanted, verb, path)
-        line.close()
-        for text in wanted.lines:
-            click.echo(text)
-        for _, text in wanted.said:
-            click.echo(text, err=True)
-        for named in wanted.listed if verb == "list" else ():
-            kind = "d" if named.folder else "-" if named.file else "l"
-            click.echo(f"{kind} {named.size:>12} {named.mtime} {os.fsdecode(named.name)}")
-        try:
-            if verb == "pull" and wanted.code in (0, 23):
-                write_tree(Path(local or "."), wanted.files)
-        except LocalError as error:
-            give_up(str(error))
-        if wanted.error:
-            click.echo(f"pebblehinge: {wanted.error}", err=True)
-        if as_json:
-            told = {"code": wanted.code, "error": wanted.error, "files": len(wanted.moved), "literal": wanted.literal}
-            click.echo(json.dumps(told | {"matched": wanted.matched}))
-        elif verb in ("pull", "push"):
-            click.echo(f"{len(wanted.moved)} files, {wanted.literal} bytes sent, {wanted.matched} matched")
-        return wanted.code
-
-    run(ask)
-
-
 @main.command(name="plan")
 @click.argument("captures", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--fleet", required=True, type=click.Path(dir_okay=False), help="Settings that describe the fleet.")
@@ -149,13 +71,13 @@
     quiet: bool,
 ) -> None:
     """From CAPTURES of heads and a fleet: the first limit, shelfs and heads needed, what a loss would do."""
-    from pebblehinge.capacity_planner import PlanError, Planner
-    from pebblehinge.capacity_planner.demand import build_demand, describe_window
-    from pebblehinge.capacity_planner.evidence import Evidence
-    from pebblehinge.capacity_planner.report import report_lines
-    from pebblehinge.capture import CaptureError, read_capture
-    from pebblehinge.lab.replay import merge
-    from pebblehinge.lab.trials import WINDOW_S, run_plan, world_of
+    from pebblehinge.capacity_planner import PlanError, Planner  # noqa: PLC0415
+    from pebblehinge.capacity_planner.demand import build_demand, describe_window  # noqa: PLC0415
+    from pebblehinge.capacity_planner.evidence import Evidence  # noqa: PLC0415
+    from pebblehinge.capacity_planner.report import report_lines  # noqa: PLC0415
+    from pebblehinge.capture import CaptureError, read_capture  # noqa: PLC0415
+    from pebblehinge.lab.replay import merge  # noqa: PLC0415
+    from pebblehinge.lab.trials import WINDOW_S, run_plan, world_of  # noqa: PLC0415
 
     config = read_settings(fleet, "127.0.0.1")
     said = say_progress(quiet)
@@ -185,7 +107,7 @@
         planner.evidence.notes.append("interrupted: the answer rests on the trials played so far")
     told = planner.answer()
     if page_file:
-        from pebblehinge.capacity_planner.page import render_page
+        from pebblehinge.capacity_planner.page import render_page  # noqa: PLC0415
 
         try:
             Path(page_file).write_text(render_page(told))
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -1,4 +1,7 @@
-"""`pebblehinge lab`: days, loads, records."""
+"""`pebblehinge lab`: days, loads, records.
+
+The laboratory's packages are imported in the functions that use them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
@@ -7,68 +10,79 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from pebblehinge.cli.base import (
-    FILE,
-    LOOPBACK,
-    RECORDS,
-    SEED,
-    clock_of,
     describe,
     give_up,
     main,
     pick,
     read_settings,
-    ready,
-    records_for,
-    run,
     say_progress,
 )
 from pebblehinge.event_log import EventLogError
 from pebblehinge.settings import Config
 
-MOST_ROWS = 400_000  # of a trial that this program is ready to play
+MOST_ROWS = 400_000
+"""Requests of the longest trial that this program is ready to play."""
 BUILT_IN = Path(__file__).parent.parent / "lab" / "days"
 
 
+if TYPE_CHECKING:
+    from pebblehinge.lab.check import Day
+    from pebblehinge.lab.faults.script import Fault
+
+
 @main.group()
 def lab() -> None:
     """The laboratory: scripted days, load, and the checker of the rules."""
 
 
-def day_facts(records: str) -> Any:
-    """What a folder of records holds of its day."""
-    from pebblehinge.lab.check import Day
-
+def day_facts(records: str) -> Day:
+    """Returns what a folder of records holds of its day; exits where it holds none or can't be read."""
     folder = Path(records)
     if not (folder / "day.conf").is_file():
         give_up(f"{records} holds no day.conf: expected the records of a day")
     config = read_settings(str(folder / "day.conf"))
     try:
-        return Day.read(folder, config)
+        return read_day(folder, config)
     except EventLogError as error:
         give_up(str(error))
 
 
+def read_day(folder: Path, config: Config) -> Day:
+    """Reads the records of a day.
+
+    Raises:
+        EventLogError: They can't be read.
+    """
+    from pebblehinge.lab.check import Day  # noqa: PLC0415
+
+    facts = Day.read(folder, config)
+    assert isinstance(facts, Day)  # `read` is of the base class, and makes what it is called on
+    return facts
+
+
 def find_day(name: str) -> tuple[Path, str | None]:
-    """A day's file by path or by the name of one that ships."""
+    """Returns a day's file, by its path or by the name of one that ships, and that name; exits where there is none."""
     path = Path(name)
     if path.is_file():
         return path, None
     built_in = BUILT_IN / f"{name}.conf"
-    if built_in.is_file():
-        return built_in, name
-    known = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
-    give_up(f"no day {name!r}: expected a file, or one of {known}")
+    if not built_in.is_file():
+        known = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
+        give_up(f"no day {name!r}: expected a file, or one of {known}")
+    return built_in, name
 
 
-def script_of(config: Config, day_name: str, file: str | None, count: int | None, seed: int) -> list[Any] | None:
-    """The faults of a run; None: the fleet is not prepared for any."""
-    from pebblehinge.lab.faults.draw import cast_of, draw
-    from pebblehinge.lab.faults.script import ScriptError, read
+def read_fault_script(
+    config: Config, day_name: str, file: str | None, count: int | None, seed: int
+) -> list[Fault] | None:
+    """Returns the faults of a run, drawn or from a file; None: the fleet is not prepared for any."""
+    from pebblehinge.lab.faults.draw import cast_of, draw  # noqa: PLC0415
+    from pebblehinge.lab.faults.script import ScriptError, read  # noqa: PLC0415
 
     cast = cast_of(config)
     if count is not None:
@@ -103,11 +117,10 @@
     draw_faults: int | None,
 ) -> None:
     """Play a day, NAME or FILE, with a fleet of processes, and judge the rules from what crossed the sockets."""
-    from pebblehinge.lab import village
-    from pebblehinge.lab.check import Day
-    from pebblehinge.lab.days import DayError
-    from pebblehinge.lab.processes import Processes, own_loopback
-    from pebblehinge.lab.verdict import kept, lines, summary
+    from pebblehinge.lab import village  # noqa: PLC0415
+    from pebblehinge.lab.days import DayError  # noqa: PLC0415
+    from pebblehinge.lab.processes import Processes, own_loopback  # noqa: PLC0415
+    from pebblehinge.lab.verdict import kept, lines, summary  # noqa: PLC0415
 
     path, _ = find_day(name)
     loopback = "127.0.0.1" if virtual else own_loopback()
@@ -116,7 +129,7 @@
     if records is not None and any(Path(records).glob("*.jsonl")):
         give_up(f"{records} holds records of another day already")
     said = say_progress(quiet)
-    script = script_of(config, day_name, faults, draw_faults, seed)
+    script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
         stage = Processes(loop, config, path, day_name, seed, folder, loopback, said, script)
@@ -136,7 +149,7 @@
             else:
                 with asyncio.Runner() as runner:
                     more = runner.run(play(runner.get_loop(), folder))
-                facts = Day.read(folder, config)
+                facts = read_day(folder, config)
         except (DayError, EventLogError, OSError) as error:
             give_up(describe(error))
         told = summary(
@@ -153,75 +166,12 @@
     sys.exit(0 if kept(told) and not missed and not told["faults"] else 1)
 
 
-@lab.command(name="load")
-@FILE
-@click.option("--day", "day_name", required=True, help="Which day block.")
-@click.option("--part", type=click.IntRange(0), default=0, help="Which of the processes this is.")
-@click.option("--parts", type=click.IntRange(1), default=1, help="How many there are.")
-@click.option("--start", type=float, help="When to begin, on the machine's monotonic clock in ms; else in a second.")
-@click.option("--replay", multiple=True, type=click.Path(dir_okay=False), help="Captures, in place of the day's load.")
-@click.option("--speed", type=click.FloatRange(0.01, 1000.0), default=1.0, help="Replay so many times as fast.")
-@click.option("--multiple", type=click.FloatRange(0.001, 100.0), default=1.0, help="Under 1 thins, over 1 grows.")
-@LOOPBACK
-@RECORDS
-@SEED
-def load_command(
-    file: str,
-    day_name: str,
-    part: int,
-    parts: int,
-    start: float | None,
-    replay: tuple[str, ...],
-    speed: float,
-    multiple: float,
-    loopback: str | None,
-    records: str | None,
-    seed: int,
-) -> None:
-    """Ask as a day's clients do, or as captures say; prints what became of the requests."""
-    from pebblehinge.capture import CaptureError, read_capture
-    from pebblehinge.lab.clients import Crowd
-    from pebblehinge.lab.replay import Replay, merge
-    from pebblehinge.lab.rsync_load import Copies
-
-    config = read_settings(file, loopback)
-    pick(config, "day", day_name)
-    draw = None
-    if replay:
-        try:
-            rows, notes = merge([read_capture(path) for path in replay])
-        except CaptureError as error:
-            give_up(str(error))
-        for note in notes:
-            click.echo(f"note: {note}", err=True)
-        draw = Replay(config, rows, seed, multiple, speed, part=part, parts=parts)
-
-    async def ask(loop: asyncio.AbstractEventLoop) -> int:
-        clock = clock_of(loop)
-        notes = records_for(records, f"load{part + 1}", loop)
-        crowd = Crowd(loop, clock, config, day_name, seed, notes, part, parts, draw)
-        await crowd.connect_all()
-        ready()
-        begin = start if start is not None else clock() + 1000.0
-        crowd.start(begin)
-        if part == 0 and config.copies is not None and not replay:
-            copies = Copies(loop, clock, config, day_name, seed, notes)
-            copies.start(begin)
-            await copies.ended
-        await crowd.ended
-        await crowd.close()
-        click.echo(json.dumps({"ends": crowd.done, "late_ms": round(crowd.late_ms, 3)}))
-        return 0
-
-    run(ask)
-
-
 @lab.command(name="check")
 @click.argument("records", type=click.Path(file_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 def check_records(records: str, as_json: bool) -> None:
     """Judge the rules again from a day's RECORDS."""
-    from pebblehinge.lab.verdict import kept, lines, summary
+    from pebblehinge.lab.verdict import kept, lines, summary  # noqa: PLC0415
 
     facts = day_facts(records)
     told = summary(facts, next(iter(facts.config.day)), 0)
--- /dev/null
+++ b/pebblehinge/cli/gateway.py
@@ -0,0 +1,71 @@
+"""`pebblehinge gateway`: a running gateway with all that its settings join to it."""
+
+from __future__ import annotations
+
+import atexit
+from pathlib import Path
+
+import click
+
+from pebblehinge.cli.base import (
+    FILE,
+    LOOPBACK,
+    RECORDS,
+    give_up,
+    hidden_alias,
+    logger,
+    main,
+    pick,
+    read_settings,
+    run,
+)
+from pebblehinge.cli.gateway_process import GatewayOptions, run_gateway
+
+
+@main.command(name="gateway")
+@FILE
+@click.option("--name", help="Which head block of the file; not needed where it has one.")
+@LOOPBACK
+@RECORDS
+@click.option("--seed", type=click.IntRange(0), help="In place of the block's seed.")
+@click.option("--capture", type=click.Path(dir_okay=False), help="Keep what is taken, without payload, in this file.")
+@click.option("--agreed", type=click.Path(dir_okay=False), help="Where to keep the last agreed version, with a group.")
+@click.option("--store", type=click.Path(file_okay=False), help="Folder of its journal; else the block's.")
+@click.option("--pid", "pid_path", type=click.Path(dir_okay=False), help="Holds its process id, and is held by it.")
+def gateway(
+    file: str,
+    name: str | None,
+    loopback: str | None,
+    records: str | None,
+    seed: int | None,
+    capture: str | None,
+    agreed: str | None,
+    store: str | None,
+    pid_path: str | None,
+) -> None:
+    """Run a gateway. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
+    config = read_settings(file, loopback)
+    name = pick(config, "head", name)
+    if seed is not None:
+        config.head[name].seed = seed
+    if store is not None:
+        config.head[name].store = str(Path(store) / name)
+    log = logger(config.log, head=name)
+    if pid_path is not None:
+        own_pid_file(pid_path, name)
+    options = GatewayOptions(file, name, loopback, records or config.records, capture, agreed)
+    run(lambda loop: run_gateway(loop, config, options, log))
+
+
+def own_pid_file(path: str, name: str) -> None:
+    """Writes the process id to a file and keeps it until the exit; exits where another process holds it."""
+    from pebblehinge.daemon import PidFile, PidFileError  # noqa: PLC0415
+
+    try:
+        pid_file = PidFile(path)
+    except PidFileError as error:
+        give_up(f"head {name}: {error}")
+    atexit.register(pid_file.close)
+
+
+hidden_alias(gateway, "head")
--- /dev/null
+++ b/pebblehinge/cli/gateway_config.py
@@ -0,0 +1,69 @@
+"""A gateway's link to the group that replicates configuration.
+
+Packages that only a gateway needs are imported in the functions that use them (see `pebblehinge.cli`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from pebblehinge.cli.base import clock_of, describe, give_up
+from pebblehinge.settings import Config
+
+if TYPE_CHECKING:
+    from pebblehinge.gateway import GatewayServer
+    from pebblehinge.replicated_config.config_publisher import Log
+    from pebblehinge.replicated_config.config_watcher import ConfigWatcher
+
+
+def watch_config(
+    loop: asyncio.AbstractEventLoop,
+    config: Config,
+    name: str,
+    server: GatewayServer,
+    version_file: str | None,
+    log: Log,
+) -> ConfigWatcher:
+    """Connects a gateway to the group that replicates its configuration.
+
+    Until the group has sent a version, the file's own settings are in force, under the floor that holds for a gateway
+    without a lease.
+
+    Args:
+        loop: Runs the watcher.
+        config: The settings of the file, with the group's members.
+        name: The gateway's block in them.
+        server: Adopts each version.
+        version_file: Path of the last agreed version, read now and replaced with each later one; None: it isn't kept.
+        log: Hears of versions and of faults.
+
+    Returns:
+        The watcher, not yet started.
+    """
+    from pebblehinge.replicated_config import VersionApplication  # noqa: PLC0415
+    from pebblehinge.replicated_config.activation import cut_off  # noqa: PLC0415
+    from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: PLC0415
+    from pebblehinge.store.background import in_thread  # noqa: PLC0415
+    from pebblehinge.store.disk import RealDisk  # noqa: PLC0415
+
+    floor = config.group.floor
+    application = VersionApplication(name, floor)
+    path = Path(version_file) if version_file else None
+    if path is not None and path.is_file():
+        try:
+            application = VersionApplication.restore(name, floor, path.read_bytes())
+        except (OSError, ValueError) as error:
+            give_up(f"head {name}: {path} can't be used ({describe(error)}); without it the head begins anew")
+
+    def keep(data: bytes) -> None:
+        if path is not None:
+            RealDisk(path.parent).replace(path.name, data)
+
+    def adopt(new: Config, mode: str) -> None:
+        server.version_shown = {"version": application.active, "pending": application.pending, "mode": mode}
+        server.adopt(new)
+
+    server.adopt(cut_off(config, floor))
+    return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, in_thread(loop))
--- /dev/null
+++ b/pebblehinge/cli/gateway_process.py
@@ -0,0 +1,204 @@
+"""The process of `pebblehinge gateway`: starts a gateway's parts in order, serves, and stops them.
+
+Packages that only this process needs are imported in the functions that use them (see `pebblehinge.cli`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import os
+import signal
+import time
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from pebblehinge import __version__
+from pebblehinge.cli.base import clock_of, describe, give_up, ready, records_for, until_told
+from pebblehinge.cli.gateway_config import watch_config
+from pebblehinge.cli.gateway_storage import open_storage
+from pebblehinge.event_log import EventLogError
+from pebblehinge.settings import Config, SettingsError, load
+
+if TYPE_CHECKING:
+    from pebblehinge.console import Console
+    from pebblehinge.gateway import GatewayServer
+
+RECORDS_FAILED = "its records can't be written"
+FLUSH_S = 0.02
+"""How long the loop goes on after the end, so that the last bytes leave the sockets."""
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayOptions:
+    """What the command line says of a gateway.
+
+    Attributes:
+        file: Path of the settings.
+        name: The gateway's block in them.
+        loopback: Host of a fleet block's addresses in place of the file's, if any.
+        records: Folder of the records, if any are kept.
+        capture: Path of the capture, if one is written.
+        version_file: Path of the last agreed configuration version, if it is kept.
+    """
+
+    file: str
+    name: str
+    loopback: str | None
+    records: str | None
+    capture: str | None
+    version_file: str | None
+
+
+class GatewayProcess:
+    """A gateway's server and what hears of its state: the service manager, signals, records.
+
+    Raises:
+        EventLogError: The records can't be opened.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Any) -> None:
+        from pebblehinge.daemon import Notifier  # noqa: PLC0415
+        from pebblehinge.gateway import GatewayServer  # noqa: PLC0415
+
+        self.loop = loop
+        self.config = config
+        self.options = options
+        self.log = log
+        self.record_fault: str | None = None
+        self.notifier = Notifier(loop, os.environ, os.getpid())
+        self._raise_open_file_limit()
+        records = records_for(options.records, f"head-{options.name}", loop, self._stop_without_records)
+        self.server: GatewayServer = GatewayServer(loop, clock_of(loop), config, options.name, log, records)
+
+    def _raise_open_file_limit(self) -> None:
+        from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
+
+        connections = self.config.limits.connections
+        wanted = needed_open_files("head", storage_nodes=len(self.config.shelf), connections=connections)
+        if warning := raise_open_file_limit(wanted):
+            self.log.warning("limits", why=f"{warning}, or lower `connections`")
+
+    def _stop_without_records(self, error: EventLogError) -> None:
+        if self.record_fault is None:
+            self.record_fault = str(error)
+        self.server.stop(RECORDS_FAILED)
+
+    def start_capture(self) -> None:
+        """Captures requests to the file that the options name, if any."""
+        from pebblehinge.capture import CaptureWriter, open_sink  # noqa: PLC0415
+
+        path = self.options.capture
+        if not path:
+            return
+        try:
+            sink = open_sink(path)
+        except OSError as error:
+            give_up(f"head {self.options.name}: {path}: {describe(error)}")
+        wall_ms = time.time() * 1000.0
+        self.server.capture(
+            CaptureWriter(sink, self.options.name, wall_ms, clock_of(self.loop)(), self._report_capture_end)
+        )
+
+    def _report_capture_end(self, error: Exception) -> None:
+        self.log.error("the capture has ended", why=describe(error))
+
+    async def start_server(self) -> None:
+        """Opens the storage and the sockets; exits where either can't be used."""
+        from pebblehinge.gateway.metrics import serve_metrics  # noqa: PLC0415
+        from pebblehinge.store import StorageError  # noqa: PLC0415
+
+        try:
+            open_storage(self.loop, self.config, self.options.name, self.server)
+            await self.server.start()
+            if self.server.block.metrics:
+                serve_metrics(self.server, self.server.block.metrics)
+        except OSError as error:
+            give_up(f"head {self.options.name}: {self.server.block.listen}: {describe(error)}")
+        except StorageError as error:
+            give_up(f"head {self.options.name}: {error}")
+
+    def handle_signals(self) -> None:
+        """SIGTERM and SIGINT stop the gateway, SIGHUP reads the settings again."""
+        until_told(self.loop, self.stop)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
+
+    def stop(self, why: str) -> None:
+        """Begins the graceful shutdown: nothing new, an answer to every accepted request."""
+        self.notifier.stopping(f"{self.server.core.open} accesses are owed an answer")
+        self.server.stop(why)
+
+    def reload(self) -> None:
+        """Reads the settings again; those in force stay where the file is faulty or a group decides on them."""
+        options = self.options
+        try:
+            config = load(options.file, options.loopback)
+            if options.name not in config.head:
+                raise KeyError(f"no head {options.name!r} in it")
+        except (SettingsError, KeyError) as error:
+            self.log.error("settings stay as they were", fault=str(error).splitlines())
+            return
+        if config.member:
+            self.log.warning("the group's configuration stays in force", file=options.file)
+            return
+        self.notifier.reloading(int(time.monotonic() * 1e6))
+        self.server.adopt(config)
+        self.log.info("settings taken up", file=options.file)
+        self._notify_ready()
+
+    def _notify_ready(self) -> None:
+        self.notifier.ready(f"{self.options.name} serves {self.server.block.listen}")
+
+    async def start_console(self) -> Console | None:
+        """Returns the running console, if the gateway's block has one; exits where its address can't be used."""
+        from pebblehinge.console import Console  # noqa: PLC0415
+
+        block = self.server.block
+        if block.console is None:
+            return None
+        console = Console(self.server, block.console, block.console_token)
+        try:
+            await console.start()
+        except OSError as error:
+            give_up(f"head {self.options.name}: {block.console}: {describe(error)}")
+        return console
+
+    def announce(self) -> None:
+        """Says on standard output, to the service manager and in the log that the gateway serves."""
+        block = self.server.block
+        ready()
+        self._notify_ready()
+        self.log.info("serving", listen=block.listen, metrics=block.metrics, version=__version__)
+
+    def finish(self) -> int:
+        """Reports how the gateway ended; returns the exit status."""
+        if self.record_fault is not None:
+            click.echo(f"pebblehinge: {self.record_fault}", err=True)
+            return 2
+        self.log.info("stopped", answers=self.server.core.counts.by_word())
+        return 0
+
+
+async def run_gateway(loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Any) -> int:
+    """Serves until the gateway has stopped; returns the exit status."""
+    process = GatewayProcess(loop, config, options, log)
+    process.start_capture()
+    await process.start_server()
+    process.handle_signals()
+    watcher = None
+    if config.member:
+        watcher = watch_config(loop, config, options.name, process.server, options.version_file, log)
+        watcher.start()
+    console = await process.start_console()
+    gc.freeze()  # what stands now stays: the collector need not look at it again
+    process.announce()
+    await process.server.stopped
+    if watcher is not None:
+        watcher.close()
+    if console is not None:
+        await console.stop()
+    process.notifier.close()
+    await asyncio.sleep(FLUSH_S)
+    return process.finish()
--- /dev/null
+++ b/pebblehinge/cli/gateway_storage.py
@@ -0,0 +1,79 @@
+"""What a running gateway keeps on disk: its journal, and snapshots of what the scheduler has learned.
+
+Packages that only a gateway needs are imported in the functions that use them (see `pebblehinge.cli`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from pebblehinge.settings import Config
+
+if TYPE_CHECKING:
+    from pebblehinge.gateway import GatewayServer
+    from pebblehinge.store import RealDisk
+
+SWITCH_INTERVAL_S = 0.0005
+"""The interpreter's switch interval beside a journal.
+
+The thread of a sync asks for its turn when the disk is done: with the usual 5 ms each batch would wait that long.
+"""
+
+
+def machine_times() -> tuple[float, float, str]:
+    """Wall clock and time since the machine started, in ms, and the name of that start."""
+    try:
+        boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+    except OSError:
+        boot = ""
+    return time.time() * 1000.0, time.monotonic() * 1000.0, boot
+
+
+def open_storage(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: GatewayServer) -> None:
+    """Gives a gateway its folder for snapshots and, where it has buffered volumes, its journal.
+
+    Syncs run in a thread, so that the loop goes on.
+
+    Raises:
+        StorageError: The folder is missing from the settings, or can't be used.
+        OSError: The disk failed.
+    """
+    from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
+    from pebblehinge.store.background import in_thread  # noqa: PLC0415
+
+    folder = config.head[name].store
+    buffered = any(v.save == "buffered" for v in config.volume.values())
+    if folder is None:
+        if buffered:
+            raise StorageError("buffered volumes need a folder for their journal: store PATH in the head's block")
+        return
+    disk = RealDisk(folder)
+    disk.own()
+    server.keep_snapshots(disk, machine_times, in_thread(loop))
+    if buffered:
+        open_journal(loop, disk, server)
+
+
+def open_journal(loop: asyncio.AbstractEventLoop, disk: RealDisk, server: GatewayServer) -> None:
+    """Enables write-back through a journal on a disk."""
+    from pebblehinge.store import JournalFencedError  # noqa: PLC0415
+    from pebblehinge.store.journal import FENCE_FILE, Batch  # noqa: PLC0415
+
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
+
+    def append_and_sync(batch: Batch) -> None:
+        disk.append(batch.name, batch.data)
+        disk.sync(batch.name)
+        if batch.new_file:
+            disk.sync_folder()
+
+    async def write_batch(batch: Batch) -> None:
+        if disk.exists(FENCE_FILE):
+            raise JournalFencedError("another has taken this journal over")
+        await loop.run_in_executor(None, append_and_sync, batch)
+
+    server.enable_write_back(disk, write_batch)
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -52,10 +52,10 @@
 async def _group(
     loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Any
 ) -> int:
-    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.raft.identity import identify
-    from pebblehinge.replicated_config.server import MemberServer
-    from pebblehinge.store import RealDisk, StorageError
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
+    from pebblehinge.raft.identity import identify  # noqa: PLC0415
+    from pebblehinge.replicated_config.server import MemberServer  # noqa: PLC0415
+    from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
 
     if told := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
         log.warning("limits", why=told)
@@ -94,7 +94,7 @@
 
 def ask(config: Config, verb: str, **values: Any) -> str:
     """The group's answer; a refusal is told and ends with exit 1, no answer with exit 2."""
-    from pebblehinge.replicated_config.operator_client import ask_group
+    from pebblehinge.replicated_config.operator_client import ask_group  # noqa: PLC0415
 
     async def main(loop: asyncio.AbstractEventLoop) -> tuple[bool, str]:
         return await ask_group(loop, [b.listen for b in config.member.values()], verb, values)
@@ -114,8 +114,8 @@
 @click.pass_obj
 def propose(config: Config, file: str, base: int | None, note: str) -> None:
     """Propose FILE as the next version; refused where another came since BASE."""
-    from pebblehinge.replicated_config.errors import VersionTooLargeError
-    from pebblehinge.replicated_config.size_limits import check_text_size
+    from pebblehinge.replicated_config.errors import VersionTooLargeError  # noqa: PLC0415
+    from pebblehinge.replicated_config.size_limits import check_text_size  # noqa: PLC0415
 
     read_settings(file)
     text = flat(file)
@@ -193,7 +193,7 @@
 @click.pass_obj
 def status(config: Config, as_json: bool) -> None:
     """What each instance says of itself."""
-    from pebblehinge.replicated_config.operator_client import ask_member
+    from pebblehinge.replicated_config.operator_client import ask_member  # noqa: PLC0415
 
     async def main(loop: asyncio.AbstractEventLoop) -> int:
         found = 0
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -1,10 +1,13 @@
-"""`pebblehinge storage-node` and `discovery`: the stand-ins."""
+"""`pebblehinge storage-node` and `discovery`: the stand-ins.
+
+Each one's packages are imported in the functions that use them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
@@ -28,6 +31,10 @@
 )
 from pebblehinge.settings import Config
 
+if TYPE_CHECKING:
+    from pebblehinge.discovery import DiscoveryServer
+    from pebblehinge.shelf import ShelfServer
+
 
 @main.command(name="storage-node")
 @FILE
@@ -52,17 +59,17 @@
     config = read_settings(file, loopback)
     name = pick(config, "shelf", name)
     if release is not None:
-        from pebblehinge.lab.fleet import released
+        from pebblehinge.lab.fleet import released  # noqa: PLC0415
 
         name = released(config, name, release)
     log = logger(config.log, shelf=name)
-    run(lambda loop: _shelf(loop, config, name, records, seed, store, cold, log))
+    run(lambda loop: _run_storage_node(loop, config, name, records, seed, store, cold, log))
 
 
 hidden_alias(storage_node, "shelf")
 
 
-async def _shelf(
+async def _run_storage_node(
     loop: asyncio.AbstractEventLoop,
     config: Config,
     name: str,
@@ -72,31 +79,31 @@
     cold: bool,
     log: Any,
 ) -> int:
-    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.shelf import Contents, ShelfServer
-    from pebblehinge.shelf.contents import JournalError
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
+    from pebblehinge.shelf import Contents, ShelfServer  # noqa: PLC0415
+    from pebblehinge.shelf.contents import JournalError  # noqa: PLC0415
 
     try:
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
     except JournalError as error:
         give_up(str(error))
-    if told := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
-        log.warning("limits", why=told)
-    notes = records_for(folder, f"shelf-{name}", loop)
-    server = ShelfServer(loop, clock_of(loop), config, name, log, notes, contents, not cold, seed)
+    if warning := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
+        log.warning("limits", why=warning)
+    event_log = records_for(folder, f"shelf-{name}", loop)
+    server = ShelfServer(loop, clock_of(loop), config, name, log, event_log, contents, not cold, seed)
     return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
-async def _until_stopped(loop: asyncio.AbstractEventLoop, server: Any, what: str) -> int:
-    """A stand-in's life: starts, says that it is ready, stops when it is told."""
+async def _until_stopped(loop: asyncio.AbstractEventLoop, server: DiscoveryServer | ShelfServer, what: str) -> int:
+    """Starts a stand-in, says that it is ready, and stops it on a signal; returns the exit status."""
     try:
         await server.start()
     except OSError as error:
         give_up(f"{what}: {describe(error)}")
-    stopped = loop.create_future()
-    until_told(loop, lambda why: stopped.done() or stopped.set_result(why))
+    stopped = asyncio.Event()
+    until_told(loop, lambda _: stopped.set())
     ready()
-    await stopped
+    await stopped.wait()
     server.stop()
     await asyncio.sleep(0.02)
     return 0
@@ -111,19 +118,21 @@
     """Run the stand-in node list."""
     config = read_settings(file, loopback)
     log = logger(config.log, listing=config.listing.listen)
-    run(lambda loop: _listing(loop, config, records, seed, log))
+    run(lambda loop: _run_discovery(loop, config, records, seed, log))
 
 
 hidden_alias(discovery, "listing")
 
 
-async def _listing(loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any) -> int:
-    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.discovery import DiscoveryServer
-
-    if told := raise_open_file_limit(
-        needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
-    ):
-        log.warning("limits", why=told)
-    server = DiscoveryServer(loop, clock_of(loop), config, log, records_for(folder, "listing", loop), seed)
+async def _run_discovery(
+    loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any
+) -> int:
+    from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
+    from pebblehinge.discovery import DiscoveryServer  # noqa: PLC0415
+
+    wanted = needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
+    if warning := raise_open_file_limit(wanted):
+        log.warning("limits", why=warning)
+    event_log = records_for(folder, "listing", loop)
+    server = DiscoveryServer(loop, clock_of(loop), config, log, event_log, seed)
     return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -1,4 +1,7 @@
-"""`pebblehinge store`: a journal looked at, verified, exported, replayed."""
+"""`pebblehinge store`: a journal looked at, verified, exported, replayed.
+
+Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,16 @@
 import json
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
 from pebblehinge.cli.base import AS_JSON, give_up, main, run
 
+if TYPE_CHECKING:
+    from pebblehinge.store import RealDisk
+    from pebblehinge.store.inspection import Inspection
+
 
 @main.group()
 def store() -> None:
@@ -21,9 +28,10 @@
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
-def journal_of(folder: str) -> tuple[Any, Any]:
-    from pebblehinge.store import RealDisk
-    from pebblehinge.store.inspection import inspect
+def open_journal(folder: str) -> tuple[RealDisk, Inspection]:
+    """Returns a folder's disk and what its journal holds; changes nothing."""
+    from pebblehinge.store import RealDisk  # noqa: PLC0415
+    from pebblehinge.store.inspection import inspect  # noqa: PLC0415
 
     disk = RealDisk(folder)
     return disk, inspect(disk)
@@ -34,7 +42,7 @@
 @AS_JSON
 def store_inspect(folder: str, as_json: bool) -> None:
     """What FOLDER holds: nothing is changed."""
-    _, found = journal_of(folder)
+    _, found = open_journal(folder)
     live, live_bytes = len(found.writes), sum(len(w.data) for w in found.writes)
     if as_json:
         words = ("segments", "bytes", "fenced", "damage", "done", "barriers")
@@ -57,10 +65,10 @@
 @FOLDER
 def store_verify(folder: str) -> None:
     """Exit 0 where all that was promised can be read, 1 and the places where not."""
-    from pebblehinge.store import StorageError
-    from pebblehinge.store.segment import read_segment
+    from pebblehinge.store import StorageError  # noqa: PLC0415
+    from pebblehinge.store.segment import read_segment  # noqa: PLC0415
 
-    disk, found = journal_of(folder)
+    disk, found = open_journal(folder)
     names = sorted(n for n in disk.names() if n.startswith("journal-"))
     try:
         for i, name in enumerate(names):
@@ -76,7 +84,7 @@
 @click.argument("target", type=click.Path(file_okay=False))
 def store_export(folder: str, target: str) -> None:
     """Write what can be read of FOLDER's live writes to files below TARGET: VOLUME/EXTENT, by offset."""
-    _, found = journal_of(folder)
+    _, found = open_journal(folder)
     for write in found.writes:
         path = Path(target) / write.volume / write.extent.replace("/", "%2F")
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -93,11 +101,11 @@
 @click.option("--profile", required=True, help="Of the accesses.")
 def store_replay(folder: str, address: str, profile: str) -> None:
     """Fence FOLDER, then bring its live writes through the head at HOST:PORT, in order, each once."""
-    from pebblehinge.client import connect
-    from pebblehinge.store import StorageError
-    from pebblehinge.store.journal import fence
+    from pebblehinge.client import connect  # noqa: PLC0415
+    from pebblehinge.store import StorageError  # noqa: PLC0415
+    from pebblehinge.store.journal import fence  # noqa: PLC0415
 
-    disk, found = journal_of(folder)
+    disk, found = open_journal(folder)
     try:
         disk.own()
     except StorageError as error:
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -1,4 +1,7 @@
-"""`pebblehinge lab`: searches, models, crashes, reports, comparisons."""
+"""`pebblehinge lab`: searches, models, crashes, reports, comparisons.
+
+Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
     name: str, days: int, seed: int, length: int, folder: str | None, jobs: int | None, as_json: bool, quiet: bool
 ) -> None:
     """Draw days with overlapping troubles on the fleet of day NAME, and hunt for broken rules and the worst service."""
-    from pebblehinge.lab import search as hunt
+    from pebblehinge.lab import search as hunt  # noqa: PLC0415
 
     path, _ = find_day(name)
     config = read_settings(str(path), "127.0.0.1")
@@ -69,8 +72,8 @@
 @QUIET
 def model(terms: int, proposals: int, crashes: int, beats: int, way: int, states: int, quiet: bool) -> None:
     """Every order of events of three Raft instances, within bounds."""
-    from pebblehinge.raft.errors import SafetyViolationError
-    from pebblehinge.raft.model import Bounds, explore
+    from pebblehinge.raft.errors import SafetyViolationError  # noqa: PLC0415
+    from pebblehinge.raft.model import Bounds, explore  # noqa: PLC0415
 
     bounds = Bounds(3, terms, proposals, crashes, beats, states, way)
     try:
@@ -92,12 +95,12 @@
 @click.option("--quiet", is_flag=True, help="No progress.")
 def crash_rounds(rounds: int, seed: int, virtual: bool, as_json: bool, quiet: bool) -> None:
     """Kill a head at random moments under buffered writes; every confirmed one must stand exactly once."""
-    from concurrent.futures import ProcessPoolExecutor
+    from concurrent.futures import ProcessPoolExecutor  # noqa: PLC0415
 
-    from pebblehinge.lab.crash import verdict
-    from pebblehinge.lab.crash.processes import Sockets
-    from pebblehinge.lab.crash.virtual import one as one_round
-    from pebblehinge.lab.processes import own_loopback
+    from pebblehinge.lab.crash import verdict  # noqa: PLC0415
+    from pebblehinge.lab.crash.processes import Sockets  # noqa: PLC0415
+    from pebblehinge.lab.crash.virtual import one as one_round  # noqa: PLC0415
+    from pebblehinge.lab.processes import own_loopback  # noqa: PLC0415
 
     said = say_progress(quiet)
     if virtual:
@@ -125,9 +128,9 @@
 @AS_JSON
 def blame_days(days: int, seed: int, jobs: int | None, as_json: bool) -> None:
     """Draw days with a slow shelf, a noisy tenant or both: does the account name the right cause?"""
-    from concurrent.futures import ProcessPoolExecutor
+    from concurrent.futures import ProcessPoolExecutor  # noqa: PLC0415
 
-    from pebblehinge.lab import blame
+    from pebblehinge.lab import blame  # noqa: PLC0415
 
     with ProcessPoolExecutor(jobs_of(jobs)) as executor:
         told = list(executor.map(blame.drawn, range(seed, seed + days)))
@@ -146,8 +149,8 @@
 @click.option("-o", "--output", required=True, type=click.Path(dir_okay=False), help="The HTML file.")
 def report(records: str, output: str) -> None:
     """One self-contained HTML file from a day's RECORDS."""
-    from pebblehinge.lab.report import page
-    from pebblehinge.lab.verdict import summary
+    from pebblehinge.lab.report import page  # noqa: PLC0415
+    from pebblehinge.lab.verdict import summary  # noqa: PLC0415
 
     facts = day_facts(records)
     name = next(iter(facts.config.day))
@@ -170,11 +173,13 @@
     a: str, b: str, seeds: int, build_a: str | None, build_b: str | None, jobs: int | None, as_json: bool
 ) -> None:
     """Day A against day B (two settings) or one day by two builds, with confidence from repeated seeds."""
-    from pebblehinge.lab.compare import build_root, compare
+    from pebblehinge.lab.compare import build_root, compare  # noqa: PLC0415
 
     paths = [str(find_day(name)[0].resolve()) for name in (a, b)]
     try:
-        told = compare(*paths, build_root(build_a), build_root(build_b), list(range(1, seeds + 1)), jobs_of(jobs))
+        told = compare(
+            paths[0], paths[1], build_root(build_a), build_root(build_b), list(range(1, seeds + 1)), jobs_of(jobs)
+        )
     except RuntimeError as error:
         give_up(str(error))
     if as_json:
