--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -15,7 +15,7 @@
     view_bytes,
 )
 
-SHELF = "pebblehinge/shelf/server.py"
+SHELF = "pebblehinge/storage_node/server.py"
 CONSOLE, VIEW = "pebblehinge/console/server.py", "pebblehinge/console/view.py"
 HISTORY = "pebblehinge/console/event_history.py"
 
--- a/benchmarks/scale/hollow_shelfs.py
+++ b/benchmarks/scale/hollow_shelfs.py
@@ -11,7 +11,7 @@
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.settings import load
 from pebblehinge.settings.schema import ShelfBlock
-from pebblehinge.shelf import ShelfServer
+from pebblehinge.storage_node import ShelfServer
 from scale.hollow_heads import serve
 
 FIRST_SLOT = 1000  # no volume of the real clients lies there
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -73,8 +73,8 @@
     log: Any,
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.shelf import Contents, ShelfServer
-    from pebblehinge.shelf.contents import JournalError
+    from pebblehinge.storage_node import Contents, ShelfServer
+    from pebblehinge.storage_node.contents import JournalError
 
     try:
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
--- a/pebblehinge/lab/crash/processes.py
+++ b/pebblehinge/lab/crash/processes.py
@@ -14,8 +14,8 @@
 from pebblehinge.lab.crash.verdict import judge
 from pebblehinge.lab.crash.writers import Books, Writer
 from pebblehinge.settings.load import loads
-from pebblehinge.shelf import Contents
-from pebblehinge.shelf.contents import read_journal
+from pebblehinge.storage_node import Contents
+from pebblehinge.storage_node.contents import read_journal
 
 
 class Sockets:
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -16,7 +16,7 @@
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.settings.load import loads
-from pebblehinge.shelf import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, ShelfServer
 from pebblehinge.store import StorageError
 from pebblehinge.store.journal import Batch
 
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -26,7 +26,7 @@
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings import Config, show
-from pebblehinge.shelf import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, ShelfServer
 
 _encode = msgspec.json.Encoder().encode
 
--- a/pebblehinge/shelf/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -8,7 +8,7 @@
 
 from pebblehinge.net import Peer
 from pebblehinge.settings.schema import Config
-from pebblehinge.shelf.model import Faults, Machine
+from pebblehinge.storage_node.machine import Faults, Machine
 from pebblehinge.wire import Kind, Session, WireError
 
 
--- a/pebblehinge/shelf/registration.py
+++ b/pebblehinge/storage_node/registration.py
@@ -8,7 +8,7 @@
 
 from pebblehinge.net import Peer
 from pebblehinge.settings.schema import Config, ShelfBlock
-from pebblehinge.shelf.model import Machine
+from pebblehinge.storage_node.machine import Machine
 from pebblehinge.wire import Kind, Session
 
 
--- a/pebblehinge/shelf/accesses.py
+++ b/pebblehinge/storage_node/requests.py
@@ -8,9 +8,9 @@
 
 from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.settings.schema import Config
-from pebblehinge.shelf.connection import Attempt
-from pebblehinge.shelf.contents import Contents
-from pebblehinge.shelf.model import Faults, Job, Machine
+from pebblehinge.storage_node.connection import Attempt
+from pebblehinge.storage_node.contents import Contents
+from pebblehinge.storage_node.machine import Faults, Job, Machine
 from pebblehinge.wire import Kind
 from pebblehinge.wire.frames import APPEND, APPENDED, WRITE
 
--- a/pebblehinge/shelf/server.py
+++ b/pebblehinge/storage_node/server.py
@@ -9,10 +9,10 @@
 from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.net import parse_address
 from pebblehinge.settings.schema import Config
-from pebblehinge.shelf.accesses import Requests
-from pebblehinge.shelf.connection import ShelfConn
-from pebblehinge.shelf.contents import Contents
-from pebblehinge.shelf.registration import Registration
+from pebblehinge.storage_node.requests import Requests
+from pebblehinge.storage_node.connection import ShelfConn
+from pebblehinge.storage_node.contents import Contents
+from pebblehinge.storage_node.registration import Registration
 from pebblehinge.wire import Kind, Session
 
 STRIKES = {  # control verbs and the machine's settings while they act, with their values at rest
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -17,7 +17,7 @@
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 from pebblehinge.settings.load import loads
-from pebblehinge.shelf import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, ShelfServer
 
 SETTINGS = """
 rules {
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -130,7 +130,7 @@
 
 def test_a_shelf_that_appends_anywhere_lets_a_save_land_twice_and_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the condition on its end a log would take the late append, too."""
-    from pebblehinge.shelf import server
+    from pebblehinge.storage_node import server
 
     real = server.ShelfServer._effect
 
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -10,8 +10,8 @@
 from pebblehinge.discovery import EndpointRegistry, EndpointState
 from pebblehinge.settings.policy import RulesBlock
 from pebblehinge.settings.schema import KindBlock, ListingBlock
-from pebblehinge.shelf.contents import Contents, JournalError
-from pebblehinge.shelf.model import Job, Machine
+from pebblehinge.storage_node.contents import Contents, JournalError
+from pebblehinge.storage_node.machine import Job, Machine
 
 INF = float("inf")
 
