--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -24,8 +24,8 @@
     Cap(
         "backlog of a shelf",
         SHELF,
-        "backlog=",
-        inline(SHELF, r"backlog=([0-9_]+)"),
+        "BACKLOG = ",
+        constant("pebblehinge.storage_node.server", "BACKLOG"),
         "connections",
         "not yet accepted: all heads after its restart",
         HEADS,
--- a/benchmarks/scale/hollow_shelfs.py
+++ b/benchmarks/scale/hollow_shelfs.py
@@ -11,7 +11,7 @@
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.settings import load
 from pebblehinge.settings.schema import ShelfBlock
-from pebblehinge.storage_node import ShelfServer
+from pebblehinge.storage_node import StorageNodeServer
 from scale.hollow_heads import serve
 
 FIRST_SLOT = 1000  # no volume of the real clients lies there
@@ -30,7 +30,7 @@
             name = f"y{n}"
             address = f"{given['loopback']}:{FIRST_PORT + n}"
             config.shelf[name] = ShelfBlock(listen=address, slot=FIRST_SLOT + n, kind=kind)
-            self.shelfs.append(ShelfServer(loop, clock_of(loop), config, name, Quiet(), seed=given["seed"]))
+            self.shelfs.append(StorageNodeServer(loop, clock_of(loop), config, name, Quiet(), seed=given["seed"]))
 
     async def start(self) -> None:
         for shelf in self.shelfs:
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -73,8 +73,7 @@
     log: Any,
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit
-    from pebblehinge.storage_node import Contents, ShelfServer
-    from pebblehinge.storage_node.contents import JournalError
+    from pebblehinge.storage_node import Contents, JournalError, StorageNodeServer
 
     try:
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
@@ -83,7 +82,7 @@
     if told := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
         log.warning("limits", why=told)
     notes = records_for(folder, f"shelf-{name}", loop)
-    server = ShelfServer(loop, clock_of(loop), config, name, log, notes, contents, not cold, seed)
+    server = StorageNodeServer(loop, clock_of(loop), config, name, log, notes, contents, not cold, seed)
     return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
--- a/pebblehinge/lab/crash/processes.py
+++ b/pebblehinge/lab/crash/processes.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.crash.writers import Books, Writer
 from pebblehinge.settings.load import loads
 from pebblehinge.storage_node import Contents
-from pebblehinge.storage_node.contents import read_journal
+from pebblehinge.storage_node.journal import read_journal
 
 
 class Sockets:
@@ -93,10 +93,10 @@
         rows = []
         for path in sorted((self.folder / "store").rglob("effects.journal")):
             contents = Contents()
-            for _, record in read_journal(path):
-                contents._apply(record)
-                if record[4]:
-                    rows.append((record[0], len(rows), record[4]))
+            for entry in read_journal(path):
+                contents.apply(entry.effect)
+                if entry.effect.key:
+                    rows.append((entry.effect.time_ms, len(rows), entry.effect.key))
             extents |= {x.removeprefix("bids/"): data for x, data in contents.extents.items()}
         rows.sort()
         return extents, [(x.removeprefix("wb.").rpartition(".")[0], n) for n, (_, _, x) in enumerate(rows)]
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -16,7 +16,7 @@
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.settings.load import loads
-from pebblehinge.storage_node import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, StorageNodeServer
 from pebblehinge.store import StorageError
 from pebblehinge.store.journal import Batch
 
@@ -36,7 +36,7 @@
         self.node: Node | None = None
         self.head: GatewayServer | None = None
         self.lives = 0
-        self.shelfs: list[ShelfServer] = []
+        self.shelfs: list[StorageNodeServer] = []
 
     def clock(self) -> float:
         return self.loop.now * 1000.0
@@ -69,7 +69,7 @@
         return {x.removeprefix("bids/"): data for c in self.contents for x, data in c.extents.items()}
 
     def effects(self) -> list[tuple[str, int]]:
-        rows = sorted((r[0], i, r[4]) for c in self.contents for i, r in enumerate(c.effects) if r[4])
+        rows = sorted((e.time_ms, i, e.key) for c in self.contents for i, e in enumerate(c.effects) if e.key)
         return [(label.removeprefix("wb.").rpartition(".")[0], n) for n, (_, _, label) in enumerate(rows)]
 
     async def writes(self, writer: Writer, until_ms: float) -> None:
@@ -93,7 +93,9 @@
         await listing.start()
         for n, name in enumerate(self.config.shelf):
             node, notes = self.loop.node(name), Memory()
-            shelf = ShelfServer(node, self.clock, self.config, name, self.log, notes, self.contents[n], True, self.seed)
+            shelf = StorageNodeServer(
+                node, self.clock, self.config, name, self.log, notes, self.contents[n], True, self.seed
+            )
             self.shelfs.append(shelf)
             await shelf.start()
         await self.start_head()
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -26,7 +26,7 @@
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings import Config, show
-from pebblehinge.storage_node import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, StorageNodeServer
 
 _encode = msgspec.json.Encoder().encode
 
@@ -132,7 +132,7 @@
         contents = self.contents.setdefault(config.shelf[own].slot, Contents())
         notes = self._memory(f"shelf-{own}")
         # A name's further lives differ by their seed alone, so that a restart is no replay of the first hour.
-        shelf = ShelfServer(node, self.clock, config, own, self.log, notes, contents, not cold, self.seed)
+        shelf = StorageNodeServer(node, self.clock, config, own, self.log, notes, contents, not cold, self.seed)
         speed = shelf.machine.kind.speed
         shelf.machine.speed = random.Random(f"{self.fleet_seed}/{own}").uniform(*speed)
         self.servers[name] = shelf
--- /dev/null
+++ b/pebblehinge/storage_node/cold_budget.py
@@ -0,0 +1,44 @@
+"""How much work reaches a machine that is warming up: too much of it crashes the machine."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import NamedTuple
+
+
+class Arrival(NamedTuple):
+    """Work that reached the machine at a time, in milliseconds."""
+
+    time_ms: float
+    work_ms: float
+
+
+class ColdBudget:
+    """The work that arrived within a sliding window, held against a limit.
+
+    Args:
+        window_ms: The length of the window.
+
+    Attributes:
+        peak_load: The highest part of the limit that was ever asked; above 1 if the limit was exceeded.
+    """
+
+    def __init__(self, window_ms: float) -> None:
+        self.window_ms = window_ms
+        self.peak_load = 0.0
+        self._arrivals: deque[Arrival] = deque()
+        self._sum_ms = 0.0
+
+    def clear(self) -> None:
+        """Forgets all arrivals; the peak stays."""
+        self._arrivals.clear()
+        self._sum_ms = 0.0
+
+    def add(self, now_ms: float, work_ms: float, limit_ms: float) -> bool:
+        """Adds an arrival; returns whether the work within the window exceeds the limit."""
+        self._arrivals.append(Arrival(now_ms, work_ms))
+        self._sum_ms += work_ms
+        while self._arrivals and self._arrivals[0].time_ms <= now_ms - self.window_ms:
+            self._sum_ms -= self._arrivals.popleft().work_ms
+        self.peak_load = max(self.peak_load, self._sum_ms / limit_ms)
+        return self._sum_ms > limit_ms
--- a/pebblehinge/storage_node/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -1,107 +1,162 @@
-"""One connection to a stand-in shelf: attempts in, outcomes out, and the lab's control frames."""
+"""One connection to a storage node: attempts in, outcomes out, and the lab's control frames."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, Protocol
+from dataclasses import dataclass, field
+from typing import Any
 
 from pebblehinge.net import Peer
-from pebblehinge.settings.schema import Config
-from pebblehinge.storage_node.machine import Faults, Machine
+from pebblehinge.settings.schema import LimitsBlock
+from pebblehinge.storage_node.attempt import Attempt, AttemptStatus
+from pebblehinge.storage_node.errors import ControlError
+from pebblehinge.storage_node.requests import RequestHandler
 from pebblehinge.wire import Kind, Session, WireError
+from pebblehinge.wire.frames import PREFIX
 
+ROLE = "shelf"
+"""The role of a storage node, in its greeting and in its event log."""
 
-class Attempt:
-    __slots__ = ("conn", "number", "id", "attempt", "extent", "op", "offset", "length", "label", "data", "job")
+GATEWAY_ROLE = "head"
+"""The role of a gateway in its greeting."""
 
+CONTROLLER_ROLE = "lab"
+"""The only role that may send CONTROL."""
 
-class Shelf(Protocol):
-    """What a connection needs of the shelf that it belongs to."""
+GARBLED_BIT = 0x40
+"""The bit of one byte of a frame that a garbled frame has flipped."""
+
+ControlHandler = Callable[[str, dict[str, Any]], str]
+"""Carries out a control verb with its values; returns the response, and raises ControlError."""
+
+
+@dataclass(slots=True)
+class ConnectionContext:
+    """What the connections of one storage node share.
+
+    Attributes:
+        loop: The event loop.
+        limits: The limits of a connection.
+        name: The storage node's name.
+        requests: What executes attempts.
+        control: What carries out the lab's control verbs.
+        connections: All that stand, in the order in which they were made; the values have no meaning.
+    """
 
     loop: asyncio.AbstractEventLoop
-    clock: Callable[[], float]
-    config: Config
+    limits: LimitsBlock
     name: str
-    now: float
-    machine: Machine
-    faults: Faults
-    conns: dict[ShelfConn, None]
+    requests: RequestHandler
+    control: ControlHandler
+    connections: dict[NodeConnection, None] = field(default_factory=dict)
 
-    def take(self, t: Attempt, units: float, left_ms: float) -> None: ...
-    def recall(self, t: Attempt) -> None: ...
-    def control(self, verb: str, values: dict[str, Any]) -> str: ...
 
+class NodeConnection(Peer):
+    """The connection of a gateway or of the lab.
 
-class ShelfConn(Peer):
-    """One head's (or the lab's) connection."""
+    Attributes:
+        attempts: The attempts that were accepted and not answered, by their number.
+        is_half_open: Whether nothing is read or written any more, though the connection stands.
+    """
 
     FRAMES = frozenset({Kind.TRIP, Kind.RECALL, Kind.CONTROL})
 
-    def __init__(self, shelf: Shelf) -> None:
-        limits = shelf.config.limits
-        session = Session("shelf", shelf.name, limits.frame, limits.streams, greets=False)
-        super().__init__(shelf.loop, session, limits.stall, limits.keepalive)
-        self.shelf = shelf
+    def __init__(self, context: ConnectionContext) -> None:
+        limits = context.limits
+        session = Session(ROLE, context.name, limits.frame, limits.streams, greets=False)
+        super().__init__(context.loop, session, limits.stall, limits.keepalive)
+        self.context = context
         self.attempts: dict[int, Attempt] = {}
-        self.deaf = False
+        self.is_half_open = False
+
+    @property
+    def gateway(self) -> str:
+        """The name that the other end greeted with."""
+        return self.session.peer_name
 
-    def connection_made(self, transport: Any) -> None:
+    @property
+    def is_gateway(self) -> bool:
+        """Whether the other end greeted as a gateway."""
+        return self.session.peer_role == GATEWAY_ROLE
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the connection among those of the storage node; a crashed one cuts it."""
         super().connection_made(transport)
-        self.shelf.conns[self] = None
-        if self.shelf.machine.fell:
+        self.context.connections[self] = None
+        if self.context.requests.machine.has_crashed:
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        if not self.deaf:
+        """Handles the frames, unless the connection is half open."""
+        if not self.is_half_open:
             super().data_received(data)
 
-    def _write(self, data: bytes) -> None:
-        if self.deaf:
-            return
-        if self.shelf.faults.hits(self.shelf.faults.garble) and self.session.peer_role == "head":
-            data = bytearray(data)
-            data[self.shelf.faults.rng.randrange(8, len(data))] ^= 0x40
-            data = bytes(data)
-        super()._write(data)
-
     def gone(self, exc: Exception | None) -> None:
-        self.shelf.conns.pop(self, None)
+        """Forgets the connection."""
+        self.context.connections.pop(self, None)
 
     def batch(self) -> None:
-        self.shelf.now = self.shelf.clock()
+        """Reads the clock once for all frames that came together."""
+        self.context.requests.read_clock()
+
+    def send_outcome(self, number: int, status: AttemptStatus, reason: str, data: bytes) -> None:
+        """Sends the outcome of an attempt.
+
+        Args:
+            number: The attempt's number on this connection.
+            status: How it ended.
+            reason: Why, if it didn't succeed.
+            data: What was read, or the result of an append.
+        """
+        self.send(Kind.OUTCOME, number, status.value, reason, data)
 
     def on_trip(
         self,
         number: int,
-        id_: str,
+        request_id: str,
         attempt: int,
         extent: str,
-        op: int,
+        operation: int,
         offset: int,
         length: int,
         units: float,
-        label: str | None,
+        key: str | None,
         left_ms: float,
         data: bytes,
     ) -> None:
+        """Accepts or rejects an attempt, whose fields `Attempt` and `RequestHandler.accept` describe.
+
+        Raises:
+            WireError: An attempt of this number has no outcome yet.
+        """
         if number in self.attempts:
             raise WireError(f"TRIP: number {number} is out already")
-        t = Attempt()
-        t.conn, t.number, t.id, t.attempt, t.extent, t.op = self, number, id_, attempt, extent, op
-        t.offset, t.length, t.label, t.data = offset, length, label, data
-        self.shelf.take(t, units, left_ms)
+        accepted = Attempt(self, number, request_id, attempt, extent, operation, offset, length, key, data)
+        self.context.requests.accept(accepted, units, left_ms)
 
     def on_recall(self, number: int) -> None:
-        t = self.attempts.get(number)
-        if t is not None:
-            self.shelf.recall(t)
+        """Cancels an attempt, unless it has an outcome already."""
+        attempt = self.attempts.get(number)
+        if attempt is not None:
+            self.context.requests.cancel(attempt)
 
     def on_control(self, token: int, verb: str, values: dict[str, float | str]) -> None:
-        if self.session.peer_role != "lab":
+        """Carries out a control verb of the lab; raises WireError for anyone else."""
+        if self.session.peer_role != CONTROLLER_ROLE:
             raise WireError("CONTROL is for the lab")
         try:
-            said = self.shelf.control(verb, values)
-        except (KeyError, TypeError, ValueError) as error:
-            said = f"no: {error}"
-        self.send(Kind.CONTROLLED, token, said)
+            response = self.context.control(verb, values)
+        except ControlError as error:
+            response = f"no: {error}"
+        self.send(Kind.CONTROLLED, token, response)
+
+    def _write(self, data: bytes) -> None:
+        if self.is_half_open:
+            return
+        network = self.context.requests.network
+        if network.occurs(network.garbled_frames) and self.is_gateway:
+            garbled = bytearray(data)
+            garbled[network.rng.randrange(PREFIX, len(garbled))] ^= GARBLED_BIT
+            data = bytes(garbled)
+        super()._write(data)
--- /dev/null
+++ b/pebblehinge/storage_node/effects.py
@@ -0,0 +1,58 @@
+"""The effects of attempts on the contents: each write once within its key's window, each append at its place."""
+
+from __future__ import annotations
+
+from pebblehinge.event_log import EventLog, NullEventLog
+from pebblehinge.storage_node.attempt import Attempt
+from pebblehinge.storage_node.contents import Contents
+from pebblehinge.storage_node.journal import Effect
+from pebblehinge.wire.frames import APPEND, WRITE
+
+EFFECTS_PER_CLEANUP = 1024
+"""After so many effects old idempotency keys are forgotten."""
+
+
+class EffectApplier:
+    """Applies writes and appends, and notes what became of each.
+
+    Args:
+        contents: What they are applied to.
+        events: Where events are written.
+        key_window_ms: For how long an idempotency key is known.
+
+    Attributes:
+        count: The number of effects so far.
+    """
+
+    def __init__(self, contents: Contents, events: EventLog | NullEventLog, key_window_ms: float) -> None:
+        self._contents = contents
+        self._events = events
+        self._key_window_ms = key_window_ms
+        self.count = 0
+
+    def is_duplicate(self, attempt: Attempt, now: float) -> bool:
+        """Whether a write with the attempt's idempotency key has taken effect already."""
+        return attempt.key is not None and self._contents.is_applied(attempt.key, now, self._key_window_ms)
+
+    def apply(self, attempt: Attempt, now: float) -> bool:
+        """Applies a write, unless its key says that it was applied, or an append, if the extent ends at its offset.
+
+        Returns:
+            Whether it took effect.
+        """
+        request_id, key, extent, offset = attempt.request_id, attempt.key, attempt.extent, attempt.offset
+        if attempt.operation == APPEND and self._contents.length(extent) != offset:
+            self._events.note(now, "beside", id=request_id, n=attempt.attempt, x=extent, offset=offset)
+            return False
+        if attempt.operation not in (WRITE, APPEND):
+            return False
+        if attempt.operation == WRITE and self.is_duplicate(attempt, now):
+            self._events.note(now, "repeat", id=request_id, n=attempt.attempt, label=key)
+            return False
+        self.count += 1
+        if self.count % EFFECTS_PER_CLEANUP == 0:
+            self._contents.forget_keys(now, self._key_window_ms)
+        size = len(attempt.data)
+        self._events.note(now, "effect", id=request_id, n=attempt.attempt, label=key, x=extent, bytes=size)
+        self._contents.write(Effect(now, request_id, extent, offset, key, attempt.data, attempt.attempt))
+        return True
--- /dev/null
+++ b/pebblehinge/storage_node/errors.py
@@ -0,0 +1,13 @@
+"""The errors of the storage node."""
+
+
+class StorageNodeError(Exception):
+    """Any error of this package."""
+
+
+class JournalError(StorageNodeError):
+    """A journal of effects is damaged before its end; the message names the file and the byte."""
+
+
+class ControlError(StorageNodeError):
+    """A control request of the lab has an unknown verb, or lacks a value or has one that is none."""
--- a/pebblehinge/storage_node/machine.py
+++ b/pebblehinge/storage_node/machine.py
@@ -1,8 +1,8 @@
-"""A shelf as a machine in time, with no sockets and no clock of its own: a stand-in, not a measurement.
+"""A storage node as a machine in time, without sockets and without a clock of its own: a model, not a measurement.
 
-Work is counted in milliseconds of one core at speed 1. All cores go at one rate, which changes with warmth,
-pauses and troubles, so one running sum of work done a core decides when a job ends. `advance(now)` brings the
-machine up to a time and returns what ended; `next_ms()` says when to call it again.
+Work is counted in milliseconds of one core at speed 1. All cores go at one rate, which changes with warmth, pauses and
+faults, so one running sum of the work done by each core decides when a job ends. `advance(now)` brings the machine up
+to a time and returns what ended; `next_event_ms()` says when to call it again.
 """
 
 from __future__ import annotations
@@ -10,228 +10,212 @@
 import heapq
 import random
 from collections import deque
-from dataclasses import dataclass, field
-from typing import Any
+from typing import Generic
 
 from pebblehinge.settings.policy import RulesBlock
 from pebblehinge.settings.schema import KindBlock
+from pebblehinge.storage_node.cold_budget import ColdBudget
+from pebblehinge.storage_node.faults import MachineFaults
+from pebblehinge.storage_node.job import Job, Owner, RunningWork
 
-GRID_MS = 20.0  # how finely a changing rate is followed
+RATE_STEP_MS = 20.0
+"""The longest step in which a rate that changes continuously is taken as constant."""
 
+ALWAYS_WARM_MS = -1e12
+"""The start of a machine that has been running for long."""
 
-@dataclass(slots=True, eq=False)
-class Job:
-    """One request in the machine."""
+MAX_DUPLICATE_WORK_MS = 0.1
+"""What a duplicate of an applied write costs at most."""
 
-    owner: Any
-    units: float
-    write: bool
-    extent: str
-    attempt: int
-    until_ms: float  # a request whose time is up is not begun
-    cheap: bool = False  # an ended repeat of a label costs next to nothing
-    dropped: bool = False
-    began: bool = False
-    work: float = 0.0
+SLACK_REQUESTS = 2.0
+"""How many of the largest requests a cold machine bears beyond its budget."""
 
+WORK_TOLERANCE_MS = 1e-9
+"""Rounding that a sum of work may be off by."""
 
-@dataclass(slots=True)
-class Strike:
-    """Troubles that act on the machine now."""
+JITTER = (0.8, 1.2)
+"""The range of the factor by which intervals vary."""
 
-    slow: float = 1.0
-    hang: bool = False
-    neighbour: float = 0.0  # share taken while it is on
-    neighbour_ms: float = 0.0  # on and off in turn
-    pause_ms: float = 0.0
-    pause_every_ms: float = 0.0
-    errors: float = 0.0
+NEVER_MS = float("inf")
 
 
-class Machine:
-    """Cores, slots, a queue in order of arrival, a memory of extents, flushes, pauses and a cold start."""
+class Machine(Generic[Owner]):
+    """Cores, a queue in order of arrival, a cache of extents, flushes, pauses and a cold start.
 
-    def __init__(self, kind: KindBlock, rules: RulesBlock, rng: random.Random, now: float, warm: bool) -> None:
-        self.kind, self.rules, self.rng = kind, rules, rng
-        self.now = self.started_ms = now
-        self.warm_from = -1e12 if warm else now
+    Args:
+        kind: The machine's capacity and habits.
+        rules: What a cold machine bears.
+        rng: What speed, work and intervals are drawn with.
+        now: The present in milliseconds.
+        is_warm: Whether it has been running for long; else it starts now, and warms up.
+
+    Attributes:
+        has_crashed: Whether a cold machine was asked for too much; it does nothing any more.
+    """
+
+    def __init__(self, kind: KindBlock, rules: RulesBlock, rng: random.Random, now: float, is_warm: bool) -> None:
+        self.kind = kind
+        self.rules = rules
+        self.rng = rng
+        self.now = now
+        self.started_ms = now
+        self.warming_since_ms = ALWAYS_WARM_MS if is_warm else now
         self.speed = rng.uniform(*kind.speed)
-        self.strike = Strike()
-        self.queue: deque[Job] = deque()
-        self.running: list[tuple[float, int, Job | None]] = []  # by the sum of work at which it ends
-        self.done = 0.0  # work done by each core since the start
-        self.order = 0
-        self.extents: deque[str] = deque(maxlen=kind.remembers or None)
-        self.put_off = 0.0
+        self.faults = MachineFaults()
+        self.queue: deque[Job[Owner]] = deque()
+        self.running: list[RunningWork[Owner]] = []  # a heap
+        self.done_ms = 0.0  # work done by each core since the start
+        self.cached_extents: deque[str] = deque(maxlen=kind.remembers or None)
+        self.deferred_ms = 0.0  # work of writes that waits for the next flush
         self.flush_ms = now + rng.uniform(0.5, 1.0) * kind.flush
-        self.paused_until = 0.0
-        self.pause_ms = now + rng.uniform(0.2, 1.0) * kind.pause_every if kind.pause else float("inf")
-        self.extra_pause_ms = float("inf")
-        self.fell = False
-        self.got: deque[tuple[float, float]] = deque()  # when and how much work reached a cold machine
-        self.got_sum = 0.0
-        self.worst_fill = 0.0  # highest part of the cold budget that was asked
+        self.paused_until_ms = 0.0
+        self.pause_ms = now + rng.uniform(0.2, 1.0) * kind.pause_every if kind.pause else NEVER_MS
+        self.fault_pause_ms = NEVER_MS
+        self.has_crashed = False
+        self.cold_budget = ColdBudget(rules.fall_window)
+        self._order = 0
 
-    # ---- what it can do
+    # ---- capacity
 
     def warmth(self, now: float) -> float:
+        """Returns the part of its full speed that the machine has reached, 1 once it is warm."""
         kind = self.kind
-        return min(1.0, kind.cold_from + (1.0 - kind.cold_from) * (now - self.warm_from) / max(1.0, kind.cold))
+        age_ms = now - self.warming_since_ms
+        return min(1.0, kind.cold_from + (1.0 - kind.cold_from) * age_ms / max(1.0, kind.cold))
 
     def capacity(self, now: float) -> float:
-        """Work a millisecond that the machine could do were nothing wrong with it but its being cold."""
+        """Returns the work a millisecond of all cores, without faults and load."""
         return self.kind.cores * self.speed * self.warmth(now)
 
     def rate(self, now: float) -> float:
-        """Work a millisecond of one core."""
-        s = self.strike
-        if self.fell or s.hang or now < self.paused_until:
+        """Returns the work a millisecond of one core."""
+        faults = self.faults
+        if self.has_crashed or faults.is_hung or now < self.paused_until_ms:
             return 0.0
-        rate = self.speed * self.warmth(now) / s.slow
-        if s.neighbour and int(now / max(1.0, s.neighbour_ms)) % 2 == 0:
-            rate *= 1.0 - s.neighbour
-        crowd = (len(self.queue) + len(self.running)) / max(1, self.kind.cores * self.kind.slots)
-        if crowd > 1.0:
-            rate /= 1.0 + self.kind.thrash * min(1.0, crowd - 1.0)
+        rate = self.speed * self.warmth(now) / faults.slowdown
+        if faults.neighbor_share and int(now / max(1.0, faults.neighbor_period_ms)) % 2 == 0:
+            rate *= 1.0 - faults.neighbor_share
+        crowding = (len(self.queue) + len(self.running)) / max(1, self.kind.cores * self.kind.slots)
+        if crowding > 1.0:
+            rate /= 1.0 + self.kind.thrash * min(1.0, crowding - 1.0)
         return rate
 
-    # ---- requests
-
-    def work_of(self, job: Job) -> float:
-        """Draws the work of a job; one on a remembered extent costs less at its first attempt."""
-        work = job.units * self.kind.unit_work * self.rng.uniform(1.0 - self.kind.noise, 1.0 + self.kind.noise)
-        if job.cheap:
-            return min(work, 0.1)
-        if job.extent in self.extents and job.attempt == 0:
-            work *= 1.0 - self.kind.seek
-        return work
+    # ---- jobs
 
-    def take(self, now: float, job: Job) -> bool:
-        """False where it is turned away unseen."""
+    def submit(self, now: float, job: Job[Owner]) -> bool:
+        """Queues a job; returns False if the queue is full or the machine has crashed, maybe by this very job."""
         kind = self.kind
-        job.work = self.work_of(job)
-        self._reached(now, job.work)
-        room = kind.queue * kind.cores + max(0, kind.cores - len(self.running))
-        if self.fell or len(self.queue) >= room:
+        job.work_ms = self._draw_work(job)
+        self._charge_cold_budget(now, job.work_ms)
+        capacity = kind.queue * kind.cores + max(0, kind.cores - len(self.running))
+        if self.has_crashed or len(self.queue) >= capacity:
             return False
         if kind.remembers:
-            if job.extent in self.extents:
-                self.extents.remove(job.extent)
-            self.extents.append(job.extent)
+            if job.extent in self.cached_extents:
+                self.cached_extents.remove(job.extent)
+            self.cached_extents.append(job.extent)
         self.queue.append(job)
         return True
 
-    def drop(self, job: Job) -> None:
-        """Called off: waiting work is dropped, running work goes on."""
-        job.dropped = True
+    def start_queued(self, now: float) -> None:
+        """Starts queued jobs on idle cores.
 
-    def _reached(self, now: float, work: float) -> None:
-        """The cold budget: work that reached it within the window against multiple x capacity x window."""
-        if self.fell or self.warmth(now) >= 1.0:
-            self.got.clear()
-            self.got_sum = 0.0
+        A caller that submits several jobs together starts them after the last one, so that a job that is cancelled
+        among them is never started.
+        """
+        while self.queue and len(self.running) < self.kind.cores:
+            job = self.queue.popleft()
+            if job.is_cancelled or now >= job.deadline_ms:
+                continue
+            job.has_started = True
+            work_ms = job.work_ms
+            if job.is_write:
+                self.deferred_ms += work_ms * self.kind.defer
+                work_ms *= 1.0 - self.kind.defer
+            self._run(work_ms, job)
+
+    def _draw_work(self, job: Job[Owner]) -> float:
+        work_ms = job.units * self.kind.unit_work * self.rng.uniform(1.0 - self.kind.noise, 1.0 + self.kind.noise)
+        if job.is_duplicate:
+            return min(work_ms, MAX_DUPLICATE_WORK_MS)
+        if job.extent in self.cached_extents and job.attempt == 0:
+            work_ms *= 1.0 - self.kind.seek
+        return work_ms
+
+    def _charge_cold_budget(self, now: float, work_ms: float) -> None:
+        if self.has_crashed or self.warmth(now) >= 1.0:
+            self.cold_budget.clear()
             return
-        window = self.rules.fall_window
-        self.got.append((now, work))
-        self.got_sum += work
-        while self.got and self.got[0][0] <= now - window:
-            self.got_sum -= self.got.popleft()[1]
-        budget = self.rules.fall_multiple * self.capacity(now) * window
-        budget += 2.0 * self.rules.most_units * self.kind.unit_work  # a little slack for chance
-        self.worst_fill = max(self.worst_fill, self.got_sum / budget)
-        if self.got_sum > budget:
-            self.fell = True
+        limit_ms = self.rules.fall_multiple * self.capacity(now) * self.rules.fall_window
+        limit_ms += SLACK_REQUESTS * self.rules.most_units * self.kind.unit_work
+        if self.cold_budget.add(now, work_ms, limit_ms):
+            self.has_crashed = True
             self.queue.clear()
             self.running.clear()
 
+    def _run(self, work_ms: float, job: Job[Owner] | None) -> None:
+        self._order += 1
+        heapq.heappush(self.running, RunningWork(self.done_ms + work_ms, self._order, job))
+
     # ---- time
 
-    def begin(self, now: float) -> None:
-        """Work begins on what was taken. A caller that takes several together begins after the last of them, so
-        that what is called off among them is never begun."""
-        while self.queue and len(self.running) < self.kind.cores:
-            job = self.queue.popleft()
-            if job.dropped or now >= job.until_ms:
-                continue
-            job.began = True
-            work = job.work
-            if job.write:
-                self.put_off += work * self.kind.defer
-                work *= 1.0 - self.kind.defer
-            self.order += 1
-            heapq.heappush(self.running, (self.done + work, self.order, job))
-
-    def advance(self, now: float) -> list[Job]:
-        """Brings the machine up to `now`; the jobs that ended meanwhile, in order."""
-        ended: list[Job] = []
+    def advance(self, now: float) -> list[Job[Owner]]:
+        """Brings the machine up to `now`; returns the jobs that ended since, in order."""
+        ended: list[Job[Owner]] = []
         while True:
-            at = min(now, self._turn())
-            rate = self.rate(self.now)
-            self.done += rate * max(0.0, at - self.now)
-            self.now = max(self.now, at)
-            while self.running and self.running[0][0] <= self.done + 1e-9:
-                _, _, job = heapq.heappop(self.running)
+            step_ms = min(now, self._next_change_ms())
+            self.done_ms += self.rate(self.now) * max(0.0, step_ms - self.now)
+            self.now = max(self.now, step_ms)
+            while self.running and self.running[0].end_work_ms <= self.done_ms + WORK_TOLERANCE_MS:
+                job = heapq.heappop(self.running).job
                 if job is not None:
                     ended.append(job)
-            self._happen()
-            self.begin(self.now)
-            if at >= now:
+            self._start_pauses_and_flush()
+            self.start_queued(self.now)
+            if step_ms >= now:
                 return ended
 
-    def _turn(self) -> float:
-        """The next time at which something changes: a job ends, a pause, a flush, a step of warmth."""
+    def next_event_ms(self) -> float:
+        """Returns when to call `advance` next; infinite if only a new job can change anything."""
+        if not self.running or self.has_crashed:
+            return NEVER_MS
+        return self._next_change_ms()
+
+    def set_faults(self, now: float, faults: MachineFaults) -> list[Job[Owner]]:
+        """Replaces the faults that act on the machine; returns the jobs that ended before."""
+        ended = self.advance(now)
+        self.faults = faults
+        self.fault_pause_ms = NEVER_MS
+        if faults.pause_ms:
+            self.fault_pause_ms = now + self.rng.uniform(0.1, 1.0) * faults.pause_interval_ms
+        return ended
+
+    def _next_change_ms(self) -> float:
+        """When a job ends, a pause begins or ends, a flush is due, or the rate has changed by a step."""
         now = self.now
-        at = min(self.pause_ms, self.extra_pause_ms, self.flush_ms)
-        if now < self.paused_until:
-            at = min(at, self.paused_until)
+        change_ms = min(self.pause_ms, self.fault_pause_ms, self.flush_ms)
+        if now < self.paused_until_ms:
+            change_ms = min(change_ms, self.paused_until_ms)
         rate = self.rate(now)
         if self.running and rate > 0.0:
-            at = min(at, now + max(0.0, self.running[0][0] - self.done) / rate)
-        if self.running and (self.warmth(now) < 1.0 or self.strike.neighbour):
-            at = min(at, now + GRID_MS)
-        return max(at, now)
+            change_ms = min(change_ms, now + max(0.0, self.running[0].end_work_ms - self.done_ms) / rate)
+        if self.running and (self.warmth(now) < 1.0 or self.faults.neighbor_share):
+            change_ms = min(change_ms, now + RATE_STEP_MS)
+        return max(change_ms, now)
 
-    def _happen(self) -> None:
-        now, kind, strike = self.now, self.kind, self.strike
+    def _start_pauses_and_flush(self) -> None:
+        now = self.now
+        kind = self.kind
+        faults = self.faults
         if now >= self.pause_ms:
-            self.paused_until = max(self.paused_until, now + kind.pause)
-            self.pause_ms = now + kind.pause_every * self.rng.uniform(0.8, 1.2) + kind.pause
-        if now >= self.extra_pause_ms:
-            self.paused_until = max(self.paused_until, now + strike.pause_ms)
-            gap = strike.pause_every_ms * self.rng.uniform(0.8, 1.2) + strike.pause_ms
-            self.extra_pause_ms = now + gap if strike.pause_ms else float("inf")
+            self.paused_until_ms = max(self.paused_until_ms, now + kind.pause)
+            self.pause_ms = now + kind.pause_every * self.rng.uniform(*JITTER) + kind.pause
+        if now >= self.fault_pause_ms:
+            self.paused_until_ms = max(self.paused_until_ms, now + faults.pause_ms)
+            interval_ms = faults.pause_interval_ms * self.rng.uniform(*JITTER) + faults.pause_ms
+            self.fault_pause_ms = now + interval_ms if faults.pause_ms else NEVER_MS
         if now >= self.flush_ms:
-            self.flush_ms = now + kind.flush * self.rng.uniform(0.8, 1.2)
-            if self.put_off and not self.fell:
-                self.order += 1
-                heapq.heappush(self.running, (self.done + self.put_off / kind.cores, self.order, None))
-                self.put_off = 0.0
-
-    def next_ms(self) -> float:
-        """When `advance` is wanted next; infinite where only a new request can change anything."""
-        if not self.running or self.fell:
-            return float("inf")
-        return self._turn()
-
-    def set_strike(self, now: float, **values: float | bool) -> list[Job]:
-        """Troubles begin or end; returns what had ended by then."""
-        ended = self.advance(now)
-        for name, value in values.items():
-            setattr(self.strike, name, value)
-        s = self.strike
-        self.extra_pause_ms = now + self.rng.uniform(0.1, 1.0) * s.pause_every_ms if s.pause_ms else float("inf")
-        return ended
-
-
-@dataclass(slots=True)
-class Faults:
-    """Troubles of the way rather than of the machine; each is a probability for one attempt or frame."""
-
-    resets: float = 0.0
-    garble: float = 0.0
-    lost_answers: float = 0.0
-    deaf: bool = False
-    rng: random.Random = field(default_factory=lambda: random.Random(0))
-
-    def hits(self, chance: float) -> bool:
-        return chance > 0.0 and self.rng.random() < chance
+            self.flush_ms = now + kind.flush * self.rng.uniform(*JITTER)
+            if self.deferred_ms and not self.has_crashed:
+                self._run(self.deferred_ms / kind.cores, None)
+                self.deferred_ms = 0.0
--- a/pebblehinge/storage_node/requests.py
+++ b/pebblehinge/storage_node/requests.py
@@ -1,186 +1,218 @@
-"""What a stand-in shelf does with requests: its machine's queue and time, effects on its contents, and outcomes."""
+"""What a storage node does with attempts: the machine's queue and time, effects on its contents, and outcomes."""
 
 from __future__ import annotations
 
 import asyncio
-import random
 from collections.abc import Callable
 
 from pebblehinge.event_log import EventLog, NullEventLog
-from pebblehinge.settings.schema import Config
-from pebblehinge.storage_node.connection import Attempt
-from pebblehinge.storage_node.contents import Contents
-from pebblehinge.storage_node.machine import Faults, Job, Machine
-from pebblehinge.wire import Kind
+from pebblehinge.storage_node.attempt import Attempt, AttemptStatus
+from pebblehinge.storage_node.effects import EffectApplier
+from pebblehinge.storage_node.job import Job
+from pebblehinge.storage_node.machine import NEVER_MS
+from pebblehinge.storage_node.simulation import Simulation
 from pebblehinge.wire.frames import APPEND, APPENDED, WRITE
 
-DONE, SERVER_ERROR, FULL = 0, 1, 2
+UNSEEN_RESETS = 0.5
+"""The part of the resets that come before the attempt is seen; the others come before its response."""
 
+APPLIED_ERRORS = 0.5
+"""The part of the errors that come after the effect, so that no gateway may take them for unapplied."""
 
-class Requests:
-    """The requests of one shelf. `warm` is False where its process has just started after a crash."""
+TIMER_MARGIN_S = 0.0005
+"""How much later than the machine's next event the timer is set, so that the event is due when it fires."""
+
+
+class RequestHandler:
+    """Executes the attempts of all connections.
+
+    Args:
+        loop: The event loop, which makes the timers.
+        clock: The present in milliseconds, by the clock of the loop.
+        simulation: The machine, its contents and faults.
+        events: Where events are written.
+        on_crash: Called with the present when the machine has crashed.
+
+    Attributes:
+        now: The present in milliseconds, read once for all that comes in one batch.
+        effects: What applies writes and appends to the contents.
+        is_draining: Whether all attempts are rejected.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        config: Config,
-        name: str,
-        records: EventLog | NullEventLog | None,
-        contents: Contents | None,
-        warm: bool,
-        seed: int,
+        simulation: Simulation,
+        events: EventLog | NullEventLog,
+        on_crash: Callable[[float], None],
     ) -> None:
-        self.loop, self.clock, self.config, self.name = loop, clock, config, name
-        self.block = config.shelf[name]
-        self.records = records or NullEventLog()
-        self.now = clock()
-        self.rng = random.Random(f"{seed}/{name}")
-        self.machine = Machine(config.kind[self.block.kind], config.rules, self.rng, self.now, warm)
-        self.contents = contents or Contents()
-        self.window = max((p.window for p in config.profile.values()), default=0.0)
-        self.faults = Faults(rng=random.Random(f"{seed}/{name}/faults"))
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_ms = float("inf")
-        self.draining = self.closed = False
-        self.told_fall = self.beginning = False
-        self.effects = 0
-
-    def take(self, t: Attempt, units: float, left_ms: float) -> None:
-        now, faults = self.now, self.faults
-        self._advance(now)
-        before = faults.hits(faults.resets)
-        if before and faults.rng.random() < 0.5:
-            self.records.note(now, "reset", id=t.id, n=t.attempt, head=t.conn.session.peer_name, unseen=True)
-            t.conn.abort()
+        self.loop = loop
+        self.clock = clock
+        self.machine = simulation.machine
+        self.contents = simulation.contents
+        self.network = simulation.network
+        self.rng = simulation.rng
+        self.effects = EffectApplier(simulation.contents, events, simulation.key_window_ms)
+        self.events = events
+        self.now = self.machine.now
+        self.is_draining = False
+        self._on_crash = on_crash
+        self._is_closed = False
+        self._crash_reported = False
+        self._start_scheduled = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_ms = NEVER_MS
+
+    def read_clock(self) -> float:
+        """Reads the clock for what is handled next; returns the present in milliseconds."""
+        self.now = self.clock()
+        return self.now
+
+    def close(self) -> None:
+        """Stops the timer; nothing is started any more."""
+        self._is_closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+
+    # ---- attempts
+
+    def accept(self, attempt: Attempt, units: float, left_ms: float) -> None:
+        """Accepts or rejects an attempt.
+
+        Args:
+            attempt: The attempt.
+            units: The size of its request.
+            left_ms: The time until its deadline, after which it isn't started.
+        """
+        now = self.now
+        self.end_jobs(self.machine.advance(now))
+        is_reset = self.network.occurs(self.network.resets)
+        if is_reset and self.network.rng.random() < UNSEEN_RESETS:
+            gateway = attempt.connection.gateway
+            self.events.note(now, "reset", id=attempt.request_id, n=attempt.attempt, head=gateway, unseen=True)
+            attempt.connection.abort()
+            return
+        if self._draw_error():
+            self._fail(attempt, units)
+            return
+        job = self._job_of(attempt, units, now + left_ms)
+        is_accepted = not self.is_draining and self.machine.submit(now, job)
+        self._note_received(attempt, units, job.work_ms, is_full=not is_accepted)
+        if self.machine.has_crashed and not self._crash_reported:
+            self._crash_reported = True
+            self._on_crash(now)
             return
-        chance = self.machine.strike.errors or self.machine.kind.errors
-        if chance and self.rng.random() < chance:
-            # An error that comes at once: half of them after the effect, so that nobody may trust them.
-            self.records.note(
-                now,
-                "got",
-                id=t.id,
-                n=t.attempt,
-                head=t.conn.session.peer_name,
-                x=t.extent,
-                u=units,
-                w=0.0,
-                op=t.op,
-                full=False,
-                label=t.label,
-                cold=self.machine.warmth(now) < 1.0,
-            )
-            if self.rng.random() < 0.5:
-                self._effect(t, now)
-            self._answer(t, SERVER_ERROR, "failed", b"")
+        if not is_accepted:
+            reason = "draining" if self.is_draining else "full"
+            attempt.connection.send_outcome(attempt.number, AttemptStatus.OVERLOADED, reason, b"")
             return
-        cheap = t.label is not None and self.contents.done(t.label, now, self.window)
-        job = Job(t, units, t.op in (WRITE, APPEND), t.extent, t.attempt, now + left_ms, cheap)
-        t.job = job
-        taken = not self.draining and self.machine.take(now, job)
-        self.records.note(
-            now,
+        attempt.connection.attempts[attempt.number] = attempt
+        if is_reset:  # the attempt is executed, and its response finds no connection
+            attempt.connection.abort()
+        if not self._start_scheduled:
+            self._start_scheduled = True
+            self.loop.call_soon(self._start_jobs)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Cancels an accepted attempt: queued work is dropped, running work goes on."""
+        job = attempt.job
+        assert job is not None, "an accepted attempt has a job"
+        job.is_cancelled = True
+        if not job.has_started:
+            attempt.connection.attempts.pop(attempt.number, None)
+        self.events.note(self.now, "recalled", id=attempt.request_id, n=attempt.attempt, began=job.has_started)
+
+    def end_jobs(self, jobs: list[Job[Attempt]]) -> None:
+        """Applies and answers the attempts of jobs that have ended by now."""
+        for job in jobs:
+            self.complete(job.owner)
+
+    def _draw_error(self) -> bool:
+        probability = self.machine.faults.error_share or self.machine.kind.errors
+        return bool(probability) and self.rng.random() < probability
+
+    def _fail(self, attempt: Attempt, units: float) -> None:
+        """Answers with an error at once, in some cases after the effect."""
+        self._note_received(attempt, units, 0.0, is_full=False)
+        if self.rng.random() < APPLIED_ERRORS:
+            self.effects.apply(attempt, self.now)
+        self.respond(attempt, AttemptStatus.SERVER_ERROR, "failed", b"")
+
+    def _job_of(self, attempt: Attempt, units: float, deadline_ms: float) -> Job[Attempt]:
+        is_write = attempt.operation in (WRITE, APPEND)
+        is_duplicate = self.effects.is_duplicate(attempt, self.now)
+        job = Job(attempt, units, is_write, attempt.extent, attempt.attempt, deadline_ms, is_duplicate)
+        attempt.job = job
+        return job
+
+    def _note_received(self, attempt: Attempt, units: float, work_ms: float, *, is_full: bool) -> None:
+        self.events.note(
+            self.now,
             "got",
-            id=t.id,
-            n=t.attempt,
-            head=t.conn.session.peer_name,
-            x=t.extent,
+            id=attempt.request_id,
+            n=attempt.attempt,
+            head=attempt.connection.gateway,
+            x=attempt.extent,
             u=units,
-            w=round(job.work, 3),
-            op=t.op,
-            full=not taken,
-            label=t.label,
-            cold=self.machine.warmth(now) < 1.0,
+            w=round(work_ms, 3),
+            op=attempt.operation,
+            full=is_full,
+            label=attempt.key,
+            cold=self.machine.warmth(self.now) < 1.0,
         )
-        if self.machine.fell and not self.told_fall:
-            self._fall(now)
-            return
-        if not taken:
-            t.conn.send(Kind.OUTCOME, t.number, FULL, "draining" if self.draining else "full", b"")
-            return
-        t.conn.attempts[t.number] = t
-        if before:  # the other half of the resets: it is taken, and its answer will find no connection
-            t.conn.abort()
-        if not self.beginning:
-            self.beginning = True
-            self.loop.call_soon(self._begin)
-
-    def _begin(self) -> None:
-        """After all frames that came together: an attempt whose recall stood right behind it, as in the socket of a
-        process that was stopped for a while, must not run."""
-        self.beginning = False
-        if not self.closed:
-            self.machine.begin(self.now)
-            self._wake()
-
-    def recall(self, t: Attempt) -> None:
-        self.machine.drop(t.job)
-        if not t.job.began:
-            t.conn.attempts.pop(t.number, None)
-        self.records.note(self.now, "recalled", id=t.id, n=t.attempt, began=t.job.began)
-
-    def _advance(self, now: float) -> None:
-        for job in self.machine.advance(now):
-            if job.owner is not None:
-                self._end(job.owner, now)
-
-    def _end(self, t: Attempt, now: float) -> None:
-        if t.op == WRITE:
-            self._effect(t, now)
-            self._answer(t, DONE, "", b"")
-        elif t.op == APPEND:
-            landed = self._effect(t, now)
-            self._answer(t, DONE, "", APPENDED.pack(landed, len(self.contents.extents.get(t.extent, b""))))
+
+    # ---- effects and responses
+
+    def complete(self, attempt: Attempt) -> None:
+        """Applies and answers an attempt whose job has ended."""
+        data = b""
+        if attempt.operation == WRITE:
+            self.effects.apply(attempt, self.now)
+        elif attempt.operation == APPEND:
+            is_appended = self.effects.apply(attempt, self.now)
+            data = APPENDED.pack(is_appended, self.contents.length(attempt.extent))
         else:
-            data = self.contents.read(t.extent, t.offset, t.length)
-            self.records.note(now, "read", id=t.id, n=t.attempt)
-            self._answer(t, DONE, "", data)
-
-    def _effect(self, t: Attempt, now: float) -> bool:
-        """A write takes effect, but for a repeat whose label says that it was done; an append where the extent ends
-        at the offset that it names, and nowhere else."""
-        if t.op == APPEND and len(self.contents.extents.get(t.extent, b"")) != t.offset:
-            self.records.note(now, "beside", id=t.id, n=t.attempt, x=t.extent, offset=t.offset)
-            return False
-        if t.op not in (WRITE, APPEND):
-            return False
-        if t.op == WRITE and t.label is not None and self.contents.done(t.label, now, self.window):
-            self.records.note(now, "repeat", id=t.id, n=t.attempt, label=t.label)
-            return False
-        self.effects += 1
-        if self.effects % 1024 == 0:
-            self.contents.forget(now, self.window)
-        self.records.note(now, "effect", id=t.id, n=t.attempt, label=t.label, x=t.extent, bytes=len(t.data))
-        self.contents.write(now, t.id, t.extent, t.offset, t.data, t.label, t.attempt)
-        return True
-
-    def _answer(self, t: Attempt, status: int, reason: str, data: bytes) -> None:
-        t.conn.attempts.pop(t.number, None)
-        if self.faults.hits(self.faults.lost_answers):
-            self.records.note(self.now, "lost", id=t.id, n=t.attempt)
+            data = self.contents.read(attempt.extent, attempt.offset, attempt.length)
+            self.events.note(self.now, "read", id=attempt.request_id, n=attempt.attempt)
+        self.respond(attempt, AttemptStatus.SUCCEEDED, "", data)
+
+    def respond(self, attempt: Attempt, status: AttemptStatus, reason: str, data: bytes) -> None:
+        """Answers an attempt, as `NodeConnection.send_outcome` describes, unless the response is lost."""
+        attempt.connection.attempts.pop(attempt.number, None)
+        if self.network.occurs(self.network.lost_responses):
+            self.events.note(self.now, "lost", id=attempt.request_id, n=attempt.attempt)
             return
-        self.records.note(self.now, "said", id=t.id, n=t.attempt, status=status)
-        t.conn.send(Kind.OUTCOME, t.number, status, reason, data)
-
-    def _fall(self, now: float) -> None:
-        """The machine fell over; its sockets have to go with it."""
-        raise NotImplementedError
+        self.events.note(self.now, "said", id=attempt.request_id, n=attempt.attempt, status=status.value)
+        attempt.connection.send_outcome(attempt.number, status, reason, data)
 
     # ---- time
 
-    def _wake(self) -> None:
-        at = self.machine.next_ms()
-        if at < self.timer_ms or self.timer is None:
-            if self.timer is not None:
-                self.timer.cancel()
-                self.timer = None
-            self.timer_ms = at
-            if at < float("inf"):
-                self.timer = self.loop.call_at(at / 1000.0 + 0.0005, self._due)
-
-    def _due(self) -> None:
-        self.timer, self.timer_ms = None, float("inf")
-        self.now = self.clock()
-        self._advance(self.now)
-        self._wake()
+    def _start_jobs(self) -> None:
+        """Starts jobs once all frames that came together are handled.
+
+        An attempt whose cancellation stands right behind it, as in the socket of a process that was stopped for a
+        while, must not run.
+        """
+        self._start_scheduled = False
+        if not self._is_closed:
+            self.machine.start_queued(self.now)
+            self.set_timer()
+
+    def set_timer(self) -> None:
+        """Sets the timer to the machine's next event, if that is earlier than what it is set to."""
+        at_ms = self.machine.next_event_ms()
+        if at_ms >= self._timer_ms and self._timer is not None:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self._timer_ms = at_ms
+        if at_ms < NEVER_MS:
+            self._timer = self.loop.call_at(at_ms / 1000.0 + TIMER_MARGIN_S, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._timer_ms = NEVER_MS
+        self.end_jobs(self.machine.advance(self.read_clock()))
+        self.set_timer()
--- a/pebblehinge/storage_node/server.py
+++ b/pebblehinge/storage_node/server.py
@@ -1,32 +1,49 @@
-"""The sockets of a stand-in shelf: connections of heads, troubles by control frames, its place in the list."""
+"""The stand-in storage node as a process: its socket, its registration, and the lab's control."""
 
 from __future__ import annotations
 
 import asyncio
+import random
 from collections.abc import Callable
 from typing import Any
 
 from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.net import parse_address
 from pebblehinge.settings.schema import Config
-from pebblehinge.storage_node.requests import Requests
-from pebblehinge.storage_node.connection import ShelfConn
+from pebblehinge.storage_node.attempt import Attempt
+from pebblehinge.storage_node.connection import ROLE, ConnectionContext, NodeConnection
 from pebblehinge.storage_node.contents import Contents
-from pebblehinge.storage_node.registration import Registration
-from pebblehinge.wire import Kind, Session
-
-STRIKES = {  # control verbs and the machine's settings while they act, with their values at rest
-    "slow": {"slow": 1.0},
-    "hang": {"hang": False},
-    "neighbour": {"neighbour": 0.0, "neighbour_ms": 0.0},
-    "pauses": {"pause_ms": 0.0, "pause_every_ms": 0.0},
-    "fast-errors": {"errors": 0.0},
-}
-LINKS = {"resets": "resets", "garble": "garble", "lost-answers": "lost_answers", "half-open": "deaf"}
-
-
-class ShelfServer(Requests):
-    """A stand-in shelf. `warm` is False where its process has just started after a crash."""
+from pebblehinge.storage_node.fault_control import FaultController
+from pebblehinge.storage_node.faults import NetworkFaults
+from pebblehinge.storage_node.machine import Machine
+from pebblehinge.storage_node.registration import RegisteredNode, Registration
+from pebblehinge.storage_node.requests import RequestHandler
+from pebblehinge.storage_node.simulation import Simulation
+
+BACKLOG = 1024
+"""Connections that wait to be accepted: after a restart of the storage node all gateways come at once."""
+
+
+class StorageNodeServer:
+    """A stand-in storage node.
+
+    Args:
+        loop: The event loop, which makes the socket, the connections and the timers.
+        clock: The present in milliseconds, by the clock of the loop.
+        config: The settings.
+        name: The storage node's name, which the settings have.
+        log: A structlog logger.
+        events: Where events are written, if anywhere.
+        contents: What the slot stores already; empty and in memory by default.
+        is_warm: Whether the machine has been running for long; else its process has just started after a crash.
+        seed: Of all that is drawn.
+
+    Attributes:
+        block: The settings of this storage node.
+        machine: The simulated machine.
+        contents: What it stores.
+        requests: What executes attempts.
+    """
 
     def __init__(
         self,
@@ -35,32 +52,45 @@
         config: Config,
         name: str,
         log: Any,
-        records: EventLog | NullEventLog | None = None,
+        events: EventLog | NullEventLog | None = None,
         contents: Contents | None = None,
-        warm: bool = True,
+        is_warm: bool = True,
         seed: int = 0,
     ) -> None:
-        super().__init__(loop, clock, config, name, records, contents, warm, seed)
+        self.loop = loop
+        self.clock = clock
+        self.name = name
         self.log = log
-        self.restarted = not warm
-        self.conns: dict[ShelfConn, None] = {}  # in the order in which they came
-        self.server: Any = None
-        self.register: Registration | None = None
-        self.registering: asyncio.Task | None = None
-        self.again: asyncio.TimerHandle | None = None
+        self.block = config.shelf[name]
+        self.is_warm = is_warm
+        self.events = events or NullEventLog()
+        rng = random.Random(f"{seed}/{name}")
+        self.machine: Machine[Attempt] = Machine(config.kind[self.block.kind], config.rules, rng, clock(), is_warm)
+        self.contents = contents or Contents()
+        network = NetworkFaults(random.Random(f"{seed}/{name}/faults"))
+        key_window_ms = max((profile.window for profile in config.profile.values()), default=0.0)
+        simulation = Simulation(self.machine, self.contents, network, rng, key_window_ms)
+        self.requests = RequestHandler(loop, clock, simulation, self.events, self._on_crash)
+        node = RegisteredNode(name, self.block, None if is_warm else self.machine.started_ms)
+        self._registration = Registration(loop, clock, config.limits, config.listing.listen, node)
+        self._context = ConnectionContext(loop, config.limits, name, self.requests, self.control)
+        self._controller = FaultController(self._context, self._registration, self.events)
+        self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listens and registers; raises OSError if the address can't be bound."""
         host, port = parse_address(self.block.listen)
-        self.server = await self.loop.create_server(lambda: ShelfConn(self), host, port, backlog=1024)
-        self._register()
-        kind, machine = self.machine.kind, self.machine
-        self.records.note(
+        self._server = await self.loop.create_server(lambda: NodeConnection(self._context), host, port, backlog=BACKLOG)
+        self._registration.start()
+        machine = self.machine
+        kind = machine.kind
+        self.events.note(
             self.clock(),
             "up",
-            role="shelf",
+            role=ROLE,
             name=self.name,
             slot=self.block.slot,
-            cold=self.restarted,
+            cold=not self.is_warm,
             started=machine.started_ms,
             cores=kind.cores,
             speed=machine.speed,
@@ -70,89 +100,26 @@
         )
 
     def stop(self) -> None:
-        self.closed = True
-        if self.server is not None:
-            self.server.close()
-        for handle in (self.timer, self.registering, self.again):
-            if handle is not None:
-                handle.cancel()
-        if self.register is not None:
-            self.register.close()
-        for conn in list(self.conns):
-            conn.close()
-        self.records.note(self.clock(), "down", name=self.name)
-        self.records.close()
+        """Stops listening and closes all connections, the event log and the contents."""
+        if self._server is not None:
+            self._server.close()
+        self.requests.close()
+        self._registration.close()
+        for connection in list(self._context.connections):
+            connection.close()
+        self.events.note(self.clock(), "down", name=self.name)
+        self.events.close()
         self.contents.close()
 
-    def kill(self) -> None:
-        """The process is gone at once, as far as sockets can tell: for labs that hold many in one process."""
-        self.closed = True
-        self.server.close()
-        for handle in (self.timer, self.registering, self.again):
-            if handle is not None:
-                handle.cancel()
-        if self.register is not None:
-            self.register.abort()
-        for conn in list(self.conns):
-            conn.abort()
-        self.records.close()
-
-    # ---- the list
-
-    def _register(self) -> None:
-        self.registering = self.loop.create_task(self._connect())
-
-    async def _connect(self) -> None:
-        limits = self.config.limits
-        session = Session("shelf", self.name, limits.frame, limits.streams, greets=True)
-        try:
-            host, port = parse_address(self.config.listing.listen)
-            await self.loop.create_connection(lambda: Registration(self, session), host, port)
-        except OSError:
-            self.register_lost(None)
-
-    def register_lost(self, conn: Registration | None) -> None:
-        if self.register is conn:
-            self.register = None
-        if not self.closed:
-            self.again = self.loop.call_later(0.2, self._register)
+    def control(self, verb: str, values: dict[str, Any]) -> str:
+        """Injects a fault, ends one, or returns statistics, as `FaultController.control` describes."""
+        return self._controller.control(verb, values)
 
-    def _fall(self, now: float) -> None:
-        self.told_fall = True
-        self.records.note(now, "fell", name=self.name, fill=self.machine.worst_fill)
+    def _on_crash(self, now: float) -> None:
+        """The machine has crashed, and its sockets go with it."""
+        self.events.note(now, "fell", name=self.name, fill=self.machine.cold_budget.peak_load)
         self.log.warning("fell over", shelf=self.name)
-        self.server.close()
-        for conn in list(self.conns):
-            conn.abort()
-
-    # ---- the lab's hand
-
-    def control(self, verb: str, values: dict[str, Any]) -> str:
-        """A trouble begins (with its figures) or ends (`off`); returns what was done."""
-        now = self.now = self.clock()
-        off = bool(values.get("off", 0))
-        self.records.note(now, "control", verb=verb, values=values)
-        if verb in STRIKES:
-            rest = STRIKES[verb]
-            wanted = rest if off else {k: type(v)(values.get(k, True)) for k, v in rest.items()}
-            for job in self.machine.set_strike(now, **wanted):
-                if job.owner is not None:
-                    self._end(job.owner, now)
-            self._wake()
-        elif verb == "half-open":
-            # Connections that stand turn deaf for good; new ones are well: a link that is cut in the middle.
-            for conn in self.conns:
-                if conn.session.peer_role == "head":
-                    conn.deaf = not off
-        elif verb in LINKS:
-            setattr(self.faults, LINKS[verb], 0.0 if off else float(values["by"]))
-        elif verb == "drain":
-            self.draining = not off
-            if self.register is not None:
-                self.register.send(Kind.STANDING, "ready" if off else "draining")
-        elif verb == "stats":
-            m = self.machine
-            return f"effects={self.effects} worst_fill={m.worst_fill:.3f} fell={int(m.fell)} speed={m.speed:.3f}"
-        else:
-            return f"no: {verb!r} is not known"
-        return "done"
+        if self._server is not None:
+            self._server.close()
+        for connection in list(self._context.connections):
+            connection.abort()
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -17,7 +17,7 @@
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.line import Line
 from pebblehinge.settings.load import loads
-from pebblehinge.storage_node import Contents, ShelfServer
+from pebblehinge.storage_node import Contents, StorageNodeServer
 
 SETTINGS = """
 rules {
@@ -146,7 +146,7 @@
         node = self.nodes[name] = self.loop.node(name)
         contents = self.contents.setdefault(self.config.shelf[name].slot, Contents())
         notes = self.notes.setdefault(name, Memory())
-        shelf = ShelfServer(node, self.clock, self.config, name, self.log, notes, contents, warm, self.seed)
+        shelf = StorageNodeServer(node, self.clock, self.config, name, self.log, notes, contents, warm, self.seed)
         self.servers[name] = shelf
         await shelf.start()
 
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -24,17 +24,17 @@
         assert (await t.push({b"first": Local(b"1")})).code == 0
         lost = []
         for name in ("s1", "s2", "s3"):
-            shelf = t.servers[name]
-            answer = shelf._answer
+            requests = t.servers[name].requests
+            respond = requests.respond
 
-            def silent(attempt: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
-                if attempt.op == 2 and len(lost) < 2:
-                    lost.append(attempt.id)
-                    attempt.conn.attempts.pop(attempt.number, None)
+            def silent(attempt: Any, status: int, text: str, data: bytes, respond: Any = respond) -> None:
+                if attempt.operation == 2 and len(lost) < 2:
+                    lost.append(attempt.request_id)
+                    attempt.connection.attempts.pop(attempt.number, None)
                     return
-                answer(attempt, status, text, data)
+                respond(attempt, status, text, data)
 
-            shelf._answer = silent
+            requests.respond = silent
         got = await t.push({b"save": Local(b"2"), b"other": Local(b"3")})
         assert got.code == 0 and lost, (got, lost)
         assert sorted(await stands(t)) == [b".", b"first", b"other", b"save"]
@@ -48,21 +48,21 @@
         assert (await t.push({b"first": Local(b"1")})).code == 0
         silent: list[str] = []
         for name in ("s1", "s2", "s3"):
-            shelf = t.servers[name]
-            answer = shelf._answer
+            requests = t.servers[name].requests
+            respond = requests.respond
 
-            def never(attempt: Any, status: int, text: str, data: bytes, answer: Any = answer) -> None:
-                if attempt.op == 2 or silent:  # the save is done, and from then on nothing is answered
-                    silent.append(attempt.id)
-                    attempt.conn.attempts.pop(attempt.number, None)
+            def never(attempt: Any, status: int, text: str, data: bytes, respond: Any = respond) -> None:
+                if attempt.operation == 2 or silent:  # the save is done, and from then on nothing is answered
+                    silent.append(attempt.request_id)
+                    attempt.connection.attempts.pop(attempt.number, None)
                 else:
-                    answer(attempt, status, text, data)
+                    respond(attempt, status, text, data)
 
-            shelf._answer = never
+            requests.respond = never
         got = await t.push({b"save": Local(b"2")})
         assert got.code == PARTIAL and "not known whether this save stands" in got.said[0][1], got
         for name in ("s1", "s2", "s3"):
-            del t.servers[name]._answer
+            del t.servers[name].requests.respond
         again = await t.push({b"save": Local(b"2")}, head="h2")
         assert again.code == 0 and again.moved == []  # it had landed, and was seen to stand
 
@@ -77,16 +77,16 @@
         assert (await t.push({b"first": Local(b"1")})).code == 0
         late: list[Any] = []
         for name in ("s1", "s2", "s3"):
-            shelf = t.servers[name]
-            end = shelf._end
+            requests = t.servers[name].requests
+            complete = requests.complete
 
-            def slowly(attempt: Any, now: float, end: Any = end) -> None:
-                if attempt.op == 2 and not late:
-                    late.append(lambda: end(attempt, attempt.conn.shelf.clock()))
+            def slowly(attempt: Any, requests: Any = requests, complete: Any = complete) -> None:
+                if attempt.operation == 2 and not late:
+                    late.append(lambda: (requests.read_clock(), complete(attempt)))
                     return
-                end(attempt, now)
+                complete(attempt)
 
-            shelf._end = slowly
+            requests.complete = slowly
         got = await t.push({b"save": Local(b"2")})
         assert got.code == 0 and late, got
         late[0]()  # only now
@@ -130,15 +130,15 @@
 
 def test_a_shelf_that_appends_anywhere_lets_a_save_land_twice_and_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the condition on its end a log would take the late append, too."""
-    from pebblehinge.storage_node import server
+    from pebblehinge.storage_node.effects import EffectApplier
 
-    real = server.ShelfServer._effect
+    real = EffectApplier.apply
 
     def anywhere(self: Any, t: Any, now: float) -> bool:
-        if t.op == 2:
-            t.offset = len(self.contents.extents.get(t.extent, b""))
+        if t.operation == 2:
+            t.offset = self._contents.length(t.extent)
         return real(self, t, now)
 
-    monkeypatch.setattr(server.ShelfServer, "_effect", anywhere)
+    monkeypatch.setattr(EffectApplier, "apply", anywhere)
     with pytest.raises(AssertionError, match=": 2"):
         test_a_save_that_hangs_at_the_shelf_lands_once_however_late_it_comes(False)
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-in shelf as a machine, what it stores, and what the stand-in list tells when."""
+"""The stand-in storage node as a machine, what it stores, and what the stand-in list tells when."""
 
 from __future__ import annotations
 
@@ -10,8 +10,12 @@
 from pebblehinge.discovery import EndpointRegistry, EndpointState
 from pebblehinge.settings.policy import RulesBlock
 from pebblehinge.settings.schema import KindBlock, ListingBlock
-from pebblehinge.storage_node.contents import Contents, JournalError
-from pebblehinge.storage_node.machine import Job, Machine
+from pebblehinge.storage_node.contents import Contents
+from pebblehinge.storage_node.errors import JournalError
+from pebblehinge.storage_node.faults import MachineFaults
+from pebblehinge.storage_node.job import Job
+from pebblehinge.storage_node.journal import Effect
+from pebblehinge.storage_node.machine import Machine
 
 INF = float("inf")
 
@@ -27,8 +31,8 @@
 
 def run(m: Machine, until: float) -> list[tuple[float, Job]]:
     ended = []
-    m.begin(m.now)
-    while (at := m.next_ms()) <= until:
+    m.start_queued(m.now)
+    while (at := m.next_event_ms()) <= until:
         ended += [(m.now, j) for j in m.advance(at)]
     m.advance(until)
     return ended
@@ -37,7 +41,7 @@
 def test_jobs_run_in_turn_at_the_machines_speed() -> None:
     m = machine(speed=(2.0, 2.0))
     jobs = [job(2.0, f"x{i}") for i in range(3)]
-    assert all(m.take(0.0, j) for j in jobs)
+    assert all(m.submit(0.0, j) for j in jobs)
     assert [(round(t), j) for t, j in run(m, 100.0)] == [(10, jobs[0]), (20, jobs[1]), (30, jobs[2])]
 
 
@@ -45,51 +49,51 @@
     m = machine(seek=0.5, remembers=1)
     works = []
     for j in (job(), job(), job(attempt=1), job(extent="y"), job()):
-        m.take(0.0, j)
-        works.append(j.work)
+        m.submit(0.0, j)
+        works.append(j.work_ms)
     assert works == [10.0, 5.0, 10.0, 10.0, 10.0]
 
 
 def test_a_full_queue_turns_away_and_what_is_out_of_time_is_not_begun() -> None:
     m = machine(queue=2)
     first, second, late, refused = job(4.0), job(1.0, "b"), job(1.0, "c", until=45.0), job(1.0, "d")
-    assert [m.take(0.0, j) for j in (first, second, late, refused)] == [True, True, True, False]
-    assert [j for _, j in run(m, 200.0)] == [first, second] and not late.began
+    assert [m.submit(0.0, j) for j in (first, second, late, refused)] == [True, True, True, False]
+    assert [j for _, j in run(m, 200.0)] == [first, second] and not late.has_started
 
 
 def test_recalled_work_is_dropped_while_it_waits_and_goes_on_while_it_runs() -> None:
     m = machine()
     running, waiting = job(2.0), job(2.0, "y")
-    m.take(0.0, running)
-    m.begin(0.0)
-    m.take(0.0, waiting)
-    m.drop(running)
-    m.drop(waiting)
+    m.submit(0.0, running)
+    m.start_queued(0.0)
+    m.submit(0.0, waiting)
+    running.is_cancelled = True
+    waiting.is_cancelled = True
     assert [j for _, j in run(m, 200.0)] == [running]
 
 
 def test_put_off_work_is_done_at_the_flush() -> None:
     m = machine(defer=0.5, flush=100.0)
     m.flush_ms = 100.0
-    m.take(0.0, job(4.0, write=True))
+    m.submit(0.0, job(4.0, write=True))
     assert [round(t) for t, _ in run(m, 99.0)] == [20]
     m.advance(100.0)
-    m.take(100.0, job(1.0, "y"))
+    m.submit(100.0, job(1.0, "y"))
     assert [round(t) for t, _ in run(m, 200.0)] == [130]  # behind 20 ms that were put off
 
 
 def test_troubles_slow_pause_and_stop_the_machine_and_end() -> None:
     m = machine()
-    m.set_strike(0.0, slow=4.0)
-    m.take(0.0, job())
+    m.set_faults(0.0, MachineFaults(slowdown=4.0))
+    m.submit(0.0, job())
     assert [round(t) for t, _ in run(m, 100.0)] == [40]
-    m.set_strike(100.0, slow=1.0, hang=True)
-    m.take(100.0, job(extent="y"))
+    m.set_faults(100.0, MachineFaults(is_hung=True))
+    m.submit(100.0, job(extent="y"))
     assert run(m, 500.0) == []
-    m.set_strike(500.0, hang=False)
+    m.set_faults(500.0, MachineFaults())
     assert [round(t) for t, _ in run(m, 600.0)] == [510]
-    m.set_strike(600.0, neighbour=0.5, neighbour_ms=1e6)
-    m.take(600.0, job(extent="z"))
+    m.set_faults(600.0, MachineFaults(neighbor_share=0.5, neighbor_period_ms=1e6))
+    m.submit(600.0, job(extent="z"))
     assert [round(t) for t, _ in run(m, 700.0)] == [620]
 
 
@@ -98,23 +102,23 @@
     assert (m.warmth(0.0), m.warmth(500.0), m.warmth(1000.0)) == (0.5, 0.75, 1.0)
     # 2 x 0.5 x 1000 ms and two largest requests: 1080 ms of work within the window
     for i in range(27):
-        assert m.take(0.0, job(4.0, f"x{i}"))
-    assert not m.fell and m.worst_fill == pytest.approx(1.0)
-    assert not m.take(0.0, job(1.0, "last")) and m.fell
-    assert m.advance(5000.0) == [] and m.next_ms() == INF
+        assert m.submit(0.0, job(4.0, f"x{i}"))
+    assert not m.has_crashed and m.cold_budget.peak_load == pytest.approx(1.0)
+    assert not m.submit(0.0, job(1.0, "last")) and m.has_crashed
+    assert m.advance(5000.0) == [] and m.next_event_ms() == INF
 
 
 def test_effects_survive_a_kill_and_a_torn_tail_is_cut(tmp_path: Path) -> None:
     c = Contents(tmp_path)
-    c.write(10.0, "a.0", "v/x", 0, b"hello", None, 0)
-    c.write(20.0, "b.0", "v/x", 3, b"p me", "label", 0)
+    c.write(Effect(10.0, "a.0", "v/x", 0, None, b"hello", 0))
+    c.write(Effect(20.0, "b.0", "v/x", 3, "label", b"p me", 0))
     c.close()
     path = tmp_path / "effects.journal"
     whole = path.read_bytes()
     path.write_bytes(whole + whole[: len(whole) // 4])  # killed in the middle of a write
     again = Contents(tmp_path)
     assert again.read("v/x", 0, 99) == b"help me" and path.stat().st_size == len(whole)
-    assert again.done("label", 25.0, 10.0) and not again.done("label", 31.0, 10.0)
+    assert again.is_applied("label", 25.0, 10.0) and not again.is_applied("label", 31.0, 10.0)
     again.close()
     damaged = bytearray(whole)
     damaged[12] ^= 1
