--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -2,19 +2,22 @@
 
 from __future__ import annotations
 
+import asyncio
 import random
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from pebblehinge.discovery import EndpointRegistry, EndpointState
 from pebblehinge.settings.policy import RulesBlock
-from pebblehinge.settings.schema import KindBlock, ListingBlock
+from pebblehinge.settings.schema import Config, KindBlock, ListingBlock, ShelfBlock
+from pebblehinge.storage_node import StorageNodeServer
 from pebblehinge.storage_node.contents import Contents
-from pebblehinge.storage_node.errors import JournalError
+from pebblehinge.storage_node.errors import ControlError, JournalError
 from pebblehinge.storage_node.faults import MachineFaults
 from pebblehinge.storage_node.job import Job
-from pebblehinge.storage_node.journal import Effect
+from pebblehinge.storage_node.journal import Effect, read_journal
 from pebblehinge.storage_node.machine import Machine
 
 INF = float("inf")
@@ -139,3 +142,63 @@
     r.set_state(600.0, "a", EndpointState.DRAINING)
     assert r.due(1649.0) == [] and [row.state for row in r.due(1650.0)] == ["draining"]
     assert [row.node for row in r.snapshot()] == ["a"]
+
+
+def test_the_bytes_of_the_journal_stay(tmp_path: Path) -> None:
+    """Bytes as a version wrote them that stored effects as tuples."""
+    written = bytes.fromhex(
+        "0000001cce31f64497cb4024000000000000a3612e30a3762f7800c0c40568656c6c6f00"
+        "0000001edb38aa2297cb4034800000000000a3622e30a3762f7803a36b6579c40470206d6501"
+    )
+    effects = [
+        Effect(10.0, "a.0", "v/x", 0, None, b"hello", 0),
+        Effect(20.5, "b.0", "v/x", 3, "key", b"p me", 1),
+    ]
+    contents = Contents(tmp_path)
+    for effect in effects:
+        contents.write(effect)
+    contents.close()
+    path = tmp_path / "effects.journal"
+    assert path.read_bytes() == written
+    assert [entry.effect for entry in read_journal(path)] == effects
+
+
+CONTROLS = [
+    ("slow", {"slow": 4.0}, MachineFaults(slowdown=4.0)),
+    ("hang", {}, MachineFaults(is_hung=True)),
+    ("neighbour", {"neighbour": 0.5, "neighbour_ms": 20}, MachineFaults(neighbor_share=0.5, neighbor_period_ms=20.0)),
+    ("pauses", {"pause_ms": 5, "pause_every_ms": 9.0}, MachineFaults(pause_ms=5.0, pause_interval_ms=9.0)),
+    ("fast-errors", {"errors": 0.5}, MachineFaults(error_share=0.5)),
+]
+
+
+def storage_node() -> StorageNodeServer:
+    config = Config(kind={"plain": KindBlock()}, shelf={"s1": ShelfBlock()})
+    return StorageNodeServer(asyncio.new_event_loop(), lambda: 0.0, config, "s1", None)
+
+
+@pytest.mark.parametrize(("verb", "values", "faults"), CONTROLS)
+def test_each_fault_of_the_machine_begins_and_ends(verb: str, values: dict[str, Any], faults: MachineFaults) -> None:
+    node = storage_node()
+    assert node.control(verb, values) == "done" and node.machine.faults == faults
+    assert node.control(verb, {"off": 1}) == "done" and node.machine.faults == MachineFaults()
+    node.loop.close()
+
+
+def test_network_faults_draining_and_statistics_are_controlled_and_nonsense_is_an_error() -> None:
+    node = storage_node()
+    network = node.requests.network
+    for verb in ("resets", "garble", "lost-answers"):
+        assert node.control(verb, {"by": 0.25}) == "done"
+    assert (network.resets, network.garbled_frames, network.lost_responses) == (0.25, 0.25, 0.25)
+    assert node.control("garble", {"off": 1}) == "done" and network.garbled_frames == 0.0
+    assert node.control("drain", {}) == "done" and node.requests.is_draining
+    assert node.control("stats", {}) == "effects=0 worst_fill=0.000 fell=0 speed=1.000"
+    for verb, values, reason in [
+        ("resets", {}, "'by'"),
+        ("slow", {"slow": "x"}, "could not convert"),
+        ("no", {}, "'no'"),
+    ]:
+        with pytest.raises(ControlError, match=reason):
+            node.control(verb, values)
+    node.loop.close()
