--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -15,7 +15,7 @@
     view_bytes,
 )
 
-SHELF = "pebblehinge/shelf/server.py"
+SHELF = "pebblehinge/storage_node/server.py"
 CONSOLE, VIEW = "pebblehinge/console/server.py", "pebblehinge/console/view.py"
 HISTORY = "pebblehinge/console/event_history.py"
 
@@ -24,8 +24,8 @@
     Cap(
         "backlog of a shelf",
         SHELF,
-        "backlog=",
-        inline(SHELF, r"backlog=([0-9_]+)"),
+        "BACKLOG = ",
+        constant("pebblehinge.storage_node.server", "BACKLOG"),
         "connections",
         "not yet accepted: all heads after its restart",
         HEADS,
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -80,8 +80,7 @@
     log: Any,
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
-    from pebblehinge.shelf import Contents, ShelfServer  # noqa: PLC0415
-    from pebblehinge.shelf.contents import JournalError  # noqa: PLC0415
+    from pebblehinge.storage_node import Contents, JournalError, StorageNodeServer  # noqa: PLC0415
 
     try:
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
@@ -90,7 +89,7 @@
     if warning := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
         log.warning("limits", why=warning)
     event_log = records_for(folder, f"shelf-{name}", loop)
-    server = ShelfServer(loop, clock_of(loop), config, name, log, event_log, contents, not cold, seed)
+    server = StorageNodeServer(loop, clock_of(loop), config, name, log, event_log, contents, not cold, seed)
     return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
