--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -26,7 +26,7 @@
 from pebblehinge.lab.rsync_call import Call, Local
 from pebblehinge.lab.rsync_client import call
 from pebblehinge.net import parse_address
-from pebblehinge.rsync.line import Line
+from pebblehinge.rsync.stream_protocol import StreamProtocol
 
 BLOCK = 128 << 10
 SETTINGS = """
@@ -119,7 +119,7 @@
 
     async def copy(self, verb: str, path: str, **more: Any) -> tuple[float, Call]:
         loop = asyncio.get_running_loop()
-        line = Line(loop, 60_000.0)
+        line = StreamProtocol(loop, 60_000.0)
         host, port = parse_address(f"{self.loopback}:8731")
         began = time.perf_counter()
         await loop.create_connection(lambda: line, host, port)
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -75,7 +75,7 @@
     from pebblehinge.lab.local import LocalError, read_tree, write_tree
     from pebblehinge.lab.rsync_call import Call
     from pebblehinge.lab.rsync_client import call
-    from pebblehinge.rsync.line import Line
+    from pebblehinge.rsync.stream_protocol import StreamProtocol
 
     address, _, path = where.partition("/")
     module, _, path = path.partition("/")
@@ -95,7 +95,7 @@
                 wanted.files = read_tree(Path(local))
         except (ValueError, IndexError, LocalError) as error:
             give_up(str(error) or f"{secret_file} is empty")
-        line = Line(loop, 60_000.0)
+        line = StreamProtocol(loop, 60_000.0)
         await loop.create_connection(lambda: line, host, port)
         await call(line.stream, wanted, verb, path)
         line.close()
@@ -104,7 +104,7 @@
         for _, text in wanted.said:
             click.echo(text, err=True)
         for named in wanted.listed if verb == "list" else ():
-            kind = "d" if named.folder else "-" if named.file else "l"
+            kind = "d" if named.is_directory else "-" if named.is_file else "l"
             click.echo(f"{kind} {named.size:>12} {named.mtime} {os.fsdecode(named.name)}")
         try:
             if verb == "pull" and wanted.code in (0, 23):
--- a/pebblehinge/gateway/rsync_listener.py
+++ b/pebblehinge/gateway/rsync_listener.py
@@ -9,9 +9,10 @@
 from pebblehinge.gateway.internal_client import InternalClient
 from pebblehinge.gateway.rsync_session import RsyncSession
 from pebblehinge.net import parse_address
-from pebblehinge.rsync.module_store import Place
-from pebblehinge.rsync.sharing import Keeping, Sharing
-from pebblehinge.rsync.turns import Turns
+from pebblehinge.rsync.module_store import ModuleStore
+from pebblehinge.rsync.partial_uploads import PartialUploads
+from pebblehinge.rsync.request_scheduler import RequestScheduler
+from pebblehinge.rsync.transfer_scheduler import TransferScheduler
 from pebblehinge.settings.schema import Config
 
 LATENESS_INTERVAL_S = 0.1
@@ -49,10 +50,10 @@
         self.config: Config = context.config
         block = self.config.rsync
         self.rng = random.Random(f"{context.block.seed}/{context.name}/door")
-        self.sharing = Sharing(block.accesses, block.each)
-        self.turns = Turns(self.loop, self.clock, self.sharing)
-        self.keeping = Keeping(block.parts, block.parts_for)
-        self.places: dict[str, Place] = {}
+        self.sharing = RequestScheduler(block.accesses, block.each)
+        self.turns = TransferScheduler(self.loop, self.clock, self.sharing)
+        self.keeping = PartialUploads(block.parts, block.parts_for)
+        self.places: dict[str, ModuleStore] = {}
         self.sessions: dict[RsyncSession, None] = {}
         self.client = InternalClient(context, "rsync")
         self.transfers = 0
@@ -96,17 +97,17 @@
         for session in list(self.sessions):
             session.abort()
 
-    def place(self, name: str) -> Place:
+    def place(self, name: str) -> ModuleStore:
         """Returns the state of a module."""
         place = self.places.get(name)
         if place is None:
             place = self.places[name] = self._new_place(name)
         return place
 
-    def _new_place(self, name: str) -> Place:
+    def _new_place(self, name: str) -> ModuleStore:
         block = self.config.module[name]
         volume = self.config.volume[block.volume]
-        return Place(
+        return ModuleStore(
             name,
             block,
             volume.slots,
--- a/pebblehinge/gateway/rsync_session.py
+++ b/pebblehinge/gateway/rsync_session.py
@@ -13,13 +13,14 @@
 
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.internal_client import InternalClient
-from pebblehinge.rsync.line import Line
-from pebblehinge.rsync.module_store import Place
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.module_store import ModuleStore
+from pebblehinge.rsync.request_scheduler import refusal_reason
 from pebblehinge.rsync.serve import serve
-from pebblehinge.rsync.sharing import admits
-from pebblehinge.rsync.stream import ERROR, RsyncError
+from pebblehinge.rsync.stream import TAG_ERROR
+from pebblehinge.rsync.stream_protocol import StreamProtocol
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.transfer_report import Told
+from pebblehinge.rsync.transfer_report import TransferReport
 from pebblehinge.settings.rsync import ModuleBlock
 from pebblehinge.settings.schema import Config
 
@@ -49,11 +50,11 @@
     stopping: bool
     late_ms: float
 
-    def place(self, name: str) -> Place:
+    def place(self, name: str) -> ModuleStore:
         """Returns the state of a module."""
 
 
-class RsyncSession(Line):
+class RsyncSession(StreamProtocol):
     """One connection, and what its protocol may see of the gateway.
 
     Attributes:
@@ -66,7 +67,7 @@
     def __init__(self, listener: SessionContext) -> None:
         super().__init__(listener.loop, listener.config.rsync.stall)
         self.listener = listener
-        self.report = Told()
+        self.report = TransferReport()
         self.task: asyncio.Task[None] | None = None
         self.address = ""
         self.transfer: Transfer | None = None
@@ -104,8 +105,8 @@
         if self.task is not None:
             self.task.cancel()
         if self.stream.mux_out:
-            self.stream.out.clear()
-            self.stream.message(ERROR, (reason + "\n").encode())
+            self.stream.unflushed.clear()
+            self.stream.message(TAG_ERROR, (reason + "\n").encode())
         self.close()
 
     def _time_out_login(self) -> None:
@@ -207,7 +208,7 @@
     def begin(self, module: str, user: str) -> Transfer | str:
         """Begins a transfer, or returns why there can be none now."""
         listener, block = self.listener, self.listener.config.rsync
-        refusal = admits(listener.transfers, block.transfers, listener.stopping, listener.late_ms > block.lag)
+        refusal = refusal_reason(listener.transfers, block.transfers, listener.stopping, listener.late_ms > block.lag)
         if refusal is not None:
             return refusal
         place = listener.place(module)
--- a/pebblehinge/lab/connection_cut.py
+++ b/pebblehinge/lab/connection_cut.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from pebblehinge.rsync.line import Line
+from pebblehinge.rsync.stream_protocol import StreamProtocol
 
 
 class Cut:
     """Ends a connection after so many bytes that its client has sent; what was sent arrives, unless it is reset."""
 
-    def __init__(self, line: Line, after: int, reset: bool = False) -> None:
+    def __init__(self, line: StreamProtocol, after: int, reset: bool = False) -> None:
         self.line, self.left, self.write, self.reset = line, after, line.stream._write, reset
         line.stream._write = self
 
--- a/pebblehinge/lab/rsync_call.py
+++ b/pebblehinge/lab/rsync_call.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pebblehinge.rsync.flist import Named
+from pebblehinge.rsync.flist import ListedFile
 
 ABLE = "LsfxCIvu"
 
@@ -57,7 +57,7 @@
     filters: list[bytes] = field(default_factory=list)
     files: dict[bytes, Local] = field(default_factory=dict)  # its own; a pull adds to them
     moved: list[bytes] = field(default_factory=list)  # files that came, or that were asked for
-    listed: list[Named] = field(default_factory=list)
+    listed: list[ListedFile] = field(default_factory=list)
     said: list[tuple[int, str]] = field(default_factory=list)
     lines: list[str] = field(default_factory=list)  # what came before the transfer
     code: int = -1  # as such a tool exits; -1 while it runs
--- a/pebblehinge/lab/rsync_client.py
+++ b/pebblehinge/lab/rsync_client.py
@@ -10,17 +10,16 @@
 from pebblehinge.lab.rsync_pull import PullSession
 from pebblehinge.lab.rsync_push import PushSession
 from pebblehinge.lab.rsync_session import Session
-from pebblehinge.rsync.deletion import STOPPED_DELETING
-from pebblehinge.rsync.stream import (
-    DELETE_LIMIT,
-    ERROR_XFER,
-    PARTIAL,
-    START,
-    STREAM,
-    Gone,
+from pebblehinge.rsync.deletion import DELETE_LIMIT_REACHED
+from pebblehinge.rsync.errors import (
+    EXIT_DELETE_LIMIT,
+    EXIT_PARTIAL,
+    EXIT_START,
+    EXIT_STREAM,
+    ConnectionClosedError,
     RsyncError,
-    Stream,
 )
+from pebblehinge.rsync.stream import TAG_ERROR_XFER, Stream
 
 
 async def call(stream: Stream, wanted: Call, verb: str, path: str = "") -> Call:
@@ -28,12 +27,12 @@
     session: Session = PushSession(stream, wanted) if verb == "push" else PullSession(stream, wanted)
     try:
         await session.run(verb, path)
-        if session.io_error & STOPPED_DELETING:
-            wanted.code = DELETE_LIMIT
+        if session.io_error & DELETE_LIMIT_REACHED:
+            wanted.code = EXIT_DELETE_LIMIT
         if wanted.code < 0:
-            wanted.code = PARTIAL if any(tag == ERROR_XFER for tag, _ in wanted.said) else 0
-    except Gone as error:
-        told = session.exit_code or (START if not session.began else STREAM)
+            wanted.code = EXIT_PARTIAL if any(tag == TAG_ERROR_XFER for tag, _ in wanted.said) else 0
+    except ConnectionClosedError as error:
+        told = session.exit_code or (EXIT_START if not session.began else EXIT_STREAM)
         wanted.code, wanted.error = told, wanted.error or str(error)
     except RsyncError as error:
         wanted.code, wanted.error = session.exit_code or error.code, str(error)
--- a/pebblehinge/lab/rsync_load.py
+++ b/pebblehinge/lab/rsync_load.py
@@ -19,7 +19,7 @@
 from pebblehinge.lab.rsync_client import call
 from pebblehinge.lab.rsync_member import Member
 from pebblehinge.net import parse_address
-from pebblehinge.rsync.line import Line
+from pebblehinge.rsync.stream_protocol import StreamProtocol
 from pebblehinge.settings import Config
 
 LAST_TRIES = 40  # for the look at the end of the day, when all is well again
@@ -130,7 +130,7 @@
 
     async def _try(self, wanted: Call, verb: str, head: str, member: Member, cut: int) -> int:
         """One connection, as a tool makes it; its exit code."""
-        line = Line(self.loop, self.config.rsync.stall)
+        line = StreamProtocol(self.loop, self.config.rsync.stall)
         host, port = parse_address(self.config.head[head].rsync or "")
         try:
             await self.loop.create_connection(lambda: line, host, port)
--- a/pebblehinge/lab/rsync_pull.py
+++ b/pebblehinge/lab/rsync_pull.py
@@ -4,22 +4,15 @@
 
 from pebblehinge.lab.rsync_call import Local
 from pebblehinge.lab.rsync_session import Session
-from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import Named, arranged
-from pebblehinge.rsync.flist_reader import ListIn
-from pebblehinge.rsync.numbers import (
-    DONE,
-    read_longint,
-    read_varlong,
-    short,
-)
-from pebblehinge.rsync.stream import (
-    ERROR_XFER,
-    RsyncError,
-)
-from pebblehinge.rsync.sums import Summing, Sums, read_sums
-from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
-from pebblehinge.rsync.transfer_session import TRANSFER
+from pebblehinge.rsync.block_checksums import BlockChecksumBuilder, BlockChecksums, read_block_checksums
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.filters import encode_filters
+from pebblehinge.rsync.flist import ListedFile, sort_entries
+from pebblehinge.rsync.flist_reader import FileListReader
+from pebblehinge.rsync.numbers import DONE, read_longint, read_varlong, short
+from pebblehinge.rsync.stream import TAG_ERROR_XFER
+from pebblehinge.rsync.tokens import DeflatedTokenReader, PlainTokenReader
+from pebblehinge.rsync.transfer_session import ITEM_TRANSFER
 
 WINDOW = 16  # files asked for ahead
 
@@ -32,21 +25,21 @@
 
     async def _pull(self, only_list: bool) -> None:
         stream, wanted, version = self.stream, self.call, self.agreed.version
-        stream.put(packed_filters(wanted.filters))
+        stream.put(encode_filters(wanted.filters))
         await stream.flush()
-        listing = ListIn(self.agreed.shape, 1 << 22, 1 << 32)
+        listing = FileListReader(self.agreed.list_format, 1 << 22, 1 << 32)
         wanted.listed = await listing.read(stream)
-        files = arranged(version, wanted.listed)
-        todo = [] if only_list else [f for f in files if f.file and self._differs(f)]
+        files = sort_entries(version, wanted.listed)
+        todo = [] if only_list else [f for f in files if f.is_file and self._differs(f)]
         for f in files if not only_list else []:
-            if not f.file:
+            if not f.is_file:
                 wanted.files[f.name] = Local(f.link, f.mtime, f.mode)
-        again: list[Named] = []
+        again: list[ListedFile] = []
         await self._ask(todo, False, again)
         redo, again = again, []
         await self._ask(redo, True, again)
         if again:
-            self.call.said.append((ERROR_XFER, "failed verification twice"))
+            self.call.said.append((TAG_ERROR_XFER, "failed verification twice"))
         for _ in range(self.phases - 1):
             await self._done()
         for _ in range(5 if version >= 29 else 3):
@@ -59,9 +52,9 @@
             stream.put(self.index_out(DONE))
             await stream.flush()
         if listing.error:
-            self.call.said.append((ERROR_XFER, "some files could not be listed"))
+            self.call.said.append((TAG_ERROR_XFER, "some files could not be listed"))
 
-    def _differs(self, f: Named) -> bool:
+    def _differs(self, f: ListedFile) -> bool:
         mine = self.call.files.get(f.name)
         if mine is None or mine.size != f.size:
             return True
@@ -72,23 +65,23 @@
             return whole.digest() != f.digest
         return mine.mtime != f.mtime
 
-    async def _ask(self, files: list[Named], redo: bool, again: list[Named]) -> None:
+    async def _ask(self, files: list[ListedFile], redo: bool, again: list[ListedFile]) -> None:
         stream = self.stream
-        asked: list[tuple[Named, Sums]] = []
+        asked: list[tuple[ListedFile, BlockChecksums]] = []
         todo = list(files)
         while todo or asked:
             while todo and len(asked) < WINDOW:
                 f = todo.pop(0)
-                mine, sums = self.call.files.get(f.name), Sums()
+                mine, sums = self.call.files.get(f.name), BlockChecksums()
                 if mine is not None and mine.size and not redo:
-                    summing = Summing(mine.size, self.agreed.digest)
+                    summing = BlockChecksumBuilder(mine.size, self.agreed.digest)
                     for piece in mine.pieces():
                         summing.feed(piece)
-                    sums = summing.done()
+                    sums = summing.finish()
                 stream.put(self.index_out(f.index))
                 if self.agreed.version >= 29:
-                    stream.put(short(TRANSFER))
-                stream.put(sums.packed() if sums.count else sums.head())
+                    stream.put(short(ITEM_TRANSFER))
+                stream.put(sums.encode() if sums.count else sums.encode_header())
                 asked.append((f, sums))
             await stream.flush()
             f, sums = asked.pop(0)
@@ -104,15 +97,15 @@
                 return
         await self._done()
 
-    async def _file(self, f: Named, sums: Sums, again: list[Named]) -> bool:
+    async def _file(self, f: ListedFile, sums: BlockChecksums, again: list[ListedFile]) -> bool:
         stream, digest = self.stream, self.agreed.digest
         index, _ = await self._item()
         if index != f.index:
             raise RsyncError(f"file {index} came, {f.index} was asked for")
-        await read_sums(stream, digest, whole=False)
+        await read_block_checksums(stream, header_only=True)
         mine = self.call.files.get(f.name)
         whole, out, zeros = digest.whole(), bytearray(), 0
-        tokens = DeflatedIn() if self.agreed.compress else PlainIn()
+        tokens = DeflatedTokenReader() if self.agreed.compress else PlainTokenReader()
         while (token := await tokens.next(stream)) is not None:
             if isinstance(token, int):
                 assert mine is not None
--- a/pebblehinge/lab/rsync_push.py
+++ b/pebblehinge/lab/rsync_push.py
@@ -6,21 +6,16 @@
 from typing import Any
 
 from pebblehinge.lab.rsync_session import Session
-from pebblehinge.rsync.delta import Search
-from pebblehinge.rsync.filters import packed_filters
-from pebblehinge.rsync.flist import Named, arranged
-from pebblehinge.rsync.flist_writer import ListOut
-from pebblehinge.rsync.numbers import (
-    DONE,
-    short,
-)
+from pebblehinge.rsync.block_checksums import BlockChecksums, read_block_checksums
+from pebblehinge.rsync.delta import BlockSearch
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.filters import encode_filters
+from pebblehinge.rsync.flist import ListedFile, sort_entries
+from pebblehinge.rsync.flist_writer import FileListWriter
+from pebblehinge.rsync.numbers import DONE, short
 from pebblehinge.rsync.options import receiver_wants_filters
-from pebblehinge.rsync.stream import (
-    RsyncError,
-)
-from pebblehinge.rsync.sums import Sums, read_sums
-from pebblehinge.rsync.tokens import DeflatedOut, PlainOut
-from pebblehinge.rsync.transfer_session import TRANSFER
+from pebblehinge.rsync.tokens import DeflatedTokenWriter, PlainTokenWriter
+from pebblehinge.rsync.transfer_session import ITEM_TRANSFER
 
 
 class PushSession(Session):
@@ -32,26 +27,26 @@
     async def _push(self) -> None:
         stream, wanted, version = self.stream, self.call, self.agreed.version
         if receiver_wants_filters(self.options, version):
-            stream.put(packed_filters(wanted.filters))
-        out = ListOut(self.agreed.shape)
+            stream.put(encode_filters(wanted.filters))
+        out = FileListWriter(self.agreed.list_format)
         entries = []
         for n, name in enumerate(sorted(wanted.files)):
             mine = wanted.files[name]
-            named = Named(name, mine.size, mine.mtime, mine.mode)
+            named = ListedFile(name, mine.size, mine.mtime, mine.mode)
             if stat.S_ISLNK(mine.mode):
                 named.link = mine.data
-            if self.options.checksum and named.file:
+            if self.options.checksum and named.is_file:
                 whole = self.agreed.digest.whole()
                 for piece in mine.pieces():
                     whole.update(piece)
                 named.digest = whole.digest()
             entries.append(named)
-            stream.put(out.entry(named, top=name == b"."))
+            stream.put(out.encode(named, is_top=name == b"."))
             if n % 256 == 255:
                 await stream.flush()
-        stream.put(out.end())
+        stream.put(out.encode_end())
         await stream.flush()
-        by_index = {e.index: e for e in arranged(version, entries)}
+        by_index = {e.index: e for e in sort_entries(version, entries)}
         phase = 0
         while True:
             index, flags = await self._item()
@@ -62,10 +57,10 @@
                 if phase > self.phases:
                     break
                 continue
-            if not flags & TRANSFER:
+            if not flags & ITEM_TRANSFER:
                 stream.put(self.index_out(index) + short(flags))
                 continue
-            sums = await read_sums(stream, self.agreed.digest)
+            sums = await read_block_checksums(stream)
             await self._send(by_index[index], flags, sums)
         if await self.index_in(stream) != DONE:
             raise RsyncError("no goodbye")
@@ -75,16 +70,16 @@
             if await self.index_in(stream) != DONE:
                 raise RsyncError("no last goodbye")
 
-    async def _send(self, named: Named, flags: int, sums: Sums) -> None:
+    async def _send(self, named: ListedFile, flags: int, sums: BlockChecksums) -> None:
         stream, digest, mine = self.stream, self.agreed.digest, self.call.files[named.name]
         stream.put(self.index_out(named.index))
         if self.agreed.version >= 29:
             stream.put(short(flags))
         if self.options.dry_run:
             return
-        stream.put(sums.head())
-        out: Any = DeflatedOut() if self.agreed.compress else PlainOut()
-        search, whole = Search(sums, digest), digest.whole()
+        stream.put(sums.encode_header())
+        out: Any = DeflatedTokenWriter() if self.agreed.compress else PlainTokenWriter()
+        search, whole = BlockSearch(sums, digest), digest.whole()
         for piece in mine.pieces():
             whole.update(piece)
             self._tokens(out, search.feed(piece))
@@ -93,8 +88,8 @@
         stream.put(out.end() + whole.digest())
         await stream.flush()
         self.call.moved.append(named.name)
-        self.call.literal += search.literal
-        self.call.matched += search.matched
+        self.call.literal += search.literal_bytes
+        self.call.matched += search.matched_bytes
 
     def _tokens(self, out: Any, found: Any) -> None:
         for token in found:
--- a/pebblehinge/rsync/basis_file.py
+++ b/pebblehinge/rsync/basis_file.py
@@ -1,50 +1,71 @@
-"""The file that stands, in the blocks that the client names."""
+"""The stored file against which a client sends its differences, in the blocks that the client names."""
 
 from __future__ import annotations
 
-from typing import Any
+import asyncio
 
+from pebblehinge.rsync.block_checksums import BlockChecksums
 from pebblehinge.rsync.file_content import FileContent
-from pebblehinge.rsync.sums import Sums
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.tree import Entry
+from pebblehinge.rsync.tree import DirectoryEntry
 
 
 class BasisFile:
-    """Blocks of the file that stands, as the client names them."""
-
-    def __init__(self, transfer: Transfer, basis: Entry | None, sums: Sums, known: list[bytes] | None) -> None:
-        self.transfer, self.basis, self.sums, self.known = transfer, basis, sums, known
-        self.reader = FileContent(transfer)
-        self.ahead: dict[int, Any] = {}  # the module's blocks that are at hand, or on their way
-        self.most = max(1, transfer.block.ahead // basis.block) if basis is not None and basis.block else 1
-
-    async def _block(self, n: int) -> bytes:
-        """One of the module's blocks; those after it are read ahead, as they are mostly wanted in turn."""
-        assert self.basis is not None and self.known is not None
-        for m in [m for m in self.ahead if not n <= m < n + self.most]:
-            self.ahead.pop(m).cancel()
-        for m in range(n, min(n + self.most, len(self.known))):
-            if m not in self.ahead:
-                size = min(self.basis.block, self.basis.size - m * self.basis.block)
-                self.ahead[m] = self.transfer.spawn(self.reader.block_of(self.known[m], size))
-        return await self.ahead[n]
-
-    def drop(self) -> None:
-        for task in self.ahead.values():
+    """Reads the blocks of a basis file.
+
+    The client's blocks (`BlockChecksums.block` bytes) and the module's (`DirectoryEntry.block` bytes) differ in length.
+    """
+
+    def __init__(
+        self,
+        transfer: Transfer,
+        entry: DirectoryEntry | None,
+        block_checksums: BlockChecksums,
+        stored: list[bytes] | None,
+    ) -> None:
+        """Creates a reader.
+
+        Args:
+            transfer: Makes the requests.
+            entry: The basis file; None if there is none, and the client then names no block.
+            block_checksums: What the client was told of it.
+            stored: Checksums of the module's blocks of it; None if all of it stands in its entry.
+        """
+        self._transfer = transfer
+        self._entry = entry
+        self._block_checksums = block_checksums
+        self._stored = stored
+        self._content = FileContent(transfer)
+        self._tasks: dict[int, asyncio.Task[bytes]] = {}  # the module's blocks that are here or on their way
+        self._max_tasks = max(1, transfer.block.ahead // entry.block) if entry is not None and entry.block else 1
+
+    async def _read_stored_block(self, entry: DirectoryEntry, stored: list[bytes], number: int) -> bytes:
+        """Returns one of the module's blocks; the next ones are read ahead, as they are mostly wanted in turn."""
+        for other in [n for n in self._tasks if not number <= n < number + self._max_tasks]:
+            self._tasks.pop(other).cancel()
+        for ahead in range(number, min(number + self._max_tasks, len(stored))):
+            if ahead not in self._tasks:
+                size = min(entry.block, entry.size - ahead * entry.block)
+                self._tasks[ahead] = self._transfer.spawn(self._content.read_block(stored[ahead], size))
+        return await self._tasks[number]
+
+    def cancel(self) -> None:
+        """Cancels the reads under way."""
+        for task in self._tasks.values():
             task.cancel()
 
     async def read(self, index: int) -> bytes:
-        basis = self.basis
-        assert basis is not None
-        start = index * self.sums.block
-        length = self.sums.length(index)
-        if basis.data:
-            return basis.data[start : start + length]
-        assert self.known is not None
-        out = b""
-        while len(out) < length:
-            n, inner = divmod(start + len(out), basis.block)
-            data = await self._block(n)
-            out += data[inner : inner + length - len(out)]
-        return out
+        """Returns one of the client's blocks."""
+        entry, stored = self._entry, self._stored
+        assert entry is not None
+        start = index * self._block_checksums.block
+        length = self._block_checksums.length(index)
+        if entry.data:
+            return entry.data[start : start + length]
+        assert stored is not None
+        block = b""
+        while len(block) < length:
+            number, offset = divmod(start + len(block), entry.block)
+            data = await self._read_stored_block(entry, stored, number)
+            block += data[offset : offset + length - len(block)]
+        return block
--- a/pebblehinge/rsync/commit_queue.py
+++ b/pebblehinge/rsync/commit_queue.py
@@ -2,30 +2,47 @@
 
 from __future__ import annotations
 
+import asyncio
 from collections import deque
+from collections.abc import Coroutine
+from dataclasses import dataclass
 from typing import Any
 
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.stream import RsyncError
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.flist import ListedFile
 from pebblehinge.rsync.transfer_session import TransferSession
 
+MAX_REPORTED_FILES = 10_000
+"""Committed files whose names a report holds, at most."""
 
-class CommitQueue:
-    """The commits under way, oldest first, each with its file's name."""
 
-    def __init__(self, session: TransferSession) -> None:
-        self.session = session
-        self.commits: deque[tuple[str, Any]] = deque()
+@dataclass(slots=True, frozen=True)
+class PendingCommit:
+    """A commit under way: the file's name for messages, and the task."""
+
+    name: str
+    task: asyncio.Task[Any]
 
-    def add(self, named: Named, coro: Any) -> None:
-        self.commits.append((self.session.display_name(named), self.session.transfer.spawn(coro)))
 
-    async def settle(self, most: int) -> None:
-        """Waits until no more than so many saves are under way; what failed is said."""
-        while len(self.commits) > most:
-            name, task = self.commits.popleft()
+class CommitQueue:
+    """The commits under way, the oldest first."""
+
+    def __init__(self, session: TransferSession) -> None:
+        self._session = session
+        self._commits: deque[PendingCommit] = deque()
+
+    def add(self, listed: ListedFile, commit: Coroutine[Any, Any, Any]) -> None:
+        """Starts the commit of a file."""
+        self._commits.append(PendingCommit(listed.display_name, self._session.transfer.spawn(commit)))
+
+    async def wait_until_at_most(self, count: int) -> None:
+        """Waits until no more than `count` commits are under way; those that failed are reported to the client."""
+        saved = self._session.report.saved
+        while len(self._commits) > count:
+            commit = self._commits.popleft()
             try:
-                await task
-                self.session.told.saved.append(name) if len(self.session.told.saved) < 10_000 else None
+                await commit.task
+                if len(saved) < MAX_REPORTED_FILES:
+                    saved.append(commit.name)
             except RsyncError as error:
-                self.session.fail(f"{name}: {error}")
+                self._session.report_failure(f"{commit.name}: {error}")
--- a/pebblehinge/rsync/deletion.py
+++ b/pebblehinge/rsync/deletion.py
@@ -4,58 +4,79 @@
 
 from pebblehinge.rsync.destination import Destination
 from pebblehinge.rsync.filters import Filters
+from pebblehinge.rsync.flist import TOP_NAME, ListedFile
 from pebblehinge.rsync.numbers import int32
-from pebblehinge.rsync.stream import IO_ERROR, WARNING
+from pebblehinge.rsync.stream import TAG_IO_ERROR, TAG_WARNING
 from pebblehinge.rsync.transfer_session import TransferSession
+from pebblehinge.rsync.tree import join_path
 
-STOPPED_DELETING = 4  # what an IO_ERROR message says of it: the client's tool exits with 25
+DELETE_LIMIT_REACHED = 4
+"""What an I/O error message says where deletions stopped at the limit: the client's tool exits with 25."""
 
 
 class Deletion:
     """The deletions of one push."""
 
-    def __init__(self, session: TransferSession, destination: Destination) -> None:
-        self.session, self.destination = session, destination
-
-    async def run(self, filters: Filters) -> None:
-        """Removes what the client does not have, below the directories that it sent, up to a limit."""
-        names = {self.destination.path(e) for e in self.session.list}
-        gone: list[bytes] = []
-        self.session.folders.clear()
-        for named in self.session.list:
-            if named.folder:
-                path = self.destination.path(named)
-                await self._extra(path, names, b"" if named.name == b"." else named.name + b"/", filters, gone)
-        most = min(
-            self.session.block.max_delete,
-            self.session.options.max_delete if self.session.options.max_delete >= 0 else 1 << 30,
-        )
-        for n, path in enumerate(gone):
-            if n >= most:
-                self.session.told.failed.append("--max-delete")
-                self.session.say(f"Deletions stopped due to --max-delete limit ({len(gone) - n} skipped)", WARNING)
-                if self.session.version >= 30:
-                    self.session.stream.message(IO_ERROR, int32(STOPPED_DELETING))
-                return
-            if not self.session.options.dry_run:
-                await self.session.transfer.remove(path)
-            self.session.say(f"deleting {path.decode('utf-8', 'surrogateescape')}")
-
-    async def _extra(
-        self, path: bytes, names: set[bytes], prefix: bytes, filters: Filters, gone: list[bytes], inside: bool = False
-    ) -> bool:
-        """What stands below `path` and is not named: the deepest first. True where something there is kept."""
-        kept = False
-        for entry in (await self.session.folder(path)).sorted():
-            below = path + b"/" + entry.name if path else entry.name
-            if below in names and not inside:
-                kept = True
+    def __init__(self, session: TransferSession, destination: Destination, filters: Filters) -> None:
+        self._session = session
+        self._destination = destination
+        self._filters = filters
+        self._listed: set[bytes] = set()
+        self._extra: list[bytes] = []
+
+    async def run(self) -> None:
+        """Removes what the client does not have below the directories that it sent, up to a limit."""
+        session = self._session
+        self._listed = {self._destination.path(listed) for listed in session.files}
+        session.directories.clear()
+        for listed in session.files:
+            if listed.is_directory:
+                await self._find_extra(self._destination.path(listed), _prefix(listed), is_extra=False)
+        limit = session.block.max_delete
+        if session.options.max_delete >= 0:
+            limit = min(limit, session.options.max_delete)
+        for path in self._extra[: max(0, limit)]:
+            if not session.options.dry_run:
+                await session.transfer.remove(path)
+            session.send_text(f"deleting {path.decode('utf-8', 'surrogateescape')}")
+        skipped = len(self._extra) - max(0, limit)
+        if skipped > 0:
+            self._report_limit(skipped)
+
+    def _report_limit(self, skipped: int) -> None:
+        session = self._session
+        session.report.failed.append("--max-delete")
+        session.send_text(f"Deletions stopped due to --max-delete limit ({skipped} skipped)", TAG_WARNING)
+        if session.version >= 30:
+            session.stream.message(TAG_IO_ERROR, int32(DELETE_LIMIT_REACHED))
+
+    async def _find_extra(self, directory: bytes, prefix: bytes, is_extra: bool) -> bool:
+        """Adds what stands in a directory and is not listed, the deepest first.
+
+        Args:
+            directory: Its path.
+            prefix: What stands before a name in it in the list.
+            is_extra: Whether the directory itself is not listed.
+
+        Returns:
+            Whether something in it stays.
+        """
+        something_stays = False
+        for entry in (await self._session.read_directory(directory)).sorted():
+            path = join_path(directory, entry.name)
+            name = prefix + entry.name
+            if path in self._listed and not is_extra:
+                something_stays = True
                 continue
-            if not self.session.options.delete_excluded and not filters.takes(prefix + entry.name, entry.folder):
-                kept = True
+            if not self._session.options.delete_excluded and not self._filters.includes(name, entry.is_directory):
+                something_stays = True
                 continue
-            if entry.folder and await self._extra(below, names, prefix + entry.name + b"/", filters, gone, True):
-                kept = True
+            if entry.is_directory and await self._find_extra(path, name + b"/", is_extra=True):
+                something_stays = True
                 continue
-            gone.append(below)
-        return kept
+            self._extra.append(path)
+        return something_stays
+
+
+def _prefix(listed: ListedFile) -> bytes:
+    return b"" if listed.name == TOP_NAME else listed.name + b"/"
--- a/pebblehinge/rsync/destination.py
+++ b/pebblehinge/rsync/destination.py
@@ -1,37 +1,43 @@
-"""Where a push goes."""
+"""Where the files of a push go."""
 
 from __future__ import annotations
 
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.stream import FILE, RsyncError
+from pebblehinge.rsync.errors import EXIT_FILE_IO, RsyncError
+from pebblehinge.rsync.flist import TOP_NAME, ListedFile
 from pebblehinge.rsync.transfer_session import TransferSession
-from pebblehinge.rsync.tree import clean
+from pebblehinge.rsync.tree import join_path, normalize_path, split_path
 
 
 class Destination:
-    """Where the list goes: into a directory, or one file to a name of its own."""
+    """Where the list goes: into a directory, or a single file to a name of its own.
+
+    Attributes:
+        top: The path of the directory, or of the single file.
+        is_file: Whether `top` is the path of a single file.
+    """
 
     def __init__(self, session: TransferSession) -> None:
-        self.session = session
-        self.top, self.rename = b"", False
+        self._session = session
+        self.top = b""
+        self.is_file = False
 
     async def resolve(self) -> None:
-        """Makes the directories that it needs."""
-        raw = self.session.options.paths[0].removeprefix(self.session.transfer.place.name.encode())
-        self.top, self.rename = clean(raw), False
-        standing = await self.session.standing(self.top)
-        single = len(self.session.list) == 1 and not self.session.list[0].folder and not raw.endswith(b"/")
-        if self.top and single and (standing is None or not standing.folder):
-            self.rename = True
-            await self.session.transfer.make_folders(self.top.rpartition(b"/")[0])
-        elif standing is None and not self.session.options.dry_run:
-            await self.session.transfer.make_folders(self.top)
-        elif standing is not None and not standing.folder:
-            raise RsyncError(f"{self.top[:80]!r} is no directory", FILE)
-
-    def path(self, named: Named) -> bytes:
-        if self.rename:
-            return self.top
-        if named.name == b".":
+        """Looks at what stands there and makes the directories that are needed; raises RsyncError for a file there."""
+        session = self._session
+        raw = session.options.paths[0].removeprefix(session.transfer.store.name.encode())
+        self.top = normalize_path(raw)
+        current = await session.current_entry(self.top)
+        is_single = len(session.files) == 1 and not session.files[0].is_directory and not raw.endswith(b"/")
+        if self.top and is_single and (current is None or not current.is_directory):
+            self.is_file = True
+            await session.transfer.make_directories(split_path(self.top)[0])
+        elif current is None and not session.options.dry_run:
+            await session.transfer.make_directories(self.top)
+        elif current is not None and not current.is_directory:
+            raise RsyncError(f"{self.top[:80]!r} is no directory", EXIT_FILE_IO)
+
+    def path(self, listed: ListedFile) -> bytes:
+        """Returns the path of a file of the list."""
+        if self.is_file or listed.name == TOP_NAME:
             return self.top
-        return self.top + b"/" + named.name if self.top else named.name
+        return join_path(self.top, listed.name)
--- a/pebblehinge/rsync/directory_log.py
+++ b/pebblehinge/rsync/directory_log.py
@@ -1,139 +1,190 @@
-"""A directory's log: read on and appended to under a condition on its end, so that each record is appended once."""
+"""A directory's log: read on, and appended to at an end that the append names, so that each record lands once."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass, field
 
-from pebblehinge.rsync.module_state import ModuleState, Refused
-from pebblehinge.rsync.sharing import after_append
-from pebblehinge.rsync.stream import RsyncError
+from pebblehinge.rsync.errors import RequestRejectedError, RsyncError
+from pebblehinge.rsync.module_state import EntryChange, LogTransfer, ModuleState
+from pebblehinge.rsync.request_scheduler import AppendStep, step_after_append
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.tree import Entry, Folder, folder_extent, packed
+from pebblehinge.rsync.tree import Directory, DirectoryEntry, directory_extent, encode_entry
 
-PIECE = 256 << 10  # of a log in one request
-MOST_APPEND = 128 << 10  # bytes of records in one append
+READ_BYTES = 256 << 10
+"""Bytes of a log in one read."""
+
+MAX_APPEND_BYTES = 128 << 10
+"""Bytes of records after which no further one joins an append."""
+
+APPEND_PATIENCE = 4
+"""Times the patience of a request that an append with its retries may take."""
+
+
+@dataclass(slots=True)
+class PendingChange:
+    """A change that waits to be committed.
+
+    Attributes:
+        make: Returns the entry to commit.
+        future: Gets the entry that was committed, or the error.
+        transfer: Whose change it is.
+    """
+
+    make: EntryChange
+    future: asyncio.Future[DirectoryEntry | None]
+    transfer: LogTransfer
+
+
+@dataclass(slots=True)
+class Batch:
+    """Changes that one append commits.
+
+    Attributes:
+        changes: The changes, in order.
+        entries: What each of them commits, or None where nothing is to be done.
+        records: The bytes to append.
+    """
+
+    changes: list[PendingChange] = field(default_factory=list)
+    entries: list[DirectoryEntry | None] = field(default_factory=list)
+    records: bytes = b""
 
 
 class DirectoryLog:
-    """A directory's log: read on by one, appended to by one at a time; who comes meanwhile shares the next append."""
-
-    def __init__(self, place: ModuleState, path: bytes) -> None:
-        self.place, self.path = place, path
-        self.extent = folder_extent(place.name, path)
-        self.folder = Folder()
-        self.queue: list[tuple[Callable[[Folder], Entry | None], asyncio.Future[Entry | None], Transfer]] = []
-        self.appending = False
-        self.reading: asyncio.Future[None] | None = None
-
-    def busy(self) -> bool:
-        return self.appending or bool(self.queue) or self.reading is not None
-
-    async def refresh(self, transfer: Transfer) -> Folder:
-        """Reads what came since. Two who ask together read once, if the reading began after both asked."""
-        while self.reading is not None:
-            await asyncio.shield(self.reading)
-        self.reading = transfer.loop.create_future()
+    """A directory's log. One reads it or appends to it at a time; changes that come meanwhile share the next append.
+
+    Attributes:
+        extent: The name of its extent.
+        directory: The directory, as far as the log was read.
+    """
+
+    def __init__(self, store: ModuleState, path: bytes) -> None:
+        self.extent = directory_extent(store.name, path)
+        self.directory = Directory()
+        self._store = store
+        self._queue: list[PendingChange] = []
+        self._appending = False
+        self._reading: asyncio.Future[None] | None = None
+
+    def is_busy(self) -> bool:
+        """Whether it is being read or changed."""
+        return self._appending or bool(self._queue) or self._reading is not None
+
+    async def refresh(self, transfer: LogTransfer) -> Directory:
+        """Reads what was appended since, after a read that is under way; returns the directory."""
+        while self._reading is not None:
+            await asyncio.shield(self._reading)
+        self._reading = transfer.loop.create_future()
         try:
             while True:
-                at = self.folder.end
-                data = await transfer.read(self.extent, at, PIECE)
-                self.folder.feed_from(at, data)
-                if len(data) < PIECE:
-                    return self.folder
+                offset = self.directory.end
+                data = await transfer.read(self.extent, offset, READ_BYTES)
+                self.directory.feed_from(offset, data)
+                if len(data) < READ_BYTES:
+                    return self.directory
         finally:
-            done, self.reading = self.reading, None
+            done, self._reading = self._reading, None
             done.set_result(None)
 
-    async def change(self, transfer: Transfer, make: Callable[[Folder], Entry | None]) -> Entry | None:
-        """Commits what `make` gives for the directory as it stands then; None: nothing is to be done. What it gives is
-        appended once, whatever happens on the way, or RsyncError says that this is not known."""
-        future: asyncio.Future[Entry | None] = transfer.loop.create_future()
-        self.queue.append((make, future, transfer))
-        if not self.appending:
-            self.appending = True
+    async def change(self, transfer: LogTransfer, make: EntryChange) -> DirectoryEntry | None:
+        """Commits what `make` returns for the directory as it stands then.
+
+        Returns:
+            The entry, which was appended once; or None if nothing was to be done.
+
+        Raises:
+            RsyncError: The entry was not committed, or it is not known whether it was.
+        """
+        future: asyncio.Future[DirectoryEntry | None] = transfer.loop.create_future()
+        self._queue.append(PendingChange(make, future, transfer))
+        if not self._appending:
+            self._appending = True
             # A task of its own: it serves others too, and must not end with the transfer that happened to begin it.
-            self.place.turns.loop.create_task(self._append_all())
+            self._store.scheduler.loop.create_task(self._append_all())
         return await future
 
     async def _append_all(self) -> None:
         try:
-            while self.queue:
-                await self._append_some()
+            while self._queue:
+                await self._append_next()
         finally:
-            self.appending = False
+            self._appending = False
 
-    async def _append_some(self) -> None:
+    async def _append_next(self) -> None:
         # A transfer of its own: one whose client goes away meanwhile must not leave the others' records half way.
-        self.place.appends += 1
-        trace = f"{self.queue[0][2].trace}.s{self.place.appends}"
-        first = Transfer(self.place, trace, 4 * self.place.block.patience)
+        self._store.appends += 1
+        trace = f"{self._queue[0].transfer.trace}.s{self._store.appends}"
+        transfer = Transfer(self._store, trace, APPEND_PATIENCE * self._store.block.patience)
         try:
-            await self._append_by(first)
+            await self._append_batch(transfer)
         finally:
-            first.end()
+            transfer.end()
 
-    async def _append_by(self, first: Transfer) -> None:
-        self.queue = [row for row in self.queue if not row[1].done()]  # clients that are gone want nothing saved
-        taken: list[tuple[Callable[[Folder], Entry | None], asyncio.Future[Entry | None], Transfer]] = []
+    async def _append_batch(self, transfer: Transfer) -> None:
+        self._queue = [change for change in self._queue if not change.future.done()]  # the others' clients are gone
+        batch = Batch()
         try:
-            if not self.folder.end:
-                await self.refresh(first)
-            state = Folder()
-            state.entries = dict(self.folder.entries) if len(self.queue) > 1 else self.folder.entries
-            raw, told = b"", []
-            while self.queue and len(raw) < MOST_APPEND:
-                taken.append(self.queue.pop(0))
-                make, future, _ = taken[-1]
-                entry = make(state)
-                if entry is not None:
-                    raw += packed(entry)
-                    if len(self.queue) or len(taken) > 1:
-                        state.apply(entry)
-                told.append((future, entry))
-            if raw and not await self._append(first, raw, [e for _, e in told if e is not None]):
-                self.queue[:0] = taken  # another head's records came between: they may change what is to be done
+            if not self.directory.end:
+                await self.refresh(transfer)
+            self._fill(batch)
+            entries = [entry for entry in batch.entries if entry is not None]
+            if batch.records and not await self._append(transfer, batch.records, entries):
+                self._queue[:0] = batch.changes  # another gateway's records came between: they may change the entries
                 return
-            for future, entry in told:
-                if not future.done():
-                    future.set_result(entry)
+            for change, entry in zip(batch.changes, batch.entries, strict=True):
+                if not change.future.done():
+                    change.future.set_result(entry)
         except RsyncError as error:
-            for _, future, _ in taken or self._all():
-                if not future.done():
-                    future.set_exception(error)
+            for change in batch.changes or self._take_queue():
+                if not change.future.done():
+                    change.future.set_exception(error)
+
+    def _fill(self, batch: Batch) -> None:
+        """Moves changes from the queue to a batch; each sees the directory as those before it leave it."""
+        state = Directory()
+        state.entries = dict(self.directory.entries) if len(self._queue) > 1 else self.directory.entries
+        while self._queue and len(batch.records) < MAX_APPEND_BYTES:
+            change = self._queue.pop(0)
+            batch.changes.append(change)
+            entry = change.make(state)
+            if entry is not None:
+                batch.records += encode_entry(entry)
+                if self._queue or len(batch.changes) > 1:
+                    state.apply(entry)
+            batch.entries.append(entry)
 
-    def _all(self) -> list[Any]:
-        taken, self.queue = self.queue, []
+    def _take_queue(self) -> list[PendingChange]:
+        taken, self._queue = self._queue, []
         return taken
 
-    async def _append(self, transfer: Transfer, raw: bytes, entries: list[Entry]) -> bool:
-        """True once the records stand in the log, False where it had grown. See `sharing.after_append`."""
-        place, unsure = self.place, False
-        labels = [e.label for e in entries]
+    async def _append(self, transfer: Transfer, records: bytes, entries: list[DirectoryEntry]) -> bool:
+        """Returns True once the records stand in the log, False if others were appended. See `step_after_append`."""
+        is_uncertain = False
+        labels = [entry.label for entry in entries]
         while True:
-            at = self.folder.end
+            end = self.directory.end
             try:
-                final, landed, _ = await transfer.append(self.extent, at, raw, labels[0])
-                step = after_append(final, landed)
-                if step in ("look", "moved"):
-                    unsure = unsure or step == "look"
-                    place.unsure += step == "look"
+                answer = await transfer.append(self.extent, end, records, labels[0])
+                step = step_after_append(answer.final, answer.appended)
+                if step in (AppendStep.LOOK, AppendStep.MOVED):
+                    is_uncertain = is_uncertain or step is AppendStep.LOOK
+                    self._store.uncertain += step is AppendStep.LOOK
                     await self.refresh(transfer)
-            except Refused as error:
-                if not unsure:
+            except RequestRejectedError as error:
+                if not is_uncertain:
                     raise
                 # An attempt may have run, and nobody could look: that is what must be said.
                 text = f"it is not known whether this save stands, the same command again finds out ({error})"
-                raise Refused(text, error.code) from None
-            if step in ("look", "moved"):
-                # All or none of them stand there; only some, where another head made the very same save.
-                if all(self.folder.has(label) for label in labels):
-                    step = "done"
-                elif self.folder.end > at:
+                raise RequestRejectedError(text, error.code) from None
+            if step in (AppendStep.LOOK, AppendStep.MOVED):
+                # All or none of them stand there; only some, where another gateway made the very same commit.
+                if all(self.directory.has_label(label) for label in labels):
+                    step = AppendStep.DONE
+                elif self.directory.end > end:
                     return False
-            elif step == "done":
-                self.folder.feed_from(at, raw)
-            if step == "done":
-                place.landed += len(entries)
+            elif step is AppendStep.DONE:
+                self.directory.feed_from(end, records)
+            if step is AppendStep.DONE:
+                self._store.committed += len(entries)
                 return True
--- a/pebblehinge/rsync/file_receiver.py
+++ b/pebblehinge/rsync/file_receiver.py
@@ -1,88 +1,166 @@
-"""Takes one file of a push: its tokens become blocks, and its entry is committed when it is whole."""
+"""Takes the files of a push: their tokens become blocks, and each entry is committed when its file is complete."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from pebblehinge.rsync.basis_file import BasisFile
+from pebblehinge.rsync.block_checksums import read_block_checksums
 from pebblehinge.rsync.commit_queue import CommitQueue
 from pebblehinge.rsync.destination import Destination
-from pebblehinge.rsync.file_writer import Writer
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.stream import PARTIAL, STEPS, Gone, RsyncError
-from pebblehinge.rsync.sums import Sums, read_sums
-from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
+from pebblehinge.rsync.digests import IncrementalDigest
+from pebblehinge.rsync.errors import EXIT_PARTIAL, ConnectionClosedError, RsyncError
+from pebblehinge.rsync.file_writer import FileWriter
+from pebblehinge.rsync.flist import ListedFile
+from pebblehinge.rsync.generator import Basis
+from pebblehinge.rsync.stream import YIELD_STEPS
+from pebblehinge.rsync.tokens import DeflatedTokenReader, PlainTokenReader
 from pebblehinge.rsync.transfer_session import TransferSession
-from pebblehinge.rsync.tree import Entry
+from pebblehinge.rsync.tree import DirectoryEntry
+
+YIELD_BYTES = 1 << 20
+"""Bytes of a file after which other tasks run."""
+
+MAX_COMMITS = 64
+"""Files whose commits are under way while the next ones come."""
+
+MAX_SIZE_FACTOR = 2
+"""Times the module's bound that a file that can't be taken may go on for, before the transfer ends."""
+
 
-BREATH = 1 << 20  # bytes of a file that are taken in one turn of the loop
-COMMITS = 64  # of files whose saves are under way while the next come
+@dataclass(slots=True)
+class IncomingFile:
+    """One file while it comes.
+
+    Attributes:
+        listed: The file as the list has it.
+        path: Its path in the module.
+        basis: What the sender was told of it.
+        basis_file: Reads the blocks that the sender names.
+        writer: Stores its blocks.
+        digest: Its digest, as far as it came.
+        bytes_seen: Its bytes so far.
+        bytes_at_yield: Its bytes when other tasks last ran.
+        failure: Why it can't be stored; the rest of it is then read and dropped.
+    """
+
+    listed: ListedFile
+    path: bytes
+    basis: Basis
+    basis_file: BasisFile
+    writer: FileWriter
+    digest: IncrementalDigest
+    bytes_seen: int = 0
+    bytes_at_yield: int = 0
+    failure: RsyncError | None = None
 
 
 class FileReceiver:
-    """Takes files one after the other; `again` are those whose sum was not that of what came."""
+    """Takes files one after the other.
+
+    Attributes:
+        again: The files whose digest was not that of what came.
+    """
 
     def __init__(self, session: TransferSession, destination: Destination, commits: CommitQueue) -> None:
-        self.session, self.destination, self.commits = session, destination, commits
-        self.again: list[Named] = []
+        self.again: list[ListedFile] = []
+        self._session = session
+        self._destination = destination
+        self._commits = commits
 
-    async def receive(self, named: Named, basis: Entry | None, sums: Sums, redo: bool) -> None:
-        path, place = self.destination.path(named), self.session.transfer.place
-        head = await read_sums(self.session.stream, self.session.agreed.digest, whole=False)
-        if (head.count, head.block, head.rest) != (sums.count, sums.block, sums.rest):
-            raise RsyncError("the sender answers other sums than were sent")
-        known = await self.session.reader.sums(basis) if basis is not None and not basis.data else None
-        writer, whole = Writer(self.session.transfer, known), self.session.agreed.digest.whole()
-        tokens = DeflatedIn() if self.session.agreed.compress else PlainIn()
-        failed: RsyncError | None = None
-        old = BasisFile(self.session.transfer, basis, sums, known)
-        seen = breathed = 0
+    async def receive(self, listed: ListedFile, basis: Basis) -> None:
+        """Takes one file.
+
+        What was stored is kept for the next try if the connection closes. A file that this module does not take is
+        reported to the client.
+
+        Raises:
+            RsyncError: The transfer can't go on.
+        """
+        session, store = self._session, self._session.transfer.store
+        file = await self._begin(listed, basis)
         try:
-            while (token := await tokens.next(self.session.stream)) is not None:
-                if isinstance(token, int):
-                    if not 0 <= token < sums.count:
-                        raise RsyncError(f"block {token} of {sums.count}")
-                    self.session.told.matched += sums.length(token)
-                    data = await old.read(token) if failed is None else b""
-                else:
-                    self.session.told.literal += len(token)
-                    data = token
-                # Few bytes may stand for many: deflated zeros, or runs of blocks. The head's other work goes on
-                # between them, and a file that is beyond its module's bound twice over ends the transfer.
-                await self.session.stream.breathe()
-                seen += len(data) if isinstance(token, bytes) else sums.length(token)
-                if seen - breathed > BREATH:
-                    breathed = seen
-                    await self.session.stream.breathe(STEPS)
-                if failed is None:
-                    whole.update(data)
-                    try:
-                        await writer.put(data)
-                    except RsyncError as error:  # the rest of it is read and thrown away, then the next file comes
-                        failed = error
-                elif seen > 2 * self.session.block.max_size:
-                    raise RsyncError(f"{self.session.display_name(named)}: goes on for more than {seen} bytes", PARTIAL)
-            wanted = await self.session.stream.take(self.session.agreed.digest.length)
-            if failed is None and whole.digest() == wanted:
-                entry = await writer.done(named.mtime, named.mode)
-                self.session.told.files += 1
-                self.session.told.bytes += writer.size
-                self.commits.add(named, self._save(path, entry))
-                await self.commits.settle(COMMITS)
+            await self._read_tokens(file)
+            sent_digest = await session.stream.take(session.negotiated.digest.length)
+            if file.failure is None and file.digest.digest() == sent_digest:
+                await self._commit(file)
                 return
-        except Gone:
-            sums = await writer.standing()
-            place.keeping.keep(self.session.transfer.clock(), place.name, path, named.size, sums, writer.block)
+        except ConnectionClosedError:
+            checksums = await file.writer.stored_checksums()
+            now_ms = session.transfer.clock()
+            store.partial_uploads.keep(now_ms, store.name, file.path, listed.size, checksums, file.writer.block)
             raise
         finally:
-            writer.drop()
-            old.drop()
-        place.keeping.done(place.name, path)
-        if failed is not None:
-            if failed.code != PARTIAL:
-                raise failed
-            self.session.fail(f"{self.session.display_name(named)}: {failed}")
+            file.writer.cancel()
+            file.basis_file.cancel()
+        store.partial_uploads.discard(store.name, file.path)
+        if file.failure is None:
+            self.again.append(listed)
+        elif file.failure.code == EXIT_PARTIAL:
+            session.report_failure(f"{listed.display_name}: {file.failure}")
         else:
-            self.again.append(named)
+            raise file.failure
+
+    async def _begin(self, listed: ListedFile, basis: Basis) -> IncomingFile:
+        session, entry = self._session, basis.entry
+        header = await read_block_checksums(session.stream, header_only=True)
+        if not header.has_same_blocks(basis.checksums):
+            raise RsyncError("the sender answers other sums than were sent")
+        stored = await session.content.checksums(entry) if entry is not None and not entry.data else None
+        return IncomingFile(
+            listed,
+            self._destination.path(listed),
+            basis,
+            BasisFile(session.transfer, entry, basis.checksums, stored),
+            FileWriter(session.transfer, stored),
+            session.negotiated.digest.whole(),
+        )
+
+    async def _read_tokens(self, file: IncomingFile) -> None:
+        stream = self._session.stream
+        tokens = DeflatedTokenReader() if self._session.negotiated.compress else PlainTokenReader()
+        while (token := await tokens.next(stream)) is not None:
+            data = token if isinstance(token, bytes) else await self._read_match(file, token)
+            # Few bytes may stand for many: deflated zeros, or runs of blocks. The gateway's other work goes on
+            # between them, and a file that is beyond its module's bound twice over ends the transfer.
+            await stream.yield_after_work()
+            if isinstance(token, bytes):
+                self._session.report.literal += len(token)
+                file.bytes_seen += len(token)
+            else:
+                file.bytes_seen += file.basis.checksums.length(token)
+            if file.bytes_seen - file.bytes_at_yield > YIELD_BYTES:
+                file.bytes_at_yield = file.bytes_seen
+                await stream.yield_after_work(YIELD_STEPS)
+            await self._store(file, data)
+
+    async def _read_match(self, file: IncomingFile, index: int) -> bytes:
+        """Returns a block that the sender names, or nothing where the file can't be stored anyway."""
+        checksums = file.basis.checksums
+        if not 0 <= index < checksums.count:
+            raise RsyncError(f"block {index} of {checksums.count}")
+        self._session.report.matched += checksums.length(index)
+        return await file.basis_file.read(index) if file.failure is None else b""
+
+    async def _store(self, file: IncomingFile, data: bytes) -> None:
+        if file.failure is None:
+            file.digest.update(data)
+            try:
+                await file.writer.write(data)
+            except RsyncError as error:  # the rest of it is read and dropped, then the next file comes
+                file.failure = error
+        elif file.bytes_seen > MAX_SIZE_FACTOR * self._session.block.max_size:
+            text = f"{file.listed.display_name}: goes on for more than {file.bytes_seen} bytes"
+            raise RsyncError(text, EXIT_PARTIAL)
+
+    async def _commit(self, file: IncomingFile) -> None:
+        entry = await file.writer.finish(file.listed.mtime, file.listed.mode)
+        self._session.report.files += 1
+        self._session.report.bytes += file.writer.size
+        self._commits.add(file.listed, self._commit_entry(file.path, entry))
+        await self._commits.wait_until_at_most(MAX_COMMITS)
 
-    async def _save(self, path: bytes, entry: Entry) -> None:
-        await self.session.transfer.commit(path, entry)
-        self.session.transfer.place.keeping.done(self.session.transfer.place.name, path)
+    async def _commit_entry(self, path: bytes, entry: DirectoryEntry) -> None:
+        transfer = self._session.transfer
+        await transfer.commit(path, entry)
+        transfer.store.partial_uploads.discard(transfer.store.name, path)
--- a/pebblehinge/rsync/file_writer.py
+++ b/pebblehinge/rsync/file_writer.py
@@ -1,81 +1,119 @@
-"""Writes a file's blocks as its bytes come, a few at a time."""
+"""Writes a file's blocks as its bytes come, a few blocks at a time."""
 
 from __future__ import annotations
 
 import asyncio
+from collections import deque
+from dataclasses import dataclass
 
-from pebblehinge.rsync.stream import PARTIAL, RsyncError
+from pebblehinge.rsync.errors import EXIT_PARTIAL, RsyncError
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.tree import HOLE, INLINE, SPREAD, Entry, block_extent, block_sum, whole_sum
+from pebblehinge.rsync.tree import (
+    HOLE,
+    KIND_FILE,
+    MAX_CHECKSUM_LIST_BYTES,
+    MAX_INLINE_BYTES,
+    PERMISSIONS,
+    DirectoryEntry,
+    block_checksum,
+    block_extent,
+    content_checksum,
+)
 
 
-class Writer:
-    """A file that comes in pieces: whole blocks are written as they come, a few at a time; `done` gives its entry, not
-    yet committed. `blocks` are those that stand, in order, for who wants to go on from there."""
+@dataclass(slots=True, frozen=True)
+class BlockWrite:
+    """A block that is being written: its number in the file, and the task."""
 
-    def __init__(self, transfer: Transfer, known: list[bytes] | None = None) -> None:
-        self.transfer, self.block = transfer, transfer.block.block
-        self.held = bytearray()
+    number: int
+    task: asyncio.Task[None]
+
+
+class FileWriter:
+    """Stores a file that comes in pieces. Its entry is not committed here.
+
+    Attributes:
+        block: Length of a block in bytes.
+        size: Bytes that came so far.
+    """
+
+    def __init__(self, transfer: Transfer, stored: list[bytes] | None = None) -> None:
+        """Creates a writer; the blocks with the checksums `stored` are there already and are not written."""
+        self.block = transfer.block.block
         self.size = 0
-        self.sums: list[bytes] = []
-        self.out: list[tuple[int, asyncio.Task[None]]] = []  # blocks on their way: their number, and the write
-        self.known = dict.fromkeys(known or ())  # blocks that stand already
-        self.most = max(1, transfer.block.ahead // self.block)
+        self._transfer = transfer
+        self._buffer = bytearray()
+        self._checksums: list[bytes] = []
+        self._writes: deque[BlockWrite] = deque()
+        self._stored = dict.fromkeys(stored or ())
+        self._max_writes = max(1, transfer.block.ahead // self.block)
 
-    async def put(self, data: bytes) -> None:
-        self.held += data
+    async def write(self, data: bytes) -> None:
+        """Takes more of the file; raises RsyncError if it is longer than the module takes, or a write failed."""
+        self._buffer += data
         self.size += len(data)
-        if 0 <= self.transfer.block.max_size < self.size:
-            most = self.transfer.block.max_size
-            raise RsyncError(f"a file of more than {most} bytes: this module takes no more", PARTIAL)
-        while len(self.held) >= self.block:
-            await self._one(bytes(self.held[: self.block]))
-            del self.held[: self.block]
-
-    async def _one(self, data: bytes) -> None:
-        sum_ = block_sum(data)
-        self.sums.append(sum_)
-        if sum_ == HOLE or sum_ in self.known:
+        max_size = self._transfer.block.max_size
+        if 0 <= max_size < self.size:
+            raise RsyncError(f"a file of more than {max_size} bytes: this module takes no more", EXIT_PARTIAL)
+        while len(self._buffer) >= self.block:
+            await self._start_write(bytes(self._buffer[: self.block]))
+            del self._buffer[: self.block]
+
+    async def _start_write(self, data: bytes) -> None:
+        checksum = block_checksum(data)
+        self._checksums.append(checksum)
+        if checksum == HOLE or checksum in self._stored:
             return
-        self.known[sum_] = None
-        while len(self.out) >= self.most:
-            await self.out.pop(0)[1]
-        transfer = self.transfer
-        write = transfer.spawn(transfer.write(block_extent(transfer.place.name, sum_), data))
-        self.out.append((len(self.sums) - 1, write))
-
-    async def standing(self) -> list[bytes]:
-        """Sums of the first blocks that surely stand, once those on their way have come to their end."""
-        while self.out:
-            number, task = self.out.pop(0)
+        self._stored[checksum] = None
+        while len(self._writes) >= self._max_writes:
+            await self._writes.popleft().task
+        task = self._transfer.spawn(self._write_block(checksum, data))
+        self._writes.append(BlockWrite(len(self._checksums) - 1, task))
+
+    async def _write_block(self, checksum: bytes, data: bytes) -> None:
+        await self._transfer.write(block_extent(self._transfer.store.name, checksum), data)
+
+    async def stored_checksums(self) -> list[bytes]:
+        """Waits for the writes under way; returns the checksums of the file's first blocks that are surely stored."""
+        while self._writes:
+            write = self._writes.popleft()
             try:
-                await task
+                await write.task
             except RsyncError:
-                return self.sums[:number]
-        return self.sums
-
-    def drop(self) -> None:
-        for _, task in self.out:
-            task.cancel()
-
-    async def done(self, mtime: int, mode: int) -> Entry:
-        if self.size <= INLINE:
-            data = bytes(self.held)
-            digest = whole_sum(self.size, [block_sum(data)])
-            return Entry("f", b"", self.size, mtime, mode & 0o7777, digest, data=data)
-        if self.held:
-            data = bytes(self.held)
-            self.held.clear()
-            await self._one(data)
-        while self.out:
-            await self.out.pop(0)[1]
-        raw, deep = b"".join(self.sums), False
-        if len(raw) > SPREAD:
-            deep, pieces = True, [raw[at : at + SPREAD] for at in range(0, len(raw), SPREAD)]
-            for piece in pieces:
-                sum_ = block_sum(piece)
-                if sum_ != HOLE:
-                    await self.transfer.write(block_extent(self.transfer.place.name, sum_), piece)
-            raw = b"".join(block_sum(piece) for piece in pieces)
-        digest = whole_sum(self.size, self.sums)
-        return Entry("f", b"", self.size, mtime, mode & 0o7777, digest, self.block, raw, deep)
+                return self._checksums[: write.number]
+        return self._checksums
+
+    def cancel(self) -> None:
+        """Cancels the writes under way."""
+        for write in self._writes:
+            write.task.cancel()
+
+    async def finish(self, mtime: int, mode: int) -> DirectoryEntry:
+        """Stores what is left; returns the file's entry, without a name."""
+        mode &= PERMISSIONS
+        if self.size <= MAX_INLINE_BYTES:
+            data = bytes(self._buffer)
+            digest = content_checksum(self.size, [block_checksum(data)])
+            return DirectoryEntry(KIND_FILE, b"", self.size, mtime, mode, digest, data=data)
+        if self._buffer:
+            data = bytes(self._buffer)
+            self._buffer.clear()
+            await self._start_write(data)
+        while self._writes:
+            await self._writes.popleft().task
+        checksums = b"".join(self._checksums)
+        is_indirect = len(checksums) > MAX_CHECKSUM_LIST_BYTES
+        if is_indirect:
+            checksums = await self._store_checksums(checksums)
+        digest = content_checksum(self.size, self._checksums)
+        return DirectoryEntry(KIND_FILE, b"", self.size, mtime, mode, digest, self.block, checksums, is_indirect)
+
+    async def _store_checksums(self, checksums: bytes) -> bytes:
+        """Stores a long list of checksums in blocks of its own; returns the checksums of those."""
+        starts = range(0, len(checksums), MAX_CHECKSUM_LIST_BYTES)
+        pieces = [checksums[start : start + MAX_CHECKSUM_LIST_BYTES] for start in starts]
+        piece_checksums = [block_checksum(piece) for piece in pieces]
+        for checksum, piece in zip(piece_checksums, pieces, strict=True):
+            if checksum != HOLE:
+                await self._write_block(checksum, piece)
+        return b"".join(piece_checksums)
--- a/pebblehinge/rsync/generator.py
+++ b/pebblehinge/rsync/generator.py
@@ -1,105 +1,179 @@
-"""The generator of a push: decides which files differ and asks the sender for them, with sums of what stands."""
+"""The generator of a push: decides which files differ and asks the sender for them, with checksums of what stands."""
 
 from __future__ import annotations
 
 import stat
 from collections import deque
+from dataclasses import dataclass, field
 
+from pebblehinge.rsync.block_checksums import BlockChecksumBuilder, BlockChecksums
 from pebblehinge.rsync.commit_queue import CommitQueue
 from pebblehinge.rsync.destination import Destination
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.stream import FILE, PARTIAL, RsyncError
-from pebblehinge.rsync.sums import Summing, Sums
-from pebblehinge.rsync.transfer_session import NEW, TRANSFER, TransferSession
-from pebblehinge.rsync.tree import Entry
+from pebblehinge.rsync.errors import EXIT_FILE_IO, EXIT_PARTIAL, RsyncError
+from pebblehinge.rsync.flist import TOP_NAME, ListedFile
+from pebblehinge.rsync.transfer_session import ITEM_IS_NEW, ITEM_TRANSFER, Item, TransferSession
+from pebblehinge.rsync.tree import (
+    KIND_DIRECTORY,
+    KIND_FILE,
+    KIND_LINK,
+    PERMISSIONS,
+    DirectoryEntry,
+    split_path,
+)
+
+LINK_MODE = 0o777
+
+
+@dataclass(slots=True, frozen=True)
+class Basis:
+    """What the sender was told of a file.
+
+    Attributes:
+        entry: The file that it sends its differences against, or None.
+        checksums: The checksums of that file's blocks.
+    """
+
+    entry: DirectoryEntry | None = None
+    checksums: BlockChecksums = field(default_factory=BlockChecksums)
+
+
+@dataclass(slots=True, frozen=True)
+class AskedFile:
+    """A file whose answer is to come, and the bytes of checksums that were sent for it."""
+
+    listed: ListedFile
+    checksum_bytes: int
 
 
 class Generator:
-    """Asks for files; `asked` and `bases` say what of them is still to come."""
+    """Asks for the files that differ.
+
+    Attributes:
+        asked: The files asked for, in order.
+        bases: What the sender was told of them, by index.
+    """
 
     def __init__(self, session: TransferSession, destination: Destination, commits: CommitQueue) -> None:
-        self.session, self.destination, self.commits = session, destination, commits
-        self.filled: set[bytes] = set()  # directories with something in them, where empty ones are left out
-        for named in session.list if session.options.prune else ():
-            above = named.name
-            while not named.folder and (above := above.rpartition(b"/")[0]) and above not in self.filled:
-                self.filled.add(above)
-        self.asked: deque[tuple[Named, int]] = deque()  # files whose answer is to come, with what was sent for them
-        self.bases: dict[int, tuple[Entry | None, Sums]] = {}  # what was said of the file that stands, by index
-
-    async def ask(self, named: Named, redo: bool) -> None:
-        o, path = self.session.options, self.destination.path(named)
-        if named.folder:
-            if o.prune and named.name != b"." and named.name not in self.filled:
-                return
-            if path and not o.dry_run:
-                known = await self.session.standing(path)
-                # A directory's own time and mode are told with it; each change is one more record.
-                if known is None or not known.folder or (o.times and known.mtime != named.mtime):
-                    if known is not None and not known.folder:
-                        raise RsyncError("a file stands where a directory should", FILE)
-                    entry = Entry("d", b"", 0, named.mtime, named.mode & 0o7777)
-                    self.commits.add(named, self.session.transfer.commit(path, entry))
-                    await self.commits.settle(0)  # its files come next
-                    self.session.folders.pop(path.rpartition(b"/")[0], None)
+        self.asked: deque[AskedFile] = deque()
+        self.bases: dict[int, Basis] = {}
+        self._session = session
+        self._destination = destination
+        self._commits = commits
+        self._nonempty = _nonempty_directories(session.files) if session.options.prune_empty else set()
+
+    async def ask(self, listed: ListedFile, redo: bool) -> None:
+        """Makes a directory or a link, or asks for a file if it differs.
+
+        Args:
+            listed: The file.
+            redo: Whether it came with a wrong checksum already, so that all of it is asked for.
+
+        Raises:
+            RsyncError: It can't be taken; with `EXIT_FILE_IO` and `EXIT_PARTIAL` the others can.
+        """
+        path = self._destination.path(listed)
+        if listed.is_directory:
+            await self._make_directory(listed, path)
+        elif stat.S_ISLNK(listed.mode):
+            await self._make_link(listed, path)
+        elif not listed.is_file:
+            self._session.send_text(f'skipping non-regular file "{listed.display_name}"')
+        else:
+            await self._ask_for_file(listed, path, redo)
+
+    async def _make_directory(self, listed: ListedFile, path: bytes) -> None:
+        session, options = self._session, self._session.options
+        if options.prune_empty and listed.name != TOP_NAME and listed.name not in self._nonempty:
             return
-        if stat.S_ISLNK(named.mode):
-            if o.links and not o.dry_run:
-                known = await self.session.standing(path)
-                if known is None or known.kind != "l" or known.data != named.link:
-                    entry = Entry("l", b"", len(named.link), named.mtime, 0o777, data=named.link)
-                    self.commits.add(named, self.session.transfer.commit(path, entry))
+        if not path or options.dry_run:
             return
-        if not named.file:
-            self.session.say(f'skipping non-regular file "{self.session.display_name(named)}"')
+        known = await session.current_entry(path)
+        # A directory's own time and mode are stored with it; each change is one more record.
+        if known is not None and known.is_directory and not (options.times and known.mtime != listed.mtime):
             return
-        if 0 <= self.session.block.max_size < named.size:
-            raise RsyncError(
-                f"{named.size} bytes: this module takes files of at most {self.session.block.max_size}", PARTIAL
-            )
-        if (0 <= o.max_size < named.size) or named.size < o.min_size:
+        if known is not None and not known.is_directory:
+            raise RsyncError("a file stands where a directory should", EXIT_FILE_IO)
+        entry = DirectoryEntry(KIND_DIRECTORY, b"", 0, listed.mtime, listed.mode & PERMISSIONS)
+        self._commits.add(listed, session.transfer.commit(path, entry))
+        await self._commits.wait_until_at_most(0)  # its files come next
+        session.directories.pop(split_path(path)[0], None)
+
+    async def _make_link(self, listed: ListedFile, path: bytes) -> None:
+        session, options = self._session, self._session.options
+        if not options.links or options.dry_run:
+            return
+        known = await session.current_entry(path)
+        if known is None or known.kind != KIND_LINK or known.data != listed.link:
+            entry = DirectoryEntry(KIND_LINK, b"", len(listed.link), listed.mtime, LINK_MODE, data=listed.link)
+            self._commits.add(listed, session.transfer.commit(path, entry))
+
+    async def _ask_for_file(self, listed: ListedFile, path: bytes, redo: bool) -> None:
+        session, options = self._session, self._session.options
+        if 0 <= session.block.max_size < listed.size:
+            text = f"{listed.size} bytes: this module takes files of at most {session.block.max_size}"
+            raise RsyncError(text, EXIT_PARTIAL)
+        if (0 <= options.max_size < listed.size) or listed.size < options.min_size:
             return
-        known = await self.session.standing(path)
-        if known is not None and known.folder:
-            raise RsyncError("a directory stands where a file should", FILE)
-        if not redo and await self._skips(named, known):
+        known = await session.current_entry(path)
+        if known is not None and known.is_directory:
+            raise RsyncError("a directory stands where a file should", EXIT_FILE_IO)
+        if not redo and await self._is_up_to_date(listed, known):
             return
-        if o.dry_run:
-            self.session.put_item(named.index, TRANSFER | (NEW if known is None else 0))
-            self.asked.append((named, 0))
+        item = Item(listed.index, ITEM_TRANSFER | (ITEM_IS_NEW if known is None else 0))
+        if options.dry_run:
+            session.put_item(item)
+            self.asked.append(AskedFile(listed, 0))
             return
-        sums = Sums()
-        basis = None if redo or o.whole else await self._basis(named, path, known)
-        if basis is not None:
-            summing = Summing(basis.size, self.session.agreed.digest, redo, o.block)
-            async for data in self.session.reader.content(basis):
-                summing.feed(data)
-            sums = summing.done()
-        self.session.put_item(named.index, TRANSFER | (NEW if known is None else 0))
-        raw = sums.packed() if basis is not None else sums.head()
-        self.session.stream.put(raw)
-        self.asked.append((named, len(raw)))
-        self.bases[named.index] = (basis, sums)
-
-    async def _skips(self, named: Named, known: Entry | None) -> bool:
-        o = self.session.options
+        basis = Basis() if redo or options.whole else await self._choose_basis(listed, path, known, redo)
+        session.put_item(item)
+        checksums = basis.checksums.encode() if basis.entry is not None else basis.checksums.encode_header()
+        session.stream.put(checksums)
+        self.asked.append(AskedFile(listed, len(checksums)))
+        self.bases[listed.index] = basis
+
+    async def _is_up_to_date(self, listed: ListedFile, known: DirectoryEntry | None) -> bool:
+        """Whether a file is left as it is, by what the client asked for."""
+        options = self._session.options
         if known is None:
-            return o.existing
-        if o.ignore_existing or (o.update and known.mtime > named.mtime):
+            return options.existing
+        if options.ignore_existing or (options.update and known.mtime > listed.mtime):
             return True
-        if known.kind != "f" or known.size != named.size or o.ignore_times:
+        if known.kind != KIND_FILE or known.size != listed.size or options.ignore_times:
             return False
-        if o.append and known.size >= named.size:
+        if options.append and known.size >= listed.size:
             return True
-        if o.checksum:
-            return await self.session.digest_of(known) == named.digest
-        return o.size_only or known.mtime == named.mtime
-
-    async def _basis(self, named: Named, path: bytes, known: Entry | None) -> Entry | None:
-        """What the client's file is told apart from: what an interrupted push left, or what stands there."""
-        place = self.session.transfer.place
-        part = place.keeping.look(self.session.transfer.clock(), place.name, path)
-        if part is not None and (known is None or len(part.blocks) * part.block > known.size // 2):
-            size = min(len(part.blocks) * part.block, part.size)
-            return Entry("f", b"", size, block=part.block, sums=b"".join(part.blocks))
-        return known if known is not None and known.kind == "f" and known.size else None
+        if options.checksum:
+            return await self._session.digest_of(known) == listed.digest
+        return options.size_only or known.mtime == listed.mtime
+
+    async def _choose_basis(self, listed: ListedFile, path: bytes, known: DirectoryEntry | None, redo: bool) -> Basis:
+        """Returns what the client sends differences against: what an interrupted push left, or what stands there."""
+        entry = self._find_partial(path, known)
+        if entry is None and known is not None and known.kind == KIND_FILE and known.size:
+            entry = known
+        if entry is None:
+            return Basis()
+        session = self._session
+        builder = BlockChecksumBuilder(entry.size, session.negotiated.digest, redo, session.options.block)
+        async for data in session.content.content(entry):
+            builder.feed(data)
+        return Basis(entry, builder.finish())
+
+    def _find_partial(self, path: bytes, known: DirectoryEntry | None) -> DirectoryEntry | None:
+        """Returns what an interrupted push stored, if that is more than half of what stands there."""
+        store = self._session.transfer.store
+        part = store.partial_uploads.find(self._session.transfer.clock(), store.name, path)
+        if part is None or (known is not None and len(part.blocks) * part.block <= known.size // 2):
+            return None
+        size = min(len(part.blocks) * part.block, part.size)
+        return DirectoryEntry(KIND_FILE, b"", size, block=part.block, checksums=b"".join(part.blocks))
+
+
+def _nonempty_directories(files: list[ListedFile]) -> set[bytes]:
+    """Returns the names of the listed directories with something but directories below them."""
+    nonempty: set[bytes] = set()
+    for listed in files:
+        ancestor = listed.name
+        while not listed.is_directory and (ancestor := split_path(ancestor)[0]) and ancestor not in nonempty:
+            nonempty.add(ancestor)
+    return nonempty
--- a/pebblehinge/rsync/module_store.py
+++ b/pebblehinge/rsync/module_store.py
@@ -1,4 +1,4 @@
-"""A module's files on one head: the logs of its directories, and what its sessions share."""
+"""A module's files on one gateway: the logs of its directories, and what its sessions share."""
 
 from __future__ import annotations
 
@@ -6,39 +6,62 @@
 
 from pebblehinge.rsync.directory_log import DirectoryLog
 from pebblehinge.rsync.module_state import Request
-from pebblehinge.rsync.sharing import Keeping
-from pebblehinge.rsync.turns import Turns
+from pebblehinge.rsync.partial_uploads import PartialUploads
+from pebblehinge.rsync.transfer_scheduler import TransferScheduler
 from pebblehinge.settings.schema import ModuleBlock
 
-FOLDERS = 4096  # logs that a head remembers
+MAX_DIRECTORY_LOGS = 4096
+"""Directory logs that a gateway remembers."""
 
 
-class Place:
-    """One module of one head: what its sessions share."""
+class ModuleStore:
+    """One module of one gateway.
+
+    Attributes:
+        name: The module's name.
+        block: Its settings.
+        slots: The slots of its volume.
+        max_units: Largest size of one request, in units.
+        scheduler: Schedules the requests of all transfers.
+        request: Makes one request.
+        partial_uploads: What is kept of interrupted uploads.
+        directories: The directory logs by path, the least recently used first.
+        committed: Entries committed so far.
+        uncertain: Appends of which it was not known whether they ran.
+        appends: Appends begun so far.
+    """
 
     def __init__(
         self,
         name: str,
         block: ModuleBlock,
         slots: list[int],
-        most_units: float,
-        turns: Turns,
+        max_units: float,
+        scheduler: TransferScheduler,
         request: Request,
-        keeping: Keeping,
+        partial_uploads: PartialUploads,
     ) -> None:
-        self.name, self.block, self.slots, self.most_units = name, block, slots, most_units
-        self.turns, self.request, self.keeping = turns, request, keeping
-        self.folders: OrderedDict[bytes, DirectoryLog] = OrderedDict()
-        self.landed = self.unsure = self.appends = 0
+        self.name = name
+        self.block = block
+        self.slots = slots
+        self.max_units = max_units
+        self.scheduler = scheduler
+        self.request = request
+        self.partial_uploads = partial_uploads
+        self.directories: OrderedDict[bytes, DirectoryLog] = OrderedDict()
+        self.committed = 0
+        self.uncertain = 0
+        self.appends = 0
 
     def log(self, path: bytes) -> DirectoryLog:
-        log = self.folders.get(path)
+        """Returns the log of a directory; the least recently used idle ones are forgotten."""
+        log = self.directories.get(path)
         if log is None:
-            log = self.folders[path] = DirectoryLog(self, path)
-            for old in list(self.folders):
-                if len(self.folders) <= FOLDERS:
+            log = self.directories[path] = DirectoryLog(self, path)
+            for oldest in list(self.directories):
+                if len(self.directories) <= MAX_DIRECTORY_LOGS:
                     break
-                if not self.folders[old].busy():
-                    del self.folders[old]
-        self.folders.move_to_end(path)
+                if not self.directories[oldest].is_busy():
+                    del self.directories[oldest]
+        self.directories.move_to_end(path)
         return log
--- a/pebblehinge/rsync/options.py
+++ b/pebblehinge/rsync/options.py
@@ -1,67 +1,48 @@
-"""What a client asks for, from the arguments that its tool sends to a server."""
+"""What a client asks for."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from pebblehinge.rsync.stream import SYNTAX, UNSUPPORTED, RsyncError
-
-# Letters that change nothing here: how much is told, owners and permissions (kept as far as a manifest holds them).
-CALM = set("vqpoghEOJ")
-DECLINED = {
-    "H": "hard links",
-    "A": "access lists",
-    "X": "extended attributes",
-    "R": "relative names",
-    "s": "protected arguments",
-    "K": "kept directory links",
-    "b": "backups",
-    "y": "fuzzy names",
-    "N": "creation times",
-    "U": "access times",
-}
-LONG_CALM = {
-    "--stats",
-    "--no-implied-dirs",
-    "--numeric-ids",
-    "--no-i-r",
-    "--no-inc-recursive",
-    "--delete-during",
-    "--delete-before",
-    "--delete-delay",
-    "--delete-after",
-    "--partial",
-    "--whole-file",
-    "--no-whole-file",
-    "--sparse",
-    "--omit-dir-times",
-    "--omit-link-times",
-    "--no-r",
-    "--no-msgs2stderr",
-    "--msgs2stderr",
-    "--info",
-    "--debug",
-    "--log-format",
-    "--out-format",
-    "--modify-window",
-    "--bwlimit",
-    "--partial-dir",
-    "--munge-links",
-    "--no-munge-links",
-    "--fsync",
-    "--open-noatime",
-    "--old-args",
-    "--super",
-    "--safe-links",
-    "--8-bit-output",
-    "--progress",
-    "--force",
-}
-
 
 @dataclass(slots=True)
 class Options:
-    """One transfer's options. `sender`: this end sends, the client pulls."""
+    """One transfer's options.
+
+    Attributes:
+        sender: Whether the server sends: the client pulls.
+        recursive: What is in directories belongs to the transfer.
+        dirs: Directories belong to it without what is in them.
+        links: Symbolic links belong to it.
+        uid: The list holds owners.
+        gid: The list holds groups.
+        devices: The list holds devices and special files.
+        times: Times are set.
+        numeric: The list holds no names of owners and groups.
+        checksum: Files are compared by their digests.
+        ignore_times: Files of the same size and time are transferred, too.
+        size_only: Files of the same size are alike.
+        update: Files that are newer at the receiver are left alone.
+        existing: Files that the receiver does not have are left out.
+        ignore_existing: Files that the receiver has are left out.
+        dry_run: Nothing is changed.
+        list_only: The list alone is asked for.
+        delete: What the sender does not have is deleted.
+        delete_excluded: Also what the filters leave out.
+        prune_empty: Empty directories are left out.
+        max_delete: Deletions, at most; -1: no limit.
+        append: 1: what the receiver has is trusted to be the beginning of a file, 2: it is part of the digest.
+        whole: Files are sent without a basis.
+        compress: Tokens are deflated.
+        timeout: Of the client, in seconds.
+        block: Length of a block in bytes; 0: as the size has it.
+        digest: The digest asked for, or "".
+        seed: The seed asked for, or 0.
+        max_size: Length of a file in bytes, at most; -1: no limit.
+        min_size: Length of a file in bytes, at least; -1: no limit.
+        capabilities: What the client's tool can do, by letters.
+        paths: The paths, each with the module's name before it.
+    """
 
     sender: bool = False
     recursive: bool = False
@@ -82,150 +63,21 @@
     list_only: bool = False
     delete: bool = False
     delete_excluded: bool = False
-    prune: bool = False  # empty directories are left out
+    prune_empty: bool = False
     max_delete: int = -1
-    append: int = 0  # 1: what is there is not looked at, 2: it is part of the sum
+    append: int = 0
     whole: bool = False
     compress: bool = False
-    timeout: float = 0.0  # seconds
+    timeout: float = 0.0
     block: int = 0
     digest: str = ""
     seed: int = 0
     max_size: int = -1
     min_size: int = -1
-    able: str = ""  # what the client's tool can do, by letters
+    capabilities: str = ""
     paths: list[bytes] = field(default_factory=list)
 
 
 def receiver_wants_filters(options: Options, version: int) -> bool:
-    """Whether a client that pushes sends its filter rules first: where the receiver needs them to delete or prune."""
-    return options.prune or (options.delete and (not options.delete_excluded or version >= 29))
-
-
-def _number(text: str, name: str) -> int:
-    try:
-        return int(text)
-    except ValueError:
-        raise RsyncError(f"{name}={text}: a whole number is expected", SYNTAX) from None
-
-
-def parse(words: list[bytes]) -> Options:
-    """The arguments after the module's name. Raises RsyncError naming what is declined."""
-    o = Options()
-    texts = [w.decode("utf-8", "surrogateescape") for w in words]
-    if not texts or texts[0] != "--server":
-        raise RsyncError("the arguments do not begin with --server", SYNTAX)
-    rest = iter(texts[1:])
-    for text in rest:
-        if text == ".":
-            break
-        if text.startswith("--"):
-            name, _, value = text.partition("=")
-            _long(o, name, value)
-        elif text.startswith("-"):
-            _short(o, text[1:])
-        else:
-            raise RsyncError(f"{text[:80]!r} stands where `.` should", SYNTAX)
-    o.paths = [t.encode("utf-8", "surrogateescape") for t in rest]
-    if not o.paths:
-        raise RsyncError("no path is named", SYNTAX)
-    if o.compress and o.digest == "none":
-        raise RsyncError("--checksum-choice=none is declined", UNSUPPORTED)
-    return o
-
-
-def _short(o: Options, letters: str) -> None:
-    i = 0
-    while i < len(letters):
-        c = letters[i]
-        if c == "e":
-            o.able = letters[i + 1 :].lstrip(".")
-            if not letters[i + 1 :].startswith("."):
-                raise RsyncError(f"-{letters[i:][:40]}: the capabilities of a tool are expected there", SYNTAX)
-            return
-        if c == "B":
-            o.block = _number(letters[i + 1 :], "--block-size")
-            return
-        if c in CALM:
-            o.uid |= c == "o"
-            o.gid |= c == "g"
-        elif c == "r":
-            o.recursive = True
-        elif c == "d":
-            o.dirs = True
-        elif c == "l":
-            o.links = True
-        elif c == "L" or c == "k":
-            raise RsyncError(f"-{c} is declined: links are not followed here", UNSUPPORTED)
-        elif c == "D":
-            o.devices = True
-        elif c == "t":
-            o.times = True
-        elif c == "c":
-            o.checksum = True
-        elif c == "I":
-            o.ignore_times = True
-        elif c == "u":
-            o.update = True
-        elif c == "n":
-            o.dry_run = True
-        elif c == "z":
-            o.compress = True
-        elif c == "W":
-            o.whole = True
-        elif c == "m":
-            o.prune = True
-        elif c in "xS":
-            pass  # file systems and holes: as a module keeps files they make no difference
-        elif c in DECLINED:
-            raise RsyncError(f"-{c} is declined: {DECLINED[c]} are not kept here", UNSUPPORTED)
-        else:
-            raise RsyncError(f"-{c} is not known here", SYNTAX)
-        i += 1
-
-
-def _long(o: Options, name: str, value: str) -> None:
-    if name == "--sender":
-        o.sender = True
-    elif name in ("--delete", "--delete-during", "--delete-before", "--delete-after", "--delete-delay"):
-        o.delete = True
-    elif name == "--delete-excluded":
-        o.delete = o.delete_excluded = True
-    elif name == "--max-delete":
-        o.max_delete = _number(value, name)
-    elif name == "--size-only":
-        o.size_only = True
-    elif name == "--existing" or name == "--ignore-non-existing":
-        o.existing = True
-    elif name == "--ignore-existing":
-        o.ignore_existing = True
-    elif name == "--list-only":
-        o.list_only = True
-    elif name == "--append":
-        o.append += 1
-    elif name == "--inplace":
-        pass  # files become visible whole here, whatever is asked
-    elif name == "--numeric-ids":
-        o.numeric = True
-    elif name == "--timeout":
-        o.timeout = float(_number(value, name))
-    elif name == "--block-size":
-        o.block = _number(value, name)
-    elif name == "--max-size":
-        o.max_size = _number(value, name)
-    elif name == "--min-size":
-        o.min_size = _number(value, name)
-    elif name == "--checksum-seed":
-        o.seed = _number(value, name)
-    elif name in ("--checksum-choice", "--cc"):
-        o.digest = value.split(",")[0]
-    elif name in ("--new-compress", "--compress-choice", "--zc"):
-        if name != "--new-compress" and value != "zlibx":
-            raise RsyncError(f"{name}={value} is declined: zlibx is known here", UNSUPPORTED)
-        o.compress = True
-    elif name == "--old-compress":
-        raise RsyncError("--old-compress is declined: zlibx is known here", UNSUPPORTED)
-    elif name in LONG_CALM:
-        pass
-    else:
-        raise RsyncError(f"{name} is declined: it is not known here", UNSUPPORTED)
+    """Whether a client that pushes sends its filter rules first: if the receiver needs them to delete or prune."""
+    return options.prune_empty or (options.delete and (not options.delete_excluded or version >= 29))
--- a/pebblehinge/rsync/receiver.py
+++ b/pebblehinge/rsync/receiver.py
@@ -5,94 +5,108 @@
 from pebblehinge.rsync.commit_queue import CommitQueue
 from pebblehinge.rsync.deletion import Deletion
 from pebblehinge.rsync.destination import Destination
+from pebblehinge.rsync.errors import EXIT_FILE_IO, EXIT_PARTIAL, RsyncError
 from pebblehinge.rsync.file_receiver import FileReceiver
 from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.flist_reader import ListIn
-from pebblehinge.rsync.generator import Generator
+from pebblehinge.rsync.flist import ListedFile
+from pebblehinge.rsync.flist_reader import FileListReader
+from pebblehinge.rsync.generator import Basis, Generator
 from pebblehinge.rsync.numbers import DONE
 from pebblehinge.rsync.options import receiver_wants_filters
-from pebblehinge.rsync.stream import FILE, PARTIAL, RsyncError
-from pebblehinge.rsync.sums import Sums
-from pebblehinge.rsync.transfer_session import FILES_AHEAD, TRANSFER, TransferSession
+from pebblehinge.rsync.transfer_session import FILES_AHEAD, ITEM_TRANSFER, TransferSession
 
-REQUESTS = 64 << 10  # bytes of sums that a sender has not answered yet; one file's always go
+MAX_UNANSWERED_BYTES = 64 << 10
+"""Bytes of checksums that a sender has not answered yet; those of one file always go."""
 
+STEPS_PER_FILE = 8
+"""Steps of work that a file counts for."""
 
-class Receiving(TransferSession):
-    """A client pushes. Files are asked for ahead, a few at a time; each is committed when it is whole."""
+
+class ReceiverSession(TransferSession):
+    """Takes a push. Files are asked for ahead, a few at a time; each is committed when it is complete."""
 
     async def run(self) -> None:
-        stream, options = self.stream, self.options
-        wanted = receiver_wants_filters(options, self.version)
-        filters = await read_filters(stream) if wanted else Filters()
-        shape = self.agreed.shape
-        listing = ListIn(shape, self.block.max_files, self.block.max_list)
-        entries = await listing.read(stream)
-        await self.arrange(entries)
+        """Takes the whole push; raises RsyncError if it can't go on."""
+        filters = Filters()
+        if receiver_wants_filters(self.options, self.version):
+            filters = await read_filters(self.stream)
+        reader = FileListReader(self.negotiated.list_format, self.block.max_files, self.block.max_list)
+        await self.sort_list(await reader.read(self.stream))
         destination, commits = Destination(self), CommitQueue(self)
         await destination.resolve()
         generator = Generator(self, destination, commits)
         receiver = FileReceiver(self, destination, commits)
-        await self._phase(generator, receiver, self.list, False)
-        redo, receiver.again = receiver.again, []
-        await self._phase(generator, receiver, redo, True)
-        for named in receiver.again:
-            self.fail(f"{self.display_name(named)}: what came is not what its sum says, twice")
+        await self._run_phase(generator, receiver, self.files, redo=False)
+        again, receiver.again = receiver.again, []
+        await self._run_phase(generator, receiver, again, redo=True)
+        for listed in receiver.again:
+            self.report_failure(f"{listed.display_name}: what came is not what its sum says, twice")
         for _ in range(self.phases - 1):
-            self.done()
-            await stream.flush()
-            await self.expect_done()
-        await commits.settle(0)
-        if options.delete and not listing.error:
-            await Deletion(self, destination).run(filters)
-        elif options.delete:
-            self.say("IO error encountered -- skipping file deletion")
-        self.done()
-        await stream.flush()
+            self.put_phase_end()
+            await self.stream.flush()
+            await self.expect_phase_end()
+        await commits.wait_until_at_most(0)
+        if self.options.delete and not reader.error:
+            await Deletion(self, destination, filters).run()
+        elif self.options.delete:
+            self.send_text("IO error encountered -- skipping file deletion")
+        await self._say_goodbye()
+
+    async def _say_goodbye(self) -> None:
+        self.put_phase_end()
+        await self.stream.flush()
         if self.version >= 31:
-            await self.expect_done()
-            self.done()
-            await stream.flush()
+            await self.expect_phase_end()
+            self.put_phase_end()
+            await self.stream.flush()
 
-    async def _phase(self, generator: Generator, receiver: FileReceiver, files: list[Named], redo: bool) -> None:
-        """Asks for what differs, takes what comes, up to the phase's end."""
-        for named in files:
-            await self.stream.breathe(8)
+    async def _run_phase(
+        self, generator: Generator, receiver: FileReceiver, files: list[ListedFile], redo: bool
+    ) -> None:
+        """Asks for what differs and takes what comes, up to the phase's end."""
+        for listed in files:
+            await self.stream.yield_after_work(STEPS_PER_FILE)
             try:
-                await generator.ask(named, redo)
+                await generator.ask(listed, redo)
             except RsyncError as error:
-                if error.code not in (FILE, PARTIAL):
+                if error.code not in (EXIT_FILE_IO, EXIT_PARTIAL):
                     raise
-                self.fail(f"{self.display_name(named)}: {error}")
-            while len(generator.asked) >= FILES_AHEAD or (
-                len(generator.asked) > 1 and sum(n for _, n in generator.asked) > REQUESTS
-            ):
+                self.report_failure(f"{listed.display_name}: {error}")
+            while self._must_wait(generator):
                 await self.stream.flush()
-                await self._take(generator, receiver, redo)
-        self.done()
+                await self._take_answer(generator, receiver)
+        self.put_phase_end()
         await self.stream.flush()
-        while await self._take(generator, receiver, redo):
+        while await self._take_answer(generator, receiver):
             pass
 
-    async def _take(self, generator: Generator, receiver: FileReceiver, redo: bool) -> bool:
-        """One file, or the phase's end: False."""
-        index, flags, _ = await self.read_item()
-        if index == DONE:
-            if generator.asked:
-                for named, _ in generator.asked:  # the sender could not read them, and said so
-                    self.fail(f"{self.display_name(named)}: its sender did not send it")
-                generator.asked.clear()
+    @staticmethod
+    def _must_wait(generator: Generator) -> bool:
+        """Whether so much is asked for that answers are taken first."""
+        asked = generator.asked
+        if len(asked) >= FILES_AHEAD:
+            return True
+        return len(asked) > 1 and sum(file.checksum_bytes for file in asked) > MAX_UNANSWERED_BYTES
+
+    async def _take_answer(self, generator: Generator, receiver: FileReceiver) -> bool:
+        """Takes one file, or the phase's end: then returns False."""
+        item = await self.read_item()
+        if item.index == DONE:
+            while generator.asked:
+                self._report_not_sent(generator)
             return False
-        named = self.by_index.get(index)
-        while generator.asked and generator.asked[0][0] is not named:
-            skipped = generator.asked.popleft()[0]
-            self.fail(f"{self.display_name(skipped)}: its sender did not send it")
-        if named is None or not generator.asked:
-            raise RsyncError(f"file {index} was not asked for")
+        listed = self.files_by_index.get(item.index)
+        while generator.asked and generator.asked[0].listed is not listed:
+            self._report_not_sent(generator)
+        if listed is None or not generator.asked:
+            raise RsyncError(f"file {item.index} was not asked for")
         generator.asked.popleft()
-        basis, sums = generator.bases.pop(index, (None, Sums()))
-        if self.options.dry_run or not flags & TRANSFER:
-            return True
-        await receiver.receive(named, basis, sums, redo)
+        basis = generator.bases.pop(item.index, Basis())
+        if not self.options.dry_run and item.flags & ITEM_TRANSFER:
+            await receiver.receive(listed, basis)
         return True
+
+    def _report_not_sent(self, generator: Generator) -> None:
+        """Reports the first file asked for: the sender could not read it, and said so."""
+        listed = generator.asked.popleft().listed
+        self.report_failure(f"{listed.display_name}: its sender did not send it")
--- a/pebblehinge/rsync/sender.py
+++ b/pebblehinge/rsync/sender.py
@@ -2,186 +2,179 @@
 
 from __future__ import annotations
 
+import asyncio
 from collections import deque
-from typing import Any
-
-from pebblehinge.rsync.delta import Search
-from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import Named
-from pebblehinge.rsync.flist_writer import ListOut
+from collections.abc import AsyncGenerator, Iterator
+from dataclasses import dataclass
+
+from pebblehinge.rsync.block_checksums import BlockChecksums, read_block_checksums
+from pebblehinge.rsync.delta import BlockSearch
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.filters import read_filters
+from pebblehinge.rsync.flist import TOP_NAME, ListedFile
+from pebblehinge.rsync.flist_writer import FileListWriter
 from pebblehinge.rsync.numbers import DONE, int32, longint, varlong
-from pebblehinge.rsync.stream import NO_SEND, STEPS, RsyncError
-from pebblehinge.rsync.sums import Sums, read_sums
-from pebblehinge.rsync.tokens import DeflatedOut, PlainOut
-from pebblehinge.rsync.transfer_session import FILES_AHEAD, TRANSFER, TransferSession
-from pebblehinge.rsync.tree import Entry, clean
+from pebblehinge.rsync.source import Source
+from pebblehinge.rsync.stream import TAG_NO_SEND, YIELD_STEPS
+from pebblehinge.rsync.tokens import DeflatedTokenWriter, PlainTokenWriter
+from pebblehinge.rsync.transfer_session import FILES_AHEAD, ITEM_TRANSFER, Item, TransferSession
+from pebblehinge.rsync.tree import DirectoryEntry
+
+LIST_FLUSH_ENTRIES = 256
+"""Entries of the list after which it is flushed."""
+
+LIST_TIME_MS = 1
+"""What is said of the time that it took to make and to send the list: next to nothing."""
+
+
+@dataclass(slots=True)
+class StartedFile:
+    """A file whose first block was read: that block, and what yields the rest."""
+
+    first: bytes
+    rest: AsyncGenerator[bytes, None]
+
+
+@dataclass(slots=True)
+class PulledFile:
+    """A file whose content is asked for.
+
+    Attributes:
+        entry: The file.
+        checksums: Those of the client's file.
+        start: Reads the file's first block; None if all its content stands in its entry.
+    """
+
+    entry: DirectoryEntry
+    checksums: BlockChecksums
+    start: asyncio.Task[StartedFile] | None
+
 
+@dataclass(slots=True)
+class FileRequest:
+    """What the client says of one file, and the file if its content is asked for."""
 
-class Sending(TransferSession):
-    """A client pulls."""
+    item: Item
+    pulled: PulledFile | None = None
+
+
+class SenderSession(TransferSession):
+    """Answers a pull."""
 
     async def run(self) -> None:
-        stream, options = self.stream, self.options
-        filters = await read_filters(stream)
-        out = ListOut(self.agreed.shape)
-        entries: list[Named] = []
-        self.kept: dict[bytes, Entry] = {}
-        self.error = 0
-        for path in options.paths:
-            await self._path(path, filters, entries)
-        for n, entry in enumerate(entries):
-            stream.put(out.entry(entry, top=entry.name == b"."))
-            if n % 256 == 255:
-                await stream.flush()
-                await stream.breathe(STEPS)
-        stream.put(out.end(self.error))
+        """Sends the list and the files asked for; raises RsyncError if the transfer can't go on."""
+        stream = self.stream
+        source = Source(self, await read_filters(stream))
+        await source.find_all()
+        await self._send_list(source.files, source.error)
+        await self.sort_list(source.files)
+        await self._send_all(source.entries_by_name)
+        self._put_statistics()
         await stream.flush()
-        await self.arrange(entries)
-        await self._send_all()
-        size = sum(e.size for e in self.list if e.file)
-        for number in (stream.got, stream.put_bytes, size):
-            stream.put(varlong(number, 3) if self.version >= 30 else longint(number))
-        if self.version >= 29:
-            for number in (1, 1):  # ms it took to make and to send the list: told as no time worth the name
-                stream.put(varlong(number, 3) if self.version >= 30 else longint(number))
-        await stream.flush()
-        await self.expect_done()
+        await self.expect_phase_end()
         if self.version >= 31:
-            self.done()
+            self.put_phase_end()
             await stream.flush()
-            await self.expect_done()
-
-    # ---- the list
-
-    async def _path(self, raw: bytes, filters: Filters, entries: list[Named]) -> None:
-        """What one of the paths names. `dir/` is what is in it, `dir` is itself with all in it."""
-        module = self.transfer.place.name.encode()
-        below = raw.removeprefix(module)
-        inner = below.endswith(b"/") or not below.strip(b"/")
-        path = clean(below)
-        entry = await self.standing(path)
-        if entry is None:
-            self.error |= 1
-            self.fail(f'link_stat "{path.decode("utf-8", "surrogateescape")}" failed: No such file or directory (2)')
-            return
-        name = b"." if inner and entry.folder else path.rpartition(b"/")[2]
-        if not entry.folder:
-            await self._add(entry, path, name, entries)
-        elif not (self.options.recursive or self.options.dirs or self.options.list_only):
-            self.say(f"skipping directory {name.decode('utf-8', 'surrogateescape')}")
-        else:
-            await self._add(entry, path, name, entries)
-            if self.options.recursive or inner:
-                await self._walk(path, b"" if name == b"." else name + b"/", filters, entries)
-
-    async def _walk(self, top: bytes, prefix: bytes, filters: Filters, entries: list[Named]) -> None:
-        todo = deque([(top, prefix)])
-        while todo:
-            path, before = todo.popleft()
-            folder = await self.folder(path)
-            for entry in folder.sorted():
-                name = before + entry.name
-                await self.stream.breathe(8)
-                if not filters.takes(name, entry.folder):
-                    continue
-                below = path + b"/" + entry.name if path else entry.name
-                await self._add(entry, below, name, entries)
-                if entry.folder and self.options.recursive:
-                    todo.append((below, name + b"/"))
-
-    async def _add(self, entry: Entry, path: bytes, name: bytes, entries: list[Named]) -> None:
-        if len(entries) >= self.block.max_files:
-            raise RsyncError(f"more than {self.block.max_files} files in one transfer: this module gives no more", 4)
-        o = self.options
-        if entry.kind == "l" and not o.links:
-            self.say(f'skipping non-regular file "{name.decode("utf-8", "surrogateescape")}"')
-            return
-        if entry.kind == "f" and ((0 <= o.max_size < entry.size) or entry.size < o.min_size):
-            return
-        named = Named(name, entry.size, entry.mtime, entry.unix_mode(), link=entry.data if entry.kind == "l" else b"")
-        if o.checksum and entry.kind == "f":
-            named.digest = await self.digest_of(entry)
-        if name not in self.kept:
-            self.kept[name] = entry
-        entries.append(named)
+            await self.expect_phase_end()
+
+    async def _send_list(self, files: list[ListedFile], error: int) -> None:
+        stream = self.stream
+        writer = FileListWriter(self.negotiated.list_format)
+        for number, listed in enumerate(files, 1):
+            stream.put(writer.encode(listed, is_top=listed.name == TOP_NAME))
+            if number % LIST_FLUSH_ENTRIES == 0:
+                await stream.flush()
+                await stream.yield_after_work(YIELD_STEPS)
+        stream.put(writer.encode_end(error))
+        await stream.flush()
 
-    # ---- files
+    def _put_statistics(self) -> None:
+        total_size = sum(listed.size for listed in self.files if listed.is_file)
+        numbers = [self.stream.bytes_received, self.stream.bytes_sent, total_size]
+        if self.version >= 29:
+            numbers += [LIST_TIME_MS, LIST_TIME_MS]
+        for number in numbers:
+            self.stream.put(varlong(number, 3) if self.version >= 30 else longint(number))
 
-    async def _send_all(self) -> None:
-        """Requests are read ahead as far as they have come, so that the next files' first blocks are under way."""
+    async def _send_all(self, entries: dict[bytes, DirectoryEntry]) -> None:
+        """Sends what is asked for. Requests are read as far as they are here, so that next files are read ahead."""
         phase = 0
-        ahead: deque[tuple[int, int, bytes, Sums | None, Any]] = deque()
+        requests: deque[FileRequest] = deque()
         while True:
-            while not ahead or (self.stream.held and len(ahead) < FILES_AHEAD and ahead[-1][0] != DONE):
-                ahead.append(await self._request())
-            index, flags, extra, sums, start = ahead.popleft()
-            if index == DONE:
+            while not requests or self._may_read_ahead(requests):
+                requests.append(await self._read_request(entries))
+            request = requests.popleft()
+            if request.item.index == DONE:
                 phase += 1
-                self.done()
+                self.put_phase_end()
                 if phase > self.phases:
                     return
                 await self.stream.flush()
                 continue
-            if sums is None:
-                self.put_item(index, flags, extra)
+            if request.pulled is None:
+                self.put_item(request.item)
             else:
-                await self._send(index, flags, extra, sums, start)
-            if not self.stream.held:
+                await self._send(request.item, request.pulled)
+            if not self.stream.unread_bytes:
                 await self.stream.flush()
 
-    async def _request(self) -> tuple[int, int, bytes, Sums | None, Any]:
-        index, flags, extra = await self.read_item()
-        if index == DONE:
-            return index, 0, b"", None, None
-        named = self.by_index.get(index)
-        if named is None:
-            raise RsyncError(f"file {index} is not in the list")
-        if not flags & TRANSFER:
-            return index, flags, extra, None, None
-        if not named.file:
-            raise RsyncError(f"{named.name[:80]!r} is asked for and is no file")
-        sums = await read_sums(self.stream, self.agreed.digest)
+    def _may_read_ahead(self, requests: deque[FileRequest]) -> bool:
+        return bool(self.stream.unread_bytes) and len(requests) < FILES_AHEAD and requests[-1].item.index != DONE
+
+    async def _read_request(self, entries: dict[bytes, DirectoryEntry]) -> FileRequest:
+        item = await self.read_item()
+        if item.index == DONE:
+            return FileRequest(item)
+        listed = self.files_by_index.get(item.index)
+        if listed is None:
+            raise RsyncError(f"file {item.index} is not in the list")
+        if not item.flags & ITEM_TRANSFER:
+            return FileRequest(item)
+        if not listed.is_file:
+            raise RsyncError(f"{listed.name[:80]!r} is asked for and is no file")
+        checksums = await read_block_checksums(self.stream)
         if self.options.dry_run:
-            return index, flags, extra, None, None
-        entry = self.kept[named.name]
+            return FileRequest(item)
+        entry = entries[listed.name]
         start = None
         if entry.size and not entry.data:
-            start = self.transfer.spawn(_begun(self.reader.content(entry)))
-        return index, flags, extra, sums, start
+            start = self.transfer.spawn(_start(self.content.content(entry)))
+        return FileRequest(item, PulledFile(entry, checksums, start))
 
-    async def _send(self, index: int, flags: int, extra: bytes, sums: Sums, start: Any) -> None:
-        stream, entry = self.stream, self.kept[self.by_index[index].name]
-        out = DeflatedOut() if self.agreed.compress else PlainOut()
+    async def _send(self, item: Item, pulled: PulledFile) -> None:
+        stream, entry, checksums = self.stream, pulled.entry, pulled.checksums
         try:
             # Whatever can go wrong before the first byte is said instead of the file.
-            first, rest = (entry.data, None) if start is None else await start
+            started = await pulled.start if pulled.start is not None else None
         except RsyncError as error:
-            self.fail(f"{entry.name.decode('utf-8', 'surrogateescape')}: {error}")
+            self.report_failure(f"{entry.name.decode('utf-8', 'surrogateescape')}: {error}")
             if self.version < 30:
                 raise
-            stream.message(NO_SEND, int32(index))
+            stream.message(TAG_NO_SEND, int32(item.index))
             return
-        self.put_item(index, flags, extra)
-        stream.put(sums.head())
-        search, whole = Search(sums, self.agreed.digest), self.agreed.digest.whole()
-        piece = first
+        self.put_item(item)
+        stream.put(checksums.encode_header())
+        writer = DeflatedTokenWriter() if self.negotiated.compress else PlainTokenWriter()
+        search = BlockSearch(checksums, self.negotiated.digest)
+        digest = self.negotiated.digest.whole()
+        piece = started.first if started is not None else entry.data
         while piece:
-            whole.update(piece)
-            self._tokens(out, search.feed(piece))
+            digest.update(piece)
+            self._put_tokens(writer, search.feed(piece))
             await stream.flush()
-            piece = await anext(rest, b"") if rest is not None else b""
-        self._tokens(out, search.end())
-        stream.put(out.end() + whole.digest())
-        self.told.files += 1
-        self.told.bytes += entry.size
-        self.told.literal += search.literal
-        self.told.matched += search.matched
-
-    def _tokens(self, out: Any, found: Any) -> None:
-        for token in found:
-            self.stream.put(out.literal(token) if isinstance(token, bytes) else out.match(token))
-
-
-async def _begun(content: Any) -> tuple[bytes, Any]:
-    """A file's first block, and the rest."""
-    return await anext(content, b""), content
+            piece = await anext(started.rest, b"") if started is not None else b""
+        self._put_tokens(writer, search.end())
+        stream.put(writer.end() + digest.digest())
+        self.report.files += 1
+        self.report.bytes += entry.size
+        self.report.literal += search.literal_bytes
+        self.report.matched += search.matched_bytes
+
+    def _put_tokens(self, writer: PlainTokenWriter | DeflatedTokenWriter, tokens: Iterator[bytes | int]) -> None:
+        for token in tokens:
+            self.stream.put(writer.literal(token) if isinstance(token, bytes) else writer.match(token))
+
+
+async def _start(content: AsyncGenerator[bytes, None]) -> StartedFile:
+    """Reads a file's first block."""
+    return StartedFile(await anext(content, b""), content)
--- a/pebblehinge/rsync/stream.py
+++ b/pebblehinge/rsync/stream.py
@@ -1,7 +1,7 @@
-"""Bytes of one connection in both directions, plain or multiplexed. Knows no socket: they are fed, and handed on.
+"""The bytes of one connection in both directions, plain or multiplexed. Without I/O: bytes are fed and handed on.
 
-Multiplexed, each frame is a 32-bit little-endian word, `(7 + tag) << 24 | length`, and its bytes. Tag 0 is data; the
-others are messages, which may stand anywhere between data.
+In the multiplexed form each frame is a 32-bit little-endian word, `(7 + tag) << 24 | length`, followed by its bytes.
+Tag 0 is data; the other tags are messages, which may stand anywhere between data.
 """
 
 from __future__ import annotations
@@ -9,198 +9,217 @@
 import struct
 from collections.abc import Awaitable, Callable
 
-BASE = 7
-DATA, ERROR_XFER, INFO, ERROR, WARNING = 0, 1, 2, 3, 4
-REDO, IO_ERROR, IO_TIMEOUT, NOOP, ERROR_EXIT, SUCCESS, DELETED, NO_SEND = 9, 22, 33, 42, 86, 100, 101, 102
-MOST_MESSAGE = 1 << 16
-PIECE = 1 << 15  # of data in one frame that is sent
-STEPS = 256  # numbers read, entries looked at: some tenths of a millisecond
-U32 = struct.Struct("<I")
+from pebblehinge.rsync.errors import ConnectionClosedError, RsyncError
 
-# Exit codes that such tools know.
-SYNTAX, PROTOCOL, SELECT, UNSUPPORTED, START, SOCKET, FILE, STREAM, PARTIAL, DELETE_LIMIT, TIMEOUT = (
-    1,
-    2,
-    3,
-    4,
-    5,
-    10,
-    11,
-    12,
-    23,
-    25,
-    30,
-)
+TAG_BASE = 7
+"""What is added to a tag in the header of a frame."""
 
+TAG_DATA = 0
+TAG_ERROR_XFER = 1
+TAG_INFO = 2
+TAG_ERROR = 3
+TAG_WARNING = 4
+TAG_REDO = 9
+TAG_IO_ERROR = 22
+TAG_IO_TIMEOUT = 33
+TAG_NOOP = 42
+TAG_ERROR_EXIT = 86
+TAG_SUCCESS = 100
+TAG_DELETED = 101
+TAG_NO_SEND = 102
 
-class RsyncError(Exception):
-    """The other side broke the protocol, or asked for what is not to be had; `code` is the exit code for it."""
+FRAME_HEADER = struct.Struct("<I")
+LENGTH_MASK = 0xFFFFFF
 
-    def __init__(self, text: str, code: int = PROTOCOL) -> None:
-        super().__init__(text)
-        self.code = code
+MAX_MESSAGE_BYTES = 1 << 16
+"""Longest message that is taken."""
 
+FRAME_BYTES = 1 << 15
+"""Data bytes in one frame that is sent, at most."""
 
-class Gone(RsyncError):
-    """The other side closed its end, here in the middle of something."""
+MAX_LINE_BYTES = 4096
 
-    def __init__(self, text: str = "the connection closed in the middle of the transfer") -> None:
-        super().__init__(text, STREAM)
+YIELD_STEPS = 256
+"""Steps of work (numbers read, entries looked at) after which other tasks run; some tenths of a millisecond."""
 
 
 class Stream:
-    """`wait()` is awaited for more bytes to be fed; `write(bytes)` hands on, `drain()` is awaited while the other side
-    does not read, `rest()` now and then, so that what else runs there goes on though much has come and nothing need be
-    waited for. `on_message(tag, data)` gets messages that came between the data."""
+    """Reads and writes the bytes of one connection.
+
+    Attributes:
+        unflushed: What was put and not yet flushed.
+        mux_in: Whether what comes is multiplexed.
+        mux_out: Whether what is sent is multiplexed.
+        ended: Whether the other side has closed its end.
+        on_message: Called with the tag and the bytes of each message that comes between the data.
+        bytes_received: Bytes fed so far.
+        bytes_sent: Bytes handed on so far.
+    """
 
     def __init__(
         self,
         wait: Callable[[], Awaitable[None]],
         write: Callable[[bytes], None],
         drain: Callable[[], Awaitable[None]],
-        rest: Callable[[], Awaitable[None]],
+        yield_control: Callable[[], Awaitable[None]],
     ) -> None:
-        self._wait, self._write, self._drain, self._rest = wait, write, drain, rest
-        self.steps = 0
-        self.raw = bytearray()  # as it came
-        self.data = bytearray()  # taken out of frames
-        self.frame = 0  # data bytes of the open frame that are still to come
-        self.out = bytearray()
-        self.mux_in = self.mux_out = False
+        """Creates a plain stream.
+
+        Args:
+            wait: Awaited until more bytes are fed or the stream ends.
+            write: Hands bytes to the transport.
+            drain: Awaited while the other side does not read.
+            yield_control: Awaited now and then, so that other tasks run though there is always something to read.
+        """
+        self._wait = wait
+        self._write = write
+        self._drain = drain
+        self._yield_control = yield_control
+        self._steps = 0
+        self._received = bytearray()  # as it came
+        self._data = bytearray()  # taken out of frames
+        self._frame_left = 0  # data bytes of the open frame that are still to come
+        self.unflushed = bytearray()
+        self.mux_in = False
+        self.mux_out = False
         self.ended = False
         self.on_message: Callable[[int, bytes], None] = lambda tag, data: None
-        self.got = self.put_bytes = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
 
     # ---- from the transport
 
     def feed(self, data: bytes) -> None:
-        self.raw += data
-        self.got += len(data)
+        """Takes bytes that came."""
+        self._received += data
+        self.bytes_received += len(data)
 
     def end(self) -> None:
-        """Nothing more comes."""
+        """Notes that nothing more comes."""
         self.ended = True
 
     @property
-    def held(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes that came and were not read yet: the transport stops reading while there are many."""
-        return len(self.raw) + len(self.data)
+        return len(self._received) + len(self._data)
 
     # ---- reading
 
-    async def _more(self) -> None:
+    async def _wait_for_bytes(self) -> None:
         if self.ended:
-            raise Gone()
+            raise ConnectionClosedError()
         await self._wait()
 
-    async def _raw(self, count: int) -> bytes:
-        while len(self.raw) < count:
-            await self._more()
-        got = bytes(self.raw[:count])
-        del self.raw[:count]
-        return got
+    async def _take_received(self, count: int) -> bytes:
+        while len(self._received) < count:
+            await self._wait_for_bytes()
+        taken = bytes(self._received[:count])
+        del self._received[:count]
+        return taken
 
     async def _unpack(self) -> None:
-        """Moves what stands in the next frame, as far as it is here, to `data`; messages are told."""
-        while not self.frame:
-            word = U32.unpack(await self._raw(4))[0]
-            tag, length = (word >> 24) - BASE, word & 0xFFFFFF
+        """Moves what is here of the next data frame to `_data`; messages before it go to `on_message`."""
+        while not self._frame_left:
+            word = FRAME_HEADER.unpack(await self._take_received(FRAME_HEADER.size))[0]
+            tag, length = (word >> 24) - TAG_BASE, word & LENGTH_MASK
             if tag < 0:
                 raise RsyncError(f"a frame with tag {tag}: this is no multiplexed stream")
-            if tag == DATA:
-                self.frame = length
+            if tag == TAG_DATA:
+                self._frame_left = length
                 if not length:
                     return
             else:
-                if length > MOST_MESSAGE:
-                    raise RsyncError(f"a message of {length} bytes: at most {MOST_MESSAGE} are taken")
-                self.on_message(tag, await self._raw(length))
-        while not self.raw:
-            await self._more()
-        taken = min(self.frame, len(self.raw))
-        self.data += self.raw[:taken]
-        del self.raw[:taken]
-        self.frame -= taken
-
-    async def breathe(self, steps: int = 1) -> None:
-        """One step of work is done; after some, others get a turn."""
-        self.steps += steps
-        if self.steps >= STEPS:
-            self.steps = 0
-            await self._rest()
+                if length > MAX_MESSAGE_BYTES:
+                    raise RsyncError(f"a message of {length} bytes: at most {MAX_MESSAGE_BYTES} are taken")
+                self.on_message(tag, await self._take_received(length))
+        while not self._received:
+            await self._wait_for_bytes()
+        taken = min(self._frame_left, len(self._received))
+        self._data += self._received[:taken]
+        del self._received[:taken]
+        self._frame_left -= taken
+
+    async def yield_after_work(self, steps: int = 1) -> None:
+        """Counts steps of work, and lets other tasks run once there were `YIELD_STEPS` of them."""
+        self._steps += steps
+        if self._steps >= YIELD_STEPS:
+            self._steps = 0
+            await self._yield_control()
 
     async def take(self, count: int) -> bytes:
-        """Exactly so many bytes of data."""
-        await self.breathe()
+        """Returns exactly `count` bytes of data; raises ConnectionClosedError if they don't come."""
+        await self.yield_after_work()
         if not self.mux_in:
-            return await self._raw(count)
-        while len(self.data) < count:
+            return await self._take_received(count)
+        while len(self._data) < count:
             await self._unpack()
-        got = bytes(self.data[:count])
-        del self.data[:count]
-        return got
+        taken = bytes(self._data[:count])
+        del self._data[:count]
+        return taken
 
-    async def some(self, most: int) -> bytes:
-        """At least one byte of data, at most so many: what is here."""
-        await self.breathe()
+    async def take_available(self, max_bytes: int) -> bytes:
+        """Returns the data that is here, at least one byte and at most `max_bytes`."""
+        await self.yield_after_work()
         if not self.mux_in:
-            while not self.raw:
-                await self._more()
-            return await self._raw(min(most, len(self.raw)))
-        while not self.data:
+            while not self._received:
+                await self._wait_for_bytes()
+            return await self._take_received(min(max_bytes, len(self._received)))
+        while not self._data:
             await self._unpack()
-        return await self.take(min(most, len(self.data)))
-
-    async def line(self, end: bytes = b"\n", most: int = 4096) -> bytes:
-        """Up to `end`, which is not part of it."""
-        held = self.data if self.mux_in else self.raw
-        looked = 0
-        while (at := held.find(end, looked)) < 0:
-            looked = len(held)
-            if len(held) > most:
-                raise RsyncError(f"a line of more than {most} bytes")
-            await (self._unpack() if self.mux_in else self._more())
-        if at > most:
-            raise RsyncError(f"a line of more than {most} bytes")
-        got = bytes(held[:at])
-        del held[: at + len(end)]
-        return got
-
-    def unread(self) -> None:
-        """What came before frames began was plain: from here on all that is fed is frames."""
+        return await self.take(min(max_bytes, len(self._data)))
+
+    async def line(self, end: bytes = b"\n", max_bytes: int = MAX_LINE_BYTES) -> bytes:
+        """Returns the bytes up to `end`, without it; raises RsyncError for a longer line than `max_bytes`."""
+        buffer = self._data if self.mux_in else self._received
+        searched = 0
+        while (position := buffer.find(end, searched)) < 0:
+            searched = len(buffer)
+            if len(buffer) > max_bytes:
+                raise RsyncError(f"a line of more than {max_bytes} bytes")
+            await (self._unpack() if self.mux_in else self._wait_for_bytes())
+        if position > max_bytes:
+            raise RsyncError(f"a line of more than {max_bytes} bytes")
+        line = bytes(buffer[:position])
+        del buffer[: position + len(end)]
+        return line
+
+    def start_frames_in(self) -> None:
+        """From here on, what is fed is multiplexed, also what was not read yet."""
         self.mux_in = True
 
     # ---- writing
 
     def put(self, data: bytes) -> None:
-        """Data, sent with the next `flush`."""
-        self.out += data
+        """Adds data, which is sent with the next `flush`."""
+        self.unflushed += data
 
     def _pack(self) -> None:
-        if not self.out:
+        if not self.unflushed:
             return
-        out, self.out = self.out, bytearray()
+        data, self.unflushed = self.unflushed, bytearray()
         if not self.mux_out:
-            self._hand(bytes(out))
+            self._send(bytes(data))
             return
-        for at in range(0, len(out), PIECE):
-            piece = out[at : at + PIECE]
-            self._hand(U32.pack(BASE << 24 | len(piece)) + piece)
+        for start in range(0, len(data), FRAME_BYTES):
+            piece = data[start : start + FRAME_BYTES]
+            self._send(FRAME_HEADER.pack(TAG_BASE << 24 | len(piece)) + piece)
 
-    def _hand(self, data: bytes) -> None:
-        self.put_bytes += len(data)
+    def _send(self, data: bytes) -> None:
+        self.bytes_sent += len(data)
         self._write(data)
 
     def message(self, tag: int, data: bytes) -> None:
-        """A message between the data; before frames, as a plain line, which only errors may be."""
+        """Sends a message between the data; nothing where the stream is not multiplexed yet."""
         self._pack()
         if self.mux_out:
-            self._hand(U32.pack((BASE + tag) << 24 | len(data)) + data)
+            self._send(FRAME_HEADER.pack((TAG_BASE + tag) << 24 | len(data)) + data)
 
     async def flush(self) -> None:
+        """Sends what was put, and waits while the other side does not read."""
         self._pack()
         await self._drain()
 
     def start_frames_out(self) -> None:
+        """From here on, what is put is multiplexed."""
         self._pack()
         self.mux_out = True
--- a/pebblehinge/rsync/transfer_session.py
+++ b/pebblehinge/rsync/transfer_session.py
@@ -1,14 +1,17 @@
-"""What both directions of a transfer need: its list, its files' indexes, its messages."""
+"""What both directions of a transfer need: the list of files, their indexes, messages to the client."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
+from pebblehinge.rsync.errors import RsyncError
 from pebblehinge.rsync.file_content import FileContent
-from pebblehinge.rsync.flist import Named, arranging
-from pebblehinge.rsync.greeting import Agreed
+from pebblehinge.rsync.flist import ListedFile, sorting_entries
+from pebblehinge.rsync.negotiation import NegotiatedOptions
 from pebblehinge.rsync.numbers import (
     DONE,
-    IndexIn,
-    IndexOut,
+    FileIndexReader,
+    FileIndexWriter,
     read_byte,
     read_short,
     read_vstring,
@@ -16,96 +19,149 @@
     vstring,
 )
 from pebblehinge.rsync.options import Options
-from pebblehinge.rsync.stream import ERROR_XFER, INFO, STEPS, RsyncError, Stream
-from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.transfer_report import Told
-from pebblehinge.rsync.tree import Entry, Folder
+from pebblehinge.rsync.stream import TAG_ERROR_XFER, TAG_INFO, YIELD_STEPS, Stream
+from pebblehinge.rsync.transfer import Transfer, top_directory
+from pebblehinge.rsync.transfer_report import TransferReport
+from pebblehinge.rsync.tree import Directory, DirectoryEntry, split_path
 
-BASIS, XNAME, TRANSFER, NEW = 1 << 11, 1 << 12, 1 << 15, 1 << 13
-FILES_AHEAD = 32  # files that are asked for, or read ahead, together
+ITEM_BASIS_TYPE_FOLLOWS = 1 << 11
+ITEM_NAME_FOLLOWS = 1 << 12
+ITEM_IS_NEW = 1 << 13
+ITEM_TRANSFER = 1 << 15
 
+FILES_AHEAD = 32
+"""Files that are asked for, or read ahead, together."""
 
-class TransferSession:
-    """What both directions need."""
+MAX_DIRECTORIES = 1024
+"""Directories that a transfer remembers."""
+
+
+@dataclass(slots=True, frozen=True)
+class Item:
+    """What one side says of a file.
+
+    Attributes:
+        index: The file's index in the list; `DONE` ends a phase.
+        flags: A sum of `ITEM_` flags.
+        extra: The bytes that the flags announce, as they came.
+    """
 
-    def __init__(self, stream: Stream, transfer: Transfer, agreed: Agreed, options: Options, told: Told) -> None:
-        self.stream, self.transfer, self.agreed, self.options, self.told = stream, transfer, agreed, options, told
-        self.version = agreed.version
-        self.index_in, self.index_out = IndexIn(self.version), IndexOut(self.version)
+    index: int
+    flags: int = 0
+    extra: bytes = b""
+
+
+class TransferSession:
+    """One transfer, seen from the daemon's end.
+
+    Attributes:
+        stream: The connection.
+        transfer: Reads and commits files.
+        negotiated: What both sides agreed on.
+        options: What the client asked for.
+        report: What became of the transfer.
+        version: The protocol version.
+        phases: Phases of the transfer of files.
+        block: The module's settings.
+        directories: The directories read so far, by path.
+        content: Reads the bytes of files.
+        files: The list of files, sorted.
+        files_by_index: The same by index.
+    """
+
+    def __init__(
+        self,
+        stream: Stream,
+        transfer: Transfer,
+        negotiated: NegotiatedOptions,
+        options: Options,
+        report: TransferReport,
+    ) -> None:
+        self.stream = stream
+        self.transfer = transfer
+        self.negotiated = negotiated
+        self.options = options
+        self.report = report
+        self.version = negotiated.version
         self.phases = 2 if self.version >= 29 else 1
         self.block = transfer.block
-        self.folders: dict[bytes, Folder] = {}
-        self.reader = FileContent(transfer)
-
-    async def folder(self, path: bytes) -> Folder:
-        """A directory as it stood when this transfer first looked."""
-        if path not in self.folders:
-            if len(self.folders) > 1024:
-                self.folders.clear()
-            self.folders[path] = await self.transfer.folder(path)
-        return self.folders[path]
-
-    async def standing(self, path: bytes) -> Entry | None:
+        self.directories: dict[bytes, Directory] = {}
+        self.content = FileContent(transfer)
+        self.files: list[ListedFile] = []
+        self.files_by_index: dict[int, ListedFile] = {}
+        self._read_index = FileIndexReader(self.version)
+        self._encode_index = FileIndexWriter(self.version)
+
+    async def read_directory(self, path: bytes) -> Directory:
+        """Returns a directory as it stood when this transfer first looked."""
+        if path not in self.directories:
+            if len(self.directories) > MAX_DIRECTORIES:
+                self.directories.clear()
+            self.directories[path] = await self.transfer.read_directory(path)
+        return self.directories[path]
+
+    async def current_entry(self, path: bytes) -> DirectoryEntry | None:
+        """Returns what stood at a path when this transfer first looked into its directory."""
         if not path:
-            return Entry("d", b"", mode=0o755)
-        above, _, name = path.rpartition(b"/")
-        return (await self.folder(above)).entries.get(name)
+            return top_directory()
+        parent, name = split_path(path)
+        return (await self.read_directory(parent)).entries.get(name)
 
-    async def arrange(self, entries: list[Named]) -> None:
-        """The list as both sides have it, with its indexes."""
-        steps = arranging(self.version, entries)
+    async def sort_list(self, entries: list[ListedFile]) -> None:
+        """Sets `files` and `files_by_index`: the list as both sides sort it."""
+        steps = sorting_entries(self.version, entries)
         while True:
             try:
                 next(steps)
             except StopIteration as stop:
-                self.list = stop.value
+                self.files = stop.value
                 break
-            await self.stream.breathe(STEPS)
-        self.by_index = {e.index: e for e in self.list}
-
-    async def digest_of(self, entry: Entry) -> bytes:
-        """A file's sum as this transfer takes them: the file is read for it."""
-        whole = self.agreed.digest.whole()
-        async for data in self.reader.content(entry):
-            whole.update(data)
-        return whole.digest()
-
-    async def read_item(self) -> tuple[int, int, bytes]:
-        """A file's index with what is said of it; DONE alone ends a phase."""
-        index = await self.index_in(self.stream)
+            await self.stream.yield_after_work(YIELD_STEPS)
+        self.files_by_index = {listed.index: listed for listed in self.files}
+
+    async def digest_of(self, entry: DirectoryEntry) -> bytes:
+        """Returns a file's digest of the negotiated kind; the file is read for it."""
+        digest = self.negotiated.digest.whole()
+        async for data in self.content.content(entry):
+            digest.update(data)
+        return digest.digest()
+
+    async def read_item(self) -> Item:
+        """Reads a file's index with what is said of it; `DONE` alone ends a phase."""
+        index = await self._read_index(self.stream)
         if index == DONE or self.version < 29:
-            return index, TRANSFER, b""
+            return Item(index, ITEM_TRANSFER)
         if index < 0:
             raise RsyncError(f"index {index} is not known here")
         flags = await read_short(self.stream)
         extra = b""
-        if flags & BASIS:
+        if flags & ITEM_BASIS_TYPE_FOLLOWS:
             extra += bytes([await read_byte(self.stream)])
-        if flags & XNAME:
-            name = await read_vstring(self.stream)
-            extra += vstring(name)
-        return index, flags, extra
+        if flags & ITEM_NAME_FOLLOWS:
+            extra += vstring(await read_vstring(self.stream))
+        return Item(index, flags, extra)
 
-    def put_item(self, index: int, flags: int, extra: bytes = b"") -> None:
-        self.stream.put(self.index_out(index))
+    def put_item(self, item: Item) -> None:
+        """Sends a file's index with what is said of it."""
+        self.stream.put(self._encode_index(item.index))
         if self.version >= 29:
-            self.stream.put(short(flags) + extra)
+            self.stream.put(short(item.flags) + item.extra)
 
-    def say(self, text: str, tag: int = INFO) -> None:
+    def send_text(self, text: str, tag: int = TAG_INFO) -> None:
+        """Sends a line that the client's tool shows."""
         self.stream.message(tag, (text + "\n").encode("utf-8", "surrogateescape"))
 
-    def fail(self, text: str) -> None:
-        """One file could not be moved: the client's tool goes on, and exits with 23."""
-        self.told.failed.append(text)
-        self.say(text, ERROR_XFER)
-
-    def done(self) -> None:
-        self.stream.put(self.index_out(DONE))
+    def report_failure(self, text: str) -> None:
+        """Says that one file could not be moved: the client's tool goes on, and exits with `EXIT_PARTIAL`."""
+        self.report.failed.append(text)
+        self.send_text(text, TAG_ERROR_XFER)
 
-    async def expect_done(self) -> None:
-        index, _, _ = await self.read_item()
-        if index != DONE:
-            raise RsyncError(f"index {index} where the end of the transfer should stand")
+    def put_phase_end(self) -> None:
+        """Sends the end of a phase."""
+        self.stream.put(self._encode_index(DONE))
 
-    def display_name(self, named: Named) -> str:
-        return named.name.decode("utf-8", "surrogateescape")
+    async def expect_phase_end(self) -> None:
+        """Reads the end of a phase; raises RsyncError for anything else."""
+        item = await self.read_item()
+        if item.index != DONE:
+            raise RsyncError(f"index {item.index} where the end of the transfer should stand")
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -10,24 +10,26 @@
 from typing import Any
 
 from pebblehinge.lab.virtual import VirtualLoop
-from pebblehinge.rsync.delta import Search
+from pebblehinge.rsync.block_checksums import read_block_checksums
+from pebblehinge.rsync.delta import BlockSearch
 from pebblehinge.rsync.digests import Digest
+from pebblehinge.rsync.errors import RsyncError
 from pebblehinge.rsync.filters import Filters, read_filters
-from pebblehinge.rsync.flist import Shape, arranged
-from pebblehinge.rsync.flist_reader import ListIn
-from pebblehinge.rsync.greeting import read_hello
-from pebblehinge.rsync.module_store import Place
-from pebblehinge.rsync.numbers import IndexIn, read_longint, read_varint, read_varlong, read_vstring
-from pebblehinge.rsync.options import parse
+from pebblehinge.rsync.flist import ListFormat, sort_entries
+from pebblehinge.rsync.flist_reader import FileListReader
+from pebblehinge.rsync.greeting import parse_greeting
+from pebblehinge.rsync.module_store import ModuleStore
+from pebblehinge.rsync.numbers import FileIndexReader, read_longint, read_varint, read_varlong, read_vstring
+from pebblehinge.rsync.option_parser import parse_options
+from pebblehinge.rsync.partial_uploads import PartialUploads
+from pebblehinge.rsync.request_scheduler import RequestScheduler
 from pebblehinge.rsync.serve import serve
-from pebblehinge.rsync.sharing import Keeping, Sharing
-from pebblehinge.rsync.stream import RsyncError, Stream
-from pebblehinge.rsync.sums import read_sums
-from pebblehinge.rsync.tokens import DeflatedIn, PlainIn
+from pebblehinge.rsync.stream import Stream
+from pebblehinge.rsync.tokens import DeflatedTokenReader, PlainTokenReader
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.transfer_report import Told
-from pebblehinge.rsync.tree import Folder, block_extent
-from pebblehinge.rsync.turns import Turns
+from pebblehinge.rsync.transfer_report import TransferReport
+from pebblehinge.rsync.transfer_scheduler import TransferScheduler
+from pebblehinge.rsync.tree import Directory, block_extent
 from pebblehinge.settings.schema import ModuleBlock
 from pebblehinge.wire.frames import APPENDED
 
@@ -61,7 +63,7 @@
 
 
 async def _numbers(stream: Stream) -> None:
-    index = IndexIn(31)
+    index = FileIndexReader(31)
     while True:
         await read_varint(stream)
         await read_varlong(stream, 3)
@@ -83,13 +85,13 @@
 
 async def _sums(stream: Stream, rest: bytes) -> None:
     digest = Digest("xxh64", 7, 31, True)
-    search = Search(await read_sums(stream, digest), digest)
+    search = BlockSearch(await read_block_checksums(stream), digest)
     given = sum(len(t) if isinstance(t, bytes) else 0 for t in (*search.feed(rest), *search.end()))
     assert given <= len(rest)
 
 
-async def _list(stream: Stream, shape: Shape) -> None:
-    arranged(shape.version, await ListIn(shape, 1000).read(stream))
+async def _list(stream: Stream, shape: ListFormat) -> None:
+    sort_entries(shape.version, await FileListReader(shape, 1000).read(stream))
 
 
 class FakeHouse:
@@ -111,8 +113,8 @@
         }
         self.motd = ""
         self.held: dict[str, bytearray] = {}
-        turns = Turns(loop, loop.time, Sharing(8, 4))
-        self.the_place = Place("m", self.modules["m"], [0], 100.0, turns, self.request, Keeping(10, 1e6))
+        turns = TransferScheduler(loop, loop.time, RequestScheduler(8, 4))
+        self.the_place = ModuleStore("m", self.modules["m"], [0], 100.0, turns, self.request, PartialUploads(10, 1e6))
         self.transfers: list[Transfer] = []
 
     async def request(self, *, op: int, extent: str, offset: int, length: int, data: bytes, **_: Any) -> Any:
@@ -157,14 +159,14 @@
         house = FakeHouse(LOOP)
         stream = stream_of(data)
         try:
-            await serve(stream, house, Told())
+            await serve(stream, house, TransferReport())
         except RsyncError:
             pass
-        for entry in house.the_place.log(b"").folder.entries.values():
+        for entry in house.the_place.log(b"").directory.entries.values():
             # Whatever became visible is whole.
-            if entry.kind == "f" and entry.size > 2048 and not entry.deep:
-                for at in range(0, len(entry.sums), 16):
-                    sum_ = entry.sums[at : at + 16]
+            if entry.kind == "f" and entry.size > 2048 and not entry.indirect:
+                for at in range(0, len(entry.checksums), 16):
+                    sum_ = entry.checksums[at : at + 16]
                     assert not any(sum_) or block_extent("m", sum_) in house.held
 
     LOOP.run_until_complete(main())
@@ -185,31 +187,31 @@
         if kind == 0:
             drive(_numbers(stream_of(rest)))
         elif kind == 1:
-            drive(_tokens(stream_of(rest), PlainIn()))
+            drive(_tokens(stream_of(rest), PlainTokenReader()))
         elif kind == 2:
-            drive(_tokens(stream_of(rest), DeflatedIn()))
+            drive(_tokens(stream_of(rest), DeflatedTokenReader()))
         elif kind == 3:
             drive(_sums(stream_of(rest), rest))
         elif kind == 4:
             filters = drive(read_filters(stream_of(rest)))
-            filters.takes(b"a/b", False)
+            filters.includes(b"a/b", False)
         elif kind == 5:
-            Filters([rest]).takes(b"some/name", True)
+            Filters([rest]).includes(b"some/name", True)
         elif kind == 6:
-            parse(rest.split(b"\0"))
+            parse_options(rest.split(b"\0"))
         elif kind == 7:
-            read_hello(rest)
+            parse_greeting(rest)
         elif kind == 8:
-            Folder().feed(rest)
+            Directory().feed(rest)
         elif kind in (9, 10) and rest:
             bits, version = rest[0], 27 + rest[0] % 5
             varint = version >= 30 and bool(bits & 64)
-            shape = Shape(
+            shape = ListFormat(
                 version,
                 bool(bits & 8),
                 bool(bits & 16),
                 bool(bits & 32),
-                checksum=16 if bits & 128 else 0,
+                digest_bytes=16 if bits & 128 else 0,
                 varint_flags=varint,
                 io_error_end=version >= 30,
             )
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.village import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.net import parse_address
-from pebblehinge.rsync.line import Line
+from pebblehinge.rsync.stream_protocol import StreamProtocol
 from pebblehinge.settings.load import loads
 from pebblehinge.shelf import Contents, ShelfServer
 
@@ -122,7 +122,7 @@
         self.contents: dict[int, Contents] = {}
         self.notes: dict[str, Memory] = {}
         self.clients = 0
-        self.lines: list[Line] = []
+        self.lines: list[StreamProtocol] = []
         self.log = Quiet()
 
     def clock(self) -> float:
@@ -165,11 +165,11 @@
             await asyncio.sleep(0.01)
         return got
 
-    async def line(self, head: str = "h1", stall_ms: float = 60_000.0) -> tuple[Line, Node]:
+    async def line(self, head: str = "h1", stall_ms: float = 60_000.0) -> tuple[StreamProtocol, Node]:
         """A bare connection to a head's door."""
         self.clients += 1
         node = self.nodes[f"client{self.clients}"] = self.loop.node(f"client{self.clients}")
-        line = Line(node, stall_ms)
+        line = StreamProtocol(node, stall_ms)
         host, port = parse_address(self.config.head[head].rsync)
         await node.create_connection(lambda: line, host, port)
         self.lines.append(line)
--- a/tests/test_rsync.py
+++ b/tests/test_rsync.py
@@ -13,10 +13,10 @@
 from rsync_trees import BIG, TREE, held, stands
 
 from pebblehinge.lab.rsync_call import Call, Local, folder
-from pebblehinge.rsync.module_store import Place
-from pebblehinge.rsync.stream import DELETE_LIMIT, PARTIAL, START, SYNTAX
+from pebblehinge.rsync.errors import EXIT_DELETE_LIMIT, EXIT_PARTIAL, EXIT_START, EXIT_SYNTAX
+from pebblehinge.rsync.module_store import ModuleStore
 from pebblehinge.rsync.transfer import Transfer
-from pebblehinge.rsync.tree import Entry
+from pebblehinge.rsync.tree import DirectoryEntry
 from pebblehinge.settings import SettingsError
 from pebblehinge.settings.load import loads
 
@@ -50,15 +50,15 @@
         # `kept` is not for this address
         assert got.code == 0 and got.lines == ["tenders        \tTender folders"]
         for wanted, code, why in [
-            (Call("nothing"), START, "Unknown module 'nothing'"),
-            (Call("kept"), START, "Unknown module 'kept'"),
+            (Call("nothing"), EXIT_START, "Unknown module 'nothing'"),
+            (Call("kept"), EXIT_START, "Unknown module 'kept'"),
             (Call("tenders", extra=["--files-from=-"]), 4, "--files-from is declined"),
             (Call("tenders", extra=["-H"]), 4, "hard links are not kept"),
         ]:
             got = await t.call("pull", wanted)
             assert (got.code, why in got.error) == (code, True), (got.code, got.error)
         got = await t.pull("not/there")
-        assert got.code == PARTIAL and "No such file" in got.said[0][1]
+        assert got.code == EXIT_PARTIAL and "No such file" in got.said[0][1]
         for path in ("../x", "a/../../x"):
             got = await t.pull(path)
             assert got.code != 0 and "`..`" in got.error, got
@@ -74,14 +74,14 @@
             ("ana", b"s3cret", 31, 0),
             ("ana", b"s3cret", 30, 0),
             ("ana", b"s3cret", 29, 0),
-            ("ana", b"wrong", 31, START),
-            ("eva", b"s3cret", 30, START),
+            ("ana", b"wrong", 31, EXIT_START),
+            ("eva", b"s3cret", 30, EXIT_START),
         ]:
             got = await t.call("pull", Call("kept", version=version, user=user, secret=secret))
             assert got.code == code, (user, version, got.error)
             assert code == 0 or "auth failed" in got.error
         got = await t.call("push", Call("kept", user="ana", secret=b"s3cret", files=dict(TREE)))
-        assert got.code == SYNTAX and "read only" in got.error
+        assert got.code == EXIT_SYNTAX and "read only" in got.error
 
     in_town(script, settings=opened)
 
@@ -110,13 +110,13 @@
         files[b"huge"] = Local(b"", zeros=65 << 20)  # 64 MiB are taken
         files[b"pipe"] = Local(b"", mode=stat.S_IFIFO | 0o644)
         got = await t.push(files)
-        assert got.code == PARTIAL and any("huge" in s and "at most" in s for _, s in got.said), got
+        assert got.code == EXIT_PARTIAL and any("huge" in s and "at most" in s for _, s in got.said), got
         assert any("skipping non-regular file" in s for _, s in got.said)
         assert await stands(t) == held(TREE)
         got = await t.push({b"a": Local(b"now a file")})
-        assert got.code == PARTIAL and "directory stands" in got.said[0][1]
+        assert got.code == EXIT_PARTIAL and "directory stands" in got.said[0][1]
         got = await t.push({b"empty": folder(), b"empty/x": Local(b"1")})
-        assert got.code == PARTIAL
+        assert got.code == EXIT_PARTIAL
         assert await stands(t) == held(TREE)
 
     in_town(script)
@@ -140,7 +140,7 @@
         assert (await t.push(files)).code == 0
         less = {b".": folder(), b"z": Local(b"")}
         got = await t.push(less, delete=True, extra=["--max-delete=1"])
-        assert got.code == DELETE_LIMIT and len([s for _, s in got.said if s.startswith("deleting")]) == 1
+        assert got.code == EXIT_DELETE_LIMIT and len([s for _, s in got.said if s.startswith("deleting")]) == 1
         got = await t.push(less, delete=True, filters=[b"- *.log"])
         assert got.code == 0
         assert sorted(await stands(t)) == [b".", b"k.log", b"z"]
@@ -185,7 +185,7 @@
 
 
 def test_a_place_that_appends_again_without_a_look_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def commit(self: Place, path: bytes, entry: Entry) -> bool:
+    async def commit(self: ModuleStore, path: bytes, entry: DirectoryEntry) -> bool:
         return True  # says so, and saves nothing
 
     monkeypatch.setattr(Transfer, "commit", commit)
--- a/tests/test_rsync_bad_clients.py
+++ b/tests/test_rsync_bad_clients.py
@@ -28,7 +28,7 @@
             nonlocal held_most
             while True:
                 guests = list(t.servers["h1"].rsync_listener.sessions)
-                held_most = max([held_most, *(len(g.stream.out) + g.stream.held for g in guests)])
+                held_most = max([held_most, *(len(g.stream.unflushed) + g.stream.unread_bytes for g in guests)])
                 await asyncio.sleep(5.0)
 
         task = asyncio.ensure_future(watch())
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -13,7 +13,7 @@
 from rsync_trees import BIG, held, stands
 
 from pebblehinge.lab.rsync_call import Local
-from pebblehinge.rsync.stream import PARTIAL, STREAM
+from pebblehinge.rsync.errors import EXIT_PARTIAL, EXIT_STREAM
 from pebblehinge.rsync.transfer import Transfer
 
 
@@ -38,7 +38,7 @@
         got = await t.push({b"save": Local(b"2"), b"other": Local(b"3")})
         assert got.code == 0 and lost, (got, lost)
         assert sorted(await stands(t)) == [b".", b"first", b"other", b"save"]
-        assert t.servers["h1"].rsync_listener.places["tenders"].unsure >= 1
+        assert t.servers["h1"].rsync_listener.places["tenders"].uncertain >= 1
 
     in_town(script)
 
@@ -60,7 +60,7 @@
 
             shelf._answer = never
         got = await t.push({b"save": Local(b"2")})
-        assert got.code == PARTIAL and "not known whether this save stands" in got.said[0][1], got
+        assert got.code == EXIT_PARTIAL and "not known whether this save stands" in got.said[0][1], got
         for name in ("s1", "s2", "s3"):
             del t.servers[name]._answer
         again = await t.push({b"save": Local(b"2")}, head="h2")
@@ -118,7 +118,7 @@
 
         monkeypatch.setattr(Transfer, "append", append)
         first = await t.push(files)
-        assert first.code == STREAM and struck
+        assert first.code == EXIT_STREAM and struck
         again = await t.push(files, head="h2")
         assert again.code == 0, again
         assert {n: d for n, d in (await stands(t, head="h2")).items() if n != b"."} == held(files)
--- a/tests/test_rsync_concurrent.py
+++ b/tests/test_rsync_concurrent.py
@@ -12,7 +12,7 @@
 from rsync_trees import BIG, stands
 
 from pebblehinge.lab.rsync_call import Local, folder
-from pebblehinge.rsync.tree import Entry, Folder, packed, slot_of
+from pebblehinge.rsync.tree import Directory, DirectoryEntry, encode_entry, slot_of
 
 
 @pytest.mark.parametrize("same", [True, False])
@@ -51,16 +51,16 @@
         await asyncio.gather(*(member(n) for n in range(25)))
         for head in ("h1", "h2"):
             place = t.servers[head].rsync_listener.places["tenders"]
-            for path, log in place.folders.items():
+            for path, log in place.directories.items():
                 held_ = t.contents[slot_of(log.extent, place.slots)].extents.get(f"files/{log.extent}", b"")
-                assert log.folder.end <= len(held_) and not log.folder.rest, path
+                assert log.directory.end <= len(held_) and not log.directory.partial_record, path
 
     in_town(script, seed=30 + seed)
 
 
 def test_what_comes_twice_of_a_log_is_taken_once() -> None:
-    raw = b"".join(packed(Entry("f", b"%d" % n, label=str(n))) for n in range(3))
-    folder_ = Folder()
+    raw = b"".join(encode_entry(DirectoryEntry("f", b"%d" % n, label=str(n))) for n in range(3))
+    folder_ = Directory()
     folder_.feed_from(0, raw[:40])
     for at, data in ((0, raw), (10, raw[10:30]), (len(raw), b""), (40, raw[40:]), (len(raw) + 5, b"later")):
         folder_.feed_from(at, data)
--- a/tests/test_rsync_days.py
+++ b/tests/test_rsync_days.py
@@ -13,7 +13,7 @@
 from pebblehinge.lab.rsync_verdict import judged, sound
 from pebblehinge.lab.verdict import kept, summary
 from pebblehinge.lab.village import play
-from pebblehinge.rsync.tree import Folder
+from pebblehinge.rsync.tree import Directory
 from pebblehinge.settings import Config, load
 
 
@@ -38,7 +38,7 @@
 
 def test_a_head_that_takes_the_same_log_twice_is_seen_by_the_day(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the day itself found: saves that landed twice, by the shelfs' records alone."""
-    monkeypatch.setattr(Folder, "feed_from", lambda self, at, data: self.feed(data))
+    monkeypatch.setattr(Directory, "feed_from", lambda self, at, data: self.feed(data))
     config = tender(7)
     for seed in (2, 3, 1, 5):  # on some days no log is read by two together
         stage, _ = play(config, "rsync-tender", seed)
--- a/tests/test_rsync_delta.py
+++ b/tests/test_rsync_delta.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, stream_of
 
-from pebblehinge.rsync.delta import Search
+from pebblehinge.rsync.block_checksums import BlockChecksumBuilder, block_length, read_block_checksums, strong_length
+from pebblehinge.rsync.delta import BlockSearch
 from pebblehinge.rsync.digests import Digest
-from pebblehinge.rsync.rolling_checksum import weak, weak_everywhere
-from pebblehinge.rsync.sums import Summing, block_length, read_sums, strong_length
-from pebblehinge.rsync.tokens import DeflatedIn, DeflatedOut, PlainIn, PlainOut
+from pebblehinge.rsync.rolling_checksum import rolling_checksum, rolling_checksums_at_offsets
+from pebblehinge.rsync.tokens import DeflatedTokenReader, DeflatedTokenWriter, PlainTokenReader, PlainTokenWriter
 
 
 def test_strong_sums() -> None:
@@ -31,14 +31,16 @@
 
 
 def test_rolling_sums() -> None:
-    assert weak(b"\x01\x02\x03") == 0x000A0006  # 1+2+3, and 3*1 + 2*2 + 1*3
-    assert weak(b"\xff") == 0xFFFFFFFF  # bytes are signed: -1 and -1
+    assert rolling_checksum(b"\x01\x02\x03") == 0x000A0006  # 1+2+3, and 3*1 + 2*2 + 1*3
+    assert rolling_checksum(b"\xff") == 0xFFFFFFFF  # bytes are signed: -1 and -1
 
 
 @given(st.binary(min_size=1, max_size=300), st.integers(1, 40))
 def test_rolling_sums_everywhere_are_those_of_each_block(data: bytes, block: int) -> None:
     block = min(block, len(data))
-    assert list(weak_everywhere(data, block)) == [weak(data[i : i + block]) for i in range(len(data) - block + 1)]
+    assert list(rolling_checksums_at_offsets(data, block)) == [
+        rolling_checksum(data[i : i + block]) for i in range(len(data) - block + 1)
+    ]
 
 
 def test_block_sizes() -> None:
@@ -52,16 +54,16 @@
 def delta(old: bytes, new: bytes, block: int, cuts: list[int]) -> tuple[bytes, int]:
     """What a receiver makes of a sender's tokens; and the literal bytes."""
     digest = Digest("xxh64", 9, 31, True)
-    summing = Summing(len(old), digest, block=block)
+    summing = BlockChecksumBuilder(len(old), digest, block=block)
     summing.feed(old)
-    sums = drive(read_sums(stream_of(summing.done().packed()), digest))
-    search, out, at = Search(sums, digest), b"", 0
+    sums = drive(read_block_checksums(stream_of(summing.finish().encode())))
+    search, out, at = BlockSearch(sums, digest), b"", 0
     pieces = [new[a:b] for a, b in zip([0, *cuts], [*cuts, len(new)], strict=True)]
     for piece in (*pieces, None):
         for token in search.end() if piece is None else search.feed(piece):
             at = token * block if isinstance(token, int) else at
             out += token if isinstance(token, bytes) else old[at : at + sums.length(token)]
-    return out, search.literal
+    return out, search.literal_bytes
 
 
 @settings(deadline=None)
@@ -88,17 +90,17 @@
 
 
 def test_plain_tokens() -> None:
-    out = PlainOut()
+    out = PlainTokenWriter()
     raw = out.literal(b"hi") + out.match(0) + out.end()
     assert raw == bytes.fromhex("02000000 6869 ffffffff 00000000")
 
 
 def test_deflated_tokens() -> None:
     """Blocks 0 to 2 are a run from 0 on with two more; 10 is eight after the last; then the end."""
-    out = DeflatedOut()
+    out = DeflatedTokenWriter()
     raw = b"".join(out.match(n) for n in (0, 1, 2, 10)) + out.end()
     assert raw == bytes.fromhex("c0 0200 88 00")
-    out = DeflatedOut()
+    out = DeflatedTokenWriter()
     raw = out.literal(b"hello hello hello") + out.match(100) + out.end()
     length = (raw[0] & 0x3F) << 8 | raw[1]
     assert raw[0] & 0xC0 == 0x40  # deflated bytes
@@ -109,9 +111,9 @@
 @settings(deadline=None)
 @given(st.lists(st.one_of(st.binary(min_size=1, max_size=40000), st.integers(0, 200_000)), max_size=12), st.booleans())
 def test_tokens_come_back(tokens: list[bytes | int], deflated: bool) -> None:
-    out = DeflatedOut() if deflated else PlainOut()
+    out = DeflatedTokenWriter() if deflated else PlainTokenWriter()
     raw = b"".join(out.literal(t) if isinstance(t, bytes) else out.match(t) for t in tokens) + out.end()
-    read, stream = DeflatedIn() if deflated else PlainIn(), stream_of(raw)
+    read, stream = DeflatedTokenReader() if deflated else PlainTokenReader(), stream_of(raw)
     got: list[bytes | int] = []
     while (token := drive(read.next(stream))) is not None:
         if isinstance(token, bytes) and got and isinstance(got[-1], bytes):
@@ -131,5 +133,5 @@
     packer = zlib.compressobj(9, zlib.DEFLATED, -15)
     packed_ = packer.compress(bytes(8 << 20)) + packer.flush(zlib.Z_SYNC_FLUSH)
     raw = bytes([0x40 | len(packed_) >> 8, len(packed_) & 0xFF]) + packed_
-    read, stream = DeflatedIn(), stream_of(raw)
+    read, stream = DeflatedTokenReader(), stream_of(raw)
     assert len(raw) < 10_000 and len(drive(read.next(stream))) <= 1 << 15
--- a/tests/test_rsync_interrupted.py
+++ b/tests/test_rsync_interrupted.py
@@ -14,7 +14,7 @@
 from pebblehinge.lab.connection_cut import Cut
 from pebblehinge.lab.rsync_call import Call, Local
 from pebblehinge.lab.rsync_client import call
-from pebblehinge.rsync.stream import START, STREAM, TIMEOUT
+from pebblehinge.rsync.errors import EXIT_START, EXIT_STREAM, EXIT_TIMEOUT
 
 
 def test_a_client_that_goes_at_any_point_leaves_every_file_old_or_new() -> None:
@@ -33,7 +33,7 @@
             finally:
                 line.close()
             ended += wanted.code == 0
-            assert wanted.code in (0, START, STREAM), wanted
+            assert wanted.code in (0, EXIT_START, EXIT_STREAM), wanted
             now = await stands(t, "")
             for name, data in now.items():
                 if name != b".":
@@ -58,7 +58,7 @@
         line, _ = await t.line()
         Cut(line, 200_000)
         cut = await call(line.stream, Call("tenders", files={b"big": Local(BIG)}), "push", "")
-        assert cut.code == STREAM
+        assert cut.code == EXIT_STREAM
         await asyncio.sleep(1.0)
         got = await t.push({b"big": Local(BIG)})
         assert got.code == 0 and got.literal < 200_000 and got.matched > 100_000, (got.literal, got.matched)
@@ -74,7 +74,7 @@
             t.servers[name].control("hang", {})
         began = t.loop.now
         got = await t.push(TREE)
-        assert got.code == TIMEOUT and "was" in got.error, got
+        assert got.code == EXIT_TIMEOUT and "was" in got.error, got
         assert t.loop.now - began < 25.0
         for name in ("s1", "s2", "s3"):
             t.servers[name].control("hang", {"off": 1})
--- a/tests/test_rsync_numbers.py
+++ b/tests/test_rsync_numbers.py
@@ -12,8 +12,8 @@
 
 from pebblehinge.rsync.numbers import (
     DONE,
-    IndexIn,
-    IndexOut,
+    FileIndexReader,
+    FileIndexWriter,
     longint,
     read_longint,
     read_varint,
@@ -73,12 +73,12 @@
 
 def test_file_indexes() -> None:
     """Differences from version 30 on: 0 -> 1 after -1; 300 is 299 on; 5 is back, so whole with the highest bit set."""
-    out = IndexOut(30)
+    out = FileIndexWriter(30)
     raw = out(0) + out(1) + out(300) + out(5) + out(DONE) + out(6)
     assert raw == bytes.fromhex("01 01 fe 01 2b fe 80 05 00 00 00 01")
-    read, stream = IndexIn(30), stream_of(raw)
+    read, stream = FileIndexReader(30), stream_of(raw)
     assert [drive(read(stream)) for _ in range(6)] == [0, 1, 300, 5, DONE, 6]
-    assert IndexOut(29)(DONE) == b"\xff\xff\xff\xff" and IndexOut(29)(7) == bytes.fromhex("07 00 00 00")
+    assert FileIndexWriter(29)(DONE) == b"\xff\xff\xff\xff" and FileIndexWriter(29)(7) == bytes.fromhex("07 00 00 00")
 
 
 @given(st.integers(-(2**31), 2**31 - 1), st.integers(0, 2**62), st.integers(3, 4))
@@ -90,6 +90,6 @@
 @given(st.lists(st.integers(-1, 2**30), max_size=30).map(lambda xs: [x for x in xs if x >= -1]))
 def test_indexes_come_back(indexes: list[int]) -> None:
     for version in (29, 30):
-        out, read = IndexOut(version), IndexIn(version)
+        out, read = FileIndexWriter(version), FileIndexReader(version)
         stream = stream_of(b"".join(out(i) for i in indexes))
         assert [drive(read(stream)) for _ in indexes] == indexes
--- a/tests/test_rsync_protocol.py
+++ b/tests/test_rsync_protocol.py
@@ -15,36 +15,40 @@
 from hypothesis import strategies as st
 from rsync_fuzz import drive, one, stream_of
 
-from pebblehinge.rsync.digests import login, login_digest
-from pebblehinge.rsync.filters import Filters, packed_filters, read_filters
-from pebblehinge.rsync.greeting import chosen, hello, read_hello
-from pebblehinge.rsync.options import parse
-from pebblehinge.rsync.stream import ERROR_XFER, RsyncError, Stream
-from pebblehinge.rsync.tree import Entry, Folder, packed
+from pebblehinge.rsync.digests import login_digest, login_response
+from pebblehinge.rsync.errors import RsyncError
+from pebblehinge.rsync.filters import Filters, encode_filters, read_filters
+from pebblehinge.rsync.greeting import encode_greeting, parse_greeting
+from pebblehinge.rsync.negotiation import choose_common
+from pebblehinge.rsync.option_parser import parse_options
+from pebblehinge.rsync.stream import TAG_ERROR_XFER, Stream
+from pebblehinge.rsync.tree import Directory, DirectoryEntry, encode_entry
 
 
 def test_greetings() -> None:
-    assert hello(31) == b"@RSYNCD: 31.0 sha512 sha256 sha1 md5 md4\n"
-    assert hello(29) == b"@RSYNCD: 29\n"
-    assert read_hello(b"@RSYNCD: 31.0 md5 md4").digests == ["md5", "md4"]
-    assert read_hello(b"@RSYNCD: 32.0").version == 31 and read_hello(b"@RSYNCD: 27").version == 27
-    assert read_hello(b"@RSYNCD: 31.14").version == 30  # an unfinished 31
+    assert encode_greeting(31) == b"@RSYNCD: 31.0 sha512 sha256 sha1 md5 md4\n"
+    assert encode_greeting(29) == b"@RSYNCD: 29\n"
+    assert parse_greeting(b"@RSYNCD: 31.0 md5 md4").login_digests == ["md5", "md4"]
+    assert parse_greeting(b"@RSYNCD: 32.0").version == 31 and parse_greeting(b"@RSYNCD: 27").version == 27
+    assert parse_greeting(b"@RSYNCD: 31.14").version == 30  # an unfinished 31
     for bad in (b"HELO", b"@RSYNCD: ", b"@RSYNCD: x.0", b"@RSYNCD: 26", b"@RSYNCD: 99999999999.0"):
         with pytest.raises(RsyncError):
-            read_hello(bad)
+            parse_greeting(bad)
 
 
 def test_login_answers() -> None:
     """base64 without padding, of the sum over secret and challenge; the sums by other programs."""
     # printf secretchallenge | md5sum
     raw = bytes.fromhex(hashlib.md5(b"secretchallenge").hexdigest())
-    assert login("md5", b"secret", b"challenge", 30) == base64.b64encode(raw).rstrip(b"=")
+    assert login_response("md5", b"secret", b"challenge", 30) == base64.b64encode(raw).rstrip(b"=")
     # RFC 1320: MD4("abc") = a448017aaf21d8525fc10ae87aa6729d, in base64 pEgBeq8h2FJfwQroeqZynQ
-    assert login("md4", b"a", b"bc", 30) == b"pEgBeq8h2FJfwQroeqZynQ"
-    assert login("md4", b"a", b"bc", 29) != login("md4", b"a", b"bc", 30)  # four zeros stand in front before 30
+    assert login_response("md4", b"a", b"bc", 30) == b"pEgBeq8h2FJfwQroeqZynQ"
+    assert login_response("md4", b"a", b"bc", 29) != login_response(
+        "md4", b"a", b"bc", 30
+    )  # four zeros stand in front before 30
     assert login_digest(31, ["sha256", "md5"]) == "sha256" and login_digest(30, None) == "md5"
     assert login_digest(29, None) == "md4" and login_digest(31, ["unheard"]) == "md5"
-    assert chosen(("md5", "md4"), ["xxh64", "md4", "md5"]) == "md4"  # the client's order
+    assert choose_common(("md5", "md4"), ["xxh64", "md4", "md5"]) == "md4"  # the client's order
 
 
 def test_frames() -> None:
@@ -52,12 +56,12 @@
     stream = Stream(None, sent.append, None, None)  # type: ignore[arg-type]
     stream.start_frames_out()
     stream.put(b"abc")
-    stream.message(ERROR_XFER, b"no\n")
+    stream.message(TAG_ERROR_XFER, b"no\n")
     assert b"".join(sent) == bytes.fromhex("03000007 616263 03000008") + b"no\n"
     heard: list[tuple[int, bytes]] = []
     back = stream_of(b"".join(sent) + bytes.fromhex("00000007 02000007") + b"de", framed=True)
     back.on_message = lambda tag, data: heard.append((tag, data))
-    assert drive(back.take(5)) == b"abcde" and heard == [(ERROR_XFER, b"no\n")]
+    assert drive(back.take(5)) == b"abcde" and heard == [(TAG_ERROR_XFER, b"no\n")]
 
 
 @pytest.mark.parametrize(
@@ -74,18 +78,18 @@
     ],
 )
 def test_filters(rules: list[bytes], taken: list[bytes], left: list[bytes]) -> None:
-    filters = drive(read_filters(stream_of(packed_filters(rules))))
-    assert all(filters.takes(n, False) for n in taken) and not any(filters.takes(n, False) for n in left)
+    filters = drive(read_filters(stream_of(encode_filters(rules))))
+    assert all(filters.includes(n, False) for n in taken) and not any(filters.includes(n, False) for n in left)
 
 
 def test_filters_that_end_in_a_slash_fit_directories() -> None:
     filters = Filters([b"- build/"])
-    assert filters.takes(b"build", False) and not filters.takes(b"x/build", True)
+    assert filters.includes(b"build", False) and not filters.includes(b"x/build", True)
 
 
 def test_options() -> None:
-    o = parse([b"--server", b"--sender", b"-vlogDtprze.iLsfxCIvu", b"--timeout=30", b".", b"m/a", b"m/b"])
-    assert o.sender and o.recursive and o.compress and o.able == "iLsfxCIvu" and o.timeout == 30
+    o = parse_options([b"--server", b"--sender", b"-vlogDtprze.iLsfxCIvu", b"--timeout=30", b".", b"m/a", b"m/b"])
+    assert o.sender and o.recursive and o.compress and o.capabilities == "iLsfxCIvu" and o.timeout == 30
     assert o.paths == [b"m/a", b"m/b"]
     for words, why in [
         (["-rU"], "access times"),
@@ -99,22 +103,26 @@
         (["--max-delete=x"], "whole number"),
     ]:
         with pytest.raises(RsyncError, match=why):
-            parse([b"--server", *(w.encode() for w in words), b".", b"m/"])
+            parse_options([b"--server", *(w.encode() for w in words), b".", b"m/"])
 
 
 def test_a_folders_log_in_any_pieces_and_damaged() -> None:
-    entries = [Entry("f", b"a", 1, data=b"x", label="1"), Entry("d", b"b", label="2"), Entry("x", b"a", label="3")]
-    raw = b"".join(map(packed, entries))
+    entries = [
+        DirectoryEntry("f", b"a", 1, data=b"x", label="1"),
+        DirectoryEntry("d", b"b", label="2"),
+        DirectoryEntry("x", b"a", label="3"),
+    ]
+    raw = b"".join(map(encode_entry, entries))
     for size in (1, 7, len(raw)):
-        folder = Folder()
+        folder = Directory()
         for at in range(0, len(raw), size):
             folder.feed(raw[at : at + size])
-        assert list(folder.entries) == [b"b"] and folder.end == len(raw) and all(folder.has(x) for x in "123")
-    for at in range(8, len(packed(entries[0]))):
+        assert list(folder.entries) == [b"b"] and folder.end == len(raw) and all(folder.has_label(x) for x in "123")
+    for at in range(8, len(encode_entry(entries[0]))):
         hurt = bytearray(raw)
         hurt[at] ^= 4
         with pytest.raises(RsyncError, match="damaged at byte 0"):
-            Folder().feed(bytes(hurt))
+            Directory().feed(bytes(hurt))
 
 
 @settings(max_examples=600, deadline=None)
