--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -98,9 +98,9 @@
         OSError: No connection could be made.
     """
     from pebblehinge.lab.rsync_client import call  # noqa: PLC0415
-    from pebblehinge.rsync.line import Line  # noqa: PLC0415
+    from pebblehinge.rsync.stream_protocol import StreamProtocol  # noqa: PLC0415
 
-    line = Line(loop, PATIENCE_MS)
+    line = StreamProtocol(loop, PATIENCE_MS)
     await loop.create_connection(lambda: line, host, port)
     await call(line.stream, wanted, verb, path)
     line.close()
