--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -115,7 +115,7 @@
     if verb != "list":
         return
     for entry in wanted.listed:
-        kind = "d" if entry.folder else "-" if entry.file else "l"
+        kind = "d" if entry.is_directory else "-" if entry.is_file else "l"
         click.echo(f"{kind} {entry.size:>12} {entry.mtime} {os.fsdecode(entry.name)}")
 
 
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from pebblehinge.discovery import DiscoveryServer
-    from pebblehinge.shelf import ShelfServer
+    from pebblehinge.storage_node import StorageNodeServer
 
 
 @main.command(name="storage-node")
@@ -93,7 +93,9 @@
     return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
-async def _until_stopped(loop: asyncio.AbstractEventLoop, server: DiscoveryServer | ShelfServer, what: str) -> int:
+async def _until_stopped(
+    loop: asyncio.AbstractEventLoop, server: DiscoveryServer | StorageNodeServer, what: str
+) -> int:
     """Starts a stand-in, says that it is ready, and stops it on a signal; returns the exit status."""
     try:
         await server.start()
