--- a/pebblehinge/store/committer.py
+++ b/pebblehinge/store/committer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from pebblehinge.store.errors import JournalFailedError, StorageError
 from pebblehinge.store.journal import Batch, Journal
@@ -13,8 +13,7 @@
 RECORD_OVERHEAD_BYTES = 100  # estimate of what a record takes beside its data
 
 
-@dataclass(slots=True, frozen=True)
-class WaitingRecord:
+class WaitingRecord(NamedTuple):
     """A record that isn't appended yet; `on_result` gets True once it is durable, False if that can't be known."""
 
     record: Record
@@ -75,15 +74,18 @@
             return
         if self.failure is None:
             await self._write([row.record for row in batch])
-        for row in batch:
-            row.on_result(self.failure is None)
+        durable = self.failure is None
+        for _, on_result in batch:
+            on_result(durable)
 
     def _next_batch(self) -> list[WaitingRecord]:
         """Takes the records of a batch off the waiting ones."""
         size = 0
         count = 0
-        while count < len(self.waiting) and size < MAX_BATCH_BYTES:
-            size += len(getattr(self.waiting[count].record, "data", b"")) + RECORD_OVERHEAD_BYTES
+        for record, _ in self.waiting:
+            if size >= MAX_BATCH_BYTES:
+                break
+            size += len(getattr(record, "data", b"")) + RECORD_OVERHEAD_BYTES
             count += 1
         batch = self.waiting[:count]
         self.waiting = self.waiting[count:]
@@ -91,6 +93,8 @@
 
     def _without_obsolete(self, batch: list[WaitingRecord]) -> list[WaitingRecord]:
         """Drops records that were to be relocated and are done by now: written again they would live for ever."""
+        if not self.relocating:
+            return batch
         obsolete = [row for row in batch if self._is_obsolete(row.record)]
         for row in obsolete:
             batch.remove(row)
