--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -2,9 +2,9 @@
 
 In service (service/node_connection.py, connection_pools.py) an attempt takes the connection that was used last, or
 dials; one that idles for IDLE_FRACTION of the shelf's own limit is closed, and at the cap the one that idled longest
-is. Framed (head/link.py) there is one connection a shelf that all attempts share and that stays. Arrivals of a pair
-are taken as Poisson. For the k-th connection of a pair the arrivals that find exactly k-1 attempts out reach it; `in
-flight` is Poisson, too (M/G/infinity)."""
+is. Framed (gateway/node_link.py) there is one connection a shelf that all attempts share and that stays. Arrivals of a
+pair are taken as Poisson. For the k-th connection of a pair the arrivals that find exactly k-1 attempts out reach it;
+`in flight` is Poisson, too (M/G/infinity)."""
 
 from __future__ import annotations
 
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -11,7 +11,7 @@
 from slopes import Point, least_ms, point
 
 from pebblehinge.cli import clock_of
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.replicated_config.activation import transitional
 from pebblehinge.replicated_config.application_types import Grant
@@ -104,10 +104,10 @@
         """Nothing waits here."""
 
 
-def head_of(config: Config) -> HeadServer:
+def head_of(config: Config) -> GatewayServer:
     """A framed head with no sockets."""
     loop: Any = StillLoop()
-    return HeadServer(loop, clock_of(loop), config, "h1", Quiet())
+    return GatewayServer(loop, clock_of(loop), config, "h1", Quiet())
 
 
 def version(heads: int, volumes: int) -> dict[str, Any]:
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -88,10 +88,10 @@
             volumes=self.volumes(),
             events=self.events.latest(),
         )
-        if gateway.door is not None:
-            snapshot["transfers"] = _transfers(gateway.door)
-        if gateway.back is not None:
-            snapshot["journal"] = _journal(gateway.back)
+        if gateway.rsync_listener is not None:
+            snapshot["transfers"] = _transfers(gateway.rsync_listener)
+        if gateway.write_back is not None:
+            snapshot["journal"] = _journal(gateway.write_back)
         if gateway.version_shown:
             snapshot["configuration"] = gateway.version_shown
         return snapshot
@@ -118,7 +118,7 @@
             }
         else:
             rates = dict.fromkeys(counts, 0.0)
-        self._last_counts = dict(counts)
+        self._last_counts = counts
         self._last_ms = now_ms
         return rates
 
--- /dev/null
+++ b/pebblehinge/gateway/commit.py
@@ -0,0 +1,168 @@
+"""Commits confirmed writes to their storage nodes, and records in the journal which are committed."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import traceback
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from pebblehinge.core import FinalStatus
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.framed_request import FINAL_WORDS
+from pebblehinge.gateway.internal_client import InternalClient, InternalResult
+from pebblehinge.store.committer import Committer
+from pebblehinge.store.dirty_writes import DirtyWrites
+from pebblehinge.store.journal import Journal
+from pebblehinge.store.records import Done, Write
+from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, next_step
+from pebblehinge.wire.frames import READ, WRITE
+
+MIN_WAIT_MS = 0.5
+"""The least wait until the dirty writes are looked at again, in milliseconds."""
+
+
+class NodeCommitter:
+    """Commits the dirty writes of a gateway.
+
+    Attributes:
+        client: Makes its requests.
+        committed: Numbers of writes that are committed, and not yet recorded as done.
+        gave_up: Whether a graceful shutdown has ended it: what is dirty stays in the journal.
+        closed: Whether it was closed.
+    """
+
+    def __init__(
+        self,
+        context: GatewayContext,
+        journal: Journal,
+        committer: Committer,
+        dirty: DirtyWrites,
+        policy: WritebackPolicy,
+        counts: dict[str, int],
+        progressed: Callable[[], None],
+    ) -> None:
+        """Calls `progressed` whenever something is no longer under way, and counts ends in `counts`."""
+        self.context = context
+        self.loop = context.loop
+        self.clock = context.clock
+        self.block = context.config.buffer
+        self.journal = journal
+        self.committer = committer
+        self.dirty = dirty
+        self.policy = policy
+        self.counts = counts
+        self.progressed = progressed
+        self.client = InternalClient(context, "write-back")
+        self.committed: list[int] = []
+        self.gave_up = False
+        self.closed = False
+        self._tasks: dict[asyncio.Task[None], None] = {}
+        self._timer: asyncio.TimerHandle | None = None
+        self._record_timer: asyncio.TimerHandle | None = None
+
+    def pump(self) -> None:
+        """Starts the writes that are due, and comes again when others are."""
+        if self.gave_up or self.closed:
+            return
+        now = self.clock()
+        for write in self.policy.due(now, self.dirty):
+            self.dirty.in_flight[write.number] = None
+            self.spawn(self._commit(write))
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        wake_ms = self.policy.wake_ms(now, self.dirty)
+        if wake_ms < math.inf:
+            self._timer = self.loop.call_later(max(MIN_WAIT_MS, wake_ms - now) / 1000.0, self.pump)
+
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine as a task of its own; a fault in it is logged."""
+        task = self.loop.create_task(coroutine)
+        self._tasks[task] = None
+        task.add_done_callback(self._on_task_done)
+
+    def close(self) -> None:
+        """Cancels what is under way."""
+        self.closed = True
+        for handle in (self._timer, self._record_timer):
+            if handle is not None:
+                handle.cancel()
+        for task in list(self._tasks):
+            task.cancel()
+
+    async def _commit(self, write: Write) -> None:
+        step = next_step(write, write.number in self.dirty.maybe_applied, None)
+        if step is WritebackStep.READ_BACK:
+            result = await self._request(write, READ, b"")
+            if result.final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
+                step = next_step(write, True, result.data)
+        if step is WritebackStep.WRITE:
+            result = await self._request(write, WRITE, write.data)
+            if result.final != FINAL_WORDS[FinalStatus.REJECTED]:
+                self.dirty.maybe_applied[write.number] = None  # it may have run, whatever becomes of it
+        now = self.clock()
+        self.dirty.in_flight.pop(write.number, None)
+        is_there = step is WritebackStep.DONE
+        final, stay_ms = (FINAL_WORDS[FinalStatus.SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
+        if final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
+            self.policy.succeeded(write)
+        else:
+            self.policy.failed(now, write, stay_ms)
+        if is_there or (step is WritebackStep.WRITE and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
+            self.counts["stood already" if is_there else "landed"] += 1
+            self.dirty.remove(write)
+            self.committed.append(write.number)
+            self._record_soon()
+        self.pump()
+        self.progressed()
+
+    async def _request(self, write: Write, op: int, data: bytes) -> InternalResult:
+        volume = self.context.config.volume.get(write.volume)
+        request_class = volume.back if volume is not None and volume.back else write.profile
+        number = self.client.ids + 1
+        return await self.client.request(
+            write.volume,
+            op=op,
+            extent=write.extent,
+            slot=write.slot,
+            profile=request_class,
+            units=write.units,
+            patience_ms=self.block.patience,
+            trace=f"{self.context.name}.w{write.number}.{number}",
+            again=False,
+            offset=write.offset,
+            length=len(write.data),
+            data=data,
+            label=f"wb.{write.label}.{write.number}",
+        )
+
+    def _record_soon(self) -> None:
+        if self._record_timer is None and not self.closed:
+            self._record_timer = self.loop.call_later(self.block.done / 1000.0, self._record)
+
+    def _record(self) -> None:
+        """Records what is committed, so that it is not written again after a crash; then segments may go."""
+        self._record_timer = None
+        if not self.committed or self.committer.failure or self.closed:
+            return
+        numbers, self.committed = self.committed, []
+        self.committer.add(Done(numbers), self._on_recorded)
+        if not self.committer.running:
+            self.spawn(self.committer.run())
+
+    def _on_recorded(self, is_durable: bool) -> None:
+        if is_durable and not self.closed:
+            self.journal.reclaim()
+            for record in self.journal.records_to_relocate():
+                self.committer.relocate(record)
+
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.pop(task, None)
+        if not self.closed:
+            self.progressed()
+        error = None if task.cancelled() else task.exception()
+        if error is not None:
+            where = "".join(traceback.format_exception(error, limit=-4))
+            self.context.log.error("fault", error=repr(error), where=where)
--- /dev/null
+++ b/pebblehinge/gateway/internal_client.py
@@ -0,0 +1,107 @@
+"""Requests that a gateway makes itself: for rsync clients, and to commit confirmed writes to their storage nodes."""
+
+from __future__ import annotations
+
+import asyncio
+
+from pebblehinge.core import FinalStatus
+from pebblehinge.gateway.context import GatewayContext
+from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
+
+
+class InternalResult:
+    """How such a request ended.
+
+    Attributes:
+        final: One of `FINAL_WORDS`.
+        stay_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
+        reason: Why it did not succeed.
+        data: The bytes read.
+    """
+
+    __slots__ = ("final", "stay_ms", "reason", "data")
+
+    def __init__(self, final: str, stay_ms: float, reason: str, data: bytes) -> None:
+        self.final = final
+        self.stay_ms = stay_ms
+        self.reason = reason
+        self.data = data
+
+
+class InternalClient:
+    """One more client to the request table.
+
+    Its requests are admitted during a graceful shutdown as well: what they belong to was admitted before.
+
+    Attributes:
+        ids: The number of its last request.
+        waiting: The requests without a result, by their numbers.
+    """
+
+    is_internal = True
+
+    def __init__(self, context: GatewayContext, name: str) -> None:
+        """Makes requests as `name`, which the records show."""
+        self.context = context
+        self.name = name
+        self.ids = 0
+        self.waiting: dict[int, asyncio.Future[InternalResult]] = {}
+
+    async def request(
+        self,
+        volume: str,
+        *,
+        op: int,
+        extent: str,
+        slot: int,
+        profile: str,
+        units: float,
+        patience_ms: float,
+        trace: str,
+        again: bool,
+        offset: int,
+        length: int,
+        data: bytes,
+        label: str | None,
+    ) -> InternalResult:
+        """Makes one request; its arguments are those of `GatewayCore.take`. Cancelled, it is withdrawn."""
+        context = self.context
+        future: asyncio.Future[InternalResult] = context.loop.create_future()
+        self.ids += 1
+        id_ = self.ids
+        self.waiting[id_] = future
+        now = context.now = context.clock()
+        context.note(now, "take", id=trace, client=self.name)
+        pending = context.core.take(
+            now,
+            self,
+            id_,
+            trace,
+            volume,
+            None,
+            profile,
+            extent,
+            slot,
+            units,
+            patience_ms,
+            again,
+            label,
+            op,
+            offset,
+            length,
+            data,
+        )
+        try:
+            return await future
+        except asyncio.CancelledError:
+            self.waiting.pop(id_, None)
+            if pending is not None and not pending.answered:
+                context.now = context.clock()
+                context.core.left(context.now, pending)
+            raise
+
+    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+        """Takes the final answer to a request."""
+        future = self.waiting.pop(pending.id, None)
+        if future is not None and not future.done():
+            future.set_result(InternalResult(FINAL_WORDS[final], stay_ms, reason, data))
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -8,7 +8,7 @@
 
 from pebblehinge.client import Client, connect
 from pebblehinge.discovery import DiscoveryServer
-from pebblehinge.head import HeadServer
+from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.crash.settings import SETTINGS
 from pebblehinge.lab.crash.verdict import judge
 from pebblehinge.lab.crash.writers import Books, Writer
@@ -34,7 +34,7 @@
         self.log = Quiet()
         self.stall_ms = 0.0
         self.node: Node | None = None
-        self.head: HeadServer | None = None
+        self.head: GatewayServer | None = None
         self.lives = 0
         self.shelfs: list[ShelfServer] = []
 
@@ -53,16 +53,16 @@
     async def start_head(self) -> None:
         self.lives += 1
         self.node = self.loop.node("h1")
-        head = self.head = HeadServer(self.node, self.clock, self.config, "h1", self.log, Memory())
-        head.buffer(self.disk, self.lasts)
+        head = self.head = GatewayServer(self.node, self.clock, self.config, "h1", self.log, Memory())
+        head.enable_write_back(self.disk, self.lasts)
         await head.start()
 
     def kill_head(self) -> None:
         assert self.node is not None and self.head is not None
         self.lives += 1
         self.node.kill()
-        if self.head.back is not None:
-            self.head.back.close()
+        if self.head.write_back is not None:
+            self.head.write_back.close()
         self.disk.crash()
 
     def held(self) -> dict[str, bytearray]:
@@ -116,8 +116,8 @@
                 self.kill_head()
                 await self.start_head()
         await asyncio.gather(*tasks)
-        assert self.head is not None and self.head.back is not None
-        back, until = self.head.back, self.loop.now + 60.0
+        assert self.head is not None and self.head.write_back is not None
+        back, until = self.head.write_back, self.loop.now + 60.0
         while len(back.dirty) and self.loop.now < until:
             await asyncio.sleep(0.05)
 
--- a/pebblehinge/settings/module_checks.py
+++ b/pebblehinge/settings/module_checks.py
@@ -12,7 +12,7 @@
 
 MIN_BLOCK = 4096
 FRAME_OVERHEAD = 1024
-"""Bytes of a frame that a block can't use."""
+"""Bytes of a frame that data can't use."""
 
 
 class ModuleProblem(NamedTuple):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,7 +12,7 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.client import Client, connect
 from pebblehinge.discovery import DiscoveryServer
-from pebblehinge.head import HeadCore, HeadServer
+from pebblehinge.gateway import GatewayCore, GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings import Config
@@ -188,10 +188,10 @@
         self.loop, self.config, self.clock = loop, config, clock_of(loop)
         self.listing = DiscoveryServer(loop, self.clock, config, Quiet())
         self.shelfs = [ScriptShelf(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
-        self.head: HeadServer
+        self.head: GatewayServer
         self.clients: list[Client] = []
 
-    async def start(self, core: type[HeadCore] = HeadCore) -> Rig:
+    async def start(self, core: type[GatewayCore] = GatewayCore) -> Rig:
         await self.listing.start()
         for shelf in self.shelfs:
             await shelf.start()
@@ -200,24 +200,24 @@
         await self.start_head(core)
         return self
 
-    async def start_head(self, core: type[HeadCore] = HeadCore) -> None:
-        self.head = HeadServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
+    async def start_head(self, core: type[GatewayCore] = GatewayCore) -> None:
+        self.head = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
         await self.head.start()
         await until(lambda: len(self.head.core.module.shelfs.at_slot) == len(self.shelfs))
 
     def kill_head(self) -> None:
         """As SIGKILL does: the system closes its sockets, nothing is said."""
-        self.head.server.close()
-        self.head.listing.close()
+        self.head.listener.close()
+        self.head.discovery.close()
         for conn in self.head.conns:
             conn.gone = lambda exc: None  # type: ignore[method-assign]
             conn.abort()
         for link in self.head.links.values():
             link.ended = lambda *_: None
-            if link.wire is not None:
-                link.wire.abort()
-        if self.head.timer is not None:
-            self.head.timer.cancel()
+            if link.connection is not None:
+                link.connection.abort()
+        if self.head.wake_timer is not None:
+            self.head.wake_timer.cancel()
 
     async def client(self, **more: Any) -> Client:
         client = await connect(self.config.head["h1"].listen, loop=self.loop, **more)
