--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -21,6 +21,8 @@
 from pebblehinge.settings import Config, SettingsError, load, show
 from pebblehinge.settings.schema import LogBlock
 
+Logger = structlog.typing.FilteringBoundLogger
+
 BlockKind = Literal["head", "shelf", "member", "day"]
 """The kinds of named blocks of which a command takes one."""
 
@@ -42,7 +44,7 @@
         give_up(f"{file}: {count} fault{'s' if count > 1 else ''}")
 
 
-def logger(block: LogBlock, **context: Any) -> Any:
+def logger(block: LogBlock, **context: str | None) -> Logger:
     """Returns a structlog logger on standard error, as JSON or for a console, with fields that each line carries."""
     structlog.configure(
         processors=[
@@ -55,7 +57,8 @@
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, block.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
-    return structlog.get_logger().bind(**context)
+    log: Logger = structlog.get_logger().bind(**context)
+    return log
 
 
 def clock_of(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
@@ -171,13 +174,13 @@
 
 def say_progress(quiet: bool) -> Callable[[str], None]:
     """Lines on standard error, led by the seconds since now."""
-    began = time.monotonic()
+    start_s = time.monotonic()
 
-    def said(line: str) -> None:
+    def show_line(line: str) -> None:
         if not quiet:
-            click.echo(f"[{time.monotonic() - began:5.1f} s] {line}", err=True)
+            click.echo(f"[{time.monotonic() - start_s:5.1f} s] {line}", err=True)
 
-    return said
+    return show_line
 
 
 JOBS = click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Parallel processes; else all cores.")
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -7,6 +7,7 @@
 
 import json
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
@@ -22,6 +23,12 @@
     say_progress,
 )
 from pebblehinge.cli.days import MOST_ROWS
+from pebblehinge.settings import Config
+
+if TYPE_CHECKING:
+    from pebblehinge.capacity_planner import Planner
+    from pebblehinge.capacity_planner.answer import Answer
+    from pebblehinge.lab.trials import World
 
 
 @main.command(name="why")
@@ -71,46 +78,86 @@
     quiet: bool,
 ) -> None:
     """From CAPTURES of heads and a fleet: the first limit, shelfs and heads needed, what a loss would do."""
+    from pebblehinge.capacity_planner.report import report_lines  # noqa: PLC0415
+    from pebblehinge.lab.trials import run_plan  # noqa: PLC0415
+
+    config = read_settings(fleet, "127.0.0.1")
+    progress = say_progress(quiet)
+    planner, world = prepare_plan(captures, config, goal, growth, zones, head_cost / 1000.0, formulas)
+    evidence = planner.evidence
+    progress(f"first answer: the goal is met up to {evidence.first_guess:.2f} times the captured load")
+    if not formulas and not run_plan(planner, world, jobs_of(jobs), progress):
+        evidence.notes.append("interrupted: the answer rests on the trials played so far")
+    answer = planner.answer()
+    if page_file:
+        write_page(page_file, answer)
+    click.echo(json.dumps(answer) if as_json else "\n".join(report_lines(answer)))
+
+
+def prepare_plan(
+    captures: tuple[str, ...],
+    config: Config,
+    goal: float,
+    growth: float,
+    zones: tuple[str, ...],
+    gateway_cost_ms: float,
+    formulas: bool,
+) -> tuple[Planner, World]:
+    """Reads the captures; returns the planner and what its trials share; exits where either can't be used.
+
+    Args:
+        captures: Paths of the gateways' captures.
+        config: Settings that describe the fleet.
+        goal: Service to be held, between 0 and 1.
+        growth: Load to be carried, in captures.
+        zones: Zones to lose; none: each zone, rack, one storage node, one gateway.
+        gateway_cost_ms: CPU of a request at a gateway.
+        formulas: Whether there are no trials, so that their size doesn't matter.
+    """
     from pebblehinge.capacity_planner import PlanError, Planner  # noqa: PLC0415
     from pebblehinge.capacity_planner.demand import build_demand, describe_window  # noqa: PLC0415
     from pebblehinge.capacity_planner.evidence import Evidence  # noqa: PLC0415
-    from pebblehinge.capacity_planner.report import report_lines  # noqa: PLC0415
     from pebblehinge.capture import CaptureError, read_capture  # noqa: PLC0415
     from pebblehinge.lab.replay import merge  # noqa: PLC0415
-    from pebblehinge.lab.trials import WINDOW_S, run_plan, world_of  # noqa: PLC0415
+    from pebblehinge.lab.trials import WINDOW_S, world_of  # noqa: PLC0415
 
-    config = read_settings(fleet, "127.0.0.1")
-    said = say_progress(quiet)
     try:
         rows, notes = merge([read_capture(path) for path in captures])
         whole = build_demand(rows, config)
         begin, end = whole.busiest(WINDOW_S)
         world = world_of(config, rows, begin, end)
         demand = build_demand(world.rows, config, min_requests=20, complete=False)
-        known = {s.zone for s in config.shelf.values()}
-        for zone in zones:
-            if zone not in known:
-                raise PlanError(f"zone {zone!r} is not in the fleet: expected one of {', '.join(sorted(known))}")
+        check_zones(zones, config)
         notes += describe_window(whole, begin, end)
-        lose = [f"zone {z}" for z in zones] or None
+        losses = [f"zone {zone}" for zone in zones] or None
         if len(world.rows) > MOST_ROWS and not formulas:
             raise PlanError(
                 f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MOST_ROWS} would run too "
                 "long here; --formulas gives the first answer"
             )
-        planner = Planner(Evidence(demand, config, goal, growth, lose, head_cost / 1000.0, notes, speeds_from=whole))
-        world.speeds = {slot: speed for slot, (speed, _) in planner.evidence.speeds.items()}
+        evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speeds_from=whole)
+        planner = Planner(evidence)
     except (CaptureError, PlanError) as error:
         give_up(str(error))
-    said(f"first answer: the goal is met up to {planner.evidence.first_guess:.2f} times the captured load")
-    if not formulas and not run_plan(planner, world, jobs_of(jobs), said):
-        planner.evidence.notes.append("interrupted: the answer rests on the trials played so far")
-    told = planner.answer()
-    if page_file:
-        from pebblehinge.capacity_planner.page import render_page  # noqa: PLC0415
+    world.speeds = {slot: speed for slot, (speed, _) in evidence.speeds.items()}
+    return planner, world
+
 
-        try:
-            Path(page_file).write_text(render_page(told))
-        except OSError as error:
-            give_up(describe(error))
-    click.echo(json.dumps(told) if as_json else "\n".join(report_lines(told)))
+def check_zones(zones: tuple[str, ...], config: Config) -> None:
+    """Raises PlanError for a zone that is not in the fleet."""
+    from pebblehinge.capacity_planner import PlanError  # noqa: PLC0415
+
+    known = {node.zone for node in config.shelf.values()}
+    for zone in zones:
+        if zone not in known:
+            raise PlanError(f"zone {zone!r} is not in the fleet: expected one of {', '.join(sorted(known))}")
+
+
+def write_page(path: str, answer: Answer) -> None:
+    """Writes a plan's answer as an HTML page; exits where the file can't be written."""
+    from pebblehinge.capacity_planner.page import render_page  # noqa: PLC0415
+
+    try:
+        Path(path).write_text(render_page(answer))
+    except OSError as error:
+        give_up(describe(error))
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -27,6 +27,7 @@
 
 MOST_ROWS = 400_000
 """Requests of the longest trial that this program is ready to play."""
+VIRTUAL_LOOPBACK = "127.0.0.1"
 BUILT_IN = Path(__file__).parent.parent / "lab" / "days"
 
 
@@ -120,19 +121,19 @@
     from pebblehinge.lab import village  # noqa: PLC0415
     from pebblehinge.lab.days import DayError  # noqa: PLC0415
     from pebblehinge.lab.processes import Processes, own_loopback  # noqa: PLC0415
-    from pebblehinge.lab.verdict import kept, lines, summary  # noqa: PLC0415
+    from pebblehinge.lab.verdict import summary  # noqa: PLC0415
 
     path, _ = find_day(name)
-    loopback = "127.0.0.1" if virtual else own_loopback()
+    loopback = VIRTUAL_LOOPBACK if virtual else own_loopback()
     config = read_settings(str(path), loopback)
     day_name = pick(config, "day", None)
     if records is not None and any(Path(records).glob("*.jsonl")):
         give_up(f"{records} holds records of another day already")
-    said = say_progress(quiet)
+    progress = say_progress(quiet)
     script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
-        stage = Processes(loop, config, path, day_name, seed, folder, loopback, said, script)
+        stage = Processes(loop, config, path, day_name, seed, folder, loopback, progress, script)
         try:
             return await stage.play()
         finally:
@@ -142,7 +143,7 @@
         folder = Path(records or temporary)
         try:
             if virtual:
-                stage, more = village.play(config, day_name, seed, said, script=script)
+                stage, more = village.play(config, day_name, seed, progress, script=script)
                 if records is not None:
                     stage.write(folder)
                 facts = stage.facts()
@@ -152,18 +153,20 @@
                 facts = read_day(folder, config)
         except (DayError, EventLogError, OSError) as error:
             give_up(describe(error))
-        told = summary(
-            facts,
-            day_name,
-            seed,
-            {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})},
-        )
-    goal = config.day[day_name].goal
-    missed = told["service"] < goal
-    click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
+        extras = {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})}
+        verdict = summary(facts, day_name, seed, extras)
+    sys.exit(0 if show_verdict(verdict, config.day[day_name].goal, as_json) else 1)
+
+
+def show_verdict(verdict: dict[str, Any], goal: float, as_json: bool) -> bool:
+    """Prints the summary of a day; returns whether the rules were kept and the goal met, without a fault."""
+    from pebblehinge.lab.verdict import kept, lines  # noqa: PLC0415
+
+    missed: bool = verdict["service"] < goal
+    click.echo(json.dumps(verdict) if as_json else "\n".join(lines(verdict)))
     if missed and not as_json:
-        click.echo(f"service {told['service']:.3f} is under the day's goal of {goal:g}")
-    sys.exit(0 if kept(told) and not missed and not told["faults"] else 1)
+        click.echo(f"service {verdict['service']:.3f} is under the day's goal of {goal:g}")
+    return kept(verdict) and not missed and not verdict["faults"]
 
 
 @lab.command(name="check")
@@ -174,6 +177,6 @@
     from pebblehinge.lab.verdict import kept, lines, summary  # noqa: PLC0415
 
     facts = day_facts(records)
-    told = summary(facts, next(iter(facts.config.day)), 0)
-    click.echo(json.dumps(told) if as_json else "\n".join(lines(told)))
-    sys.exit(0 if kept(told) else 1)
+    verdict = summary(facts, next(iter(facts.config.day)), 0)
+    click.echo(json.dumps(verdict) if as_json else "\n".join(lines(verdict)))
+    sys.exit(0 if kept(verdict) else 1)
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -11,12 +11,12 @@
 import signal
 import time
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import click
 
 from pebblehinge import __version__
-from pebblehinge.cli.base import clock_of, describe, give_up, ready, records_for, until_told
+from pebblehinge.cli.base import Logger, clock_of, describe, give_up, ready, records_for, until_told
 from pebblehinge.cli.gateway_config import watch_config
 from pebblehinge.cli.gateway_storage import open_storage
 from pebblehinge.event_log import EventLogError
@@ -55,11 +55,16 @@
 class GatewayProcess:
     """A gateway's server and what hears of its state: the service manager, signals, records.
 
+    Attributes:
+        server: The gateway.
+        notifier: Tells the service manager.
+        record_fault: The first failure of the records, which stops the gateway.
+
     Raises:
         EventLogError: The records can't be opened.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Any) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Logger) -> None:
         from pebblehinge.daemon import Notifier  # noqa: PLC0415
         from pebblehinge.gateway import GatewayServer  # noqa: PLC0415
 
@@ -181,7 +186,7 @@
         return 0
 
 
-async def run_gateway(loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Any) -> int:
+async def run_gateway(loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Logger) -> int:
     """Serves until the gateway has stopped; returns the exit status."""
     process = GatewayProcess(loop, config, options, log)
     process.start_capture()
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -1,4 +1,7 @@
-"""`pebblehinge group` and `config`: an instance of the group, and the versions that it agrees on."""
+"""`pebblehinge group` and `config`: a member of the group that replicates configuration, and an operator's commands.
+
+Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,6 @@
 import os
 import sys
 import time
-from typing import Any
 
 import click
 import uvloop
@@ -17,6 +19,7 @@
     FILE,
     LOOPBACK,
     SEED,
+    Logger,
     clock_of,
     describe,
     give_up,
@@ -46,19 +49,19 @@
     if not folder:
         give_up(f"member {name} has no store: name one by --store or in its block")
     log = logger(config.log, member=name)
-    run(lambda loop: _group(loop, config, name, folder, begin, seed, log))
+    run(lambda loop: _run_member(loop, config, name, folder, begin, seed, log))
 
 
-async def _group(
-    loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Any
+async def _run_member(
+    loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Logger
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
     from pebblehinge.raft.identity import identify  # noqa: PLC0415
     from pebblehinge.replicated_config.server import MemberServer  # noqa: PLC0415
     from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
 
-    if told := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
-        log.warning("limits", why=told)
+    if warning := raise_open_file_limit(needed_open_files("group", gateways=len(config.head))):
+        log.warning("limits", why=warning)
     try:
         disk = RealDisk(folder)
         disk.own()
@@ -92,15 +95,13 @@
     context.obj = config
 
 
-def ask(config: Config, verb: str, **values: Any) -> str:
-    """The group's answer; a refusal is told and ends with exit 1, no answer with exit 2."""
+def ask(config: Config, verb: str, **values: str | int) -> str:
+    """Returns the group's answer to an operator's request; exits with 1 where it is rejected, with 2 without one."""
     from pebblehinge.replicated_config.operator_client import ask_group  # noqa: PLC0415
 
-    async def main(loop: asyncio.AbstractEventLoop) -> tuple[bool, str]:
-        return await ask_group(loop, [b.listen for b in config.member.values()], verb, values)
-
+    addresses = [block.listen for block in config.member.values()]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        ok, text = runner.run(main(runner.get_loop()))
+        ok, text = runner.run(ask_group(runner.get_loop(), addresses, verb, values))
     if not ok:
         click.echo(f"pebblehinge: {text}", err=True)
         sys.exit(2 if "can be reached" in text or "no leader" in text else 1)
@@ -118,7 +119,7 @@
     from pebblehinge.replicated_config.size_limits import check_text_size  # noqa: PLC0415
 
     read_settings(file)
-    text = flat(file)
+    text = resolved_text(file)
     try:
         check_text_size(text)
     except VersionTooLargeError as error:
@@ -132,8 +133,8 @@
     click.echo(f"version {number} is agreed on and being taken up")
 
 
-def flat(file: str) -> str:
-    """The file's settings as one text, includes resolved."""
+def resolved_text(file: str) -> str:
+    """Returns a file's settings as one text, includes resolved."""
     return "\n".join(show(load(file))) + "\n"
 
 
@@ -195,7 +196,7 @@
     """What each instance says of itself."""
     from pebblehinge.replicated_config.operator_client import ask_member  # noqa: PLC0415
 
-    async def main(loop: asyncio.AbstractEventLoop) -> int:
+    async def ask_members(loop: asyncio.AbstractEventLoop) -> int:
         found = 0
         for name, block in config.member.items():
             try:
@@ -209,5 +210,5 @@
         return found
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        if not runner.run(main(runner.get_loop())):
+        if not runner.run(ask_members(runner.get_loop())):
             sys.exit(2)
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -7,7 +7,7 @@
 
 import asyncio
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import click
 
@@ -16,6 +16,7 @@
     LOOPBACK,
     RECORDS,
     SEED,
+    Logger,
     clock_of,
     describe,
     give_up,
@@ -77,7 +78,7 @@
     seed: int,
     store: str | None,
     cold: bool,
-    log: Any,
+    log: Logger,
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
     from pebblehinge.shelf import Contents, ShelfServer  # noqa: PLC0415
@@ -125,7 +126,7 @@
 
 
 async def _run_discovery(
-    loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Any
+    loop: asyncio.AbstractEventLoop, config: Config, folder: str | None, seed: int, log: Logger
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
     from pebblehinge.discovery import DiscoveryServer  # noqa: PLC0415
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -8,6 +8,7 @@
 import asyncio
 import json
 import sys
+from enum import Enum, auto
 from pathlib import Path
 from typing import TYPE_CHECKING
 
@@ -16,8 +17,17 @@
 from pebblehinge.cli.base import AS_JSON, give_up, main, run
 
 if TYPE_CHECKING:
+    from pebblehinge.client import Client, Result
     from pebblehinge.store import RealDisk
     from pebblehinge.store.inspection import Inspection
+    from pebblehinge.store.records import Write
+
+PATIENCE_MS = 4000.0
+"""The deadline of each request of a replay."""
+ATTEMPTS = 50
+"""Of a replay for each write."""
+SHORTEST_PAUSE_S = 0.1
+SHOWN_WRITES = 20
 
 
 @main.group()
@@ -43,17 +53,18 @@
 def store_inspect(folder: str, as_json: bool) -> None:
     """What FOLDER holds: nothing is changed."""
     _, found = open_journal(folder)
-    live, live_bytes = len(found.writes), sum(len(w.data) for w in found.writes)
+    live = len(found.writes)
+    live_bytes = sum(len(write.data) for write in found.writes)
     if as_json:
-        words = ("segments", "bytes", "fenced", "damage", "done", "barriers")
-        told = {word: getattr(found, word) for word in words} | {"live": live, "live_bytes": live_bytes}
-        click.echo(json.dumps(told))
+        fields = ("segments", "bytes", "fenced", "damage", "done", "barriers")
+        shown = {name: getattr(found, name) for name in fields} | {"live": live, "live_bytes": live_bytes}
+        click.echo(json.dumps(shown))
         return
     click.echo(
         f"{found.segments} segments, {found.bytes} bytes; {live} writes not yet at their shelfs "
         f"({live_bytes} bytes), {found.done} done, {found.barriers} barriers"
     )
-    for write in found.writes[:20]:
+    for write in found.writes[:SHOWN_WRITES]:
         click.echo(f"  {write.number}: {write.volume}/{write.extent} at {write.offset}, {len(write.data)} bytes")
     for line in found.damage:
         click.echo(f"damage: {line}")
@@ -114,30 +125,74 @@
         click.echo("\n".join(found.damage), err=True)
     fence(disk, f"replay through {address}")
 
-    async def bring(loop: asyncio.AbstractEventLoop) -> int:
+    async def bring_all(loop: asyncio.AbstractEventLoop) -> int:
         client = await connect(address, name="replay", loop=loop)
-        brought = stood = 0
+        brought = 0
         for write in found.writes:
-            where = {"profile": profile, "slot": write.slot, "units": write.units, "patience_ms": 4000.0}
-            for _ in range(50):
-                got = await client.read(write.volume, write.extent, len(write.data), offset=write.offset, **where)
-                if got.succeeded and got.data == write.data:
-                    stood += 1
-                    break
-                label = f"wb.{write.label}.{write.number}"
-                if got.succeeded:
-                    got = await client.write(
-                        write.volume, write.extent, write.data, offset=write.offset, label=label, **where
-                    )
-                    if got.succeeded:
-                        brought += 1
-                        break
-                await asyncio.sleep(max(0.1, got.stay_ms / 1000.0))
-            else:
-                click.echo(f"write {write.number} could not be brought: {got.final} {got.reason}", err=True)
+            outcome, reply = await bring(client, write, profile)
+            if outcome is Bringing.FAILED:
+                click.echo(f"write {write.number} could not be brought: {reply.final} {reply.reason}", err=True)
                 return 1
+            brought += outcome is Bringing.BROUGHT
         client.close()
-        click.echo(f"{brought} writes brought, {stood} stood already")
+        click.echo(f"{brought} writes brought, {len(found.writes) - brought} stood already")
         return 0
 
-    run(bring)
+    run(bring_all)
+
+
+class Bringing(Enum):
+    """What became of a write of the journal."""
+
+    BROUGHT = auto()
+    STOOD_ALREADY = auto()
+    FAILED = auto()
+
+
+async def bring(client: Client, write: Write, profile: str) -> tuple[Bringing, Result]:
+    """Writes what a journal holds through a gateway, unless a read shows that it is there; retries both.
+
+    Args:
+        client: Is connected to the gateway.
+        write: Of the journal.
+        profile: The requests' class.
+
+    Returns:
+        What became of it, and the last reply.
+    """
+
+    async def read() -> Result:
+        return await client.read(
+            write.volume,
+            write.extent,
+            len(write.data),
+            offset=write.offset,
+            profile=profile,
+            slot=write.slot,
+            units=write.units,
+            patience_ms=PATIENCE_MS,
+        )
+
+    async def rewrite() -> Result:
+        return await client.write(
+            write.volume,
+            write.extent,
+            write.data,
+            offset=write.offset,
+            label=f"wb.{write.label}.{write.number}",
+            profile=profile,
+            slot=write.slot,
+            units=write.units,
+            patience_ms=PATIENCE_MS,
+        )
+
+    for _ in range(ATTEMPTS):
+        reply = await read()
+        if reply.succeeded and reply.data == write.data:
+            return Bringing.STOOD_ALREADY, reply
+        if reply.succeeded:
+            reply = await rewrite()
+            if reply.succeeded:
+                return Bringing.BROUGHT, reply
+        await asyncio.sleep(max(SHORTEST_PAUSE_S, reply.stay_ms / 1000.0))
+    return Bringing.FAILED, reply
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -9,12 +9,25 @@
 import json
 import sys
 import tempfile
+from collections.abc import Callable
 from pathlib import Path
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from pebblehinge.cli.base import AS_JSON, JOBS, QUIET, SEED, describe, give_up, jobs_of, read_settings, say_progress
 from pebblehinge.cli.days import day_facts, find_day, lab
+from pebblehinge.settings import Config
+
+if TYPE_CHECKING:
+    from pebblehinge.lab.search import Find
+
+SAVED_BROKEN = 5
+"""How many days with a broken rule or a fault a search saves."""
+SAVED_WORST = 2
+"""How many days it saves where none is broken: those of the worst service."""
+SHRINK_TOLERANCE = 0.03
+"""By how much the service of a shrunk day may be better than that of the find."""
 
 
 @lab.command(name="search")
@@ -34,34 +47,47 @@
 
     path, _ = find_day(name)
     config = read_settings(str(path), "127.0.0.1")
-    said = say_progress(quiet)
+    progress = say_progress(quiet)
     length_ms = length * 1000.0
-    finds = hunt.search(config, seed, days, length_ms, jobs_of(jobs), said)
-    broken = [f for f in finds if f.broken or f.faults]
-    if folder is not None and finds:
-        keep = broken[:5] or finds[:2]
-        for find in keep:
-            small = hunt.shrink(config, find, length_ms, find.service + 0.03, said)
-            kind = "-".join(small.broken) or ("fault" if small.faults else "service")
-            target = Path(folder) / f"{path.stem}-{find.seed}-{kind}.conf"
-            hunt.save(config, small, length_ms, target, path.stem)
-            said(f"saved {target}")
-    told = hunt.told(finds)
+    finds = hunt.search(config, seed, days, length_ms, jobs_of(jobs), progress)
+    broken = [find for find in finds if find.broken or find.faults]
+    if folder is not None:
+        for find in broken[:SAVED_BROKEN] or finds[:SAVED_WORST]:
+            save_find(config, find, length_ms, Path(folder), path.stem, progress)
+    summary = hunt.told(finds)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(summary))
     else:
-        click.echo(
-            f"{told['days']} days, {told['broken']} with a broken rule, {told['faults']} with a fault; "
-            f"service {told['service']['mean']:.3f} in the mean, {told['service']['worst']:.3f} at worst"
-        )
-        for row in told["worst"]:
-            what = ", ".join(row["broken"]) or "no rule broken"
-            click.echo(f"  seed {row['seed']}: {row['service']:.3f}, {what}; {', '.join(row['troubles'])}")
-            if row["why"]:
-                click.echo(f"      {row['why'][:200]}")
+        show_finds(summary)
     sys.exit(1 if broken else 0)
 
 
+def save_find(
+    config: Config, find: Find, length_ms: float, folder: Path, source: str, progress: Callable[[str], None]
+) -> None:
+    """Shrinks a find and saves it as a day file, named by its source, seed and kind."""
+    from pebblehinge.lab import search as hunt  # noqa: PLC0415
+
+    small = hunt.shrink(config, find, length_ms, find.service + SHRINK_TOLERANCE, progress)
+    kind = "-".join(small.broken) or ("fault" if small.faults else "service")
+    target = folder / f"{source}-{find.seed}-{kind}.conf"
+    hunt.save(config, small, length_ms, target, source)
+    progress(f"saved {target}")
+
+
+def show_finds(summary: dict[str, Any]) -> None:
+    """Prints what a search found: its totals, and a line or two for each of the worst days."""
+    click.echo(
+        f"{summary['days']} days, {summary['broken']} with a broken rule, {summary['faults']} with a fault; "
+        f"service {summary['service']['mean']:.3f} in the mean, {summary['service']['worst']:.3f} at worst"
+    )
+    for row in summary["worst"]:
+        what = ", ".join(row["broken"]) or "no rule broken"
+        click.echo(f"  seed {row['seed']}: {row['service']:.3f}, {what}; {', '.join(row['troubles'])}")
+        if row["why"]:
+            click.echo(f"      {row['why'][:200]}")
+
+
 @lab.command(name="model")
 @click.option("--terms", type=click.IntRange(1, 5), default=1, show_default=True, help="Elections that may begin.")
 @click.option("--proposals", type=click.IntRange(0, 5), default=1, show_default=True)
--- a/pebblehinge/lab/faults/under.py
+++ b/pebblehinge/lab/faults/under.py
@@ -10,6 +10,7 @@
 import asyncio
 import json
 import os
+import runpy
 import sys
 import threading
 import time
@@ -20,6 +21,9 @@
 
 from pebblehinge.lab.faults.relay import CONNECTED
 
+PROGRAM = "pebblehinge"
+"""The module that runs in the surroundings, by name: as `python -m` starts it, and after they are laid."""
+
 _monotonic, _wall, _sleep = time.monotonic, time.time, time.sleep
 
 
@@ -194,10 +198,8 @@
 def main() -> None:
     where, words = json.loads(sys.argv[1]), sys.argv[3:]
     Under(where).lay()
-    sys.argv = ["pebblehinge", *words]
-    from pebblehinge.cli import main as program
-
-    program()
+    sys.argv = [PROGRAM, *words]
+    runpy.run_module(PROGRAM, run_name="__main__")
 
 
 if __name__ == "__main__":
