--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -94,8 +94,8 @@
     sort_entries(shape.version, await FileListReader(shape, 1000).read(stream))
 
 
-class FakeHouse:
-    """A house with one open module, whose blocks are in a dictionary."""
+class FakeServerContext:
+    """A server with one open module, whose blocks are in a dictionary."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.modules = {
@@ -114,7 +114,7 @@
         self.motd = ""
         self.held: dict[str, bytearray] = {}
         turns = TransferScheduler(loop, loop.time, RequestScheduler(8, 4))
-        self.the_place = ModuleStore("m", self.modules["m"], [0], 100.0, turns, self.request, PartialUploads(10, 1e6))
+        self.store = ModuleStore("m", self.modules["m"], [0], 100.0, turns, self.request, PartialUploads(10, 1e6))
         self.transfers: list[Transfer] = []
 
     async def request(self, *, op: int, extent: str, offset: int, length: int, data: bytes, **_: Any) -> Any:
@@ -145,7 +145,7 @@
         return 5
 
     def begin(self, module: str, user: str) -> Transfer:
-        self.transfers.append(Transfer(self.the_place, "t", 1e9))
+        self.transfers.append(Transfer(self.store, "t", 1e9))
         return self.transfers[-1]
 
 
@@ -156,18 +156,18 @@
     """A connection on which these bytes come, and then no more."""
 
     async def main() -> None:
-        house = FakeHouse(LOOP)
+        context = FakeServerContext(LOOP)
         stream = stream_of(data)
         try:
-            await serve(stream, house, TransferReport())
+            await serve(stream, context, TransferReport())
         except RsyncError:
             pass
-        for entry in house.the_place.log(b"").directory.entries.values():
+        for entry in context.store.log(b"").directory.entries.values():
             # Whatever became visible is whole.
             if entry.kind == "f" and entry.size > 2048 and not entry.indirect:
                 for at in range(0, len(entry.checksums), 16):
                     sum_ = entry.checksums[at : at + 16]
-                    assert not any(sum_) or block_extent("m", sum_) in house.held
+                    assert not any(sum_) or block_extent("m", sum_) in context.held
 
     LOOP.run_until_complete(main())
     assert not LOOP.caught, LOOP.caught
