--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -130,13 +130,13 @@
 
     said = say_progress(quiet)
     if virtual:
-        told = []
+        results = []
         with ProcessPoolExecutor(jobs_of(None)) as executor:
             for n, one in enumerate(executor.map(one_round, range(seed, seed + rounds), chunksize=5)):
-                told.append(one)
+                results.append(one)
                 if n % 100 == 99:
                     said(f"{n + 1} of {rounds}")
-        total = verdict.summed(told)
+        total = verdict.summed(results)
     else:
         with tempfile.TemporaryDirectory(prefix="pebblehinge-") as folder:
             total = asyncio.run(Sockets(Path(folder), own_loopback(), seed).play(rounds, said))
@@ -159,8 +159,8 @@
     from pebblehinge.lab import blame  # noqa: PLC0415
 
     with ProcessPoolExecutor(jobs_of(jobs)) as executor:
-        told = list(executor.map(blame.drawn, range(seed, seed + days)))
-    wrong = [d for d in told if not d["right"]]
+        results = list(executor.map(blame.drawn, range(seed, seed + days)))
+    wrong = [d for d in results if not d["right"]]
     if as_json:
         click.echo(json.dumps({"days": days, "right": days - len(wrong), "wrong": len(wrong), "which": wrong[:20]}))
     else:
@@ -203,21 +203,21 @@
 
     paths = [str(find_day(name)[0].resolve()) for name in (a, b)]
     try:
-        told = compare(
+        results = compare(
             paths[0], paths[1], build_root(build_a), build_root(build_b), list(range(1, seeds + 1)), jobs_of(jobs)
         )
     except RuntimeError as error:
         give_up(str(error))
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(results))
         return
     for name in ("service", "p99_ms", "pushed_back"):
-        row = told[name]
+        row = results[name]
         click.echo(
             f"{name:12} A {row['a']:.3f}  B {row['b']:.3f}  B-A {row['difference']:+.4f} "
             f"[{row['low']:+.4f}, {row['high']:+.4f}] {'clear' if row['clear'] else 'may be chance'}"
         )
-    for side, rules in told["broken"].items():
+    for side, rules in results["broken"].items():
         if rules:
             click.echo(f"{side.upper()} breaks {', '.join(rules)}")
-    sys.exit(1 if any(told["broken"].values()) else 0)
+    sys.exit(1 if any(results["broken"].values()) else 0)
