--- a/benchmarks/caps_list.py
+++ b/benchmarks/caps_list.py
@@ -102,8 +102,8 @@
     Cap(
         "bytes of a greeting",
         "pebblehinge/wire/session.py",
-        "GREETING_LIMIT = ",
-        constant("pebblehinge.wire.session", "GREETING_LIMIT"),
+        "MAX_GREETING_BYTES = ",
+        constant("pebblehinge.wire.session", "MAX_GREETING_BYTES"),
         "bytes",
         "HELLO, names of at most 200 characters",
         900,
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -17,7 +17,7 @@
 from pebblehinge.settings.schema import HeadBlock, ShelfBlock
 from pebblehinge.store import memory
 from pebblehinge.wire import Kind, encode
-from pebblehinge.wire.frames import PREFIX
+from pebblehinge.wire.frames import PREFIX_BYTES
 
 HEADS, SHELFS, VOLUMES = 1024, 2048, 2000  # no cap may be under the first two; the third is the issue's
 COMING_HEADS, COMING_SHELFS = 910, 1500
@@ -72,13 +72,13 @@
 def grant_bytes(text: int, volumes: int = VOLUMES) -> int:
     """A GRANT that brings the active and the pending version, with something set aside for every volume."""
     aside = {f"vol-{n}": (12.5, 25.0) for n in range(volumes)}
-    return len(encode(Kind.GRANT, 1, 3000.0, 1, "x" * text, 2, "x" * text, aside, "")) - PREFIX
+    return len(encode(Kind.GRANT, 1, 3000.0, 1, "x" * text, 2, "x" * text, aside, "")) - PREFIX_BYTES
 
 
 def list_bytes(shelfs: int = SHELFS, name: int = LONGEST_NAME, address: int = 60) -> int:
     """A whole LIST, its names and addresses so long."""
     rows = [("s" * name, "a" * address, "draining", n, 123_456_789.123) for n in range(shelfs)]
-    return len(encode(Kind.LIST, 0, "whole", rows)) - PREFIX
+    return len(encode(Kind.LIST, 0, "whole", rows)) - PREFIX_BYTES
 
 
 @functools.cache
@@ -86,7 +86,7 @@
     """A console's rows of shelfs, as one look sends them to each viewer."""
     module = Scheduler(loads(SETTINGS).module_settings(HeadBlock()), 1, 0.0)
     module.listed(0.0, ListKind.WHOLE, [Entry(f"shelf-{n}", Standing.READY, n, 0.0) for n in range(shelfs)])
-    view = GatewayView(SimpleNamespace(core=SimpleNamespace(module=module)))
+    view = GatewayView(SimpleNamespace(core=SimpleNamespace(scheduler=module)))
     return len(msgspec.json.encode(view.storage_nodes(100_000.0)))
 
 
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -61,7 +61,7 @@
         for name, block in config.shelf.items():
             host, port = parse_address(block.listen)
             await loop.create_server(
-                lambda n=name: AtOnce(loop, Session("shelf", n, 1 << 20, 64, greets=False), 10_000.0), host, port
+                lambda n=name: AtOnce(loop, Session("shelf", n, 1 << 20, 64, dialed=False), 10_000.0), host, port
             )
             listing.registry.register(0.0, name, block.listen, block.slot, -1.0, True)
         listing.publish()
@@ -81,7 +81,7 @@
         kind = GatewayCore if what == "real" else PassThrough
         server = GatewayServer(loop, clock_of(loop), config, "h1", Quiet(), core=kind)
         await server.start()
-        while len(server.core.module.shelfs.at_slot) < count:
+        while len(server.core.scheduler.shelfs.at_slot) < count:
             await asyncio.sleep(0.01)
 
     import gc
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -114,13 +114,13 @@
 class PassThrough(GatewayCore):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.module = NoModule()
+        self.scheduler = NoModule()
 
 
 class AtOnce(Peer):
     """A shelf's connection that answers each attempt at once."""
 
-    FRAMES = frozenset({Kind.TRIP, Kind.RECALL})
+    ACCEPTED_KINDS = frozenset({Kind.TRIP, Kind.RECALL})
     reply = b""
 
     def on_trip(self, number: int, id_: str, attempt: int, extent: str, op: int, *rest: Any) -> None:
@@ -133,10 +133,10 @@
 class Asker(Peer):
     """A lean client: keeps `width` requests out, or sends at a rate; the time of each is kept."""
 
-    FRAMES = frozenset({Kind.ANSWER, Kind.STOPPING})
+    ACCEPTED_KINDS = frozenset({Kind.ANSWER, Kind.STOPPING})
 
     def __init__(self, loop: Any, shelfs: int, size: int) -> None:
-        super().__init__(loop, Session("client", "bench", 1 << 20, 4096, greets=True), 10_000.0)
+        super().__init__(loop, Session("client", "bench", 1 << 20, 4096, dialed=True), 10_000.0)
         self.shelfs, self.data = shelfs, os.urandom(size)
         self.up = loop.create_future()
         self.sent_at: dict[int, float] = {}
@@ -146,7 +146,7 @@
         self.closed_loop = True
         self.done: asyncio.Future[None] = loop.create_future()
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         self.up.set_result(None)
 
     def on_stopping(self, reason: str) -> None:
--- a/benchmarks/scale/counting.py
+++ b/benchmarks/scale/counting.py
@@ -15,7 +15,7 @@
 from pebblehinge.net import Peer
 from pebblehinge.replicated_config import config_watcher
 from pebblehinge.replicated_config.activation import allowances_of
-from pebblehinge.wire import Frames, Kind
+from pebblehinge.wire import FrameDecoder, Kind
 
 KIND_AT = 8  # a frame's kind stands behind its length and its checksum
 SAMPLE_S, LOOK_S = 0.25, 0.02
@@ -59,7 +59,7 @@
         uvloop.new_event_loop = new_event_loop  # type: ignore[assignment]
 
     def _under_frames(self) -> None:
-        out, came, write, following = self.out, self.came, Peer._write, Frames.next
+        out, came, write, following = self.out, self.came, Peer._write, FrameDecoder.next
 
         def counted_write(peer: Peer, data: bytes) -> None:
             row = out[data[KIND_AT]]
@@ -67,16 +67,16 @@
             row[1] += len(data)
             write(peer, data)
 
-        def counted_next(frames: Frames) -> Any:
-            before = frames.at
+        def counted_next(frames: FrameDecoder) -> Any:
+            before = frames.offset
             got = following(frames)
             if got is not None:
                 row = came[got[0]]
                 row[0] += 1
-                row[1] += frames.at - before
+                row[1] += frames.offset - before
             return got
 
-        Peer._write, Frames.next = counted_write, counted_next  # type: ignore[method-assign]
+        Peer._write, FrameDecoder.next = counted_write, counted_next  # type: ignore[method-assign]
 
     def _under_watchers(self) -> None:
         counting = self
--- a/benchmarks/slopes_inside.py
+++ b/benchmarks/slopes_inside.py
@@ -36,8 +36,8 @@
         frame = encode(Kind.LIST, 1, "whole", rows)
 
         def read(frame: bytes = frame) -> list[Any]:
-            session = Session("head", "h1", 1 << 20, 512, greets=True)
-            session.version, session.frames.limit = 1, 1 << 20
+            session = Session("head", "h1", 1 << 20, 512, dialed=True)
+            session.version, session.decoder.max_frame_bytes = 1, 1 << 20
             session.feed(frame)
             got = session.next()
             assert got is not None
--- a/benchmarks/slopes_list.py
+++ b/benchmarks/slopes_list.py
@@ -20,13 +20,13 @@
 class Watcher(Peer):
     """A head as the list sees it."""
 
-    FRAMES = frozenset({Kind.LIST})
+    ACCEPTED_KINDS = frozenset({Kind.LIST})
 
     def __init__(self, loop: Any, name: str) -> None:
-        super().__init__(loop, Session("head", name, 1 << 20, 512, greets=True), 10_000.0)
+        super().__init__(loop, Session("head", name, 1 << 20, 512, dialed=True), 10_000.0)
         self.up, self.lists, self.bytes = loop.create_future(), 0, 0
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         self.up.set_result(None)
 
     def data_received(self, data: bytes) -> None:
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -132,7 +132,7 @@
 
     def stop(self, why: str) -> None:
         """Begins the graceful shutdown: nothing new, an answer to every accepted request."""
-        self.notifier.stopping(f"{self.server.core.open} accesses are owed an answer")
+        self.notifier.stopping(f"{self.server.core.open_count} accesses are owed an answer")
         self.server.stop(why)
 
     def reload(self) -> None:
@@ -182,7 +182,7 @@
         if self.record_fault is not None:
             click.echo(f"pebblehinge: {self.record_fault}", err=True)
             return 2
-        self.log.info("stopped", answers=self.server.core.counts.by_word())
+        self.log.info("stopped", answers=self.server.core.counts.by_label())
         return 0
 
 
--- a/pebblehinge/client/connection.py
+++ b/pebblehinge/client/connection.py
@@ -41,7 +41,7 @@
         close_reason: Why the connection ended, where that is known.
     """
 
-    FRAMES = frozenset({Kind.ANSWER, Kind.STOPPING})
+    ACCEPTED_KINDS = frozenset({Kind.ANSWER, Kind.STOPPING})
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         observer: Observer | None = None,
         keepalive_ms: float = KEEPALIVE_MS,
     ) -> None:
-        super().__init__(loop, Session(role, name, limit, streams, greets=True), stall_ms, keepalive_ms)
+        super().__init__(loop, Session(role, name, limit, streams, dialed=True), stall_ms, keepalive_ms)
         self.name = name
         self.observer = observer
         self.open_requests: dict[int, _OpenRequest] = {}
@@ -66,12 +66,12 @@
 
     # ---- the connection
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         if not self.greeted.done():
             self.greeted.set_result(None)
 
-    def refused(self, reason: str) -> None:
+    def on_rejection(self, reason: str) -> None:
         """The gateway rejects the connection, or what was sent on it."""
         self.close_reason = reason
 
@@ -80,7 +80,7 @@
         self.close_reason = reason
         super().fail(reason)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over: what is open on it is lost."""
         if not self.greeted.done():
             self.greeted.set_exception(ConnectionError(self.close_reason or "the head closed the connection"))
@@ -208,7 +208,7 @@
     def _send_cancel(self, id_: int) -> None:
         self.send(Kind.CANCEL, id_)
         self._cancelled[id_] = None
-        if len(self._cancelled) > 2 * self.session.streams:
+        if len(self._cancelled) > 2 * self.session.max_streams:
             self._cancelled.popitem(last=False)
 
     def _end(self, request: _OpenRequest, result: Result) -> None:
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -38,7 +38,7 @@
 
     def storage_nodes(self, now_ms: float) -> list[NodeRow]:
         """Each storage node with its health as this gateway sees it, in order of slots."""
-        nodes = self.gateway.core.module.shelfs
+        nodes = self.gateway.core.scheduler.shelfs
         rows = []
         for node, name in enumerate(nodes.names):
             report = node_health(nodes, node, now_ms)
@@ -57,7 +57,7 @@
 
     def volumes(self) -> list[VolumeRow]:
         """The volumes that were used last, the latest first, with the quotas that this gateway has of them."""
-        buckets = self.gateway.core.module.dispatcher.valuation.buckets
+        buckets = self.gateway.core.scheduler.dispatcher.valuation.buckets
         return [self._volume_row(name, buckets[name]) for name in islice(reversed(list(buckets)), MAX_VOLUMES)]
 
     def snapshot(self) -> Snapshot:
@@ -65,7 +65,7 @@
         gateway = self.gateway
         core = gateway.core
         now_ms = gateway.clock()
-        counts = core.counts.by_word()
+        counts = core.counts.by_label()
         rates = self._rates(counts, now_ms)
         nodes = self.storage_nodes(now_ms)
         self._note_health(nodes, now_ms)
@@ -74,16 +74,16 @@
             version=__version__,
             now_ms=round(now_ms, 1),
             stopping=core.stopping,
-            open=core.open,
-            held_bytes=core.bytes,
+            open=core.open_count,
+            held_bytes=core.payload_bytes,
             connections=len(gateway.conns),
             counts=counts,
             a_second=rates,
-            further_trips=core.retries,
-            outcomes={outcome.value: count for outcome, count in core.outcomes.items()},
-            refused_because=dict(core.reasons),
+            further_trips=core.retry_count,
+            outcomes={outcome.value: count for outcome, count in core.outcome_counts.items()},
+            refused_because=dict(core.reason_counts),
             latency_ms=self._latencies(),
-            waits=sum(len(reserved) for reserved in core.module.shelfs.reserved_slots),
+            waits=sum(len(reserved) for reserved in core.scheduler.shelfs.reserved_slots),
             shelfs=nodes,
             volumes=self.volumes(),
             events=self.events.latest(),
--- a/pebblehinge/core/answers.py
+++ b/pebblehinge/core/answers.py
@@ -50,17 +50,17 @@
         else:
             self.failed += 1
 
-    def by_word(self) -> dict[str, int]:
+    def by_label(self) -> dict[str, int]:
         """The counters by their words in metrics, the console's JSON and logs.
 
         Returns:
             A new dict, in the order in which the counters are shown.
         """
-        return {word: getattr(self, counter) for counter, word in COUNTER_WORDS.items()}
+        return {label: getattr(self, counter) for counter, label in COUNTER_LABELS.items()}
 
 
 # The term in the code: the word in metrics (with "_" for a space), in the console's JSON and in logs.
-COUNTER_WORDS = {
+COUNTER_LABELS = {
     "received": "taken",
     "succeeded": "honoured",
     "rejected": "pushed back",
--- a/pebblehinge/core/effects.py
+++ b/pebblehinge/core/effects.py
@@ -15,7 +15,7 @@
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         """Sends attempt number `attempt`, from 0, to a storage node; at clock time `until_ms` it times out."""
 
-    def drop_attempt(self, pending: PendingRequest) -> None:
+    def cancel_attempt(self, pending: PendingRequest) -> None:
         """Cancels the attempt in flight; no outcome of it is reported any more."""
 
     def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
@@ -24,5 +24,5 @@
     def wake_at(self, at_ms: float) -> None:
         """Calls `RequestTable.woken` at this clock time."""
 
-    def call_list(self, call: ListCall) -> None:
+    def call_discovery(self, call: ListCall) -> None:
         """Calls the service that keeps the endpoint list."""
--- a/pebblehinge/core/pending_request.py
+++ b/pebblehinge/core/pending_request.py
@@ -31,35 +31,35 @@
 
     __slots__ = (
         "key",
-        "conn",
+        "origin",
         "id",
-        "request",
+        "handle",
         "volume",
         "units",
         "data",
-        "came_ms",
+        "arrived_ms",
         "answered",
         "attempt",
-        "attempts",
-        "shelf",
+        "attempt_count",
+        "node",
         "sent_ms",
         "begin_by_ms",
-        "attempt_ms",
+        "last_attempt_ms",
     )
 
     def __init__(self) -> None:
         self.key: int = 0
-        self.conn: Any = None
+        self.origin: Any = None
         self.id: Any = 0
-        self.request: Request | None = None
+        self.handle: Request | None = None
         self.volume: str = ""
         self.units: float = 0.0
         self.data: bytes = b""
-        self.came_ms: float = 0.0
+        self.arrived_ms: float = 0.0
         self.answered: bool = False
         self.attempt: Any = None
-        self.attempts: int = 0
-        self.shelf: str = ""
+        self.attempt_count: int = 0
+        self.node: str = ""
         self.sent_ms: float = 0.0
         self.begin_by_ms: float = math.inf
-        self.attempt_ms: float = 0.0
+        self.last_attempt_ms: float = 0.0
--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -43,22 +43,22 @@
     ) -> None:
         self.effects = effects
         self.wait_accounting = wait_accounting
-        self.module = Scheduler(settings, seed, now)
+        self.scheduler = Scheduler(settings, seed, now)
         self.pending: dict[int, PendingRequest] = {}
         self._last_key = 0
-        self.bytes = 0
-        self.open = 0
+        self.payload_bytes = 0
+        self.open_count = 0
         self.stopping = False
         self.counts = RequestCounts()
-        self.outcomes = {outcome: 0 for outcome in Outcome}
-        self.reasons: dict[str, int] = {}
-        self.retries = 0
-        self.wakes = 0
+        self.outcome_counts = {outcome: 0 for outcome in Outcome}
+        self.reason_counts: dict[str, int] = {}
+        self.retry_count = 0
+        self.wake_up_count = 0
         self.now = now
 
     def start(self, now: float) -> None:
         """Starts the scheduler; called once, before all other calls."""
-        self._apply(self.module.start(now), now)
+        self._apply(self.scheduler.start(now), now)
 
     # ---- from clients
 
@@ -89,17 +89,17 @@
         """
         self._last_key += 1
         pending.key = self._last_key
-        pending.came_ms = now
+        pending.arrived_ms = now
         self.pending[pending.key] = pending
-        self.open += 1
-        self.bytes += len(pending.data)
+        self.open_count += 1
+        self.payload_bytes += len(pending.data)
         volume, units = pending.volume, pending.units
-        pending.request, changes = self.module.take(
+        pending.handle, changes = self.scheduler.take(
             now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, again
         )
         # Before the changes are applied: an attempt that is sent at once was queued for no time.
-        if self.wait_accounting is not None and pending.request.shelf >= 0:
-            track_queued(self.wait_accounting, now, pending, self.module.shelfs.names[pending.request.shelf])
+        if self.wait_accounting is not None and pending.handle.shelf >= 0:
+            track_queued(self.wait_accounting, now, pending, self.scheduler.shelfs.names[pending.handle.shelf])
         self._apply(changes, now)
 
     def left(self, now: float, pending: PendingRequest) -> None:
@@ -107,13 +107,13 @@
         if pending.answered:
             return
         pending.answered = True
-        self.open -= 1
+        self.open_count -= 1
         self.counts.client_gone += 1
-        self.request_ended(pending, None, now)
-        assert pending.request is not None
-        changes = pending.request.left(now)
+        self.on_request_end(pending, None, now)
+        assert pending.handle is not None
+        changes = pending.handle.left(now)
         self._apply(changes, now)
-        self._forget(pending)
+        self._remove_if_finished(pending)
 
     # ---- from storage nodes, the endpoint list and the clock
 
@@ -121,11 +121,11 @@
         self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
     ) -> None:
         """Reports the outcome of an attempt; each attempt that was sent and not cancelled has exactly one."""
-        request = pending.request
+        request = pending.handle
         assert request is not None
-        self.outcomes[outcome] += 1
+        self.outcome_counts[outcome] += 1
         pending.attempt = None
-        pending.attempt_ms = took_ms
+        pending.last_attempt_ms = took_ms
         self.now = now
         if outcome is Outcome.SUCCEEDED and not pending.answered:
             self._answer(pending, FinalStatus.SUCCEEDED, 0.0, "", data)
@@ -134,28 +134,28 @@
             track_attempt_end(self.wait_accounting, now, pending)
         changes = request.ended(now, attempt, outcome, over, took_ms)
         self._apply(changes, now)
-        self._forget(pending)
+        self._remove_if_finished(pending)
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         """Gives the scheduler an endpoint list, or changes to it."""
-        self._apply(self.module.listed(now, kind, entries), now)
+        self._apply(self.scheduler.listed(now, kind, entries), now)
         if self.wait_accounting is not None:
-            self.wait_accounting.retain(self.module.shelfs.index)
+            self.wait_accounting.retain_nodes(self.scheduler.shelfs.index)
 
     def woken(self, now: float) -> None:
         """A time has come that was asked for by `Effects.wake_at`."""
-        self.wakes += 1
-        self._apply(self.module.woken(now), now)
+        self.wake_up_count += 1
+        self._apply(self.scheduler.woken(now), now)
 
     def adopt(self, now: float, settings: Settings) -> None:
         """Takes new settings, which hold for the pending requests too; none is dropped."""
-        self._apply(self.module.adopt(now, settings), now)
+        self._apply(self.scheduler.adopt(now, settings), now)
 
     def leaves(self, now: float, end_ms: float) -> None:
         """Begins the shutdown: by clock time `end_ms` the scheduler has answered all that is pending."""
-        self._apply(self.module.leaves(now, end_ms), now)
+        self._apply(self.scheduler.leaves(now, end_ms), now)
 
-    def request_ended(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
+    def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Called when a request has its final answer, or (`final` is None) lost its client.
 
         A front that keeps records of requests overrides it.
@@ -172,7 +172,7 @@
             for handle in changes.handles:
                 self._apply_to_request(handle, now, todo)
             for call in changes.list_calls:
-                self.effects.call_list(call)
+                self.effects.call_discovery(call)
             if changes.wake_ms is not None:
                 self.effects.wake_at(changes.wake_ms)
 
@@ -187,32 +187,32 @@
                 todo.append(self._cancel_attempt(pending, handle, number, now))
         if answer is not None:
             self._answer_by_scheduler(pending, answer)
-        self._forget(pending)
+        self._remove_if_finished(pending)
 
     def _send_attempt(self, pending: PendingRequest, attempt: Attempt, now: float) -> None:
-        number = pending.attempts
+        number = pending.attempt_count
         if number > 0:
-            self.retries += 1
+            self.retry_count += 1
         if self.wait_accounting is not None:
             track_sent(self.wait_accounting, now, pending, attempt.shelf)
-        pending.shelf = attempt.shelf
+        pending.node = attempt.shelf
         pending.sent_ms = now
         pending.begin_by_ms = attempt.begin_by_ms
         self.effects.send_attempt(pending, attempt.shelf, number, attempt.until_ms)
-        pending.attempts += 1
+        pending.attempt_count += 1
 
     def _cancel_attempt(self, pending: PendingRequest, handle: Handle, number: int, now: float) -> Changes:
         """Cancels the attempt in flight and returns what the scheduler changes on that."""
-        self.effects.drop_attempt(pending)
+        self.effects.cancel_attempt(pending)
         pending.attempt = None
-        self.outcomes[Outcome.CANCELLED] += 1
+        self.outcome_counts[Outcome.CANCELLED] += 1
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
         return handle.ended(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
 
     def _answer_by_scheduler(self, pending: PendingRequest, answer: Answer) -> None:
         if not pending.answered:
-            self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
+            self.reason_counts[answer.why] = self.reason_counts.get(answer.why, 0) + 1
         self._answer(pending, STATUS_OF_FINAL[answer.final], answer.stay_away_ms, answer.why, b"")
 
     def _answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
@@ -220,19 +220,19 @@
         if pending.answered:
             return
         pending.answered = True
-        self.open -= 1
+        self.open_count -= 1
         self.counts.count_final(final)
-        self.request_ended(pending, final, self.now)
+        self.on_request_end(pending, final, self.now)
         self.effects.answer(pending, final, stay_ms, reason, data)
 
-    def _forget(self, pending: PendingRequest) -> None:
+    def _remove_if_finished(self, pending: PendingRequest) -> None:
         """Removes a request that is answered, and of which nothing is in flight or owed any more."""
-        request = pending.request
+        request = pending.handle
         if not pending.answered or request is None or not request.over or request.out:
             return
         if self.pending.pop(pending.key, None) is None:
             return
         if self.wait_accounting is not None:
-            self.wait_accounting.request_ended(self.now, pending.key)
-        self.bytes -= len(pending.data)
+            self.wait_accounting.end_request(self.now, pending.key)
+        self.payload_bytes -= len(pending.data)
         pending.data = b""
--- a/pebblehinge/core/wait_tracking.py
+++ b/pebblehinge/core/wait_tracking.py
@@ -12,21 +12,21 @@
 
 def track_queued(accounting: WaitAccounting, now: float, pending: PendingRequest, node: str) -> None:
     """The request is queued for a storage node from now on."""
-    accounting.queued(now, pending.key, pending.volume, node, pending.units)
+    accounting.enqueue(now, pending.key, pending.volume, node, pending.units)
 
 
 def track_sent(accounting: WaitAccounting, now: float, pending: PendingRequest, node: str) -> None:
     """An attempt is about to be sent; a request that wasn't tracked was queued for no time."""
-    if pending.key not in accounting.tracked:
+    if pending.key not in accounting.tracked_requests:
         track_queued(accounting, now, pending, node)
-    accounting.sent(now, pending.key, pending.attempts == 0)
+    accounting.start_attempt(now, pending.key, pending.attempt_count == 0)
 
 
 def track_attempt_end(accounting: WaitAccounting, now: float, pending: PendingRequest) -> None:
     """An attempt is over; a request without an answer is queued anew, for the attempt that may follow."""
-    if pending.key not in accounting.tracked:
+    if pending.key not in accounting.tracked_requests:
         return
-    accounting.attempt_ended(now, pending.key)
+    accounting.end_attempt(now, pending.key)
     accounting.forget(pending.key)
     if not pending.answered:
-        track_queued(accounting, now, pending, pending.shelf)
+        track_queued(accounting, now, pending, pending.node)
--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -41,11 +41,11 @@
 class DiscoveryConnection(Peer):
     """A connection of a gateway that watches or polls, of a storage node that registers, or of the lab's control."""
 
-    FRAMES = frozenset({Kind.WATCH, Kind.REGISTER, Kind.STANDING, Kind.CONTROL})
+    ACCEPTED_KINDS = frozenset({Kind.WATCH, Kind.REGISTER, Kind.STANDING, Kind.CONTROL})
 
     def __init__(self, discovery: DiscoveryServer) -> None:
         limits = discovery.config.limits
-        session = Session(NAME, NAME, limits.frame, limits.streams, greets=False)
+        session = Session(NAME, NAME, limits.frame, limits.streams, dialed=False)
         super().__init__(discovery.loop, session, limits.stall, limits.keepalive)
         self.discovery = discovery
         self.node = ""  # the storage node that registered here
@@ -56,7 +56,7 @@
         super().connection_made(transport)
         self.discovery.connections.append(self)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """Unregisters the storage node that registered here."""
         self.discovery.connections.remove(self)
         if self.node:
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -105,7 +105,7 @@
             The request, or None if it was rejected and answered.
         """
         pending = FramedRequest()
-        pending.conn = conn
+        pending.origin = conn
         pending.id = id_
         pending.trace = trace
         pending.volume = volume
@@ -148,12 +148,12 @@
         self.config = config
         self.adopt(now, config.module_settings(self.block))
 
-    def request_ended(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
+    def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Captures a request that is over, by its final answer or (None) since its client left."""
         if self.capture is not None:
             assert isinstance(pending, FramedRequest)
             self.capture.add(
-                pending.came_ms,
+                pending.arrived_ms,
                 pending.volume,
                 pending.plan.partition("~")[0],
                 pending.profile,
@@ -164,15 +164,15 @@
                 pending.again,
                 max(pending.length, len(pending.data)),
                 CAPTURED_CANCELLED if final is None else final,
-                round(now - pending.came_ms, 3),
-                round(pending.attempt_ms, 3),
-                pending.attempts,
+                round(now - pending.arrived_ms, 3),
+                round(pending.last_attempt_ms, 3),
+                pending.attempt_count,
             )
 
     def _admit(self, pending: FramedRequest, plan: str | None, profile: str, left_ms: float) -> tuple[str, int]:
         """Returns the quota plan and the number of gateways of a request's volume; raises RequestRejectedError."""
         config = self.config
-        if self.stopping and not getattr(pending.conn, "is_internal", False):
+        if self.stopping and not getattr(pending.origin, "is_internal", False):
             raise RequestRejectedError("this head is stopping: another one takes new accesses")
         if profile not in config.profile:
             raise RequestRejectedError(f"profile {profile[:MAX_QUOTED]!r} is not known here")
@@ -193,7 +193,7 @@
         limits = self.config.limits
         if pending.op not in (READ, WRITE, APPEND) or pending.offset < 0 or not 0 <= pending.length <= limits.frame:
             raise RequestRejectedError("no read or write of such a place")
-        if self.open >= limits.accesses:
+        if self.open_count >= limits.accesses:
             raise RequestRejectedError(f"{limits.accesses} accesses are open here already")
-        if self.bytes + len(pending.data) > limits.bytes:
+        if self.payload_bytes + len(pending.data) > limits.bytes:
             raise RequestRejectedError(f"{limits.bytes} bytes of accesses are held here already")
--- a/pebblehinge/gateway/client_connection.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -27,11 +27,11 @@
         settled: Whether the client has heard of the shutdown, and all that it sent before has come.
     """
 
-    FRAMES = frozenset({Kind.TAKE, Kind.CANCEL})
+    ACCEPTED_KINDS = frozenset({Kind.TAKE, Kind.CANCEL})
 
     def __init__(self, context: GatewayContext) -> None:
         limits = context.config.limits
-        session = Session("head", context.name, limits.frame, limits.streams, greets=False)
+        session = Session("head", context.name, limits.frame, limits.streams, dialed=False)
         super().__init__(context.loop, session, limits.stall, limits.keepalive)
         self.context = context
         self.open_requests: dict[int, FramedRequest | None] = {}
@@ -48,16 +48,16 @@
         if len(self.context.conns) > limit:
             self.fail(f"{limit} connections are open here already")
 
-    def batch(self) -> None:
+    def on_batch_start(self) -> None:
         """Bytes have come: one reading of the clock serves all requests that came together."""
         self.context.now = self.context.clock()
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         if self.context.core.stopping:
             self.tell_stopping()
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.context.connection_closed(self)
 
@@ -93,8 +93,8 @@
         """A request has come; `values` are the rest of the frame, from the slot on."""
         if id_ in self.open_requests:
             raise WireError(f"TAKE: id {id_} is open already")
-        if len(self.open_requests) >= self.session.streams:
-            raise WireError(f"TAKE: more than {self.session.streams} accesses open on one connection")
+        if len(self.open_requests) >= self.session.max_streams:
+            raise WireError(f"TAKE: more than {self.session.max_streams} accesses open on one connection")
         if len(trace) > MAX_TRACE_LENGTH or len(extent) > MAX_EXTENT_LENGTH or not extent:
             raise WireError("TAKE: an id of at most 200 and an extent of 1 to 500 characters are taken")
         context = self.context
--- a/pebblehinge/gateway/discovery_link.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -28,17 +28,17 @@
 class _DiscoveryConnection(Peer):
     """The connection of a link."""
 
-    FRAMES = frozenset({Kind.LIST})
+    ACCEPTED_KINDS = frozenset({Kind.LIST})
 
     def __init__(self, link: DiscoveryLink, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         self.link.on_connected(self)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.link.on_connection_lost(self)
 
@@ -137,7 +137,7 @@
         self.list_received(now, LIST_KINDS[kind], entries, addresses)
 
     async def _connect(self) -> None:
-        session = Session("head", self.gateway, self.limits.frame, self.limits.streams, greets=True)
+        session = Session("head", self.gateway, self.limits.frame, self.limits.streams, dialed=True)
         try:
             host, port = parse_address(self.address)
             await self.loop.create_connection(lambda: _DiscoveryConnection(self, session), host, port)
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -87,15 +87,15 @@
 
     def answer(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Sends a request's final answer where it came from."""
-        pending.conn.answered(pending, final, stay_ms, reason, data)
+        pending.origin.answered(pending, final, stay_ms, reason, data)
         now = self.now
         if final is FinalStatus.SUCCEEDED:
-            self.latency.record_value(max(1, int((now - pending.came_ms) * 1000.0)))
+            self.latency.record_value(max(1, int((now - pending.arrived_ms) * 1000.0)))
         self.note(now, "answer", id=pending.trace, final=FINAL_WORDS[final], stay=stay_ms)
         if self.config.log.accesses:
-            took = round(now - pending.came_ms, 3)
+            took = round(now - pending.arrived_ms, 3)
             self.log.info("answer", id=pending.trace, final=FINAL_WORDS[final], ms=took, reason=reason)
-        if self.core.stopping and not self.core.open:
+        if self.core.stopping and not self.core.open_count:
             self.loop.call_soon(self.stop_if_done)
 
     def send_attempt(self, pending: FramedRequest, shelf: str, attempt: int, until_ms: float) -> None:
@@ -105,7 +105,7 @@
             self.log.info("trip", id=pending.trace, n=attempt, shelf=shelf)
         link.send(pending, attempt, until_ms, self.now)
 
-    def drop_attempt(self, pending: FramedRequest) -> None:
+    def cancel_attempt(self, pending: FramedRequest) -> None:
         """Cancels a request's attempt."""
         pending.attempt.link.drop(pending)
 
@@ -116,7 +116,7 @@
             self._wake_ms = at_ms
             self.wake_timer = self.loop.call_at(at_ms / 1000.0 + TIMER_SLACK_S, self._wake)
 
-    def call_list(self, call: ListCall) -> None:
+    def call_discovery(self, call: ListCall) -> None:
         """Asks discovery for its list."""
         self.discovery.call(call)
 
@@ -145,7 +145,7 @@
         self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.listed(now, kind, entries)
-        for node in [name for name in self.links if name not in self.core.module.shelfs.index]:
+        for node in [name for name in self.links if name not in self.core.scheduler.shelfs.index]:
             self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
 
     def _link_to(self, node: str, address: str) -> None:
--- a/pebblehinge/gateway/framed_request.py
+++ b/pebblehinge/gateway/framed_request.py
@@ -21,7 +21,7 @@
     """One request, with what its attempts and its records need.
 
     Attributes:
-        conn: The request's `RequestOrigin`.
+        origin: The request's `RequestOrigin`.
         id: The request's number, unique among the open ones of its origin.
         trace: Names the request in all logs.
         extent: The extent's name within the volume.
@@ -37,7 +37,7 @@
 
     __slots__ = ("trace", "extent", "slot", "label", "op", "offset", "length", "plan", "profile", "again")
 
-    conn: Any
+    origin: Any
     id: int
     trace: str
     extent: str
--- a/pebblehinge/gateway/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -34,26 +34,26 @@
     def _requests(self) -> Iterator[Metric]:
         core, gateway = self.gateway.core, self.gateway
         answers = CounterMetricFamily("pebblehinge_accesses", "Accesses by how they ended", labels=["end"])
-        for end, count in core.counts.by_word().items():
+        for end, count in core.counts.by_label().items():
             answers.add_metric([end.replace(" ", "_")], count)
         yield answers
         reasons = CounterMetricFamily("pebblehinge_not_honoured", "By the module's reason", labels=["why"])
-        for reason, count in list(core.reasons.items()):
+        for reason, count in list(core.reason_counts.items()):
             reasons.add_metric([reason], count)
         yield reasons
         attempts = CounterMetricFamily("pebblehinge_trips", "Trips by outcome", labels=["outcome"])
-        for outcome, count in core.outcomes.items():
+        for outcome, count in core.outcome_counts.items():
             attempts.add_metric([outcome.value], count)
         yield attempts
-        yield CounterMetricFamily("pebblehinge_further_trips", "Trips beyond an access's first", value=core.retries)
-        yield CounterMetricFamily("pebblehinge_wakes", "Wakes of the module", value=core.wakes)
+        yield CounterMetricFamily("pebblehinge_further_trips", "Trips beyond an access's first", value=core.retry_count)
+        yield CounterMetricFamily("pebblehinge_wakes", "Wakes of the module", value=core.wake_up_count)
         yield CounterMetricFamily("pebblehinge_client_faults", "Clients cut for what they sent", value=gateway.faults)
-        yield GaugeMetricFamily("pebblehinge_open", "Accesses taken and not answered", value=core.open)
-        yield GaugeMetricFamily("pebblehinge_held_bytes", "Payload held for open accesses", value=core.bytes)
+        yield GaugeMetricFamily("pebblehinge_open", "Accesses taken and not answered", value=core.open_count)
+        yield GaugeMetricFamily("pebblehinge_held_bytes", "Payload held for open accesses", value=core.payload_bytes)
         yield GaugeMetricFamily("pebblehinge_connections", "Connections of clients", value=len(gateway.conns))
 
     def _storage_nodes(self) -> Iterator[Metric]:
-        nodes = self.gateway.core.module.shelfs
+        nodes = self.gateway.core.scheduler.shelfs
         queued = GaugeMetricFamily("pebblehinge_shelf_held", "Accesses held, by shelf", labels=["shelf"])
         in_flight = GaugeMetricFamily("pebblehinge_shelf_away", "Trips out, by shelf", labels=["shelf"])
         for index, name in enumerate(list(nodes.names)):
--- a/pebblehinge/gateway/node_connection.py
+++ b/pebblehinge/gateway/node_connection.py
@@ -38,26 +38,26 @@
 class NodeConnection(Peer):
     """The connection of a link, from its greeting to its end."""
 
-    FRAMES = frozenset({Kind.OUTCOME, Kind.STOPPING})
+    ACCEPTED_KINDS = frozenset({Kind.OUTCOME, Kind.STOPPING})
 
     def __init__(self, link: ConnectionOwner, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
         self._probed_since: float | None = None  # when bytes had last come, while a PING is out
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         self.link.on_connected(self)
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """The storage node reads again."""
         self.link.push()
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.link.on_connection_lost(self)
 
-    def refused(self, reason: str) -> None:
+    def on_rejection(self, reason: str) -> None:
         """The storage node rejects the connection, or what was sent on it."""
         self.link.dialer.refusal = reason
 
@@ -67,7 +67,7 @@
         self.abort()
         self.closed = True
 
-    def batch(self) -> None:
+    def on_batch_start(self) -> None:
         """Bytes have come: one reading of the clock serves them all."""
         self.link.now = self.link.clock()
 
@@ -85,12 +85,12 @@
         answered by any process that runs; if even that stays out, a new connection is made.
         """
         if self._probed_since is None:
-            self._probed_since = self.heard
+            self._probed_since = self.last_received_s
             self.send(Kind.PING, 0)
             self.loop.call_later(2 * self.link.limits.connect / 1000.0, self._end_probe)
 
     def _end_probe(self) -> None:
         since, self._probed_since = self._probed_since, None
-        if self is self.link.connection and not self.closed and self.heard == since:
+        if self is self.link.connection and not self.closed and self.last_received_s == since:
             self.link.dialer.refusal = "the connection is silent"
             self.abort()
--- a/pebblehinge/gateway/node_link.py
+++ b/pebblehinge/gateway/node_link.py
@@ -114,7 +114,7 @@
         sent = AttemptInFlight(self.last_number, pending, attempt, until_ms, now, self)
         sent.timer = self.loop.call_at(until_ms / 1000.0, self._time_out, sent)
         pending.attempt = sent
-        if self.connection is not None and not self.connection.paused:
+        if self.connection is not None and not self.connection.write_paused:
             self._write(sent, now)
             return
         self.waiting.append(sent)
@@ -146,7 +146,7 @@
     def push(self) -> None:
         """Writes what waits, as far as the storage node reads."""
         now = self.clock()
-        while self.waiting and self.connection is not None and not self.connection.paused:
+        while self.waiting and self.connection is not None and not self.connection.write_paused:
             self._write(self.waiting.popleft(), now)
 
     # ---- called by the connection
@@ -189,7 +189,7 @@
     # ---- on its own
 
     def _make_peer(self) -> NodeConnection:
-        return NodeConnection(self, Session("head", self.gateway, self.limits.frame, self.limits.streams, greets=True))
+        return NodeConnection(self, Session("head", self.gateway, self.limits.frame, self.limits.streams, dialed=True))
 
     def _connect_failed(self) -> None:
         now = self.clock()
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -128,7 +128,7 @@
         if self.core.stopping:
             return
         self.core.stopping = True
-        self.log.info("stopping", why=why, open=self.core.open)
+        self.log.info("stopping", why=why, open=self.core.open_count)
         assert self.listener is not None
         self.listener.close()
         if self.rsync_listener is not None:
@@ -154,7 +154,7 @@
             self.stopped.set_result(None)
 
     def _owes_nothing(self) -> bool:
-        if not self.core.stopping or self.core.open:
+        if not self.core.stopping or self.core.open_count:
             return False
         if self.rsync_listener is not None and self.rsync_listener.sessions:
             return False
--- a/pebblehinge/http1/__init__.py
+++ b/pebblehinge/http1/__init__.py
@@ -2,11 +2,11 @@
 
 from pebblehinge.http1.messages import HttpMessage, HttpRequest, HttpResponse
 from pebblehinge.http1.parsers import RequestParser, ResponseParser, ResponseStream
-from pebblehinge.http1.reader import BODY_LIMIT, HttpError
+from pebblehinge.http1.reader import MAX_REQUEST_BODY_BYTES, HttpError
 from pebblehinge.http1.writing import write_request, write_response
 
 __all__ = [
-    "BODY_LIMIT",
+    "MAX_REQUEST_BODY_BYTES",
     "HttpError",
     "HttpMessage",
     "HttpRequest",
--- a/pebblehinge/http1/parsers.py
+++ b/pebblehinge/http1/parsers.py
@@ -7,12 +7,12 @@
 import httptools
 
 from pebblehinge.http1.messages import HttpRequest, HttpResponse
-from pebblehinge.http1.reader import RESPONSE_LIMIT, HttpError, MessageReader
+from pebblehinge.http1.reader import MAX_RESPONSE_BODY_BYTES, HttpError, MessageReader
 
-INFORMATIONAL_LIMIT = 8  # 1xx responses skipped before one final response
-FIRST_FINAL_STATUS = 200
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses skipped before one final response
+MIN_FINAL_STATUS = 200
 BODYLESS_STATUSES = (204, 304)
-STREAM_LIMIT = 2**40  # bytes; a stream is not kept, so that only what a length header may say is bounded
+MAX_STREAM_BYTES = 2**40  # bytes; a stream is not kept, so that only what a length header may say is bounded
 
 
 class RequestParser(MessageReader):
@@ -41,7 +41,7 @@
             return None
         request = HttpRequest(
             self.headers,
-            b"".join(self.parts),
+            b"".join(self.body_parts),
             self.keep_alive,
             self.parser.get_method(),
             self.target,
@@ -69,13 +69,13 @@
 class ResponseParser(MessageReader):
     """Responses from what a storage node sends; informational ones (1xx) before them are skipped."""
 
-    __slots__ = ("informational",)
+    __slots__ = ("informational_count",)
 
     parser: httptools.HttpResponseParser
-    body_limit = RESPONSE_LIMIT
+    max_body_bytes = MAX_RESPONSE_BODY_BYTES
 
     def __init__(self) -> None:
-        self.informational = 0
+        self.informational_count = 0
         super().__init__(httptools.HttpResponseParser)
 
     def next(self) -> HttpResponse | None:
@@ -86,14 +86,14 @@
         """
         while self._read_message():
             status = self.parser.get_status_code()
-            response = HttpResponse(self.headers, b"".join(self.parts), self.keep_alive, status)
+            response = HttpResponse(self.headers, b"".join(self.body_parts), self.keep_alive, status)
             self._reset()
-            if status >= FIRST_FINAL_STATUS:
-                self.informational = 0
+            if status >= MIN_FINAL_STATUS:
+                self.informational_count = 0
                 return response
-            self.informational += 1
-            if self.informational > INFORMATIONAL_LIMIT:
-                raise HttpError(502, f"more than {INFORMATIONAL_LIMIT} answers in front of one")
+            self.informational_count += 1
+            if self.informational_count > MAX_INFORMATIONAL_RESPONSES:
+                raise HttpError(502, f"more than {MAX_INFORMATIONAL_RESPONSES} answers in front of one")
         return None
 
     def on_headers_complete(self) -> None:
@@ -101,7 +101,7 @@
         status = self.parser.get_status_code()
         if not 100 <= status <= 599:
             self.error = HttpError(502, f"a status of {status}")
-        bodyless = status < FIRST_FINAL_STATUS or status in BODYLESS_STATUSES
+        bodyless = status < MIN_FINAL_STATUS or status in BODYLESS_STATUSES
         framed = self._read_framing(bodyless)
         if self.error is None and bodyless:
             self.length = 0
@@ -115,7 +115,7 @@
 
     __slots__ = ("sink",)
 
-    body_limit = STREAM_LIMIT
+    max_body_bytes = MAX_STREAM_BYTES
 
     def __init__(self, sink: Callable[[bytes], None]) -> None:
         self.sink = sink
--- a/pebblehinge/http1/reader.py
+++ b/pebblehinge/http1/reader.py
@@ -12,12 +12,12 @@
 import httptools
 
 HEAD_END = b"\r\n\r\n"
-HEAD_LIMIT = 16 * 1024  # bytes of a head, from its first byte, and of trailers
-HEADERS_LIMIT = 64
-BODY_LIMIT = 64 * 1024  # bytes of a request's body, as the platform's protocol states
-RESPONSE_LIMIT = 1024 * 1024  # bytes of a response's body: storage nodes send more than the protocol says
-CHUNK_OVERHEAD = 8  # a chunked body may take this many times its limit on the wire: chunks of one byte take six
-LENGTH_DIGITS = 15  # of a Content-Length
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a head, from its first byte, and of trailers
+MAX_HEADERS = 64
+MAX_REQUEST_BODY_BYTES = 64 * 1024  # bytes of a request's body, as the platform's protocol states
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024  # bytes of a response's body: storage nodes send more than the protocol says
+MAX_CHUNKED_SIZE_RATIO = 8  # a chunked body may take this many times its limit on the wire: chunks of one byte take six
+MAX_CONTENT_LENGTH_DIGITS = 15  # of a Content-Length
 
 
 class HttpError(Exception):
@@ -55,14 +55,14 @@
         "buffer",
         "parser",
         "headers",
-        "parts",
+        "body_parts",
         "body_size",
         "head_size",
         "head_tail",
         "head_complete",
         "length",
         "chunked",
-        "begun",
+        "message_begun",
         "complete",
         "keep_alive",
         "error",
@@ -70,7 +70,7 @@
     )
 
     parser: LlhttpParser
-    body_limit = BODY_LIMIT  # bytes
+    max_body_bytes = MAX_REQUEST_BODY_BYTES  # bytes
 
     def __init__(self, parser_type: Callable[[object], LlhttpParser]) -> None:
         self.buffer = b""
@@ -79,7 +79,7 @@
 
     def _reset(self) -> None:
         self.headers: list[tuple[bytes, bytes]] = []
-        self.parts: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.body_size = 0
         self.head_size = 0
         self.wire_size = 0  # bytes of a chunked body with its framing
@@ -87,13 +87,13 @@
         self.head_complete = False
         self.length = 0
         self.chunked = False
-        self.begun = False
+        self.message_begun = False
         self.complete = False
         self.keep_alive = False
         self.error: HttpError | None = None
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a message has come, and not all of it."""
         return self.head_size > 0 or bool(self.buffer)
 
@@ -153,13 +153,13 @@
     def _check_size(self, count: int, in_head: bool) -> None:
         if in_head:
             self.head_size += count
-            if self.head_size > HEAD_LIMIT:
-                self.error = HttpError(431, f"a head of more than {HEAD_LIMIT} bytes")
+            if self.head_size > MAX_HEAD_BYTES:
+                self.error = HttpError(431, f"a head of more than {MAX_HEAD_BYTES} bytes")
         elif self.chunked:
             self.wire_size += count
-            if self.wire_size > CHUNK_OVERHEAD * self.body_limit:
+            if self.wire_size > MAX_CHUNKED_SIZE_RATIO * self.max_body_bytes:
                 self.error = HttpError(
-                    413, f"a body of more than {CHUNK_OVERHEAD * self.body_limit} bytes with its framing"
+                    413, f"a body of more than {MAX_CHUNKED_SIZE_RATIO * self.max_body_bytes} bytes with its framing"
                 )
 
     def _read_framing(self, bodyless: bool) -> bool:
@@ -183,39 +183,39 @@
 
     def _read_length(self, value: bytes) -> None:
         """Read a Content-Length."""
-        if not value.isdigit() or len(value) > LENGTH_DIGITS:
+        if not value.isdigit() or len(value) > MAX_CONTENT_LENGTH_DIGITS:
             self.error = HttpError(400, "a content length that is no plain number")
             return
         self.length = int(value)
-        if self.length > self.body_limit:
-            self.error = HttpError(413, f"a body of more than {self.body_limit} bytes")
+        if self.length > self.max_body_bytes:
+            self.error = HttpError(413, f"a body of more than {self.max_body_bytes} bytes")
 
     # ---- called by llhttp
 
     def on_message_begin(self) -> None:
         """Begin a message."""
-        if self.begun and self.error is None:
+        if self.message_begun and self.error is None:
             self.error = HttpError(400, "a message within a message")
-        self.begun = True
+        self.message_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a header; a trailer is only counted."""
         if self.head_complete:
             self.head_size += len(name) + len(value)
-            if self.head_size > HEAD_LIMIT and self.error is None:
-                self.error = HttpError(431, f"trailers of more than {HEAD_LIMIT} bytes")
-        elif len(self.headers) < HEADERS_LIMIT:
+            if self.head_size > MAX_HEAD_BYTES and self.error is None:
+                self.error = HttpError(431, f"trailers of more than {MAX_HEAD_BYTES} bytes")
+        elif len(self.headers) < MAX_HEADERS:
             self.headers.append((name.lower(), value))
         elif self.error is None:
-            self.error = HttpError(431, f"more than {HEADERS_LIMIT} headers")
+            self.error = HttpError(431, f"more than {MAX_HEADERS} headers")
 
     def on_body(self, data: bytes) -> None:
         """Keep a piece of the body."""
         self.body_size += len(data)
-        if self.body_size > self.body_limit:
-            self.error = self.error or HttpError(413, f"a body of more than {self.body_limit} bytes")
+        if self.body_size > self.max_body_bytes:
+            self.error = self.error or HttpError(413, f"a body of more than {self.max_body_bytes} bytes")
         else:
-            self.parts.append(data)
+            self.body_parts.append(data)
 
     def on_message_complete(self) -> None:
         """End the message."""
--- a/pebblehinge/http1/writing.py
+++ b/pebblehinge/http1/writing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -33,7 +33,7 @@
 
 def write_response(status: int, body: bytes, keep_alive: bool, extra_headers: bytes = b"") -> bytes:
     """Return a complete response; `extra_headers` are complete lines of its head."""
-    reason = REASONS.get(status, "").encode()
+    reason = REASON_PHRASES.get(status, "").encode()
     close = b"" if keep_alive else b"Connection: close\r\n"
     head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n" % (status, reason, len(body), close, extra_headers)
     return head + body
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -85,8 +85,8 @@
     village, _ = play(config, "blame", seed)
     total: dict[str, float] = {}
     for (volume, cause), ms in village.servers["h1"].core.wait_accounting.waits.items():
-        if volume.startswith("calm") and cause != OWN_WORK and not cause.word.startswith("calm"):
-            total[cause.word] = total.get(cause.word, 0.0) + ms
+        if volume.startswith("calm") and cause != OWN_WORK and not cause.label.startswith("calm"):
+            total[cause.label] = total.get(cause.label, 0.0) + ms
     return sorted(total, key=lambda cause: -total[cause]), village
 
 
@@ -97,11 +97,11 @@
     slow = f"s{rng.randint(1, 4)}" if kind != "noisy" else ""
     named, _ = play_one(seed, slow, kind != "shelf", rng.uniform(4.0, 12.0))
     wanted = (
-        {WaitCause.node(slow).word}
+        {WaitCause.node(slow).label}
         if kind == "shelf"
         else {"noisy"}
         if kind == "noisy"
-        else {WaitCause.node(slow).word, "noisy"}
+        else {WaitCause.node(slow).label, "noisy"}
     )
     return {
         "seed": seed,
--- a/pebblehinge/lab/control.py
+++ b/pebblehinge/lab/control.py
@@ -13,18 +13,18 @@
 class Hand(Peer):
     """A connection with the role that may bring troubles."""
 
-    FRAMES = frozenset({Kind.CONTROLLED})
+    ACCEPTED_KINDS = frozenset({Kind.CONTROLLED})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        super().__init__(loop, Session("lab", "lab", 1 << 20, 64, greets=True), 5000.0)
+        super().__init__(loop, Session("lab", "lab", 1 << 20, 64, dialed=True), 5000.0)
         self.waiting: dict[int, asyncio.Future[str]] = {}
         self.tokens = itertools.count(1)
         self.why = "closed"
 
-    def refused(self, reason: str) -> None:
+    def on_rejection(self, reason: str) -> None:
         self.why = reason
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         for future in self.waiting.values():
             if not future.done():
                 future.set_exception(ConnectionError(self.why))
--- a/pebblehinge/net/peer.py
+++ b/pebblehinge/net/peer.py
@@ -10,7 +10,7 @@
 from pebblehinge.net.handlers import COMMON_KINDS, HANDLERS
 from pebblehinge.wire import Kind, Session, WireError, encode
 
-SILENT_INTERVALS = 3
+MAX_SILENT_INTERVALS = 3
 """A connection is cut after so many keepalive intervals without a byte, or without a complete greeting."""
 
 
@@ -28,7 +28,7 @@
     try:
         await loop.create_connection(lambda: peer, host, port)
     except BaseException:
-        peer.give_up()
+        peer.abandon()
         raise
 
 
@@ -49,7 +49,7 @@
         heard: When bytes last came, in seconds of the loop's clock.
     """
 
-    FRAMES: frozenset[Kind] = frozenset()
+    ACCEPTED_KINDS: frozenset[Kind] = frozenset()
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, session: Session, stall_ms: float, keepalive_ms: float = 0.0
@@ -59,17 +59,17 @@
         self.stall_ms = stall_ms
         self.keepalive_ms = keepalive_ms
         self.transport: asyncio.Transport | None = None
-        self.paused = False
+        self.write_paused = False
         self.closed = False
         self.failed = False
-        self.heard = 0.0
+        self.last_received_s = 0.0
         self._unsent: list[bytes] = []
         self._flush_scheduled = False
         self._stall_timer: asyncio.TimerHandle | None = None
         self._keepalive_timer: asyncio.TimerHandle | None = None
         self._keepalive_checks = 0
         self._handlers: dict[Kind, Callable[..., None]] = {
-            kind: getattr(self, HANDLERS[kind]) for kind in self.FRAMES | COMMON_KINDS
+            kind: getattr(self, HANDLERS[kind]) for kind in self.ACCEPTED_KINDS | COMMON_KINDS
         }
 
     # ---- called by the transport
@@ -80,9 +80,9 @@
         if self.closed:  # its dial was given up
             self.transport.abort()
             return
-        self.heard = self.loop.time()
-        if self.session.greets:
-            self._write(self.session.opening())
+        self.last_received_s = self.loop.time()
+        if self.session.dialed:
+            self._write(self.session.encode_greeting())
         if self.keepalive_ms:
             self._keepalive_timer = self.loop.call_later(self.keepalive_ms / 1000.0, self._check_alive)
 
@@ -90,10 +90,10 @@
         """Bytes have come: calls the handler of each complete frame, and fails the connection on a malformed one."""
         if self.closed:  # nothing more is read from a peer that was told why it is cut
             return
-        self.heard = self.loop.time()
+        self.last_received_s = self.loop.time()
         session = self.session
         session.feed(data)
-        self.batch()
+        self.on_batch_start()
         try:
             while not self.closed and (frame := session.next()) is not None:
                 kind, values = frame
@@ -106,20 +106,20 @@
 
     def pause_writing(self) -> None:
         """The other end does not read: it is not read from until it does, and cut if that takes too long."""
-        self.paused = True
+        self.write_paused = True
         self._stall_timer = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
         if not self.closed:
             self._connected().pause_reading()
 
     def resume_writing(self) -> None:
         """The other end reads again."""
-        self.paused = False
+        self.write_paused = False
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
         if not self.closed:
             self._connected().resume_reading()
-            self.writable()
+            self.on_writable()
 
     def eof_received(self) -> bool:
         """The other end has closed its side; the transport closes the connection."""
@@ -132,23 +132,23 @@
             if timer is not None:
                 timer.cancel()
         self._unsent.clear()
-        self.gone(exc)
+        self.on_disconnect(exc)
 
     # ---- hooks for subclasses
 
-    def batch(self) -> None:
+    def on_batch_start(self) -> None:
         """Called when bytes have come, before their frames are handled."""
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """Called when the greeting is over."""
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """Called when the other end reads again."""
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """Called when the connection is over, with an exception if it broke."""
 
-    def refused(self, reason: str) -> None:
+    def on_rejection(self, reason: str) -> None:
         """Called when the other end sent ERROR, which it does before it closes."""
 
     # ---- operations
@@ -189,7 +189,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Ends a peer whose dial was given up: nothing is read or written, even if its connection is made yet."""
         self.closed = True
         self._unsent.clear()
@@ -207,13 +207,13 @@
             self.loop.call_soon(self.flush)
 
     def _check_alive(self) -> None:
-        silent_ms = (self.loop.time() - self.heard) * 1000.0
+        silent_ms = (self.loop.time() - self.last_received_s) * 1000.0
         greeted = self.session.version is not None
         self._keepalive_checks += 1
-        if not greeted and self._keepalive_checks > SILENT_INTERVALS:  # bytes that trickle in keep no greeting open
+        if not greeted and self._keepalive_checks > MAX_SILENT_INTERVALS:  # bytes that trickle in keep no greeting open
             self.abort()
             return
-        if silent_ms >= SILENT_INTERVALS * self.keepalive_ms and not self.paused:
+        if silent_ms >= MAX_SILENT_INTERVALS * self.keepalive_ms and not self.write_paused:
             self.abort()
             return
         if silent_ms >= self.keepalive_ms and greeted:
@@ -224,13 +224,13 @@
 
     def on_hello(self, *_: Any) -> None:
         """The other end's greeting, which the session has accepted: it is answered if this end did not greet."""
-        if not self.session.greets:
-            self._write(self.session.opening())
-        self.ready()
+        if not self.session.dialed:
+            self._write(self.session.encode_greeting())
+        self.on_ready()
 
     def on_error(self, reason: str) -> None:
         """The other end rejects what was sent, and closes."""
-        self.refused(reason)
+        self.on_rejection(reason)
         self.close()
 
     def on_ping(self, token: int) -> None:
--- a/pebblehinge/raft/transport.py
+++ b/pebblehinge/raft/transport.py
@@ -31,23 +31,23 @@
 class _Connection(Peer):
     """One connection of a link. The other side sends nothing that matters here."""
 
-    FRAMES = frozenset({Kind.TOLD})
+    ACCEPTED_KINDS = frozenset({Kind.TOLD})
 
     def __init__(self, link: PeerLink) -> None:
         settings = link.settings
-        session = Session("member", settings.greeting, settings.max_frame_bytes, MAX_STREAMS, greets=True)
+        session = Session("member", settings.greeting, settings.max_frame_bytes, MAX_STREAMS, dialed=True)
         super().__init__(link.loop, session, settings.stall_ms, settings.keepalive_ms)
         self.link = link
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         self.link.on_connected(self)
 
-    def writable(self) -> None:
+    def on_writable(self) -> None:
         """The other side reads again."""
         self.link.flush()
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.link.on_connection_lost(self)
 
@@ -78,7 +78,7 @@
 
     def flush(self) -> None:
         """Writes what is queued, as long as the other side takes it."""
-        while self.queue and self.connection is not None and not self.connection.paused:
+        while self.queue and self.connection is not None and not self.connection.write_paused:
             self.connection.send(Kind.RAFT, self.queue.popleft())
 
     def close(self) -> None:
--- a/pebblehinge/replicated_config/member_connection.py
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -31,12 +31,12 @@
 class MemberConnection(Peer):
     """Hands each frame on to the part that answers it."""
 
-    FRAMES = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
+    ACCEPTED_KINDS = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
 
     def __init__(self, server: Server) -> None:
         """A connection that is being accepted."""
         limits = server.config.limits
-        session = Session("group", server.name, limits.frame, limits.streams, greets=False)
+        session = Session("group", server.name, limits.frame, limits.streams, dialed=False)
         super().__init__(server.loop, session, limits.stall, limits.keepalive)
         self.server = server
 
@@ -45,7 +45,7 @@
         super().connection_made(transport)
         self.server.connections[self] = None
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.server.connections.pop(self, None)
 
--- a/pebblehinge/replicated_config/member_dialer.py
+++ b/pebblehinge/replicated_config/member_dialer.py
@@ -35,7 +35,7 @@
 class MemberConnection(Peer):
     """A connection to one member."""
 
-    FRAMES = frozenset({Kind.GRANT, Kind.NEWS})
+    ACCEPTED_KINDS = frozenset({Kind.GRANT, Kind.NEWS})
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, session: Session, stall_ms: float, address: str, listener: Listener
@@ -45,11 +45,11 @@
         self.address = address
         self.listener = listener
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """The greeting is over."""
         self.listener.on_connected(self)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         self.listener.on_connection_lost(self)
 
@@ -109,7 +109,7 @@
             self.task.cancel()
 
     async def _dial(self, address: str) -> None:
-        session = Session(session_roles.GATEWAY, self.gateway, self.limits.frame, self.limits.streams, greets=True)
+        session = Session(session_roles.GATEWAY, self.gateway, self.limits.frame, self.limits.streams, dialed=True)
         connection = MemberConnection(self.loop, session, self.limits.stall, address, self.listener)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
--- a/pebblehinge/replicated_config/operator_client.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -23,15 +23,15 @@
 
 
 class _Connection(Peer):
-    FRAMES = frozenset({Kind.TOLD})
+    ACCEPTED_KINDS = frozenset({Kind.TOLD})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        session = Session(session_roles.OPERATOR, session_roles.OPERATOR, MAX_FRAME_BYTES, MAX_STREAMS, greets=True)
+        session = Session(session_roles.OPERATOR, session_roles.OPERATOR, MAX_FRAME_BYTES, MAX_STREAMS, dialed=True)
         super().__init__(loop, session, STALL_MS)
         self.waiting: dict[int, asyncio.Future[MemberReply]] = {}
         self.tokens = itertools.count(1)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
         for future in self.waiting.values():
             if not future.done():
--- a/pebblehinge/rsync/transfer.py
+++ b/pebblehinge/rsync/transfer.py
@@ -25,7 +25,7 @@
     slot_of,
     split_path,
 )
-from pebblehinge.wire.frames import APPEND, APPENDED, READ, WRITE
+from pebblehinge.wire.frames import APPEND, APPEND_RESULT, READ, WRITE
 
 T = TypeVar("T")
 
@@ -150,7 +150,7 @@
             raise RequestRejectedError(text, EXIT_TIMEOUT)
         if answer.final != SUCCEEDED:
             return AppendAnswer(answer.final, None)
-        appended, _length = APPENDED.unpack(answer.data)
+        appended, _length = APPEND_RESULT.unpack(answer.data)
         return AppendAnswer(answer.final, bool(appended))
 
     # ---- files
--- a/pebblehinge/service/client_connection.py
+++ b/pebblehinge/service/client_connection.py
@@ -13,12 +13,12 @@
 import socket
 from typing import Any
 
-from pebblehinge.http1 import BODY_LIMIT, HttpError, HttpRequest, RequestParser, write_response
+from pebblehinge.http1 import MAX_REQUEST_BODY_BYTES, HttpError, HttpRequest, RequestParser, write_response
 from pebblehinge.service.client_request import ClientRequest, read_request
 from pebblehinge.service.context import Registry
 from pebblehinge.service.socket_state import is_peer_closed, is_readable
 
-AHEAD_LIMIT = 2 * BODY_LIMIT  # bytes of requests sent ahead; clients send one request at a time
+AHEAD_LIMIT = 2 * MAX_REQUEST_BODY_BYTES  # bytes of requests sent ahead; clients send one request at a time
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LIVE_TARGET = b"/health/live"
 READY_TARGET = b"/health/ready"
@@ -113,7 +113,7 @@
             except HttpError as error:
                 self.reject(error.status, str(error))
         if not self.closing and self.pending is None:
-            group = self.registry.incomplete if self.parser.partial else self.registry.idle
+            group = self.registry.incomplete if self.parser.has_partial_message else self.registry.idle
             if self.group is not group:
                 self.registry.move(self, group)
 
--- a/pebblehinge/service/client_request.py
+++ b/pebblehinge/service/client_request.py
@@ -53,14 +53,14 @@
     """A request that was admitted.
 
     Attributes:
-        conn: The `ClientConnection` that it came on.
+        origin: The `ClientConnection` that it came on.
         id: The client's id of it.
         head: Head of its attempts, up to the header that each attempt has of its own.
     """
 
     __slots__ = ("head",)
 
-    conn: Any
+    origin: Any
     id: str
     head: bytes
 
--- a/pebblehinge/service/connection_registry.py
+++ b/pebblehinge/service/connection_registry.py
@@ -87,11 +87,11 @@
         """Hand a request to the core, or reject it if too many are open."""
         context = self.context
         now = context.clock()
-        if context.core.open >= context.config.max_open:
+        if context.core.open_count >= context.config.max_open:
             conn.respond(503, extra_headers=retry_after(context.config.settings.stay_away_max_ms))
             return
         pending = ClientRequest()
-        pending.conn = conn
+        pending.origin = conn
         pending.id = parsed.id
         pending.volume = parsed.volume
         pending.units = parsed.units
@@ -118,7 +118,7 @@
 
     def answer(self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, data: bytes) -> None:
         """Write the final answer of a request, unless its client has gone."""
-        conn = cast(ClientConnection, pending.conn)
+        conn = cast(ClientConnection, pending.origin)
         if conn.pending is not pending:
             return
         if final is FinalStatus.SUCCEEDED:
@@ -132,7 +132,7 @@
         """Return whether an attempt may be begun for a request: it has no answer, and its client is there."""
         if pending.answered:
             return False
-        conn = cast(ClientConnection, pending.conn)
+        conn = cast(ClientConnection, pending.origin)
         if conn.is_client_gone():
             self.context.loop.call_soon(self._abort, conn)
             self.abandoned += 1
@@ -165,7 +165,7 @@
 
     def time_out_request(self, conn: ClientConnection) -> None:
         """End a connection whose next request has not come complete in time."""
-        if conn.parser.partial:
+        if conn.parser.has_partial_message:
             conn.reject(408, "the request did not come whole in time")
         else:
             self.unserved += 1
@@ -217,7 +217,7 @@
         """
         self.close_after_response = True
         for conn in [c for c in (*self.idle, *self.incomplete) if not c.has_unread()]:
-            if not conn.parser.partial:
+            if not conn.parser.has_partial_message:
                 self.unserved += conn.group is self.incomplete
                 conn.close()
             elif last:
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -138,7 +138,7 @@
         """Close everything at the end of the shutdown; `stopped` is done then."""
         self.listener.close()
         self._summarize()
-        self.log("stopped", open=self.core.open)
+        self.log("stopped", open=self.core.open_count)
         self.watch.stop()
         self.pools.stop()
         if not self.stopped.done():
@@ -150,7 +150,7 @@
         """Begin an attempt."""
         self.pools.send(cast(ClientRequest, pending), shelf, attempt, until_ms)
 
-    def drop_attempt(self, pending: PendingRequest) -> None:
+    def cancel_attempt(self, pending: PendingRequest) -> None:
         """Cancel the attempt that is out."""
         self.pools.cancel(pending.attempt)
 
@@ -158,7 +158,7 @@
         """Send the final answer."""
         self.registry.answer(pending, final, stay_ms, data)
 
-    def call_list(self, call: ListCall) -> None:
+    def call_discovery(self, call: ListCall) -> None:
         """Do nothing: the watch is always open."""
 
     def wake_at(self, at_ms: float) -> None:
--- a/pebblehinge/service/service_shutdown.py
+++ b/pebblehinge/service/service_shutdown.py
@@ -57,7 +57,7 @@
         context = self.context
         step_ms = self.shutdown.begin(context.clock(), context.late_ms, context.config.longest_wait_ms)
         if step_ms is not None:
-            context.log("draining", open=context.core.open, clients=context.registry.count)
+            context.log("draining", open=context.core.open_count, clients=context.registry.count)
             self._step_at(step_ms)
 
     def _step(self) -> None:
--- a/pebblehinge/service/summary.py
+++ b/pebblehinge/service/summary.py
@@ -21,9 +21,9 @@
     def increments(self) -> dict[str, int]:
         """Return by how much each counter has grown since the last call, but for those that have not."""
         sums: dict[str, int] = {
-            **self.core.counts.by_word(),
-            **{outcome.value: count for outcome, count in self.core.outcomes.items()},
-            **self.core.reasons,
+            **self.core.counts.by_label(),
+            **{outcome.value: count for outcome, count in self.core.outcome_counts.items()},
+            **self.core.reason_counts,
             "errors": self.registry.protocol_errors,
             **self.pools.responses,
         }
@@ -34,7 +34,7 @@
     def gauges(self, late_ms: float) -> dict[str, object]:
         """Return the present state; `late_ms` is the loop's lateness."""
         return {
-            "open": self.core.open,
+            "open": self.core.open_count,
             "in_flight": self.pools.attempts,
             "clients": self.registry.count,
             "incomplete": len(self.registry.incomplete),
--- a/pebblehinge/storage_node/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -13,7 +13,7 @@
 from pebblehinge.storage_node.errors import ControlError
 from pebblehinge.storage_node.requests import RequestHandler
 from pebblehinge.wire import Kind, Session, WireError
-from pebblehinge.wire.frames import PREFIX
+from pebblehinge.wire.frames import PREFIX_BYTES
 
 ROLE = "shelf"
 """The role of a storage node, in its greeting and in its event log."""
@@ -60,11 +60,11 @@
         is_half_open: Whether nothing is read or written any more, though the connection stands.
     """
 
-    FRAMES = frozenset({Kind.TRIP, Kind.RECALL, Kind.CONTROL})
+    ACCEPTED_KINDS = frozenset({Kind.TRIP, Kind.RECALL, Kind.CONTROL})
 
     def __init__(self, context: ConnectionContext) -> None:
         limits = context.limits
-        session = Session(ROLE, context.name, limits.frame, limits.streams, greets=False)
+        session = Session(ROLE, context.name, limits.frame, limits.streams, dialed=False)
         super().__init__(context.loop, session, limits.stall, limits.keepalive)
         self.context = context
         self.attempts: dict[int, Attempt] = {}
@@ -92,11 +92,11 @@
         if not self.is_half_open:
             super().data_received(data)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """Forgets the connection."""
         self.context.connections.pop(self, None)
 
-    def batch(self) -> None:
+    def on_batch_start(self) -> None:
         """Reads the clock once for all frames that came together."""
         self.context.requests.read_clock()
 
@@ -157,6 +157,6 @@
         network = self.context.requests.network
         if network.occurs(network.garbled_frames) and self.is_gateway:
             garbled = bytearray(data)
-            garbled[network.rng.randrange(PREFIX, len(garbled))] ^= GARBLED_BIT
+            garbled[network.rng.randrange(PREFIX_BYTES, len(garbled))] ^= GARBLED_BIT
             data = bytes(garbled)
         super()._write(data)
--- a/pebblehinge/storage_node/registration.py
+++ b/pebblehinge/storage_node/registration.py
@@ -48,11 +48,11 @@
         super().__init__(registration.loop, session, registration.limits.stall)
         self.registration = registration
 
-    def ready(self) -> None:
+    def on_ready(self) -> None:
         """Registers the storage node."""
         self.registration.on_ready(self)
 
-    def gone(self, exc: Exception | None) -> None:
+    def on_disconnect(self, exc: Exception | None) -> None:
         """Connects again later."""
         self.registration.on_lost(self)
 
@@ -129,7 +129,7 @@
             self._reconnect_timer = self.loop.call_later(RECONNECT_S, self.start)
 
     async def _connect(self) -> None:
-        session = Session(ROLE, self._node.name, self.limits.frame, self.limits.streams, greets=True)
+        session = Session(ROLE, self._node.name, self.limits.frame, self.limits.streams, dialed=True)
         try:
             host, port = parse_address(self._address)
             await self.loop.create_connection(lambda: RegistrationConnection(self, session), host, port)
--- a/pebblehinge/storage_node/requests.py
+++ b/pebblehinge/storage_node/requests.py
@@ -11,7 +11,7 @@
 from pebblehinge.storage_node.job import Job
 from pebblehinge.storage_node.machine import NEVER_MS
 from pebblehinge.storage_node.simulation import Simulation
-from pebblehinge.wire.frames import APPEND, APPENDED, WRITE
+from pebblehinge.wire.frames import APPEND, APPEND_RESULT, WRITE
 
 UNSEEN_RESETS = 0.5
 """The part of the resets that come before the attempt is seen; the others come before its response."""
@@ -171,7 +171,7 @@
             self.effects.apply(attempt, self.now)
         elif attempt.operation == APPEND:
             is_appended = self.effects.apply(attempt, self.now)
-            data = APPENDED.pack(is_appended, self.contents.length(attempt.extent))
+            data = APPEND_RESULT.pack(is_appended, self.contents.length(attempt.extent))
         else:
             data = self.contents.read(attempt.extent, attempt.offset, attempt.length)
             self.events.note(self.now, "read", id=attempt.request_id, n=attempt.attempt)
--- a/pebblehinge/wait_accounting/accounting.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -19,9 +19,9 @@
 from pebblehinge.wait_accounting.causes import GATEWAY, OTHERS, OWN_WORK, RETRIES, CauseKind, WaitCause
 
 MAX_PAIRS = 12_288  # five causes of 2,000 volumes and some: 1.5 MB
-MERGED_PART = 4  # one in so many pairs is merged when there are too many
-USUAL_GAIN = 0.02  # how far one attempt moves the usual time
-REPORTED_CAUSES = 8  # lines of a report
+MERGE_DIVISOR = 4  # one in so many pairs is merged when there are too many
+TYPICAL_TIME_STEP = 0.02  # how far one attempt moves the usual time
+MAX_REPORTED_CAUSES = 8  # lines of a report
 MERGED_VOLUME = "others"  # stands for the volumes whose merged time was merged once more
 
 
@@ -50,7 +50,7 @@
 class NodeWaits:
     """One storage node: requests queued for it by volume, attempts in flight by key, both as of a clock time."""
 
-    queued: dict[str, int] = field(default_factory=dict)
+    queued_by_volume: dict[str, int] = field(default_factory=dict)
     in_flight: dict[int, TrackedAttempt] = field(default_factory=dict)
     as_of_ms: float = 0.0
 
@@ -69,7 +69,7 @@
 
     cause: WaitCause
     ms: float
-    part: float
+    fraction: float
 
 
 class WaitAccounting:
@@ -87,37 +87,37 @@
     def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
         self.max_pairs = max_pairs
         self.nodes: dict[str, NodeWaits] = {}
-        self.tracked: dict[int, TrackedRequest] = {}
-        self.usual_ms = 0.0
+        self.tracked_requests: dict[int, TrackedRequest] = {}
+        self.typical_ms = 0.0
         self.waits: dict[tuple[str, WaitCause], float] = {}
         self.requests: dict[str, int] = {}
 
     # ---- what happens to requests
 
-    def queued(self, now: float, key: int, volume: str, node: str, units: float) -> None:
+    def enqueue(self, now: float, key: int, volume: str, node: str, units: float) -> None:
         """A request is queued for a node from now on."""
         waits = self._advance(now, node)
-        waits.queued[volume] = waits.queued.get(volume, 0) + 1
-        if key not in self.tracked:
+        waits.queued_by_volume[volume] = waits.queued_by_volume.get(volume, 0) + 1
+        if key not in self.tracked_requests:
             self.requests[volume] = self.requests.get(volume, 0) + 1
-        self.tracked[key] = TrackedRequest(node, volume, units)
+        self.tracked_requests[key] = TrackedRequest(node, volume, units)
 
-    def sent(self, now: float, key: int, first: bool) -> None:
+    def start_attempt(self, now: float, key: int, first: bool) -> None:
         """An attempt of a queued request is sent to its node."""
-        node, volume, units = self.tracked[key]
+        node, volume, units = self.tracked_requests[key]
         waits = self._advance(now, node)
         _dequeue(waits, volume)
         waits.in_flight[key] = TrackedAttempt(volume, units, now, first)
 
-    def attempt_ended(self, now: float, key: int) -> None:
+    def end_attempt(self, now: float, key: int) -> None:
         """The attempt in flight has an outcome; its time is charged."""
-        node, volume, _ = self.tracked[key]
+        node, volume, _ = self.tracked_requests[key]
         attempt = self._advance(now, node).in_flight.pop(key)
         took = now - attempt.since
         size = (1.0 + attempt.units) / 2.0
         others = sum(attempt.shared.values())
         own = took - others
-        usual = self.usual_ms * size if self.usual_ms else own
+        usual = self.typical_ms * size if self.typical_ms else own
         # A node that serves several at once loses nobody time up to the usual: that much is its own work.
         charged = max(own, min(took, usual))
         for other, ms in attempt.shared.items():
@@ -131,35 +131,35 @@
         self._add(volume, WaitCause.node(node), late)
         self._learn(own / size)
 
-    def request_ended(self, now: float, key: int) -> None:
+    def end_request(self, now: float, key: int) -> None:
         """The request is over, whether it was queued or in flight; one that isn't tracked is ignored."""
-        known = self.tracked.get(key)
+        known = self.tracked_requests.get(key)
         if known is None:
             return
         waits = self._advance(now, known.node)
         if key in waits.in_flight:
-            self.attempt_ended(now, key)
+            self.end_attempt(now, key)
         else:
             _dequeue(waits, known.volume)
-        del self.tracked[key]
+        del self.tracked_requests[key]
 
     def forget(self, key: int) -> None:
         """Its attempt has ended and nothing follows."""
-        self.tracked.pop(key, None)
+        self.tracked_requests.pop(key, None)
 
-    def retain(self, nodes: Container[str]) -> None:
+    def retain_nodes(self, nodes: Container[str]) -> None:
         """Forgets the nodes that aren't among these any more, once nothing is queued or in flight there."""
-        for name in [n for n, w in self.nodes.items() if n not in nodes and not w.queued and not w.in_flight]:
+        for name in [n for n, w in self.nodes.items() if n not in nodes and not w.queued_by_volume and not w.in_flight]:
             del self.nodes[name]
 
     # ---- the arithmetic
 
     def _learn(self, unit_ms: float) -> None:
         """Moves the usual time, to the lower part of what attempts take: one slow node of many must not set it."""
-        if not self.usual_ms:
-            self.usual_ms = unit_ms
+        if not self.typical_ms:
+            self.typical_ms = unit_ms
             return
-        self.usual_ms += USUAL_GAIN * self.usual_ms * (0.5 if unit_ms > self.usual_ms else -0.5)
+        self.typical_ms += TYPICAL_TIME_STEP * self.typical_ms * (0.5 if unit_ms > self.typical_ms else -0.5)
 
     def _advance(self, now: float, node: str) -> NodeWaits:
         """Charges the time that has passed at a node: each request queued waited for each in flight, in equal parts."""
@@ -179,7 +179,7 @@
                     attempt.shared[other.volume] = attempt.shared.get(other.volume, 0.0) + passed / parts
 
     def _charge_queued(self, waits: NodeWaits, passed: float) -> None:
-        for volume, count in waits.queued.items():
+        for volume, count in waits.queued_by_volume.items():
             ms = passed * count
             if not waits.in_flight:
                 self._add(volume, GATEWAY, ms)
@@ -197,8 +197,8 @@
 
     def _merge_least(self) -> None:
         """Merges the smallest pairs, each into its volume's OTHERS; those that are such, into one for all volumes."""
-        by_size = sorted(self.waits, key=lambda pair: (self.waits[pair], pair[0], pair[1].word))
-        for volume, cause in by_size[: max(1, self.max_pairs // MERGED_PART)]:
+        by_size = sorted(self.waits, key=lambda pair: (self.waits[pair], pair[0], pair[1].label))
+        for volume, cause in by_size[: max(1, self.max_pairs // MERGE_DIVISOR)]:
             ms = self.waits.pop((volume, cause))
             into = (MERGED_VOLUME if cause.kind is CauseKind.OTHERS else volume, OTHERS)
             self.waits[into] = self.waits.get(into, 0.0) + ms
@@ -209,7 +209,7 @@
         """Where a volume's time went, the largest share first; an attempt still in flight is not in it yet."""
         rows = [(cause, ms) for (waiter, cause), ms in self.waits.items() if waiter == volume]
         total = sum(ms for _, ms in rows) or 1.0
-        return [WaitShare(cause, ms, ms / total) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0].word))]
+        return [WaitShare(cause, ms, ms / total) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0].label))]
 
     def report(self, volume: str) -> list[str]:
         """The same as lines of text: a summary, then one line for each of the largest shares."""
@@ -219,13 +219,13 @@
             return [f"volume {volume}: nothing of it has ended here yet"]
         each = max(1, count)
         lines = [f"volume {volume}: {count} accesses, {sum(s.ms for s in shares) / each:.0f} ms each"]
-        for share in shares[:REPORTED_CAUSES]:
-            lines.append(f"  {share.part:4.0%}  {share.ms / each:8.1f} ms each  {share.cause.describe(volume)}")
+        for share in shares[:MAX_REPORTED_CAUSES]:
+            lines.append(f"  {share.fraction:4.0%}  {share.ms / each:8.1f} ms each  {share.cause.describe(volume)}")
         return lines
 
 
 def _dequeue(waits: NodeWaits, volume: str) -> None:
     """One request of a volume is queued no more."""
-    waits.queued[volume] -= 1
-    if not waits.queued[volume]:
-        del waits.queued[volume]
+    waits.queued_by_volume[volume] -= 1
+    if not waits.queued_by_volume[volume]:
+        del waits.queued_by_volume[volume]
--- a/pebblehinge/wait_accounting/causes.py
+++ b/pebblehinge/wait_accounting/causes.py
@@ -34,7 +34,7 @@
         return cls(CauseKind.VOLUME, name)
 
     @property
-    def word(self) -> str:
+    def label(self) -> str:
         """The cause in a word or two, for reports and as the order of causes of the same size."""
         if self.kind is CauseKind.VOLUME:
             return self.name
@@ -47,7 +47,7 @@
             waiter: Name of the volume that waited.
         """
         if self.kind is CauseKind.NODE:
-            return f"{self.word}, beyond what such trips usually take"
+            return f"{self.label}, beyond what such trips usually take"
         if self.kind is CauseKind.VOLUME:
             own = self.name == waiter
             return "waiting behind its own accesses" if own else f"waiting behind volume {self.name}"
--- a/pebblehinge/wire/__init__.py
+++ b/pebblehinge/wire/__init__.py
@@ -4,8 +4,8 @@
 `session` adds the greeting.
 """
 
-from pebblehinge.wire.frames import Frames, WireError, encode
+from pebblehinge.wire.frames import FrameDecoder, WireError, encode
 from pebblehinge.wire.kinds import Kind
 from pebblehinge.wire.session import Session
 
-__all__ = ["Frames", "Kind", "Session", "WireError", "encode"]
+__all__ = ["FrameDecoder", "Kind", "Session", "WireError", "encode"]
--- a/pebblehinge/wire/frames.py
+++ b/pebblehinge/wire/frames.py
@@ -12,27 +12,27 @@
 import msgspec
 import xxhash
 
-from pebblehinge.wire.kinds import SHAPES, Kind
+from pebblehinge.wire.kinds import VALUE_TYPES, Kind
 
-HEADER = struct.Struct(">II")
+FRAME_HEADER = struct.Struct(">II")
 """Length and checksum of a frame."""
 
 LENGTH_BYTES = 4
 """Bytes of a frame's length, the first part of its header."""
 
-PREFIX = HEADER.size
+PREFIX_BYTES = FRAME_HEADER.size
 """Bytes of a frame before its kind."""
 
-SMALLEST = 2
+MIN_BODY_BYTES = 2
 """The least length of a frame: a kind and an empty array."""
 
 READ, WRITE, APPEND, BARRIER, FLUSH = range(5)
 """The operation that TAKE and TRIP ask for, as its number on the wire."""
 
-APPENDED = struct.Struct(">BQ")
+APPEND_RESULT = struct.Struct(">BQ")
 """The bytes of an append's answer: whether the bytes were appended, and the extent's length."""
 
-_DECODERS = {int(kind): (kind, msgspec.msgpack.Decoder(shape)) for kind, shape in SHAPES.items()}
+_DECODERS = {int(kind): (kind, msgspec.msgpack.Decoder(shape)) for kind, shape in VALUE_TYPES.items()}
 _KIND_BYTES = {kind: bytes([kind]) for kind in Kind}
 _encode_values = msgspec.msgpack.Encoder().encode
 
@@ -44,10 +44,10 @@
 def encode(kind: Kind, *values: Any) -> bytes:
     """Encodes one frame; `values` are of the types that `SHAPES` names for the kind."""
     body = _KIND_BYTES[kind] + _encode_values(values)
-    return HEADER.pack(len(body), xxhash.xxh32_intdigest(body)) + body
+    return FRAME_HEADER.pack(len(body), xxhash.xxh32_intdigest(body)) + body
 
 
-class Frames:
+class FrameDecoder:
     """Cuts a stream of bytes into frames.
 
     Holds at most one incomplete frame within the limit, and what the last `feed` brought.
@@ -58,16 +58,16 @@
         at: Where in `buffer` the next frame begins.
     """
 
-    def __init__(self, limit: int) -> None:
-        self.limit = limit
+    def __init__(self, max_frame_bytes: int) -> None:
+        self.max_frame_bytes = max_frame_bytes
         self.buffer = bytearray()
-        self.at = 0
+        self.offset = 0
 
     def feed(self, data: bytes) -> None:
         """Adds bytes as they were received."""
-        if self.at:
-            del self.buffer[: self.at]
-            self.at = 0
+        if self.offset:
+            del self.buffer[: self.offset]
+            self.offset = 0
         self.buffer += data
 
     def next(self) -> tuple[Kind, tuple[Any, ...]] | None:
@@ -76,20 +76,22 @@
         Raises:
             WireError: The frame is not allowed, and the stream can't be read further.
         """
-        available = len(self.buffer) - self.at
+        available = len(self.buffer) - self.offset
         if available < LENGTH_BYTES:
             return None
-        length = int.from_bytes(self.buffer[self.at : self.at + LENGTH_BYTES], "big")
-        if length > self.limit:  # known from the first four bytes: nothing of the frame is awaited or buffered
-            raise WireError(f"a frame of {length} bytes is announced: at most {self.limit} are taken")
-        if length < SMALLEST:
-            raise WireError(f"a frame of {length} bytes is announced: at least {SMALLEST} are needed")
-        if available < PREFIX + length:
+        length = int.from_bytes(self.buffer[self.offset : self.offset + LENGTH_BYTES], "big")
+        if (
+            length > self.max_frame_bytes
+        ):  # known from the first four bytes: nothing of the frame is awaited or buffered
+            raise WireError(f"a frame of {length} bytes is announced: at most {self.max_frame_bytes} are taken")
+        if length < MIN_BODY_BYTES:
+            raise WireError(f"a frame of {length} bytes is announced: at least {MIN_BODY_BYTES} are needed")
+        if available < PREFIX_BYTES + length:
             return None
-        start = self.at + PREFIX
+        start = self.offset + PREFIX_BYTES
         body = bytes(self.buffer[start : start + length])
-        checksum = int.from_bytes(self.buffer[self.at + LENGTH_BYTES : start], "big")
-        self.at = start + length
+        checksum = int.from_bytes(self.buffer[self.offset + LENGTH_BYTES : start], "big")
+        self.offset = start + length
         if xxhash.xxh32_intdigest(body) != checksum:
             raise WireError("the checksum of a frame is wrong: it was damaged on the way")
         return _decode(body)
--- a/pebblehinge/wire/kinds.py
+++ b/pebblehinge/wire/kinds.py
@@ -52,7 +52,7 @@
 ENDPOINT_ROW = tuple[str, str, str, int, float]
 """A row of LIST: storage node, address, state, placement slot, milliseconds since its start or -1 for long ago."""
 
-SHAPES: dict[Kind, Any] = {
+VALUE_TYPES: dict[Kind, Any] = {
     Kind.HELLO: tuple[str, int, int, str, str, int, int],
     Kind.ERROR: tuple[str],
     Kind.PING: tuple[int],
--- a/pebblehinge/wire/session.py
+++ b/pebblehinge/wire/session.py
@@ -4,22 +4,22 @@
 
 from typing import Any
 
-from pebblehinge.wire.frames import Frames, WireError, encode
+from pebblehinge.wire.frames import FrameDecoder, WireError, encode
 from pebblehinge.wire.kinds import Kind
 
 MAGIC = "pebblehinge"
 """The first value of a greeting, by which the protocol is known."""
 
-OLDEST, NEWEST = 1, 1
+OLDEST_VERSION, NEWEST_VERSION = 1, 1
 """The versions of the protocol that are spoken here."""
 
-GREETING_LIMIT = 1024
+MAX_GREETING_BYTES = 1024
 """Bytes of a frame that a peer may announce before its greeting was accepted; also the least limit it may name."""
 
-MAX_NAME_LENGTH = 200
+MAX_NAME_CHARS = 200
 """Characters of this side's name that a greeting carries."""
 
-MAX_QUOTED_MAGIC = 20
+MAX_QUOTED_MAGIC_CHARS = 20
 """Characters of a wrong magic value that the text of its error repeats."""
 
 
@@ -39,27 +39,29 @@
         peer_streams: How many open requests the other end allows.
     """
 
-    def __init__(self, role: str, name: str, limit: int, streams: int, *, greets: bool) -> None:
+    def __init__(self, role: str, name: str, max_frame_bytes: int, max_streams: int, *, dialed: bool) -> None:
         self.role = role
         self.name = name
-        self.limit = limit
-        self.streams = streams
-        self.greets = greets
-        self.frames = Frames(GREETING_LIMIT)
+        self.max_frame_bytes = max_frame_bytes
+        self.max_streams = max_streams
+        self.dialed = dialed
+        self.decoder = FrameDecoder(MAX_GREETING_BYTES)
         self.version: int | None = None
         self.peer_role = ""
         self.peer_name = ""
-        self.peer_limit = 0
-        self.peer_streams = 0
+        self.peer_max_frame_bytes = 0
+        self.peer_max_streams = 0
 
-    def opening(self) -> bytes:
+    def encode_greeting(self) -> bytes:
         """Returns this end's greeting, encoded."""
-        name = self.name[:MAX_NAME_LENGTH]
-        return encode(Kind.HELLO, MAGIC, OLDEST, NEWEST, self.role, name, self.limit, self.streams)
+        name = self.name[:MAX_NAME_CHARS]
+        return encode(
+            Kind.HELLO, MAGIC, OLDEST_VERSION, NEWEST_VERSION, self.role, name, self.max_frame_bytes, self.max_streams
+        )
 
     def feed(self, data: bytes) -> None:
         """Adds bytes as they were received."""
-        self.frames.feed(data)
+        self.decoder.feed(data)
 
     def next(self) -> tuple[Kind, tuple[Any, ...]] | None:
         """Returns the next frame, or None if it is not complete yet.
@@ -70,12 +72,12 @@
         Raises:
             WireError: A frame that is not allowed, or not at this time.
         """
-        frame = self.frames.next()
+        frame = self.decoder.next()
         if frame is None:
             return None
         kind, values = frame
         if self.version is None:
-            if kind is Kind.ERROR and self.greets:
+            if kind is Kind.ERROR and self.dialed:
                 return frame
             if kind is not Kind.HELLO:
                 raise WireError(f"{kind.name} before HELLO")
@@ -85,18 +87,22 @@
         return frame
 
     def _accept_greeting(
-        self, magic: str, oldest: int, newest: int, role: str, name: str, limit: int, streams: int
+        self, magic: str, oldest: int, newest: int, role: str, name: str, max_frame_bytes: int, max_streams: int
     ) -> None:
         if magic != MAGIC:
-            raise WireError(f"HELLO says {magic[:MAX_QUOTED_MAGIC]!r}: expected {MAGIC!r}")
-        version = min(newest, NEWEST)
-        if version < max(oldest, OLDEST):
-            raise WireError(f"versions {oldest} to {newest} are offered: {OLDEST} to {NEWEST} are spoken here")
-        if limit < GREETING_LIMIT or streams < 1:
-            raise WireError(f"limits of {limit} bytes and {streams} streams: at least {GREETING_LIMIT} and 1")
+            raise WireError(f"HELLO says {magic[:MAX_QUOTED_MAGIC_CHARS]!r}: expected {MAGIC!r}")
+        version = min(newest, NEWEST_VERSION)
+        if version < max(oldest, OLDEST_VERSION):
+            raise WireError(
+                f"versions {oldest} to {newest} are offered: {OLDEST_VERSION} to {NEWEST_VERSION} are spoken here"
+            )
+        if max_frame_bytes < MAX_GREETING_BYTES or max_streams < 1:
+            raise WireError(
+                f"limits of {max_frame_bytes} bytes and {max_streams} streams: at least {MAX_GREETING_BYTES} and 1"
+            )
         self.version = version
         self.peer_role = role
         self.peer_name = name
-        self.peer_limit = limit
-        self.peer_streams = streams
-        self.frames.limit = self.limit
+        self.peer_max_frame_bytes = max_frame_bytes
+        self.peer_max_streams = max_streams
+        self.decoder.max_frame_bytes = self.max_frame_bytes
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -12,12 +12,12 @@
 from raft_messages import message_of, places
 
 from pebblehinge.raft.codec import decode_message, encode_message
-from pebblehinge.wire import Frames, Kind, Session, WireError, encode
+from pebblehinge.wire import FrameDecoder, Kind, Session, WireError, encode
 
 
 def check_frame(row: dict[str, Any]) -> None:
     """Reads the saved bytes, compares their values, writes the values and compares the bytes."""
-    frames = Frames(1 << 20)
+    frames = FrameDecoder(1 << 20)
     frames.feed(bytes.fromhex(row["bytes"]))
     frame = frames.next()
     assert frame is not None
@@ -49,8 +49,8 @@
 
 def test_the_greeting_and_what_comes_too_early_are_answered_as_before() -> None:
     expected = saved("frames")
-    assert Session("client", "c-1", 1 << 20, 64, greets=True).opening().hex() == expected["opening"]
-    session = Session("head", "h1", 4096, 8, greets=False)
+    assert Session("client", "c-1", 1 << 20, 64, dialed=True).encode_greeting().hex() == expected["opening"]
+    session = Session("head", "h1", 4096, 8, dialed=False)
     session.feed(encode(Kind.PING, 1))
     with pytest.raises(WireError) as refused:
         session.next()
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -29,14 +29,14 @@
 from pebblehinge.store.disk import RealDisk
 from pebblehinge.store.journal import Journal
 from pebblehinge.store.records import Barrier, Done, Write
-from pebblehinge.wire import Frames, Kind, Session, WireError, encode
+from pebblehinge.wire import FrameDecoder, Kind, Session, WireError, encode
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 def refused_frame(kind: int, *values: Any) -> str:
     """What a peer is told of a frame with these values."""
-    frames = Frames(1 << 20)
+    frames = FrameDecoder(1 << 20)
     frames.feed(encode(Kind(kind), *values))
     try:
         frames.next()
@@ -51,13 +51,13 @@
         rows.append({"kind": number, "values": plain(values), "bytes": encode(Kind(number), *values).hex(),
                      "refused": refused_frame(number, *([None] * len(values)))})  # fmt: skip
     assert sorted({row["kind"] for row in rows}) == sorted(Kind)
-    session = Session("head", "h1", 4096, 8, greets=False)
+    session = Session("head", "h1", 4096, 8, dialed=False)
     session.feed(encode(Kind.PING, 1))
     try:
         session.next()
     except WireError as error:
         early = str(error)
-    opening = Session("client", "c-1", 1 << 20, 64, greets=True).opening().hex()
+    opening = Session("client", "c-1", 1 << 20, 64, dialed=True).encode_greeting().hex()
     save("frames", {"frames": rows, "opening": opening, "before_greeting": early})
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -140,10 +140,10 @@
 
 
 class ScriptConn(Peer):
-    FRAMES = frozenset({Kind.TRIP, Kind.RECALL})
+    ACCEPTED_KINDS = frozenset({Kind.TRIP, Kind.RECALL})
 
     def __init__(self, shelf: ScriptShelf) -> None:
-        super().__init__(shelf.loop, Session("shelf", shelf.name, 1 << 20, 64, greets=False), 5000.0)
+        super().__init__(shelf.loop, Session("shelf", shelf.name, 1 << 20, 64, dialed=False), 5000.0)
         self.shelf = shelf
 
     def connection_made(self, transport: Any) -> None:
@@ -203,14 +203,14 @@
     async def start_head(self, core: type[GatewayCore] = GatewayCore) -> None:
         self.head = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
         await self.head.start()
-        await until(lambda: len(self.head.core.module.shelfs.at_slot) == len(self.shelfs))
+        await until(lambda: len(self.head.core.scheduler.shelfs.at_slot) == len(self.shelfs))
 
     def kill_head(self) -> None:
         """As SIGKILL does: the system closes its sockets, nothing is said."""
         self.head.listener.close()
         self.head.discovery.close()
         for conn in self.head.conns:
-            conn.gone = lambda exc: None  # type: ignore[method-assign]
+            conn.on_disconnect = lambda exc: None  # type: ignore[method-assign]
             conn.abort()
         for link in self.head.links.values():
             link.ended = lambda *_: None
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -141,7 +141,7 @@
                 lambda: pending.attempt is token and self.core.ended(self.now, pending, attempt, Outcome.NOT_SENT, 0.0),
             )
             return
-        assert not pending.conn.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
+        assert not pending.origin.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
         outcome = self.rng.choices(*zip(*ENDS, strict=True))[0]
         when = until_ms if outcome is Outcome.TIMED_OUT else min(until_ms, self.now + self.rng.expovariate(0.004))
 
@@ -152,12 +152,12 @@
 
         self.at(when, ends)
 
-    def drop_attempt(self, pending: PendingRequest) -> None:
+    def cancel_attempt(self, pending: PendingRequest) -> None:
         self.risky.add(pending.id)
 
     def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
-        assert self.now <= pending.request.deadline_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
-        if final is FinalStatus.REJECTED and pending.request.request_class.name == "save":  # type: ignore[union-attr]
+        assert self.now <= pending.handle.deadline_ms + 2 * LATE_MS, "late"  # type: ignore[union-attr]
+        if final is FinalStatus.REJECTED and pending.handle.request_class.name == "save":  # type: ignore[union-attr]
             assert pending.attempt is None and pending.id not in self.risky, "rule 2"
         self.registry.answer(pending, final, stay_ms, data)
 
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -31,7 +31,7 @@
 from pebblehinge.rsync.transfer_scheduler import TransferScheduler
 from pebblehinge.rsync.tree import Directory, block_extent
 from pebblehinge.settings.schema import ModuleBlock
-from pebblehinge.wire.frames import APPENDED
+from pebblehinge.wire.frames import APPEND_RESULT
 
 CONCURRENCY_LIMIT = 8 << 20  # bytes that one input may make a decoder give
 
@@ -129,7 +129,7 @@
         elif op == 1 or len(held) == offset:
             held[offset : offset + len(data)] = data
         if op == 2:
-            done.data = APPENDED.pack(len(held) == offset + len(data), len(held))
+            done.data = APPEND_RESULT.pack(len(held) == offset + len(data), len(held))
         return done
 
     def admits(self, module: str) -> str | None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -178,8 +178,8 @@
         for n in range(60):
             rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
             head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
-            head.core.wait_accounting.queued(rig.clock(), n, "v", f"n{n}", 1.0)
-            head.core.wait_accounting.request_ended(rig.clock(), n)
+            head.core.wait_accounting.enqueue(rig.clock(), n, "v", f"n{n}", 1.0)
+            head.core.wait_accounting.end_request(rig.clock(), n)
             view.snapshot()
         assert max(len(head.links), len(view.health), len(head.core.wait_accounting.nodes)) < 12
 
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -31,7 +31,7 @@
 def at_rest(rig: Rig) -> bool:
     head, registry = rig.head, rig.head.registry
     held = (
-        head.core.open,
+        head.core.open_count,
         head.core.pending,
         registry.ids,
         head.pools.attempts,
@@ -67,7 +67,7 @@
                 pass
             ends(raw, how)
             await asyncio.sleep(0.01)
-            await until(lambda: rig.head.registry.count <= 1 and not rig.head.core.open)
+            await until(lambda: rig.head.registry.count <= 1 and not rig.head.core.open_count)
         assert len(rig.shelfs[0].asked) == 1
         assert rig.head.core.counts.client_gone == rig.head.core.counts.received - 1
 
@@ -122,7 +122,7 @@
         await until(lambda: rig.shelfs[1].asked)
         assert conn.transport.get_write_buffer_size()
         raw.shutdown(socket.SHUT_WR)
-        await until(lambda: rig.head.core.open == 0 and not rig.head.registry.ids, 1.5)
+        await until(lambda: rig.head.core.open_count == 0 and not rig.head.registry.ids, 1.5)
         assert rig.head.registry.count == 1
         await until(lambda: rig.shelfs[1].conns[0].lost)
         raw.close()
@@ -150,11 +150,11 @@
         stay = callers[-2:]
         for raw in callers[:-2]:
             raw.close()
-        await until(lambda: rig.head.core.open <= 2)
+        await until(lambda: rig.head.core.open_count <= 2)
         assert [await status(raw) for raw in stay] == [b"200", b"200"]
         assert len(rig.shelfs[0].asked) <= sent + 3
-        assert not rig.head.core.pending and not rig.head.core.module.dispatcher.limits.queues.rows
-        assert not any(rig.head.core.module.shelfs.queued) and not any(rig.head.core.module.shelfs.in_flight)
+        assert not rig.head.core.pending and not rig.head.core.scheduler.dispatcher.limits.queues.rows
+        assert not any(rig.head.core.scheduler.shelfs.queued) and not any(rig.head.core.scheduler.shelfs.in_flight)
 
     on_rig(script, settings=read_settings(platform_settings))
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -159,6 +159,8 @@
         more = {"profile": "look", "slot": 0, "units": units, "patience_ms": patience}
         ends = [await client.read(volume, f"x{n}", 1, **more) for n in range(4)]
         assert any(why in e.reason for e in ends if e.final == "pushed back"), [e.reason for e in ends]
-        assert set(rig.head.core.reasons) and sum(rig.head.core.reasons.values()) == sum(not e.succeeded for e in ends)
+        assert set(rig.head.core.reason_counts) and sum(rig.head.core.reason_counts.values()) == sum(
+            not e.succeeded for e in ends
+        )
 
     on_rig(script, "", FLEET)
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -33,7 +33,7 @@
         pending.attempt = (pending, attempt, until_ms)
         self.out.append(pending.attempt)
 
-    def drop_attempt(self, pending: Any) -> None:
+    def cancel_attempt(self, pending: Any) -> None:
         self.out.remove(pending.attempt)
 
     def answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
@@ -42,7 +42,7 @@
     def wake_at(self, at_ms: float) -> None:
         self.wake = min(self.wake, at_ms)
 
-    def call_list(self, call: Any) -> None:
+    def call_discovery(self, call: Any) -> None:
         self.faults.append("a list that is pushed was asked for")
 
 
@@ -116,8 +116,10 @@
     pass_until(now + 5000.0)
     told = {i: doing.finals[i] for i in range(1, count + 1)}
     faults = doing.faults + [f"{i}: {n} answers" for i, n in told.items() if n != (i not in left)]
-    if core.pending or core.open or core.bytes:
-        faults.append(f"{len(core.pending)} kept, {core.open} open, {core.bytes} bytes after all had ended")
+    if core.pending or core.open_count or core.payload_bytes:
+        faults.append(
+            f"{len(core.pending)} kept, {core.open_count} open, {core.payload_bytes} bytes after all had ended"
+        )
     return faults, core, doing
 
 
@@ -126,16 +128,16 @@
     for seed in range(RUNS):
         faults, core, _ = through_the_core(seed, GatewayCore)
         assert not faults, f"seed {seed}: {faults}"
-        met.update(core.counts.by_word())
-        met.update({o.value: n for o, n in core.outcomes.items()})
+        met.update(core.counts.by_label())
+        met.update({o.value: n for o, n in core.outcome_counts.items()})
     assert min(met[k] for k in ("honoured", "pushed back", "terminated", "left", "refused")) > 100, met
     assert min(met[o.value] for o in Outcome) > 50, met
 
 
 def test_a_core_that_keeps_what_is_over_is_caught() -> None:
     class Keeps(GatewayCore):
-        def _forget(self, pending: Any) -> None:
+        def _remove_if_finished(self, pending: Any) -> None:
             if pending.key % 7:
-                super()._forget(pending)
+                super()._remove_if_finished(pending)
 
     assert "kept" in through_the_core(0, Keeps)[0][-1]
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -73,9 +73,9 @@
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask())
         rig.discovery.conns[0].tell(listing(2, entry("s0", rig.shelfs[0].port, 0, state), full=False))
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 not in rig.head.core.scheduler.shelfs.at_slot)
         await nothing_is_sent(rig, gate)
-        assert (await client.answer()).status == 503 and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
+        assert (await client.answer()).status == 503 and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
         await until(lambda: rig.shelfs[0].conns[0].lost)  # no connection to it is kept
 
     on_rig(script)
@@ -116,7 +116,7 @@
 def test_an_attempt_that_is_over_by_then_is_not_sent_and_its_connection_is_kept() -> None:
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask(X_Deadline_Ms="100"))
-        assert (await client.answer()).status == 503 and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
+        assert (await client.answer()).status == 503 and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
         await nothing_is_sent(rig, gate)
         assert len(rig.head.pools.table["s0"].idle) == 1
 
@@ -127,7 +127,7 @@
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask(X_Deadline_Ms="600"))
         assert (await client.answer()).status == 503
-        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.shelfs[0].asked
+        assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] >= 1 and not rig.shelfs[0].asked
         assert rig.head.pools.attempts == rig.head.pools.dialling == 0
         gate.opens.set()
         await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
@@ -198,7 +198,7 @@
         await loop.sock_sendall(first, ERROR)
         second, _ = await loop.sock_accept(raw)  # nobody reads there
         assert (await client.answer()).status == 503
-        assert len(sent) == 1 and not sent[0].written and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
+        assert len(sent) == 1 and not sent[0].written and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
         assert rig.head.pools.connections == 0 and rig.head.clock() < sent[0].until_ms
         for sock in (first, second, raw):
             sock.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -40,7 +40,7 @@
         await until(lambda: not shelfs.attempts and not shelfs.dialling)
         kept = len(shelfs.table["s0"].idle)
         await until(lambda: shelfs.connections == kept)
-        assert rig.head.core.outcomes[Outcome.SUCCEEDED] == (answer.status == 200)
+        assert rig.head.core.outcome_counts[Outcome.SUCCEEDED] == (answer.status == 200)
 
     on_rig(script, connect_ms=30.0)
 
@@ -62,7 +62,9 @@
             await until(lambda: not rig.head.core.pending)
         assert (await client.answer()).status == (502 if first == "its time" else 200)
         await asyncio.sleep(0.02)
-        assert len(client.answers) == 1 and sum(rig.head.core.outcomes.values()) == 1 and not rig.head.core.pending
+        assert (
+            len(client.answers) == 1 and sum(rig.head.core.outcome_counts.values()) == 1 and not rig.head.core.pending
+        )
 
     on_rig(script)
 
@@ -80,7 +82,7 @@
             own.shutdown(socket.SHUT_WR)  # now, not when the loop comes to it
             own.detach()
         assert (await client.answer()).status == 200 and len(rig.shelfs[0].conns) == 2
-        assert rig.head.core.outcomes[Outcome.CONNECTION_LOST] == 0
+        assert rig.head.core.outcome_counts[Outcome.CONNECTION_LOST] == 0
 
     on_rig(script)
 
@@ -187,6 +189,6 @@
         assert await status(kept) == b"400"
         assert (await client.answer()).status == 503
         await rig.head.stopped
-        assert rig.head.core.open == 0 and not rig.head.core.pending
+        assert rig.head.core.open_count == 0 and not rig.head.core.pending
 
     on_rig(script, longest_wait_ms=400.0)
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -4,7 +4,7 @@
 
 from helpers import Rig, on_rig, until
 from prometheus_client import CollectorRegistry
-from raw_frames import LOOK, SILENT
+from raw_frames import LOOK_OPTIONS, NO_ANSWER
 
 from pebblehinge.gateway.metrics import GatewayMetrics
 
@@ -30,9 +30,9 @@
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
-        rig.shelfs[0].does = SILENT
-        client.read("v", "y", 1, **LOOK)
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
+        rig.shelfs[0].does = NO_ANSWER
+        client.read("v", "y", 1, **LOOK_OPTIONS)
         await until(lambda: len(rig.shelfs[0].attempts) == 2)
         registry = CollectorRegistry()
         registry.register(GatewayMetrics(rig.head))
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pebblehinge.http1 import (
-    BODY_LIMIT,
+    MAX_REQUEST_BODY_BYTES,
     HttpError,
     RequestParser,
     ResponseParser,
@@ -15,7 +15,7 @@
     write_request,
     write_response,
 )
-from pebblehinge.http1.reader import HEAD_LIMIT, RESPONSE_LIMIT
+from pebblehinge.http1.reader import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES
 
 
 def read(kind: type, data: bytes, cuts: list[int]) -> list[tuple]:
@@ -77,18 +77,23 @@
         (PUT + b"Content-Length: +3\r\n\r\nabc", 400),
         (PUT + b"Content-Length: 99999999999999999999999\r\n\r\n", 400),
         (PUT + b"Content-Length: 60000000\r\n\r\n", 413),
-        (PUT + b"Content-Length: %d\r\n\r\n" % (BODY_LIMIT + 1), 413),
+        (PUT + b"Content-Length: %d\r\n\r\n" % (MAX_REQUEST_BODY_BYTES + 1), 413),
         (PUT + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 400),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
-        (PUT + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (BODY_LIMIT + 1) + b"x" * (BODY_LIMIT + 1), 413),
+        (
+            PUT
+            + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % (MAX_REQUEST_BODY_BYTES + 1)
+            + b"x" * (MAX_REQUEST_BODY_BYTES + 1),
+            413,
+        ),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n1;" + b"x" * 600_000, 413),
         (PUT + b"Transfer-Encoding: chunked\r\n\r\n0\r\n" + b"T: " + b"x" * 20_000 + b"\r\n\r\n", 431),
         (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 65 + b"\r\n", 431),
-        (b"GET / HTTP/1.1\r\nA: " + b"x" * HEAD_LIMIT, 431),
-        (b"GET /" + b"x" * HEAD_LIMIT, 431),
-        (b"\r\n" * HEAD_LIMIT, 431),
+        (b"GET / HTTP/1.1\r\nA: " + b"x" * MAX_HEAD_BYTES, 431),
+        (b"GET /" + b"x" * MAX_HEAD_BYTES, 431),
+        (b"\r\n" * MAX_HEAD_BYTES, 431),
     ],
 )
 def test_what_is_no_request_or_too_much_of_one_is_told_apart(data: bytes, status: int) -> None:
@@ -101,7 +106,7 @@
     reader = RequestParser()
     reader.feed(b"GET / HTTP/1.1\r\nA: ")
     assert reader.next() is None
-    reader.feed(b"x" * HEAD_LIMIT + b"\r\n\r\n")
+    reader.feed(b"x" * MAX_HEAD_BYTES + b"\r\n\r\n")
     with pytest.raises(HttpError):
         reader.next()
 
@@ -128,11 +133,11 @@
         b"noise\r\n\r\n",
         b"HTTP/1.1 200 OK\r\n\r\nno length told",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
-        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (RESPONSE_LIMIT + 1),
+        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx" % (MAX_RESPONSE_BODY_BYTES + 1),
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"HTTP/1.1 101 Go\r\nUpgrade: a\r\nConnection: upgrade\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nA: " + b"x" * HEAD_LIMIT,
+        b"HTTP/1.1 200 OK\r\nA: " + b"x" * MAX_HEAD_BYTES,
     ],
 )
 def test_spoilt_answers_can_not_be_read(data: bytes) -> None:
@@ -147,7 +152,7 @@
     for _ in range(40):
         stream.feed(b"8000\r\n" + b"x" * 0x8000 + b"\r\n")
         assert stream.next() is None
-    assert sum(map(len, pieces)) == 40 * 0x8000 > RESPONSE_LIMIT
+    assert sum(map(len, pieces)) == 40 * 0x8000 > MAX_RESPONSE_BODY_BYTES
 
 
 def test_own_messages_read_back_as_they_were_meant() -> None:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -22,7 +22,7 @@
     monkeypatch.setattr(client_connection, "is_readable", lambda number: bool(world.wires[number].unread))
     monkeypatch.setattr(client_connection, "is_peer_closed", lambda wire: wire.gone())
     world.play()
-    assert world.done and not world.core.open and not world.queue
+    assert world.done and not world.core.open_count and not world.queue
     assert sum(w.whole for w in world.wires) > 60
     for wire in world.wires:
         assert not wire.out and not (wire.unread and not wire.shut)
@@ -46,7 +46,7 @@
 
         world.come = comes  # type: ignore[method-assign]
         world.play()
-        assert world.done and not (world.core.open or world.core.pending or world.registry.ids or world.queue)
+        assert world.done and not (world.core.open_count or world.core.pending or world.registry.ids or world.queue)
         counts = world.core.counts
         assert counts.received == counts.succeeded + counts.rejected + counts.failed + counts.client_gone
         for wire in world.wires:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -117,7 +117,7 @@
             head = rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
             head.keep_snapshots(disk, lambda: (rig.clock(), rig.clock(), "b"))
             await head.start()
-            await until(lambda: len(head.core.module.shelfs.at_slot) == len(rig.shelfs))
+            await until(lambda: len(head.core.scheduler.shelfs.at_slot) == len(rig.shelfs))
             return head
 
         rig.kill_head()
@@ -131,12 +131,12 @@
         head.stop("the test says so")
         await asyncio.wait_for(head.stopped, 5.0)
         again = await start()
-        means = dict(zip(again.core.module.shelfs.names, again.core.module.shelfs.mean_latency_ms, strict=True))
+        means = dict(zip(again.core.scheduler.shelfs.names, again.core.scheduler.shelfs.mean_latency_ms, strict=True))
         assert means["s2"] > 3 * means["s1"] > 0
         again.stop("the test says so")
         await asyncio.wait_for(again.stopped, 5.0)
         disk.files[memory.FILE][30] ^= 1
         none = await start()
-        assert not any(none.core.module.shelfs.mean_latency_ms) and none.log.lines[0][2]["why"] == "it is damaged"
+        assert not any(none.core.scheduler.shelfs.mean_latency_ms) and none.log.lines[0][2]["why"] == "it is damaged"
 
     on_rig(script)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -28,7 +28,7 @@
         loop.set_exception_handler(lambda _, context: raised.append(context))
         server = await loop.create_server(asyncio.Protocol, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
-        peer = Peer(loop, Session("head", "x", 1 << 16, 64, greets=True), 2000.0)
+        peer = Peer(loop, Session("head", "x", 1 << 16, 64, dialed=True), 2000.0)
 
         async def dial() -> None:
             async with asyncio.timeout(0.01):
--- a/tests/test_rsync_interrupted.py
+++ b/tests/test_rsync_interrupted.py
@@ -47,7 +47,7 @@
         assert {n: d for n, d in (await stands(t)).items() if n != b"."} == held(new)
         head = t.servers["h1"]
         await t.until(
-            lambda: not head.rsync_listener.transfers and not head.core.open and not head.core.pending
+            lambda: not head.rsync_listener.transfers and not head.core.open_count and not head.core.pending
         )  # nothing is left
 
     in_town(script)
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -110,15 +110,15 @@
 class AnswersTwice(GatewayCore):
     def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
         super()._answer(pending, final, stay_ms, reason, data)
-        pending.conn.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
+        pending.origin.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
 
 
 class Forgets(GatewayCore):
     def _answer(self, pending: Any, final: int, *rest: Any) -> None:
         if self.counts.received % 50 == 0:
             pending.answered = True
-            self.open -= 1
-            pending.conn.open_requests.pop(pending.id, None)
+            self.open_count -= 1
+            pending.origin.open_requests.pop(pending.id, None)
         else:
             super()._answer(pending, final, *rest)
 
@@ -216,8 +216,8 @@
         def _apply(self, first: Any, now: float) -> None:
             super()._apply(first, now)
             for pending in self.pending.values():
-                assert (pending.attempt is not None) == pending.request.out
-                seen.append(pending.request)
+                assert (pending.attempt is not None) == pending.handle.out
+                seen.append(pending.handle)
 
     judge(RESETS, Watches, None, length="3s")
     assert len(seen) > 1000
--- a/tests/test_running_gateway.py
+++ b/tests/test_running_gateway.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import Attempt, Rig, on_rig, until
-from raw_frames import LOOK, SAVE, SILENT
+from raw_frames import LOOK_OPTIONS, NO_ANSWER, SAVE_OPTIONS
 
 from pebblehinge.client import connect
 from pebblehinge.wire import Kind, encode
@@ -19,9 +19,9 @@
             data=b"" if attempt.op else b"bytes of " + attempt.extent.encode()
         )
         client = await rig.client()
-        got = await client.read("v", "x", 100, **LOOK)
+        got = await client.read("v", "x", 100, **LOOK_OPTIONS)
         assert (got.final, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
-        assert (await client.write("v", "y", b"abc", **SAVE)).succeeded
+        assert (await client.write("v", "y", b"abc", **SAVE_OPTIONS)).succeeded
         assert [t.data for t in rig.shelfs[0].attempts] == [b"", b"abc"]
 
     on_rig(script)
@@ -29,18 +29,20 @@
 
 def test_client_that_disconnects_with_a_write_out_is_left_and_nothing_goes_again() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         client = await rig.client()
-        client.write("v", "x", b"1", **SAVE)
+        client.write("v", "x", b"1", **SAVE_OPTIONS)
         await until(lambda: rig.shelfs[0].attempts)
         client.abort()
         await until(lambda: not rig.head.core.pending)
-        assert rig.head.core.counts.client_gone == 1 and rig.head.core.open == 0 and rig.head.core.bytes == 0
+        assert (
+            rig.head.core.counts.client_gone == 1 and rig.head.core.open_count == 0 and rig.head.core.payload_bytes == 0
+        )
         assert rig.shelfs[0].recalled == [rig.shelfs[0].attempts[0].number]
         rig.shelfs[0].attempts[0].answer()  # an answer to nobody
         other = await rig.client()
         rig.shelfs[0].does = Attempt.answer
-        assert (await other.read("v", "x", 1, **LOOK)).succeeded
+        assert (await other.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late_outcomes == 1
 
     on_rig(script)
@@ -48,9 +50,9 @@
 
 def test_silent_shelf_ends_an_non_idempotent_write_once_terminated_in_its_own_time() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE)
+        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         assert got.final == "terminated" and got.took_ms < 1200.0
         assert len(rig.shelfs[0].attempts) == 1
 
@@ -59,10 +61,10 @@
 
 def test_an_answer_after_the_final_answer_is_dropped() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         extra: list[str] = []
         client = await rig.client(observer=lambda event, **_: extra.append(event))
-        got = await client.write("v", "x", b"1", **SAVE)
+        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.links["s1"].late_outcomes == 1)
         await asyncio.sleep(0.05)
@@ -80,10 +82,10 @@
 
         rig.shelfs[0].does = half
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE)
+        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         assert got.final == "terminated"  # half an outcome is none: it may have run
         rig.shelfs[0].crash()
-        got = await client.write("v", "x", b"2", **SAVE)
+        got = await client.write("v", "x", b"2", **SAVE_OPTIONS)
         assert got.final == "pushed back" and 200.0 <= got.stay_ms <= 400.0  # no connection: it never ran
         assert len(rig.shelfs[0].attempts) == 1
 
@@ -99,7 +101,7 @@
         host, _, port = shelf.address.rpartition(":")
         mute = await rig.loop.create_server(asyncio.Protocol, host, int(port))
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE)
+        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         assert got.final == "pushed back" and 200 < got.took_ms < 600
         mute.close()
 
@@ -109,11 +111,11 @@
 def test_shelf_restarted_untold_between_two_attempts() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         rig.shelfs[0].crash()
         await rig.shelfs[0].start()
         await until(lambda: rig.head.links["s1"].connection is None)
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         assert len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
@@ -121,17 +123,17 @@
 
 def test_head_killed_with_a_write_out_and_the_retry_comes_to_the_restarted_one() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         client = await rig.client()
-        lost = client.write("v", "x", b"1", **SAVE)
+        lost = client.write("v", "x", b"1", **SAVE_OPTIONS)
         await until(lambda: rig.shelfs[0].attempts)
         rig.kill_head()
         assert (await lost).final == "lost"
         await rig.start_head()  # nothing of before is assumed: the request is not known here
-        assert rig.head.core.open == 0
+        assert rig.head.core.open_count == 0
         rig.shelfs[0].does = Attempt.answer
         again = await rig.client()
-        got = await again.write("v", "x", b"1", again=True, **SAVE)
+        got = await again.write("v", "x", b"1", again=True, **SAVE_OPTIONS)
         assert got.succeeded and len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
@@ -139,10 +141,10 @@
 
 def test_stop_while_a_shelf_is_silent_gives_every_request_its_answer_first() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         client = await rig.client()
-        pending = [client.write("v", f"x{i}", b"1", **SAVE) for i in range(6)]
-        pending.append(client.read("v", "y", 1, **LOOK))
+        pending = [client.write("v", f"x{i}", b"1", **SAVE_OPTIONS) for i in range(6)]
+        pending.append(client.read("v", "y", 1, **LOOK_OPTIONS))
         await until(lambda: rig.shelfs[0].attempts)
         rig.head.stop("SIGTERM")
         await until(lambda: client.stopping)
@@ -164,7 +166,7 @@
         client = await rig.client()
         await until(lambda: rig.head.conns)
         rig.head.stop("SIGTERM")
-        got = await client.read("v", "x", 1, **LOOK)  # written before STOPPING was read
+        got = await client.read("v", "x", 1, **LOOK_OPTIONS)  # written before STOPPING was read
         assert got.final == "pushed back" and "stopping" in got.reason
         await asyncio.wait_for(rig.head.stopped, 5.0)
 
@@ -175,12 +177,12 @@
     async def script(rig: Rig) -> None:
         client = await rig.client()
         rig.listing.control("list-wrong", {"shelf": "s1"})
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
-        got = await client.read("v", "x", 1, **LOOK)
+        await until(lambda: 0 not in rig.head.core.scheduler.shelfs.at_slot)
+        got = await client.read("v", "x", 1, **LOOK_OPTIONS)
         assert got.final == "pushed back" and not rig.shelfs[0].attempts
         rig.listing.control("list-wrong", {"shelf": "s1", "off": 1})
-        await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        await until(lambda: 0 in rig.head.core.scheduler.shelfs.at_slot)
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
 
     on_rig(script)
 
@@ -190,9 +192,9 @@
 
     async def script(rig: Rig) -> None:
         noted: list[str] = []
-        rig.shelfs[0].does = SILENT
+        rig.shelfs[0].does = NO_ANSWER
         client = await rig.client(observer=lambda event, **_: noted.append(event))
-        future = client.read("v", "x", 1, **LOOK)
+        future = client.read("v", "x", 1, **LOOK_OPTIONS)
         await until(lambda: rig.shelfs[0].attempts)
         rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.core.counts.succeeded == 1)
@@ -208,14 +210,14 @@
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         conn = rig.shelfs[0].conns[0]
         conn.session.feed = lambda data: None  # type: ignore[method-assign]
-        lost = await client.read("v", "x", 1, **LOOK)
+        lost = await client.read("v", "x", 1, **LOOK_OPTIONS)
         assert lost.final == "pushed back"
         await until(lambda: rig.head.links["s1"].connection is None)
         await asyncio.sleep(0.3)
-        assert (await client.read("v", "x", 1, **LOOK)).succeeded
+        assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         assert len(rig.shelfs[0].conns) == 2
 
     on_rig(script)
@@ -227,7 +229,7 @@
         monkeypatch.setattr(time, "time", lambda: wall - 86_400.0)
         rig.shelfs[0].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer)
         client = await rig.client()
-        first = client.read("v", "x", 1, **LOOK)
+        first = client.read("v", "x", 1, **LOOK_OPTIONS)
         monkeypatch.setattr(time, "time", lambda: wall + 86_400.0)
         got = await first
         assert got.succeeded and 40 < got.took_ms < 400
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
         assert (request.method, request.target, request.body) == (b"PUT", b"/save/x?a=1", b"a\nb")
         assert request.header_values(b"x-request-id") == [b"9b1f03aa5c7e2d41"]
         assert 0 < int(request.header_values(b"x-deadline-ms")[0]) <= 900
-        assert rig.head.core.open == 0 and not rig.head.core.pending and not rig.head.registry.ids
+        assert rig.head.core.open_count == 0 and not rig.head.core.pending and not rig.head.registry.ids
 
     on_rig(script)
 
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -34,7 +34,7 @@
         await client.answer()  # in time for the kill, whatever the client would have waited
         await rig.head.stopped
         assert 0.5 < time.monotonic() - began < 1.2 and client.lost
-        assert rig.head.core.open == 0 and client.answers[-1].status == 503
+        assert rig.head.core.open_count == 0 and client.answers[-1].status == 503
 
     on_rig(script, longest_wait_ms=400.0)
 
@@ -96,11 +96,11 @@
         callers = [await rig.client() for _ in kinds]
         for client, kind in zip(callers, kinds, strict=True):
             client.write(ask(kind, shard=1 if kind == "save" else 0, X_Deadline_Ms="9000"))
-        await until(lambda: rig.head.core.open == 7 and len(rig.shelfs[0].asked) == 4)
+        await until(lambda: rig.head.core.open_count == 7 and len(rig.shelfs[0].asked) == 4)
         began = time.monotonic()
         rig.head.shutdown.begin()
         await rig.head.stopped
-        assert rig.head.core.open == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
+        assert rig.head.core.open_count == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
         assert [(await client.answer()).status for client in callers] == [503] * 6 + [502]
 
     on_rig(script, longest_wait_ms=400.0, settings=SLOW)
@@ -216,7 +216,7 @@
             await until(lambda n=n: f"n{n}" in head.pools.table)
         await until(lambda: head.registry.count == 0)
         registry = head.registry
-        assert len(head.pools.table) == 2 and len(head.core.module.shelfs.names) <= 4
+        assert len(head.pools.table) == 2 and len(head.core.scheduler.shelfs.names) <= 4
         assert not (
             head.core.pending
             or registry.ids
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -32,7 +32,10 @@
 
         rig.shelfs[0].does = does
         await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="200"))
-        assert rig.head.core.outcomes[Outcome.TIMED_OUT] == 0 and rig.head.core.outcomes[Outcome.SUCCEEDED] == 1
+        assert (
+            rig.head.core.outcome_counts[Outcome.TIMED_OUT] == 0
+            and rig.head.core.outcome_counts[Outcome.SUCCEEDED] == 1
+        )
 
     on_rig(script)
 
@@ -54,7 +57,7 @@
         loop.call_soon(long_turn) if where == "between turns" else loop.call_later(0.001, long_turn)
         await until(lambda: rig.head.core.pending)
         (pending,) = rig.head.core.pending.values()
-        assert 300.0 < pending.request.deadline_ms - pending.came_ms < 520.0
+        assert 300.0 < pending.handle.deadline_ms - pending.arrived_ms < 520.0
         await asyncio.sleep(0.1)
         assert rig.head.late_ms < 100.0
 
@@ -67,12 +70,12 @@
         new = Shelf()
         await new.start()
         watch.tell(listing(2, entry("s0", rig.shelfs[0].port, 0, "Terminating"), full=False))
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 not in rig.head.core.scheduler.shelfs.at_slot)
         assert (await rig.ask(ask())).status == 503 and not rig.shelfs[0].asked
         broken = {**entry("s9", 1, 0), "addr": "nowhere"}
         watch.write(b"1\r\n\n\r\n")  # an empty line
         watch.tell(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
-        await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 in rig.head.core.scheduler.shelfs.at_slot)
         assert (await rig.ask(ask())).status == 200 and len(new.asked) == 1
         assert "s0" not in rig.head.pools.table
         rig.discovery.list = listing(4, entry("s2", new.port, 0), entry("s1", rig.shelfs[1].port, 1))
@@ -99,7 +102,7 @@
     async def script(rig: Rig) -> None:
         port = rig.shelfs[1].port
         rig.discovery.conns[0].tell(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
-        await until(lambda: len(rig.head.core.module.shelfs.at_slot) == 1500)
+        await until(lambda: len(rig.head.core.scheduler.shelfs.at_slot) == 1500)
         assert len(rig.head.pools.table) == 1500
         io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
         assert (await rig.ask(ask(X_IO=io))).status == 200 and len(rig.shelfs[1].asked) == 1
@@ -161,7 +164,7 @@
         rig.head.reload()
         await until(lambda: rig.head.watch.version == 5 and old.lost)
         assert (
-            rig.head.core.module.settings.request_classes["look"].latency_objective_ms == 300.0
+            rig.head.core.scheduler.settings.request_classes["look"].latency_objective_ms == 300.0
             and rig.head.config.sockets == 256
         )
         held[0].write(OK)
--- a/tests/test_service_settings.py
+++ b/tests/test_service_settings.py
@@ -55,7 +55,7 @@
     monkeypatch.setattr(valuation, "REMEMBERED", 4)
 
     async def script(rig: Rig) -> None:
-        rig.head.core.module.dispatcher.extents.most = 4
+        rig.head.core.scheduler.dispatcher.extents.most = 4
         callers = [await rig.client() for _ in range(40)]
         for n, client in enumerate(callers):
             io = f"volume={n:016x},units=2,shard=0,hosts=1"
@@ -65,8 +65,8 @@
         head = rig.head
         assert (
             not head.core.pending
-            and not any(head.core.module.shelfs.queued)
-            and len(head.core.module.dispatcher.extents) <= 4
+            and not any(head.core.scheduler.shelfs.queued)
+            and len(head.core.scheduler.dispatcher.extents) <= 4
         )
 
     on_rig(script)
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -90,7 +90,7 @@
         rig.shelfs[0].does = does
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="300"))
         assert answer.status == status and len(rig.shelfs[0].asked) == attempts
-        assert {o: n for o, n in rig.head.core.outcomes.items() if n} == {outcome: attempts}
+        assert {o: n for o, n in rig.head.core.outcome_counts.items() if n} == {outcome: attempts}
         assert bool(answer.header_values(b"retry-after")) == (status == 503)
         if what not in KEEPS:  # its connection is of no further use
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
@@ -106,7 +106,7 @@
         rig.shelfs[0].server.close()
         answer = await rig.ask(ask("save", 0, b"abc"))
         assert answer.status == 503 and 0.25 <= float(answer.header_values(b"retry-after")[0]) <= 0.5
-        assert rig.head.core.outcomes[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.pending
+        assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] >= 1 and not rig.head.core.pending
 
     on_rig(script)
 
@@ -161,7 +161,7 @@
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.pools.attempts == 3 == len(rig.head.core.module.shelfs.in_flight[0])
+        assert rig.head.pools.attempts == 3 == len(rig.head.core.scheduler.shelfs.in_flight[0])
         assert rig.head.pools.connections == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -87,15 +87,15 @@
     accounting, now = WaitAccounting(), 0.0
     for n in range(2000):
         first, second = 2 * n, 2 * n + 1
-        accounting.queued(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
+        accounting.enqueue(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
         now += 1.0
-        accounting.sent(now, first, True)
-        accounting.queued(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
+        accounting.start_attempt(now, first, True)
+        accounting.enqueue(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
         now += 10.0 + n % 3
-        accounting.attempt_ended(now, first)
-        accounting.sent(now, second, False)  # a retry
+        accounting.end_attempt(now, first)
+        accounting.start_attempt(now, second, False)  # a retry
         now += 10.0 + n % 5
-        accounting.attempt_ended(now, second)
+        accounting.end_attempt(now, second)
     kept = [{share.cause for share in accounting.shares(f"vol-{n}")} for n in range(2000)]
     assert min(map(len, kept)) >= 4 and sum(map(len, kept)) > 4096
     assert not any(OTHERS in causes for causes in kept)
--- a/tests/test_wire_and_settings.py
+++ b/tests/test_wire_and_settings.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.settings import SettingsError, load, show
 from pebblehinge.settings.load import loads
-from pebblehinge.wire import Frames, Kind, Session, WireError, encode
+from pebblehinge.wire import FrameDecoder, Kind, Session, WireError, encode
 
 TAKE = st.tuples(
     st.integers(0, 2**63),
@@ -33,7 +33,7 @@
 
 @given(st.lists(TAKE, max_size=5), st.lists(st.integers(1, 50), min_size=1, max_size=20))
 def test_frames_come_out_as_they_went_in_whatever_the_pieces(takes: list[tuple], cuts: list[int]) -> None:
-    stream, frames, got, i = b"".join(encode(Kind.TAKE, *t) for t in takes), Frames(4096), [], 0
+    stream, frames, got, i = b"".join(encode(Kind.TAKE, *t) for t in takes), FrameDecoder(4096), [], 0
     while stream:
         size = cuts[i % len(cuts)]
         frames.feed(stream[:size])
@@ -48,19 +48,24 @@
 def test_any_damaged_byte_is_noticed(at: int, flip: int) -> None:
     data = bytearray(encode(Kind.OUTCOME, 7, 0, "reason", b"x" * 60))
     data[at] ^= flip
-    frames = Frames(4096)
+    frames = FrameDecoder(4096)
     frames.feed(bytes(data))
     with pytest.raises(WireError, match="checksum"):
         frames.next()
 
 
 def test_the_greeting_settles_the_newest_common_version_and_limits() -> None:
-    ours = Session("head", "h", 5000, 9, greets=False)
+    ours = Session("head", "h", 5000, 9, dialed=False)
     ours.feed(encode(Kind.HELLO, "pebblehinge", 1, 6, "client", "c", 2048, 3))
     assert ours.next() is not None and ours.version == 1
-    assert (ours.peer_role, ours.peer_name, ours.peer_limit, ours.peer_streams) == ("client", "c", 2048, 3)
-    assert ours.frames.limit == 5000
-    fresh = Session("head", "h", 5000, 9, greets=False)
+    assert (ours.peer_role, ours.peer_name, ours.peer_max_frame_bytes, ours.peer_max_streams) == (
+        "client",
+        "c",
+        2048,
+        3,
+    )
+    assert ours.decoder.max_frame_bytes == 5000
+    fresh = Session("head", "h", 5000, 9, dialed=False)
     fresh.feed(b"\x00\x00\x05\x00")  # more than a greeting may have, before the greeting
     with pytest.raises(WireError, match="at most 1024"):
         fresh.next()
