--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -109,8 +109,8 @@
     journal.recover()
 
     async def lasts(batch: Batch) -> None:
-        disk.append(batch.name, batch.data)
-        disk.sync(batch.name)
+        disk.append(batch.file_name, batch.data)
+        disk.sync(batch.file_name)
 
     async def all_of_them() -> None:
         committer = Committer(journal, lasts)
@@ -132,8 +132,8 @@
     count = int(part * (256 << 20) / (16 << 10))
     for at in range(1, count + 1, 64):
         batch = journal.prepare([record(n, 16 << 10) for n in range(at, min(at + 64, count + 1))])
-        disk.append(batch.name, batch.data)
-        journal.committed(batch)
+        disk.append(batch.file_name, batch.data)
+        journal.mark_committed(batch)
     began = time.perf_counter()
     again = Journal(disk)
     again.recover()
--- a/pebblehinge/capacity_planner/demand.py
+++ b/pebblehinge/capacity_planner/demand.py
@@ -14,7 +14,7 @@
 
 from pebblehinge.capacity_planner.errors import CapturedLoadError
 from pebblehinge.capture import CapturedRequest
-from pebblehinge.capture.format import SUCCEEDED
+from pebblehinge.capture.format import SUCCEEDED_OUTCOME
 from pebblehinge.settings import Config
 
 Floats: TypeAlias = npt.NDArray[np.float64]
@@ -146,8 +146,8 @@
         units=np.array([request.units for request in requests]),
         write=np.array([request.write for request in requests]),
         cached=_cached_extents(rows),
-        attempt_ms=np.array([r.last_attempt_ms if r.outcome == SUCCEEDED else 0.0 for r in requests]),
-        first_attempt=np.array([r.outcome == SUCCEEDED and r.attempts == 1 for r in requests]),
+        attempt_ms=np.array([r.last_attempt_ms if r.outcome == SUCCEEDED_OUTCOME else 0.0 for r in requests]),
+        first_attempt=np.array([r.outcome == SUCCEEDED_OUTCOME and r.attempts == 1 for r in requests]),
         volumes=volumes,
         quota_plans=quota_plans,
         request_classes=request_classes,
--- a/pebblehinge/capture/format.py
+++ b/pebblehinge/capture/format.py
@@ -29,7 +29,7 @@
 OUTCOMES = ("honoured", "pushed back", "terminated", "left")
 """The stored words of `CapturedRequest.outcome`: succeeded, rejected, failed, client disconnected."""
 
-SUCCEEDED = 0
+SUCCEEDED_OUTCOME = 0
 """Index in OUTCOMES of requests that succeeded."""
 
 
@@ -69,7 +69,7 @@
     attempts: int
 
 
-class Heading(msgspec.Struct, array_like=True, frozen=True):
+class CaptureHeader(msgspec.Struct, array_like=True, frozen=True):
     """The first block of a capture.
 
     Attributes:
--- a/pebblehinge/capture/reader.py
+++ b/pebblehinge/capture/reader.py
@@ -21,15 +21,15 @@
     MAX_BLOCK_BYTES,
     VERSION,
     CapturedRequest,
-    Heading,
+    CaptureHeader,
 )
 
 _decode_requests = msgspec.msgpack.Decoder(list[CapturedRequest]).decode
-_decode_heading = msgspec.msgpack.Decoder(Heading).decode
+_decode_header = msgspec.msgpack.Decoder(CaptureHeader).decode
 
 
 class _BlockError(Exception):
-    """A block ends the reading; the message says why, for `Capture.incomplete`."""
+    """A block ends the reading; the message says why, for `Capture.incomplete_reason`."""
 
 
 @dataclass(slots=True)
@@ -41,14 +41,14 @@
         wall_ms: Its start by the wall clock, in milliseconds since 1970.
         clock_ms: Its start by the gateway's monotonic clock, in milliseconds.
         requests: The requests in the order in which they were finished.
-        incomplete: Why the reading ended before the file's end; None if it didn't.
+        incomplete_reason: Why the reading ended before the file's end; None if it didn't.
     """
 
     gateway: str
     wall_ms: float
     clock_ms: float
     requests: list[CapturedRequest] = field(default_factory=list)
-    incomplete: str | None = None
+    incomplete_reason: str | None = None
 
 
 def parse_capture(data: bytes, name: str = "capture") -> Capture:
@@ -61,16 +61,16 @@
     Raises:
         CaptureError: Not even its heading can be read.
     """
-    _check_start(data, name)
+    _check_file_start(data, name)
     capture: Capture | None = None
     incomplete: str | None = None
     try:
-        for at, packed in _blocks(data):
+        for at, packed in _read_blocks(data):
             try:
                 value = zlib.decompress(packed)
                 if capture is None:
-                    heading = _decode_heading(value)
-                    capture = Capture(heading.gateway, heading.wall_ms, heading.clock_ms)
+                    header = _decode_header(value)
+                    capture = Capture(header.gateway, header.wall_ms, header.clock_ms)
                 else:
                     capture.requests += _decode_requests(value)
             except (zlib.error, msgspec.DecodeError) as error:
@@ -79,7 +79,7 @@
         incomplete = str(error)
     if capture is None:
         raise CaptureError(f"{name} holds no heading: {incomplete or 'it is empty'}")
-    capture.incomplete = incomplete
+    capture.incomplete_reason = incomplete
     return capture
 
 
@@ -96,7 +96,7 @@
     return parse_capture(data, str(path))
 
 
-def _check_start(data: bytes, name: str) -> None:
+def _check_file_start(data: bytes, name: str) -> None:
     if len(data) < FILE_START.size or not data.startswith(MAGIC):
         raise CaptureError(f"{name} is no capture: it does not begin with {MAGIC.decode()}")
     version = FILE_START.unpack_from(data)[1]
@@ -104,7 +104,7 @@
         raise CaptureError(f"{name} is a capture of version {version}: version {VERSION} is read here")
 
 
-def _blocks(data: bytes) -> Iterator[tuple[int, bytes]]:
+def _read_blocks(data: bytes) -> Iterator[tuple[int, bytes]]:
     """Yields the position and the packed bytes of each block; raises _BlockError at one that is cut or damaged."""
     at = FILE_START.size
     while at < len(data):
--- a/pebblehinge/capture/writer.py
+++ b/pebblehinge/capture/writer.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from pebblehinge.capture.format import BLOCK_START, FILE_START, MAGIC, REQUESTS_PER_BLOCK, VERSION, Heading
+from pebblehinge.capture.format import BLOCK_START, FILE_START, MAGIC, REQUESTS_PER_BLOCK, VERSION, CaptureHeader
 
 COMPRESSION_LEVEL = 6
 FILE_MODE = 0o644
@@ -42,8 +42,8 @@
         self.on_failure = on_failure
         self.start_ms = clock_ms
         self.rows: list[tuple[Any, ...]] = []
-        self.on = True
-        self._write(FILE_START.pack(MAGIC, VERSION) + pack_block(Heading(gateway, wall_ms, clock_ms)))
+        self.is_open = True
+        self._write(FILE_START.pack(MAGIC, VERSION) + pack_block(CaptureHeader(gateway, wall_ms, clock_ms)))
 
     def add(self, arrived_ms: float, *values: Any) -> None:
         """Adds a finished request.
@@ -53,7 +53,7 @@
             *values: The further fields of `CapturedRequest` in their order; a plain tuple, since this is called for
                 every request of the gateway.
         """
-        if not self.on:
+        if not self.is_open:
             return
         self.rows.append((round(arrived_ms - self.start_ms, 3), *values))
         if len(self.rows) >= REQUESTS_PER_BLOCK:
@@ -61,7 +61,7 @@
 
     def flush(self) -> None:
         """Writes what has been added since the last block."""
-        if self.rows and self.on:
+        if self.rows and self.is_open:
             rows = self.rows
             self.rows = []
             self._write(pack_block(rows))
@@ -70,7 +70,7 @@
         try:
             self.sink(data)
         except OSError as error:
-            self.on = False
+            self.is_open = False
             self.rows.clear()
             if self.on_failure is not None:
                 self.on_failure(error)
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -45,7 +45,7 @@
     from pebblehinge.replicated_config import VersionApplication  # noqa: PLC0415
     from pebblehinge.replicated_config.activation import cut_off  # noqa: PLC0415
     from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: PLC0415
-    from pebblehinge.store.background import in_thread  # noqa: PLC0415
+    from pebblehinge.store.background import thread_runner  # noqa: PLC0415
     from pebblehinge.store.disk import RealDisk  # noqa: PLC0415
 
     floor = config.group.floor
@@ -66,4 +66,4 @@
         server.adopt(new)
 
     server.adopt(cut_off(config, floor))
-    return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, in_thread(loop))
+    return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, thread_runner(loop))
--- a/pebblehinge/cli/gateway_storage.py
+++ b/pebblehinge/cli/gateway_storage.py
@@ -43,7 +43,7 @@
         OSError: The disk failed.
     """
     from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
-    from pebblehinge.store.background import in_thread  # noqa: PLC0415
+    from pebblehinge.store.background import thread_runner  # noqa: PLC0415
 
     folder = config.head[name].store
     buffered = any(v.save == "buffered" for v in config.volume.values())
@@ -52,8 +52,8 @@
             raise StorageError("buffered volumes need a folder for their journal: store PATH in the head's block")
         return
     disk = RealDisk(folder)
-    disk.own()
-    server.keep_snapshots(disk, machine_times, in_thread(loop))
+    disk.acquire_lock()
+    server.keep_snapshots(disk, machine_times, thread_runner(loop))
     if buffered:
         open_journal(loop, disk, server)
 
@@ -66,9 +66,9 @@
     sys.setswitchinterval(SWITCH_INTERVAL_S)
 
     def append_and_sync(batch: Batch) -> None:
-        disk.append(batch.name, batch.data)
-        disk.sync(batch.name)
-        if batch.new_file:
+        disk.append(batch.file_name, batch.data)
+        disk.sync(batch.file_name)
+        if batch.creates_file:
             disk.sync_folder()
 
     async def write_batch(batch: Batch) -> None:
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -64,7 +64,7 @@
         log.warning("limits", why=warning)
     try:
         disk = RealDisk(folder)
-        disk.own()
+        disk.acquire_lock()
         identify(disk, config.group.id, name, begin)
         server = MemberServer(loop, clock_of(loop), config, name, disk, log, seed or os.getpid())
     except (StorageError, OSError) as error:
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -41,10 +41,10 @@
 def open_journal(folder: str) -> tuple[RealDisk, Inspection]:
     """Returns a folder's disk and what its journal holds; changes nothing."""
     from pebblehinge.store import RealDisk  # noqa: PLC0415
-    from pebblehinge.store.inspection import inspect  # noqa: PLC0415
+    from pebblehinge.store.inspection import inspect_journal  # noqa: PLC0415
 
     disk = RealDisk(folder)
-    return disk, inspect(disk)
+    return disk, inspect_journal(disk)
 
 
 @store.command(name="inspect")
@@ -118,7 +118,7 @@
 
     disk, found = open_journal(folder)
     try:
-        disk.own()
+        disk.acquire_lock()
     except StorageError as error:
         give_up(f"{error}: a head that runs brings its writes itself")
     if found.damage and any("promised" in line for line in found.damage):
@@ -179,7 +179,7 @@
             write.extent,
             write.data,
             offset=write.offset,
-            label=f"wb.{write.label}.{write.number}",
+            label=f"wb.{write.idempotency_key}.{write.number}",
             profile=profile,
             slot=write.slot,
             units=write.units,
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -25,10 +25,10 @@
     """Records what a gateway admits.
 
     Attributes:
-        on: Whether it still records.
+        is_open: Whether it still records.
     """
 
-    on: bool
+    is_open: bool
 
     def add(self, *row: Any) -> None:
         """Records one request that is over."""
--- a/pebblehinge/gateway/commit.py
+++ b/pebblehinge/gateway/commit.py
@@ -15,7 +15,7 @@
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.journal import Journal
-from pebblehinge.store.records import Done, Write
+from pebblehinge.store.records import Completion, Write
 from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, next_step
 from pebblehinge.wire.frames import READ, WRITE
 
@@ -67,13 +67,13 @@
         if self.gave_up or self.closed:
             return
         now = self.clock()
-        for write in self.policy.due(now, self.dirty):
+        for write in self.policy.due_writes(now, self.dirty):
             self.dirty.in_flight[write.number] = None
             self.spawn(self._commit(write))
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wake_ms = self.policy.wake_ms(now, self.dirty)
+        wake_ms = self.policy.next_wake_ms(now, self.dirty)
         if wake_ms < math.inf:
             self._timer = self.loop.call_later(max(MIN_WAIT_MS, wake_ms - now) / 1000.0, self.pump)
 
@@ -107,9 +107,9 @@
         is_there = step is WritebackStep.DONE
         final, stay_ms = (FINAL_WORDS[FinalStatus.SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
         if final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
-            self.policy.succeeded(write)
+            self.policy.record_success(write)
         else:
-            self.policy.failed(now, write, stay_ms)
+            self.policy.record_failure(now, write, stay_ms)
         if is_there or (step is WritebackStep.WRITE and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
             self.counts["stood already" if is_there else "landed"] += 1
             self.dirty.remove(write)
@@ -120,7 +120,7 @@
 
     async def _request(self, write: Write, op: int, data: bytes) -> InternalResult:
         volume = self.context.config.volume.get(write.volume)
-        request_class = volume.back if volume is not None and volume.back else write.profile
+        request_class = volume.back if volume is not None and volume.back else write.request_class
         number = self.client.ids + 1
         return await self.client.request(
             write.volume,
@@ -135,7 +135,7 @@
             offset=write.offset,
             length=len(write.data),
             data=data,
-            label=f"wb.{write.label}.{write.number}",
+            label=f"wb.{write.idempotency_key}.{write.number}",
         )
 
     def _record_soon(self) -> None:
@@ -148,8 +148,8 @@
         if not self.committed or self.committer.failure or self.closed:
             return
         numbers, self.committed = self.committed, []
-        self.committer.add(Done(numbers), self._on_recorded)
-        if not self.committer.running:
+        self.committer.add(Completion(numbers), self._on_recorded)
+        if not self.committer.is_running:
             self.spawn(self.committer.run())
 
     def _on_recorded(self, is_durable: bool) -> None:
--- a/pebblehinge/gateway/flush_requests.py
+++ b/pebblehinge/gateway/flush_requests.py
@@ -37,7 +37,7 @@
     def _waits(self, request: BufferedRequest) -> bool:
         is_unconfirmed = any(
             row.record.volume == request.volume and row.record.number <= request.up_to
-            for row in self.committer.waiting
+            for row in self.committer.pending
             if isinstance(row.record, Write)
         )
-        return is_unconfirmed or self.committer.running or not self.dirty.is_clean(request.volume, request.up_to)
+        return is_unconfirmed or self.committer.is_running or not self.dirty.is_clean(request.volume, request.up_to)
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -15,7 +15,7 @@
 from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.net import parse_address
 from pebblehinge.settings.schema import Config
-from pebblehinge.store.background import Background, inline
+from pebblehinge.store.background import BackgroundRunner, run_inline
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.journal import Batch
 
@@ -67,7 +67,7 @@
         """Before `start`: serves buffered volumes, with a journal on `disk`; `make_durable` appends and syncs."""
         self.write_back = WriteBack(self, disk, make_durable)
 
-    def keep_snapshots(self, disk: Disk, times: Times, background: Background = inline) -> None:
+    def keep_snapshots(self, disk: Disk, times: Times, background: BackgroundRunner = run_inline) -> None:
         """Before `start`: restores what an earlier incarnation learned, and saves what this one learns."""
         self.snapshot_keeper = SnapshotKeeper(self, disk, times, background)
         self.snapshot_keeper.restore()
@@ -118,7 +118,7 @@
         capture = self.core.capture
         assert capture is not None
         capture.flush()
-        if not self.stopped.done() and capture.on:
+        if not self.stopped.done() and capture.is_open:
             self.loop.call_later(CAPTURE_FLUSH_S, self._flush_capture)
 
     # ---- graceful shutdown
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -7,7 +7,7 @@
 
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.store import StorageError, memory
-from pebblehinge.store.background import Background, inline
+from pebblehinge.store.background import BackgroundRunner, run_inline
 from pebblehinge.store.disk import Disk
 
 Times = Callable[[], tuple[float, float, str]]
@@ -17,23 +17,25 @@
 class SnapshotKeeper:
     """Restores and saves snapshots. A disk that fails costs the snapshot and nothing else."""
 
-    def __init__(self, context: GatewayContext, disk: Disk, times: Times, background: Background = inline) -> None:
+    def __init__(
+        self, context: GatewayContext, disk: Disk, times: Times, background: BackgroundRunner = run_inline
+    ) -> None:
         """Keeps them on `disk`; `beside` runs what waits for it beside the loop."""
         self.context = context
         self.disk = disk
         self.times = times
         self.background = background
-        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        self.settings_mark = memory.hash_settings(context.config.module_settings(context.block))
         self._write_lock = threading.Lock()  # the last snapshot of an incarnation waits for the one before it
 
     def restore(self) -> None:
         """Gives the scheduler what an earlier incarnation saved, if that is sound and recent."""
         context = self.context
-        if not self.disk.exists(memory.FILE):
+        if not self.disk.exists(memory.SNAPSHOT_FILE):
             return
         try:
-            data = self.disk.read(memory.FILE)
-            recalled = memory.recall(data, context.name, self.settings_mark, *self.times())
+            data = self.disk.read(memory.SNAPSHOT_FILE)
+            recalled = memory.restore(data, context.name, self.settings_mark, *self.times())
         except (StorageError, OSError) as error:
             context.log.warning("memory is not taken up", why=str(error))
             return
@@ -44,7 +46,7 @@
     def save(self, complete: bool = False) -> None:
         """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
         context = self.context
-        self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
+        self.settings_mark = memory.hash_settings(context.config.module_settings(context.block))
         state = context.core.module.remembered(context.clock())
         snapshot = memory.Snapshot(context.name, self.settings_mark, *self.times(), complete, state)
 
@@ -52,7 +54,7 @@
             with self._write_lock:
                 memory.save(self.disk, snapshot)
 
-        (inline if complete else self.background)(write, self._on_saved)
+        (run_inline if complete else self.background)(write, self._on_saved)
 
     def begin(self) -> None:
         """Saves from now on, each time `buffer memory` has passed, as long as the gateway runs."""
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -160,7 +160,7 @@
         if self.open:
             return False
         is_recorded = not self.node_committer.committed or self.committer.failure is not None
-        is_clean = not len(self.dirty) and is_recorded and not self.committer.running
+        is_clean = not len(self.dirty) and is_recorded and not self.committer.is_running
         return self.node_committer.gave_up or is_clean
 
     def close(self) -> None:
@@ -188,7 +188,7 @@
             raise RequestRejectedError(f"{units:g} units: at most {config.rules.most_units:g} are taken")
         if op == FLUSH:
             return
-        unconfirmed_bytes = sum(len(getattr(row.record, "data", b"")) for row in self.committer.waiting)
+        unconfirmed_bytes = sum(len(getattr(row.record, "data", b"")) for row in self.committer.pending)
         refusal = self.policy.check_write(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failure)
         if refusal is not None:
             raise RequestRejectedError(refusal.reason, refusal.retry_after_ms)
@@ -205,7 +205,7 @@
     def _confirm(self, request: BufferedRequest, record: Write | Barrier) -> None:
         """Appends a record to the journal; the request is answered when it is durable."""
         self.committer.add(record, lambda is_durable: self._on_recorded(request, record, is_durable))
-        if not self.committer.running:
+        if not self.committer.is_running:
             self.node_committer.spawn(self.committer.run())
 
     def _on_recorded(self, request: BufferedRequest, record: Write | Barrier, is_durable: bool) -> None:
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -44,11 +44,11 @@
     async def lasts(self, batch: Batch) -> None:
         """As a thread would: the append, some time, the sync."""
         life = self.lives
-        self.disk.append(batch.name, batch.data)
+        self.disk.append(batch.file_name, batch.data)
         await asyncio.sleep(self.rng.uniform(0.0002, 0.004) + self.stall_ms / 1000.0)
         if life != self.lives:
             raise OSError(5, "the process is gone")
-        self.disk.sync(batch.name)
+        self.disk.sync(batch.file_name)
 
     async def start_head(self) -> None:
         self.lives += 1
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -15,7 +15,7 @@
 from pebblehinge.replicated_config.activation import cut_off
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.settings import Config
-from pebblehinge.store.background import Background, Done, inline
+from pebblehinge.store.background import BackgroundRunner, CompletionCallback, run_inline
 
 AGREED = "agreed"  # the file in which a head keeps the version that it took up
 
@@ -33,7 +33,7 @@
     head: Any,
     disk: FaultyDisk,
     log: Any,
-    beside: Background,
+    beside: BackgroundRunner,
 ) -> ConfigWatcher:
     """A head's way to the group, as the command line makes it."""
     floor = config.group.floor
@@ -75,19 +75,19 @@
             self.disks[name] = FaultyDisk(random.Random(f"{seed}/{name}"))
         return self.disks[name]
 
-    def beside(self, name: str) -> Background:
+    def beside(self, name: str) -> BackgroundRunner:
         """What a head has done beside its loop: over when its disk has taken its time; the node goes on meanwhile."""
 
-        def begin(call: Callable[[], Any], done: Done) -> None:
+        def begin(call: Callable[[], Any], done: CompletionCallback) -> None:
             if name in self.slow:
                 self.fleet.nodes[name].call_later(self.slow[name] / 1000.0, end, call, done)
             else:
-                inline(call, done)
+                run_inline(call, done)
 
-        def end(call: Callable[[], Any], done: Done) -> None:
+        def end(call: Callable[[], Any], done: CompletionCallback) -> None:
             disk = self.disks[name]
             held, disk.slow = disk.slow, None
-            inline(call, done)
+            run_inline(call, done)
             disk.slow = held
 
         return begin
--- a/pebblehinge/lab/replay.py
+++ b/pebblehinge/lab/replay.py
@@ -19,7 +19,9 @@
     Heads' monotonic clocks have no common origin, so wall clocks place them; a client's further tries are told
     apart by their mark, and left out: they would come again by themselves.
     """
-    notes = [f"{c.gateway}: {c.incomplete}; what stands before it is used" for c in captures if c.incomplete]
+    notes = [
+        f"{c.gateway}: {c.incomplete_reason}; what stands before it is used" for c in captures if c.incomplete_reason
+    ]
     lines = [(c.wall_ms + row.time_ms, c.gateway, row) for c in captures for row in c.requests if not row.retry]
     lines.sort(key=lambda x: (x[0], x[1]))
     if not lines:
--- a/pebblehinge/replicated_config/config_publisher.py
+++ b/pebblehinge/replicated_config/config_publisher.py
@@ -9,7 +9,7 @@
 from pebblehinge.replicated_config.application_types import Checkpoint
 from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
-from pebblehinge.store.background import Background
+from pebblehinge.store.background import BackgroundRunner
 
 EXPIRY_MARGIN_S = 0.001  # a timer may fire a little early
 
@@ -47,7 +47,7 @@
         adopt: Adopt,
         persist: Persist,
         log: Log,
-        beside: Background,
+        beside: BackgroundRunner,
         on_committed: Callable[[bool], None],
     ) -> None:
         """One gateway's.
--- a/pebblehinge/replicated_config/config_watcher.py
+++ b/pebblehinge/replicated_config/config_watcher.py
@@ -15,7 +15,7 @@
 from pebblehinge.replicated_config.size_limits import with_group_frames
 from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
-from pebblehinge.store.background import Background, inline
+from pebblehinge.store.background import BackgroundRunner, run_inline
 from pebblehinge.wire import Kind
 
 MAX_LEADERLESS_GRANTS = 3  # before another member is tried
@@ -36,7 +36,7 @@
         adopt: Adopt,
         persist: Persist,
         log: Log,
-        beside: Background = inline,
+        beside: BackgroundRunner = run_inline,
     ) -> None:
         """One gateway's.
 
--- a/pebblehinge/store/background.py
+++ b/pebblehinge/store/background.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
-Done = Callable[[BaseException | None], None]
+CompletionCallback = Callable[[BaseException | None], None]
 """Called in the loop once the call is over, with its exception or None."""
 
-Background = Callable[[Callable[[], Any], Done], None]
+BackgroundRunner = Callable[[Callable[[], Any], CompletionCallback], None]
 """Runs a call and then calls the `Done`."""
 
 
-def inline(call: Callable[[], Any], done: Done) -> None:
+def run_inline(call: Callable[[], Any], done: CompletionCallback) -> None:
     """Runs the call at once, where no time passes within a call: in virtual time, and at the end of a process."""
     try:
         call()
@@ -23,10 +23,10 @@
         done(None)
 
 
-def in_thread(loop: asyncio.AbstractEventLoop) -> Background:
+def thread_runner(loop: asyncio.AbstractEventLoop) -> BackgroundRunner:
     """Returns what runs calls in a thread of the loop's executor; `done` isn't called if the loop is closed by then."""
 
-    def run(call: Callable[[], Any], done: Done) -> None:
+    def run(call: Callable[[], Any], done: CompletionCallback) -> None:
         def finished(future: asyncio.Future[Any]) -> None:
             if not future.cancelled():
                 done(future.exception())
--- a/pebblehinge/store/committer.py
+++ b/pebblehinge/store/committer.py
@@ -7,13 +7,13 @@
 
 from pebblehinge.store.errors import JournalFailedError, StorageError
 from pebblehinge.store.journal import Batch, Journal
-from pebblehinge.store.records import Barrier, Done, Record, Write
+from pebblehinge.store.records import Barrier, Completion, Record, Write
 
 MAX_BATCH_BYTES = 4 << 20
 RECORD_OVERHEAD_BYTES = 100  # estimate of what a record takes beside its data
 
 
-class WaitingRecord(NamedTuple):
+class PendingRecord(NamedTuple):
     """A record that isn't appended yet; `on_result` gets True once it is durable, False if that can't be known."""
 
     record: Record
@@ -39,37 +39,37 @@
         """`write_batch` appends and syncs a batch; it raises OSError or StorageError if it can't."""
         self.journal = journal
         self.write_batch = write_batch
-        self.waiting: list[WaitingRecord] = []
-        self.relocating: dict[int, None] = {}
-        self.running = False
+        self.pending: list[PendingRecord] = []
+        self.pending_relocations: dict[int, None] = {}
+        self.is_running = False
         self.failure: JournalFailedError | None = None
-        self.batches = 0
-        self.records = 0
+        self.batch_count = 0
+        self.record_count = 0
 
     def add(self, record: Record, on_result: Callable[[bool], None]) -> None:
         """Takes a record for the next batch; `run` has to be called."""
-        self.waiting.append(WaitingRecord(record, on_result))
+        self.pending.append(PendingRecord(record, on_result))
 
     def relocate(self, record: Write | Barrier) -> None:
         """Takes a live record once more, so that its old segment can be removed."""
         number = record.number
-        if number not in self.relocating:
-            self.relocating[number] = None
-            self.add(record, lambda durable: self.relocating.pop(number, None))
+        if number not in self.pending_relocations:
+            self.pending_relocations[number] = None
+            self.add(record, lambda durable: self.pending_relocations.pop(number, None))
 
     async def run(self) -> None:
         """Commits until nothing waits. Returns at once if it is running already."""
-        if self.running:
+        if self.is_running:
             return
-        self.running = True
+        self.is_running = True
         try:
-            while self.waiting:
+            while self.pending:
                 await self._commit_batch()
         finally:
-            self.running = False
+            self.is_running = False
 
     async def _commit_batch(self) -> None:
-        batch = self._without_obsolete(self._next_batch())
+        batch = self._drop_obsolete(self._next_batch())
         if not batch:
             return
         if self.failure is None:
@@ -78,22 +78,22 @@
         for _, on_result in batch:
             on_result(durable)
 
-    def _next_batch(self) -> list[WaitingRecord]:
+    def _next_batch(self) -> list[PendingRecord]:
         """Takes the records of a batch off the waiting ones."""
         size = 0
         count = 0
-        for record, _ in self.waiting:
+        for record, _ in self.pending:
             if size >= MAX_BATCH_BYTES:
                 break
             size += len(getattr(record, "data", b"")) + RECORD_OVERHEAD_BYTES
             count += 1
-        batch = self.waiting[:count]
-        self.waiting = self.waiting[count:]
+        batch = self.pending[:count]
+        self.pending = self.pending[count:]
         return batch
 
-    def _without_obsolete(self, batch: list[WaitingRecord]) -> list[WaitingRecord]:
+    def _drop_obsolete(self, batch: list[PendingRecord]) -> list[PendingRecord]:
         """Drops records that were to be relocated and are done by now: written again they would live for ever."""
-        if not self.relocating:
+        if not self.pending_relocations:
             return batch
         obsolete = [row for row in batch if self._is_obsolete(row.record)]
         for row in obsolete:
@@ -102,7 +102,7 @@
         return batch
 
     def _is_obsolete(self, record: Record) -> bool:
-        if isinstance(record, Done) or record.number not in self.relocating:
+        if isinstance(record, Completion) or record.number not in self.pending_relocations:
             return False
         return record.number not in self.journal.segment_of
 
@@ -116,6 +116,6 @@
                 f"the journal failed ({why}): this head buffers no more until it is started again"
             )
         else:
-            self.journal.committed(batch)
-            self.batches += 1
-            self.records += len(records)
+            self.journal.mark_committed(batch)
+            self.batch_count += 1
+            self.record_count += len(records)
--- a/pebblehinge/store/dirty_writes.py
+++ b/pebblehinge/store/dirty_writes.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self.volumes: dict[str, VolumeWrites] = {}
         self.extents: dict[tuple[str, str], dict[int, Write]] = {}
-        self.eligible: dict[int, Write] = {}
+        self.eligible_writes: dict[int, Write] = {}
         self.in_flight: dict[int, None] = {}
         self.confirmed_ms: dict[int, float] = {}
         self.bytes = 0
@@ -52,7 +52,7 @@
         volume.groups[-1][write.number] = write
         queue = self.extents.setdefault((write.volume, write.extent), {})
         if not queue and len(volume.groups) == 1:
-            self.eligible[write.number] = write
+            self.eligible_writes[write.number] = write
         queue[write.number] = write
         self.confirmed_ms[write.number] = now
         self.bytes += len(write.data)
@@ -65,17 +65,17 @@
         if volume.groups[-1]:
             volume.groups.append({})
 
-    def ready(self) -> Iterator[Write]:
+    def ready_writes(self) -> Iterator[Write]:
         """The eligible writes that aren't in flight."""
-        return (write for number, write in self.eligible.items() if number not in self.in_flight)
+        return (write for number, write in self.eligible_writes.items() if number not in self.in_flight)
 
     def remove(self, write: Write) -> None:
         """Removes a write that is on its storage node, which makes others eligible."""
         volume = self.volumes[write.volume]
         volume.groups[0].pop(write.number, None)
-        self.eligible.pop(write.number, None)
+        self.eligible_writes.pop(write.number, None)
         self._remove_from_extent(volume, write)
-        self._open_barriers(volume)
+        self._drop_empty_groups(volume)
         if not volume.groups[0]:
             del self.volumes[write.volume]
         self.in_flight.pop(write.number, None)
@@ -91,7 +91,7 @@
         else:
             self._make_eligible(volume, next(iter(queue.values())))
 
-    def _open_barriers(self, volume: VolumeWrites) -> None:
+    def _drop_empty_groups(self, volume: VolumeWrites) -> None:
         """Drops groups that are empty; of the next one the first write of each extent is eligible."""
         opened = False
         while not volume.groups[0] and len(volume.groups) > 1:
@@ -103,7 +103,7 @@
 
     def _make_eligible(self, volume: VolumeWrites, write: Write) -> None:
         if write.number in volume.groups[0]:
-            self.eligible[write.number] = write
+            self.eligible_writes[write.number] = write
 
     def is_clean(self, volume: str, up_to: int) -> bool:
         """Whether all writes of a volume up to this number are on their storage nodes."""
--- a/pebblehinge/store/disk.py
+++ b/pebblehinge/store/disk.py
@@ -11,7 +11,7 @@
 
 LOCK_FILE = "lock"
 TEMPORARY_SUFFIX = ".new"
-PRIVATE = 0o600  # mode of the files
+FILE_MODE = 0o600  # mode of the files
 
 
 class Disk(Protocol):
@@ -51,14 +51,14 @@
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.files: dict[str, int] = {}  # open for appending: file descriptors by name
-        self.lock = -1
+        self.open_files: dict[str, int] = {}  # open for appending: file descriptors by name
+        self.lock_fd = -1
 
-    def own(self) -> None:
+    def acquire_lock(self) -> None:
         """Locks the folder for this process until it ends; raises FolderInUseError where another has it."""
-        self.lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, PRIVATE)
+        self.lock_fd = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             raise FolderInUseError(f"{self.folder} is in use by another process") from None
 
@@ -76,16 +76,16 @@
 
     def append(self, name: str, data: bytes) -> None:
         """Appends to a file, which is made if need be and stays open."""
-        fd = self.files.get(name)
+        fd = self.open_files.get(name)
         if fd is None:
-            fd = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, PRIVATE)
-            self.files[name] = fd
+            fd = os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, FILE_MODE)
+            self.open_files[name] = fd
         while data:
             data = data[os.write(fd, data) :]
 
     def sync(self, name: str) -> None:
         """Syncs a file that is open for appending."""
-        fd = self.files.get(name)
+        fd = self.open_files.get(name)
         if fd is not None:
             os.fsync(fd)
 
@@ -107,7 +107,7 @@
 
     def remove(self, name: str) -> None:
         """Closes and removes a file if it is there."""
-        fd = self.files.pop(name, None)
+        fd = self.open_files.pop(name, None)
         if fd is not None:
             os.close(fd)
         (self.folder / name).unlink(missing_ok=True)
@@ -122,6 +122,6 @@
 
     def close(self) -> None:
         """Closes all files; the lock stays."""
-        for fd in self.files.values():
+        for fd in self.open_files.values():
             os.close(fd)
-        self.files.clear()
+        self.open_files.clear()
--- a/pebblehinge/store/inspection.py
+++ b/pebblehinge/store/inspection.py
@@ -7,7 +7,7 @@
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.errors import JournalDamagedError
 from pebblehinge.store.journal import FENCE_FILE
-from pebblehinge.store.records import Done, Record, Write
+from pebblehinge.store.records import Completion, Record, Write
 from pebblehinge.store.segment import batch_size, decode_batch, find_batch, read_segment, segment_names
 
 
@@ -34,7 +34,7 @@
     barriers: int = 0
 
 
-def inspect(disk: Disk) -> Inspection:
+def inspect_journal(disk: Disk) -> Inspection:
     """Reads all that can be read of a folder, past damage too."""
     names = segment_names(disk.names())
     found = Inspection(len(names), disk.exists(FENCE_FILE))
@@ -43,8 +43,8 @@
     for name in names:
         data = disk.read(name)
         found.bytes += len(data)
-        for record in _records(name, data, name == names[-1], found.damage):
-            if isinstance(record, Done):
+        for record in _read_records(name, data, name == names[-1], found.damage):
+            if isinstance(record, Completion):
                 done.update(dict.fromkeys(record.numbers))
             elif isinstance(record, Write):
                 writes[record.number] = record
@@ -55,20 +55,20 @@
     return found
 
 
-def _records(name: str, data: bytes, last: bool, damage: list[str]) -> list[Record]:
+def _read_records(name: str, data: bytes, last: bool, damage: list[str]) -> list[Record]:
     """The records of a segment that can be read; what is damaged is added to `damage`."""
     try:
         contents = read_segment(name, data, last)
     except JournalDamagedError as error:
         damage.append(str(error))
-        return _sound_records(data)
-    if contents.sound_bytes < len(data):
-        cut = len(data) - contents.sound_bytes
+        return _valid_records(data)
+    if contents.valid_bytes < len(data):
+        cut = len(data) - contents.valid_bytes
         damage.append(f"{name}: {cut} bytes at its end are cut off (never promised)")
     return [record for batch in contents.batches for record in batch]
 
 
-def _sound_records(data: bytes) -> list[Record]:
+def _valid_records(data: bytes) -> list[Record]:
     """The records of all sound batches, wherever they are."""
     found: list[Record] = []
     at = find_batch(data, 0)
--- a/pebblehinge/store/journal.py
+++ b/pebblehinge/store/journal.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.errors import JournalFencedError
-from pebblehinge.store.records import Barrier, Done, Record, Write
+from pebblehinge.store.records import Barrier, Completion, Record, Write
 from pebblehinge.store.segment import (
     decode_header,
     encode_batch,
@@ -22,7 +22,7 @@
 )
 
 SEGMENT_BYTES = 8 << 20  # a new segment begins beyond this
-SPARSE_PART = 0.25  # of a segment: with less in live records these are written again
+SPARSE_LIVE_FRACTION = 0.25  # of a segment: with less in live records these are written again
 WRITE_OVERHEAD_BYTES = 200  # estimate of what a write takes beside its data
 BARRIER_BYTES = 50  # likewise of a barrier
 FENCE_FILE = "fence"
@@ -33,15 +33,15 @@
     """Bytes to append to a file and to sync, before any of the records counts.
 
     Attributes:
-        name: Name of the segment's file.
+        file_name: Name of the segment's file.
         data: The bytes.
-        new_file: Whether this makes the file, so that the folder has to be synced, too.
+        creates_file: Whether this makes the file, so that the folder has to be synced, too.
         records: The records in the bytes.
     """
 
-    name: str
+    file_name: str
     data: bytes
-    new_file: bool
+    creates_file: bool
     records: list[Record]
 
 
@@ -62,7 +62,7 @@
         writes: Live writes by number.
         barriers: Live barriers by number.
         last_number: The highest record number that was given out.
-        segment: Number of the segment that is written to.
+        current_segment: Number of the segment that is written to.
         truncated_bytes: Bytes of torn tails that `recover` cut.
     """
 
@@ -74,7 +74,7 @@
         self.writes: dict[int, Write] = {}
         self.barriers: dict[int, Barrier] = {}
         self.last_number = 0
-        self.segment = 0
+        self.current_segment = 0
         self.truncated_bytes = 0
 
     # ---- reading
@@ -95,28 +95,28 @@
             self._recover_segment(name, name == names[-1], done)
         for number in done:
             self._remove_record(number)
-        self.segment += 1  # what was read is not written to again: a tail that was cut stays cut
+        self.current_segment += 1  # what was read is not written to again: a tail that was cut stays cut
         self.reclaim()
 
     def _recover_segment(self, name: str, last: bool, done: dict[int, None]) -> None:
         number = segment_number(name)
         data = self.disk.read(name)
         contents = read_segment(name, data, last)
-        if contents.sound_bytes < len(data):
-            self.truncated_bytes += len(data) - contents.sound_bytes
-            self.disk.truncate(name, contents.sound_bytes)
-        self.segments[number] = Segment(contents.sound_bytes)
-        if contents.sound_bytes:
+        if contents.valid_bytes < len(data):
+            self.truncated_bytes += len(data) - contents.valid_bytes
+            self.disk.truncate(name, contents.valid_bytes)
+        self.segments[number] = Segment(contents.valid_bytes)
+        if contents.valid_bytes:
             # Numbers are never given out twice: what an earlier run noted as done must not end a write of this one.
             self.last_number = max(self.last_number, decode_header(data).last_number)
         for batch in contents.batches:
             for record in batch:
                 self._add_record(record, number, done)
-        self.segment = number
+        self.current_segment = number
 
     def _add_record(self, record: Record, segment: int, done: dict[int, None]) -> None:
         """Enters a record of a segment; the numbers of a Done are put into `done`."""
-        if isinstance(record, Done):
+        if isinstance(record, Completion):
             done.update(dict.fromkeys(record.numbers))
             self.last_number = max([self.last_number, *record.numbers])
             return
@@ -147,36 +147,36 @@
     def prepare(self, records: list[Record]) -> Batch:
         """What is to be appended for these records, which count once the batch is reported `committed`."""
         data = encode_batch(records)
-        new_file = self.segment not in self.segments
+        new_file = self.current_segment not in self.segments
         if new_file:
-            self.segments[self.segment] = Segment()
-            data = encode_header(self.segment, self.last_number) + data
-        self.segments[self.segment].size += len(data)
-        return Batch(segment_name(self.segment), data, new_file, records)
+            self.segments[self.current_segment] = Segment()
+            data = encode_header(self.current_segment, self.last_number) + data
+        self.segments[self.current_segment].size += len(data)
+        return Batch(segment_name(self.current_segment), data, new_file, records)
 
-    def committed(self, batch: Batch) -> None:
+    def mark_committed(self, batch: Batch) -> None:
         """The batch is durable."""
-        segment = segment_number(batch.name)
+        segment = segment_number(batch.file_name)
         done: dict[int, None] = {}
         for record in batch.records:
             self._add_record(record, segment, done)
         for number in done:
             self._remove_record(number)
-        if self.segments[self.segment].size >= self.segment_bytes:
-            self.segment += 1
+        if self.segments[self.current_segment].size >= self.segment_bytes:
+            self.current_segment += 1
 
     # ---- removing segments
 
     def reclaim(self) -> int:
         """Removes segments without live records; returns how many."""
-        self._remove_settled_barriers()
-        empty = [n for n, s in self.segments.items() if not s.live and n != self.segment]
+        self._remove_obsolete_barriers()
+        empty = [n for n, s in self.segments.items() if not s.live and n != self.current_segment]
         for number in empty:
             self.disk.remove(segment_name(number))
             del self.segments[number]
         return len(empty)
 
-    def _remove_settled_barriers(self) -> None:
+    def _remove_obsolete_barriers(self) -> None:
         """Removes barriers with no live write of their volume before them."""
         oldest: dict[str, int] = {}
         for number, write in self.writes.items():
@@ -185,20 +185,20 @@
             if oldest.get(barrier.volume, self.last_number + 1) > number:
                 self._remove_record(number)
 
-    def records_to_relocate(self, part: float = SPARSE_PART) -> list[Write | Barrier]:
+    def records_to_relocate(self, max_live_fraction: float = SPARSE_LIVE_FRACTION) -> list[Write | Barrier]:
         """A checkpoint: the live records of old segments that hold little else, by number.
 
         They are to be appended once more, under their numbers, so that these segments can be removed.
 
         Args:
-            part: How much of a segment's bytes may be live for it to count as sparse.
+            max_live_fraction: How much of a segment's bytes may be live for it to count as sparse.
         """
         found: list[Write | Barrier] = []
         for number, segment in self.segments.items():
-            if number == self.segment or not segment.live:
+            if number == self.current_segment or not segment.live:
                 continue
             live = [self.writes.get(n) or self.barriers[n] for n in segment.live]
-            if sum(map(_estimated_bytes, live)) < part * segment.size:
+            if sum(map(_estimate_record_bytes, live)) < max_live_fraction * segment.size:
                 found += live
         return sorted(found, key=lambda record: record.number)
 
@@ -207,7 +207,7 @@
         return sum(segment.size for segment in self.segments.values())
 
 
-def _estimated_bytes(record: Write | Barrier) -> int:
+def _estimate_record_bytes(record: Write | Barrier) -> int:
     return len(record.data) + WRITE_OVERHEAD_BYTES if isinstance(record, Write) else BARRIER_BYTES
 
 
--- a/pebblehinge/store/memory.py
+++ b/pebblehinge/store/memory.py
@@ -20,12 +20,12 @@
 from pebblehinge.interface import Settings
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.errors import SnapshotRejectedError
-from pebblehinge.store.settings_mark import stored_text
+from pebblehinge.store.settings_mark import canonical_text
 
 MAGIC = b"pbhmemo\n"
 VERSION = 1
 HEADER = struct.Struct(">8sHQ")
-FILE = "memory"
+SNAPSHOT_FILE = "memory"
 MAX_AGE_MS = 3_600_000.0  # beyond an hour nothing of it is worth reading
 MAX_BYTES = 16 << 20
 
@@ -35,19 +35,19 @@
 
     Attributes:
         gateway: Name of the gateway.
-        settings: The mark of its settings.
+        settings_hash: The mark of its settings.
         wall_ms: Wall clock time.
-        up_ms: Time since the machine started.
-        boot: Identifies that start of the machine, "" if unknown.
+        uptime_ms: Time since the machine started.
+        boot_id: Identifies that start of the machine, "" if unknown.
         complete: Whether nothing was sent to storage nodes after it was taken.
         state: What `Scheduler.remembered` returned.
     """
 
     gateway: str
-    settings: str
+    settings_hash: str
     wall_ms: float
-    up_ms: float
-    boot: str
+    uptime_ms: float
+    boot_id: str
     complete: bool
     state: dict[str, Any]
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Recalled:
+class RestoredSnapshot:
     """A snapshot that may be used.
 
     Attributes:
@@ -83,9 +83,9 @@
     summary: str
 
 
-def mark_of(settings: Settings) -> str:
+def hash_settings(settings: Settings) -> str:
     """A hash that tells versions of the settings apart, as far as the scheduler is handed them."""
-    return xxhash.xxh3_64_hexdigest(stored_text(settings).encode())
+    return xxhash.xxh3_64_hexdigest(canonical_text(settings).encode())
 
 
 def encode(snapshot: Snapshot) -> bytes:
@@ -96,7 +96,7 @@
 
 def save(disk: Disk, snapshot: Snapshot) -> None:
     """Writes the file."""
-    disk.replace(FILE, encode(snapshot))
+    disk.replace(SNAPSHOT_FILE, encode(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
@@ -122,16 +122,18 @@
     return snapshot
 
 
-def recall(data: bytes, gateway: str, settings: str, wall_ms: float, up_ms: float, boot: str) -> Recalled:
+def restore(
+    data: bytes, gateway: str, settings_hash: str, wall_ms: float, uptime_ms: float, boot_id: str
+) -> RestoredSnapshot:
     """Reads the bytes of a file for use now.
 
     Args:
         data: The bytes.
         gateway: Name of this gateway.
-        settings: The mark of its settings.
+        settings_hash: The mark of its settings.
         wall_ms: Wall clock time.
-        up_ms: Time since the machine started.
-        boot: Identifies that start of the machine, "" if unknown.
+        uptime_ms: Time since the machine started.
+        boot_id: Identifies that start of the machine, "" if unknown.
 
     Raises:
         SnapshotRejectedError: It must not be used; the message says why.
@@ -139,8 +141,8 @@
     snapshot = decode(data)
     if snapshot.gateway != gateway:
         raise SnapshotRejectedError(f"it is head {snapshot.gateway}'s")
-    same_boot = snapshot.boot == boot and bool(boot)
-    age_ms = up_ms - snapshot.up_ms if same_boot else wall_ms - snapshot.wall_ms
+    same_boot = snapshot.boot_id == boot_id and bool(boot_id)
+    age_ms = uptime_ms - snapshot.uptime_ms if same_boot else wall_ms - snapshot.wall_ms
     if age_ms < 0:
         raise SnapshotRejectedError(f"it is from {-age_ms / 1000:.0f} s ahead: a clock was set")
     if age_ms > MAX_AGE_MS:
@@ -152,9 +154,9 @@
         # Units are counted by a clock that can be trusted or not at all.
         complete = False
         summary += ", by the wall clock"
-    if snapshot.settings != settings:
+    if snapshot.settings_hash != settings_hash:
         # Latencies and thinktimes are the fleet's; what a limit has left and what a unit earns are the settings'.
         complete = False
         summary += ", from other settings"
         state["every"] = (*state["every"][:3], 0.0)
-    return Recalled(state, age_ms, complete, summary)
+    return RestoredSnapshot(state, age_ms, complete, summary)
--- a/pebblehinge/store/records.py
+++ b/pebblehinge/store/records.py
@@ -26,8 +26,8 @@
     slot: int
     offset: int
     data: bytes
-    label: str
-    profile: str
+    idempotency_key: str
+    request_class: str
     units: float
 
 
@@ -38,10 +38,10 @@
     volume: str
 
 
-class Done(msgspec.Struct, array_like=True, tag="d", frozen=True):
+class Completion(msgspec.Struct, array_like=True, tag="d", frozen=True):
     """The writes of these numbers are on their storage nodes."""
 
     numbers: list[int]
 
 
-Record = Write | Barrier | Done
+Record = Write | Barrier | Completion
--- a/pebblehinge/store/segment.py
+++ b/pebblehinge/store/segment.py
@@ -23,13 +23,13 @@
 MAGIC = b"pbhjrnl\n"
 VERSION = 1
 HEADER = struct.Struct(">8sHIQ")
-BATCH_MARK = b"\xc5PB\x9e"
+BATCH_MAGIC = b"\xc5PB\x9e"
 BATCH_HEADER = struct.Struct(">4sIQ")
 MAX_BODY_BYTES = 128 << 20
 NAME_PREFIX = "journal-"
 NAME_SUFFIX = ".seg"
-_encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(list[Record]).decode
+_encode_records = msgspec.msgpack.Encoder().encode
+_decode_records = msgspec.msgpack.Decoder(list[Record]).decode
 
 
 class SegmentHeader(NamedTuple):
@@ -46,7 +46,7 @@
     """The batches of a segment, and how many bytes of its file are sound."""
 
     batches: list[list[Record]]
-    sound_bytes: int
+    valid_bytes: int
 
 
 def segment_name(number: int) -> str:
@@ -76,8 +76,8 @@
 
 def encode_batch(records: list[Record]) -> bytes:
     """One batch of these records."""
-    body = _encode(records)
-    return BATCH_HEADER.pack(BATCH_MARK, len(body), xxhash.xxh64_intdigest(body)) + body
+    body = _encode_records(records)
+    return BATCH_HEADER.pack(BATCH_MAGIC, len(body), xxhash.xxh64_intdigest(body)) + body
 
 
 def batch_size(data: bytes, at: int) -> int:
@@ -98,7 +98,7 @@
         JournalDamagedError: It is damaged where batches may have been confirmed, or of an unknown format; the message
             has the place and what is sound before it.
     """
-    if not _is_header_sound(name, data, last):
+    if not _is_header_valid(name, data, last):
         return SegmentContents([], 0)
     at = HEADER.size
     batches: list[list[Record]] = []
@@ -108,13 +108,13 @@
             following = find_batch(data, at + 1)
             if last and following is None:
                 break
-            raise JournalDamagedError(_damage(name, at, following, len(batches)))
+            raise JournalDamagedError(_damage_message(name, at, following, len(batches)))
         batches.append(records)
         at += batch_size(data, at)
     return SegmentContents(batches, at)
 
 
-def _is_header_sound(name: str, data: bytes, last: bool) -> bool:
+def _is_header_valid(name: str, data: bytes, last: bool) -> bool:
     """False for a newest segment that was cut off or torn while it was made; raises for every other fault."""
     if len(data) < HEADER.size:
         if last:
@@ -134,7 +134,7 @@
     return True
 
 
-def _damage(name: str, at: int, following: int | None, sound: int) -> str:
+def _damage_message(name: str, at: int, following: int | None, sound: int) -> str:
     where = "later segments are there" if following is None else f"a sound one follows at byte {following}"
     return (
         f"{name}: the batch at byte {at} is damaged and had been promised ({where}); the {sound} "
@@ -148,17 +148,17 @@
         return None
     mark, length, digest = BATCH_HEADER.unpack_from(data, at)
     body = data[at + BATCH_HEADER.size : at + BATCH_HEADER.size + length]
-    if mark != BATCH_MARK or length > MAX_BODY_BYTES or len(body) != length or xxhash.xxh64_intdigest(body) != digest:
+    if mark != BATCH_MAGIC or length > MAX_BODY_BYTES or len(body) != length or xxhash.xxh64_intdigest(body) != digest:
         return None
     try:
-        return _decode(body)
+        return _decode_records(body)
     except msgspec.MsgspecError:
         return None
 
 
 def find_batch(data: bytes, at: int) -> int | None:
     """The offset of the first sound batch from an offset on, None if there is none."""
-    while (at := data.find(BATCH_MARK, at)) >= 0:
+    while (at := data.find(BATCH_MAGIC, at)) >= 0:
         if decode_batch(data, at) is not None:
             return at
         at += 1
--- a/pebblehinge/store/settings_mark.py
+++ b/pebblehinge/store/settings_mark.py
@@ -15,7 +15,7 @@
 from pebblehinge.interface import Settings
 
 # The stored words of RequestClass, QuotaPlan and the rest of Settings, field by field.
-REQUEST_CLASS_WORDS = (
+REQUEST_CLASS_FIELDS = (
     "name",
     "importance",
     "expected_ms",
@@ -26,8 +26,8 @@
     "window_ms",
     "in_order",
 )
-QUOTA_PLAN_WORDS = ("name", "rate", "reserve", "limit_rate", "limit_burst", "limit_slack", "weight", "worth_factor")
-SETTINGS_WORDS = (
+QUOTA_PLAN_FIELDS = ("name", "rate", "reserve", "limit_rate", "limit_burst", "limit_slack", "weight", "worth_factor")
+SETTINGS_FIELDS = (
     "mean_units",
     "most_units",
     "share_worth",
@@ -47,7 +47,7 @@
     "budget_window_ms",
 )
 # Values of Idempotency and DeduplicationScope: the stored words of these members.
-MEMBER_WORDS = {
+ENUM_MEMBERS = {
     "redoable": "Repeat.REDOABLE",
     "labelled": "Repeat.LABELLED",
     "irreversible": "Repeat.IRREVERSIBLE",
@@ -57,30 +57,32 @@
 }
 
 
-def stored_text(settings: Settings) -> str:
+def canonical_text(settings: Settings) -> str:
     """The settings that a scheduler is handed, in the words of memory files."""
-    request_classes, quota_plans, *rest = _values(settings)
-    profiles = _tuple([_object("Profile", REQUEST_CLASS_WORDS, _values(each)) for each in request_classes])
-    plans = _tuple([_object("Plan", QUOTA_PLAN_WORDS, _values(each)) for each in quota_plans])
-    return f"Settings(profiles={profiles}, plans={plans}, {_pairs(SETTINGS_WORDS, rest)})"
+    request_classes, quota_plans, *rest = _field_values(settings)
+    profiles = _tuple_text(
+        [_object_text("Profile", REQUEST_CLASS_FIELDS, _field_values(each)) for each in request_classes]
+    )
+    plans = _tuple_text([_object_text("Plan", QUOTA_PLAN_FIELDS, _field_values(each)) for each in quota_plans])
+    return f"Settings(profiles={profiles}, plans={plans}, {_fields_text(SETTINGS_FIELDS, rest)})"
 
 
-def _values(row: Any) -> list[Any]:
+def _field_values(row: Any) -> list[Any]:
     """The values of a dataclass, field by field."""
     return [getattr(row, field.name) for field in dataclasses.fields(row)]
 
 
-def _object(word: str, names: Sequence[str], values: Sequence[Any]) -> str:
-    return f"{word}({_pairs(names, values)})"
+def _object_text(word: str, names: Sequence[str], values: Sequence[Any]) -> str:
+    return f"{word}({_fields_text(names, values)})"
 
 
-def _pairs(names: Sequence[str], values: Sequence[Any]) -> str:
-    return ", ".join(f"{name}={_word(value)}" for name, value in zip(names, values, strict=True))
+def _fields_text(names: Sequence[str], values: Sequence[Any]) -> str:
+    return ", ".join(f"{name}={_value_text(value)}" for name, value in zip(names, values, strict=True))
 
 
-def _word(value: Any) -> str:
-    return f"<{MEMBER_WORDS[value.value]}: {value.value!r}>" if isinstance(value, Enum) else repr(value)
+def _value_text(value: Any) -> str:
+    return f"<{ENUM_MEMBERS[value.value]}: {value.value!r}>" if isinstance(value, Enum) else repr(value)
 
 
-def _tuple(rows: list[str]) -> str:
+def _tuple_text(rows: list[str]) -> str:
     return f"({rows[0]},)" if len(rows) == 1 else f"({', '.join(rows)})"
--- a/pebblehinge/store/writeback_policy.py
+++ b/pebblehinge/store/writeback_policy.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WriteRefusal:
+class WriteRejection:
     """Why a write can't be buffered now, and for how long to stay away; 0 for the longest time that settings allow."""
 
     reason: str
@@ -74,75 +74,75 @@
         self.delay_ms = delay_ms
         self.max_in_flight = max_in_flight
         self.window = INITIAL_WINDOW
-        self.flushing: dict[str, int] = {}
+        self.flush_up_to: dict[str, int] = {}
         self.backoffs: dict[int, Backoff] = {}
-        self.probing: dict[int, None] = {}
+        self.probed_slots: dict[int, None] = {}
         self.next_shrink_ms = -math.inf
 
     def check_write(
         self, now: float, dirty: DirtyWrites, size: int, failure: JournalFailedError | None
-    ) -> WriteRefusal | None:
+    ) -> WriteRejection | None:
         """Returns why a write of so many bytes can't be buffered now, None if it can."""
         if failure is not None:
-            return WriteRefusal(str(failure), 0.0)
+            return WriteRejection(str(failure), 0.0)
         if dirty.bytes + size > self.max_bytes:
-            return WriteRefusal(f"{dirty.bytes} bytes wait for their shelfs already", self.delay_ms)
+            return WriteRejection(f"{dirty.bytes} bytes wait for their shelfs already", self.delay_ms)
         oldest = dirty.oldest_confirmed_ms()
         if oldest is not None and now - oldest > self.max_age_ms:
-            return WriteRefusal(f"a write has waited for its shelf for {(now - oldest) / 1000:.0f} s", self.delay_ms)
+            return WriteRejection(f"a write has waited for its shelf for {(now - oldest) / 1000:.0f} s", self.delay_ms)
         return None
 
     def flush(self, volume: str, up_to: int) -> None:
         """Has the writes of a volume up to this number written back without delay."""
-        self.flushing[volume] = max(up_to, self.flushing.get(volume, 0))
+        self.flush_up_to[volume] = max(up_to, self.flush_up_to.get(volume, 0))
 
-    def due(self, now: float, dirty: DirtyWrites) -> list[Write]:
+    def due_writes(self, now: float, dirty: DirtyWrites) -> list[Write]:
         """The writes to write back now, the oldest first."""
         free = int(self.window) - len(dirty.in_flight)
         if free <= 0:
             return []
-        candidates = islice(dirty.ready(), MAX_CANDIDATES + CANDIDATES_PER_FREE_PLACE * free)
+        candidates = islice(dirty.ready_writes(), MAX_CANDIDATES + CANDIDATES_PER_FREE_PLACE * free)
         due = [write for write in candidates if self._is_due(now, dirty, write)]
         due.sort(key=lambda write: write.number)
-        return self._choose(due, free)
+        return self._select(due, free)
 
     def _is_due(self, now: float, dirty: DirtyWrites, write: Write) -> bool:
         delay_ms = 0.0 if self._is_urgent(dirty, write) else self.delay_ms
         if now - dirty.confirmed_ms[write.number] < delay_ms:
             return False
         backoff = self.backoffs.get(write.slot)
-        return backoff is None or (now >= backoff.until_ms and write.slot not in self.probing)
+        return backoff is None or (now >= backoff.until_ms and write.slot not in self.probed_slots)
 
     def _is_urgent(self, dirty: DirtyWrites, write: Write) -> bool:
         return (
             dirty.bytes > self.max_bytes / 2
-            or write.number <= self.flushing.get(write.volume, 0)
+            or write.number <= self.flush_up_to.get(write.volume, 0)
             or write.number in dirty.maybe_applied
             or len(dirty.volumes[write.volume].groups) > 1
         )
 
-    def _choose(self, due: list[Write], free: int) -> list[Write]:
+    def _select(self, due: list[Write], free: int) -> list[Write]:
         """At most so many of them, and one for a slot whose storage node takes nothing."""
         chosen: list[Write] = []
         for write in due:
             if len(chosen) >= free:
                 break
             if write.slot in self.backoffs:
-                if write.slot in self.probing:
+                if write.slot in self.probed_slots:
                     continue
-                self.probing[write.slot] = None
+                self.probed_slots[write.slot] = None
             chosen.append(write)
         return chosen
 
-    def succeeded(self, write: Write) -> None:
+    def record_success(self, write: Write) -> None:
         """A write-back succeeded: the window grows."""
-        self.probing.pop(write.slot, None)
+        self.probed_slots.pop(write.slot, None)
         self.backoffs.pop(write.slot, None)
         self.window = min(float(self.max_in_flight), self.window + 1.0 / self.window)
 
-    def failed(self, now: float, write: Write, retry_after_ms: float) -> None:
+    def record_failure(self, now: float, write: Write, retry_after_ms: float) -> None:
         """A write-back was not accepted: its slot backs off and the window shrinks."""
-        self.probing.pop(write.slot, None)
+        self.probed_slots.pop(write.slot, None)
         backoff = self.backoffs.get(write.slot, Backoff(0.0, MIN_BACKOFF_MS / 2))
         if now >= backoff.until_ms:  # those that were in flight together count as one failure
             pause_ms = min(MAX_BACKOFF_MS, 2 * backoff.pause_ms)
@@ -151,13 +151,13 @@
             self.window = max(MIN_WINDOW, self.window * WINDOW_SHRINK)
             self.next_shrink_ms = now + max(MIN_SHRINK_INTERVAL_MS, retry_after_ms)
 
-    def wake_ms(self, now: float, dirty: DirtyWrites) -> float:
+    def next_wake_ms(self, now: float, dirty: DirtyWrites) -> float:
         """When to look again though nothing happens; infinity for never."""
         at = math.inf
         if len(dirty.in_flight) >= int(self.window):
             return at
-        for write in islice(dirty.ready(), MAX_CANDIDATES):
-            if write.slot in self.probing:
+        for write in islice(dirty.ready_writes(), MAX_CANDIDATES):
+            if write.slot in self.probed_slots:
                 continue
             backoff = self.backoffs.get(write.slot)
             if backoff is not None and backoff.until_ms > now:
--- a/tests/captured_rows.py
+++ b/tests/captured_rows.py
@@ -16,7 +16,7 @@
 VOLUMES = list(CONFIG.volume)
 
 
-def row(t: float, **more: Any) -> CapturedRequest:
+def captured_request(t: float, **more: Any) -> CapturedRequest:
     usual: dict[str, Any] = dict(
         time_ms=t,
         volume="premium-1",
@@ -36,14 +36,16 @@
     return CapturedRequest(**{**usual, **more})
 
 
-def rows_of(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, CapturedRequest]]:
+def captured_requests(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, CapturedRequest]]:
     rng = np.random.default_rng(1)
     times = np.sort(rng.uniform(0, seconds * 1000.0, count))
     return [
         (
             float(t),
             "h1",
-            row(float(t), slot=i % 8, volume=VOLUMES[i % 20], quota_plan=VOLUMES[i % 20].partition("-")[0], **more),
+            captured_request(
+                float(t), slot=i % 8, volume=VOLUMES[i % 20], quota_plan=VOLUMES[i % 20].partition("-")[0], **more
+            ),
         )
         for i, t in enumerate(times)
     ]
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -12,7 +12,7 @@
 
 from pebblehinge.interface import Settings
 from pebblehinge.settings import Config, load
-from pebblehinge.store.memory import mark_of
+from pebblehinge.store.memory import hash_settings
 
 ROOT = Path(__file__).parent.parent.parent
 FILES = sorted([*(ROOT / "examples").glob("*.conf"), *(ROOT / "pebblehinge" / "lab" / "days").glob("*.conf")])
@@ -24,14 +24,14 @@
 
 def marks() -> dict[str, str]:
     """The mark of each file's settings, and of some that are drawn from."""
-    found = {file.name: mark_of(handed(load(str(file)))) for file in FILES if load(str(file)).head}
+    found = {file.name: hash_settings(handed(load(str(file)))) for file in FILES if load(str(file)).head}
     drawn = handed(CONFIG)
-    found |= {"drawn": mark_of(drawn), "cold": mark_of(handed(COLD))}
-    found["no plans"] = mark_of(replace(drawn, quota_plans=()))
-    found["one of each"] = mark_of(
+    found |= {"drawn": hash_settings(drawn), "cold": hash_settings(handed(COLD))}
+    found["no plans"] = hash_settings(replace(drawn, quota_plans=()))
+    found["one of each"] = hash_settings(
         replace(drawn, quota_plans=drawn.quota_plans[:1], request_classes=drawn.request_classes[:1])
     )
-    found["no budget"] = mark_of(replace(drawn, budget_share=None))
+    found["no budget"] = hash_settings(replace(drawn, budget_share=None))
     return found
 
 
@@ -43,4 +43,4 @@
     {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_cancel": False}, {"request_classes": ()},
 ])  # fmt: skip
 def test_other_settings_have_another_mark(changes: dict[str, Any]) -> None:
-    assert mark_of(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
+    assert hash_settings(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -23,7 +23,7 @@
 from pebblehinge.settings import SettingsError, load
 from pebblehinge.store import RealDisk, StorageError, memory
 from pebblehinge.store.journal import Journal
-from pebblehinge.store.records import Barrier, Done, Record, Write
+from pebblehinge.store.records import Barrier, Completion, Record, Write
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -57,7 +57,7 @@
     assert plain(journal.writes) == expected["writes"]
     assert plain(journal.barriers) == expected["barriers"]
     assert plain(journal.segment_of) == expected["where"]
-    assert [journal.last_number, journal.segment, journal.truncated_bytes] == [
+    assert [journal.last_number, journal.current_segment, journal.truncated_bytes] == [
         expected["number"],
         expected["segment"],
         expected["cut"],
@@ -66,8 +66,8 @@
     written: dict[str, bytes] = {}
     for rows in native(expected["batches"]):
         batch = again.prepare([record(*row) for row in rows])
-        again.committed(batch)
-        written[batch.name] = written.get(batch.name, b"") + batch.data
+        again.mark_committed(batch)
+        written[batch.file_name] = written.get(batch.file_name, b"") + batch.data
     assert sorted(written) == expected["files"] == sorted(before)
     last = max(written)
     assert {**before, last: before[last][: -expected["cut"]]} == written
@@ -75,7 +75,7 @@
 
 def record(kind: str, *values: Any) -> Record:
     """A record of a journal from its stored word and values."""
-    return {"w": Write, "b": Barrier, "d": Done}[kind](*values)
+    return {"w": Write, "b": Barrier, "d": Completion}[kind](*values)
 
 
 def check_memory(data: bytes, expected: dict[str, Any]) -> None:
@@ -83,7 +83,7 @@
     config = load(str(ROOT / "examples" / "head.conf"))
     found = memory.decode(data)
     assert plain(found) == expected["values"]
-    assert memory.mark_of(config.module_settings(config.head["h1"])) == expected["settings"]
+    assert memory.hash_settings(config.module_settings(config.head["h1"])) == expected["settings"]
     assert plain(rebuilt(config, found.state).remembered(9_000.0)) == expected["later"]
     name, mark, *times, _ = expected["values"]
     assert memory.encode(memory.Snapshot(name, mark, *times, learned(config).remembered(5_000.0))) == data
@@ -108,7 +108,9 @@
     """A capture: its heading and rows, and what a writer makes of the same rows."""
     found = parse_capture(data)
     for each in (found, parse_capture(recaptured(expected))):
-        assert [each.gateway, each.wall_ms, each.clock_ms, each.incomplete or ""] == [expected[k] for k in HEADING]
+        assert [each.gateway, each.wall_ms, each.clock_ms, each.incomplete_reason or ""] == [
+            expected[k] for k in HEADING
+        ]
         assert plain(each.requests) == expected["rows"]
     assert list(OUTCOMES) == ["honoured", "pushed back", "terminated", "left"]
     assert (FILE_START.size, BLOCK_START.size, data[:8]) == (10, 8, b"PHCAPTUR")
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -28,7 +28,7 @@
 from pebblehinge.store import memory
 from pebblehinge.store.disk import RealDisk
 from pebblehinge.store.journal import Journal
-from pebblehinge.store.records import Barrier, Done, Write
+from pebblehinge.store.records import Barrier, Completion, Write
 from pebblehinge.wire import Frames, Kind, Session, WireError, encode
 
 ROOT = Path(__file__).parent.parent.parent
@@ -80,25 +80,25 @@
     folder = FIXTURES / "journal"
     journal = Journal(RealDisk(folder), segment_bytes=600)
     for batch_rows in JOURNAL:
-        records = [{"w": Write, "b": Barrier, "d": Done}[row[0]](*row[1:]) for row in batch_rows]
+        records = [{"w": Write, "b": Barrier, "d": Completion}[row[0]](*row[1:]) for row in batch_rows]
         batch = journal.prepare(records)
-        journal.disk.append(batch.name, batch.data)
-        journal.disk.sync(batch.name)
-        journal.committed(batch)
-    journal.disk.append(batch.name, b"\xc5PB\x9e\0\0")  # the tail that a power cut left
+        journal.disk.append(batch.file_name, batch.data)
+        journal.disk.sync(batch.file_name)
+        journal.mark_committed(batch)
+    journal.disk.append(batch.file_name, b"\xc5PB\x9e\0\0")  # the tail that a power cut left
     with tempfile.TemporaryDirectory() as copy:
         shutil.copytree(folder, copy, dirs_exist_ok=True)
         again = Journal(RealDisk(copy), segment_bytes=600)
         again.recover()
     save("journal", {
         "batches": plain(JOURNAL), "writes": plain(again.writes), "barriers": plain(again.barriers),
-        "number": again.last_number, "segment": again.segment, "cut": again.truncated_bytes,
+        "number": again.last_number, "segment": again.current_segment, "cut": again.truncated_bytes,
         "where": plain(again.segment_of),
         "files": sorted(p.name for p in folder.iterdir()),
     })  # fmt: skip
 
     config = load(str(ROOT / "examples" / "head.conf"))
-    mark = memory.mark_of(config.module_settings(config.head["h1"]))
+    mark = memory.hash_settings(config.module_settings(config.head["h1"]))
     head = learned(config)
     kept = memory.Snapshot("h1", mark, *MEMORY, head.remembered(5_000.0))
     (FIXTURES / "memory").write_bytes(memory.encode(kept))
@@ -123,7 +123,8 @@
         writer.flush()
     found = parse_capture((FIXTURES / "capture").read_bytes())
     save("capture", {"head": found.gateway, "wall_ms": found.wall_ms, "clock_ms": found.clock_ms,
-                     "cut": found.incomplete or "", "rows": plain(found.requests), "given": plain(ROWS)})  # fmt: skip
+                     "cut": found.incomplete_reason or "", "rows": plain(found.requests),
+                     "given": plain(ROWS)})  # fmt: skip
 
 
 def write_conversations() -> None:
--- a/tests/journal_disk.py
+++ b/tests/journal_disk.py
@@ -10,20 +10,20 @@
 from pebblehinge.store.records import Write
 
 
-def write(
+def make_write(
     number: int, extent: str = "x", offset: int = 0, data: bytes = b"data", volume: str = "v", slot: int = 0
 ) -> Write:
     return Write(number, volume, extent, slot, offset, data, f"l{number}", "save", 1.0)
 
 
-def put(journal: Journal, disk: FaultyDisk, *records: Any) -> None:
+def commit_records(journal: Journal, disk: FaultyDisk, *records: Any) -> None:
     batch = journal.prepare(list(records))
-    disk.append(batch.name, batch.data)
-    disk.sync(batch.name)
-    journal.committed(batch)
+    disk.append(batch.file_name, batch.data)
+    disk.sync(batch.file_name)
+    journal.mark_committed(batch)
 
 
-def fresh(seed: int = 1) -> tuple[FaultyDisk, Journal]:
+def new_journal(seed: int = 1) -> tuple[FaultyDisk, Journal]:
     disk = FaultyDisk(random.Random(seed))
     journal = Journal(disk)
     journal.recover()
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -18,7 +18,7 @@
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import show
-from pebblehinge.store.background import in_thread, inline
+from pebblehinge.store.background import run_inline, thread_runner
 from pebblehinge.wire import Kind
 
 TEXT = "\n".join(show(STRUCK)) + "\n"
@@ -126,7 +126,7 @@
 
     async def script() -> None:
         loop, turns = asyncio.get_running_loop(), 0
-        beside = in_thread(loop)
+        beside = thread_runner(loop)
         beside(slow, told.append)
         while not told:
             turns += 1
@@ -140,8 +140,8 @@
         runner.run(script())
     assert told[0] is None and "Input/output error" in str(told[1])
     assert threads != [threading.current_thread().name]
-    inline(bad, told.append)
-    inline(lambda: None, told.append)
+    run_inline(bad, told.append)
+    run_inline(lambda: None, told.append)
     assert isinstance(told[2], OSError) and told[3] is None
 
 
@@ -173,7 +173,7 @@
     threads: list[threading.Thread] = []
 
     def beside(call: Callable[[], Any], done: Any) -> None:
-        threads.append(threading.Thread(target=inline, args=(call, done)))
+        threads.append(threading.Thread(target=run_inline, args=(call, done)))
         threads[-1].start()
 
     keeper = SnapshotKeeper(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from captured_rows import CONFIG, row, rows_of
+from captured_rows import CONFIG, captured_request, captured_requests
 
 from pebblehinge.capture import Capture, CapturedRequest, CaptureError, CaptureWriter, parse_capture
 from pebblehinge.lab.replay import Replay, merge
@@ -20,16 +20,16 @@
 
 
 def test_a_capture_reads_back_and_is_read_up_to_a_cut_or_to_damage() -> None:
-    rows = [row(1.0), row(2.0), row(3.0)]
+    rows = [captured_request(1.0), captured_request(2.0), captured_request(3.0)]
     data = written(*rows)
     whole = parse_capture(data)
-    assert (whole.gateway, whole.wall_ms, whole.requests, whole.incomplete) == ("h1", 5000.0, rows, None)
+    assert (whole.gateway, whole.wall_ms, whole.requests, whole.incomplete_reason) == ("h1", 5000.0, rows, None)
     cut = parse_capture(data[:-5])
-    assert cut.requests == rows[:2] and "cut off" in (cut.incomplete or "")
+    assert cut.requests == rows[:2] and "cut off" in (cut.incomplete_reason or "")
     damaged = bytearray(data)
     damaged[-3] ^= 1
     hurt = parse_capture(bytes(damaged))
-    assert hurt.requests == rows[:2] and "is damaged" in (hurt.incomplete or "")
+    assert hurt.requests == rows[:2] and "is damaged" in (hurt.incomplete_reason or "")
     with pytest.raises(CaptureError, match="version 9: version 1 is read"):
         parse_capture(data[:8] + b"\x00\x09" + data[10:])
     with pytest.raises(CaptureError, match="is no capture"):
@@ -49,21 +49,27 @@
 
     writer = CaptureWriter(sink, "h1", 0.0, 0.0, failed.append)
     for _ in range(3):
-        writer.add(*msgspec.structs.astuple(row(1.0)))
+        writer.add(*msgspec.structs.astuple(captured_request(1.0)))
         writer.flush()
-    assert len(failed) == 1 and not writer.on and writer.rows == []
+    assert len(failed) == 1 and not writer.is_open and writer.rows == []
 
 
 def test_captures_of_several_heads_stand_on_one_line_without_second_tries() -> None:
-    first = Capture("h1", 1000.0, 77.0, [row(0.0), row(50.0, retry=True)])
-    second = Capture("h2", 900.0, 5.0, [row(20.0), row(60_000.0)], incomplete="the block at byte 9 is damaged")
+    first = Capture("h1", 1000.0, 77.0, [captured_request(0.0), captured_request(50.0, retry=True)])
+    second = Capture(
+        "h2",
+        900.0,
+        5.0,
+        [captured_request(20.0), captured_request(60_000.0)],
+        incomplete_reason="the block at byte 9 is damaged",
+    )
     merged, notes = merge([first, second])
     assert [(at, head) for at, head, _ in merged] == [(0.0, "h2"), (80.0, "h1"), (59_980.0, "h2")]
     assert "h2: the block at byte 9 is damaged" in notes[0] and "a gap of 59.9 s" in notes[1]
 
 
 def test_load_is_replayed_grown_thinned_and_faster() -> None:
-    rows = rows_of(3000)
+    rows = captured_requests(3000)
     same = list(Replay(CONFIG, rows, 1).runs())
     assert [a.at_ms for a in same] == [at for at, _, _ in rows] and {a.head for a in same} == {"h1"}
     for multiple in (0.3, 1.7, 2.5):
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from journal_disk import write
+from journal_disk import make_write
 
 from pebblehinge.lab.crash import verdict, virtual
 from pebblehinge.lab.disk import FaultyDisk
@@ -16,7 +16,7 @@
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.journal import Journal
-from pebblehinge.store.records import Done, Write
+from pebblehinge.store.records import Completion, Write
 from pebblehinge.store.segment import HEADER, segment_name
 from pebblehinge.store.writeback_policy import WritebackStep
 
@@ -91,8 +91,8 @@
     disk = RealDisk(tmp_path / "h1")
     journal = Journal(disk)
     journal.recover()
-    batch = journal.prepare([write(1, "a/b", 2, b"hello"), write(2, "c"), Done([2])])
-    disk.append(batch.name, batch.data)
+    batch = journal.prepare([make_write(1, "a/b", 2, b"hello"), make_write(2, "c"), Completion([2])])
+    disk.append(batch.file_name, batch.data)
     disk.close()
 
     def ask(*words: str) -> tuple[int, str]:
@@ -104,9 +104,9 @@
     assert ask("verify", str(tmp_path / "h1"))[0] == 0
     assert ask("export", str(tmp_path / "h1"), str(tmp_path / "out"))[0] == 0
     assert (tmp_path / "out" / "v" / "a%2Fb").read_bytes() == b"\0\0hello"
-    raw = bytearray((tmp_path / "h1" / batch.name).read_bytes())
+    raw = bytearray((tmp_path / "h1" / batch.file_name).read_bytes())
     raw[40] ^= 1
-    (tmp_path / "h1" / batch.name).write_bytes(bytes(raw) + raw[HEADER.size :][:0])
+    (tmp_path / "h1" / batch.file_name).write_bytes(bytes(raw) + raw[HEADER.size :][:0])
     (tmp_path / "h1" / segment_name(9)).write_bytes(b"")
     code, said = ask("verify", str(tmp_path / "h1"))
     assert code == 1 and "byte 22" in said
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -135,7 +135,7 @@
     served(head, 10_000.0, 0, 30.0)
     state = {k: v for k, v in head.remembered(10_100.0).items() if k != "lives"}
     data = memory.encode(memory.Snapshot("h1", "m", 1.0, 1.0, "b", True, state))
-    kept = memory.recall(data, "h1", "m", 5.0, 5.0, "b").state
+    kept = memory.restore(data, "h1", "m", 5.0, 5.0, "b").state
     later = Scheduler(SAFE, 2, 500.0)
     later.recall(500.0, kept, 4.0, True)
     listed(later, 600.0, ("A", 0, 0.0))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -63,7 +63,7 @@
 
 
 def snapshot(**more: Any) -> bytes:
-    values = {"gateway": "h1", "settings": "s", "wall_ms": 1e6, "up_ms": 5e5, "boot": "b", "complete": True}
+    values = {"gateway": "h1", "settings_hash": "s", "wall_ms": 1e6, "uptime_ms": 5e5, "boot_id": "b", "complete": True}
     return memory.encode(memory.Snapshot(**{**values, **more}, state=learned().remembered(2_100.0)))
 
 
@@ -83,19 +83,25 @@
 
 def test_whose_and_how_old_a_snapshot_is() -> None:
     def ask(data: bytes, **more: Any) -> Any:
-        values = {"gateway": "h1", "settings": "s", "wall_ms": 1e6 + 9, "up_ms": 5e5 + 9, "boot": "b"} | more
-        return memory.recall(data, **values)
+        values = {
+            "gateway": "h1",
+            "settings_hash": "s",
+            "wall_ms": 1e6 + 9,
+            "uptime_ms": 5e5 + 9,
+            "boot_id": "b",
+        } | more
+        return memory.restore(data, **values)
 
     found = ask(snapshot())
     assert (found.age_ms, found.complete) == (9.0, True)
     assert ask(snapshot(), wall_ms=9e9).age_ms == 9.0  # the wall clock was set, the machine is still up
-    found = ask(snapshot(), boot="c", wall_ms=1e6 + 70)
+    found = ask(snapshot(), boot_id="c", wall_ms=1e6 + 70)
     assert (found.age_ms, found.complete) == (70.0, False)
-    found = ask(snapshot(), settings="other")
+    found = ask(snapshot(), settings_hash="other")
     assert not found.complete and found.state["every"][3] == 0.0 and "other settings" in found.summary
     for more, why in [
-        ({"boot": "c", "wall_ms": 1.0}, "a clock was set"),
-        ({"up_ms": 9e9}, "minutes old"),
+        ({"boot_id": "c", "wall_ms": 1.0}, "a clock was set"),
+        ({"uptime_ms": 9e9}, "minutes old"),
         ({"gateway": "h2"}, "h1's"),
     ]:
         with pytest.raises(StorageError, match=why):
@@ -135,7 +141,7 @@
         assert means["s2"] > 3 * means["s1"] > 0
         again.stop("the test says so")
         await asyncio.wait_for(again.stopped, 5.0)
-        disk.files[memory.FILE][30] ^= 1
+        disk.files[memory.SNAPSHOT_FILE][30] ^= 1
         none = await start()
         assert not any(none.core.module.shelfs.mean_latency_ms) and none.log.lines[0][2]["why"] == "it is damaged"
 
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -48,12 +48,12 @@
         self.fail = False
 
     async def lasts(self, batch: Batch) -> None:
-        self.disk.append(batch.name, batch.data)
+        self.disk.append(batch.file_name, batch.data)
         if self.hold is not None:
             await self.hold
         if self.fail:
             raise OSError(28, "No space left on device")
-        self.disk.sync(batch.name)
+        self.disk.sync(batch.file_name)
 
 
 async def buffered(rig: Rig, disk: OnDisk) -> WriteBack:
