--- a/pebblehinge/core/__init__.py
+++ b/pebblehinge/core/__init__.py
@@ -1,4 +1,4 @@
-"""The request table between a front's sockets and the scheduler, the same for all fronts."""
+"""The request table, which connects the sockets of a frontend to the scheduler; all frontends share it."""
 
 from pebblehinge.core.answers import FinalStatus, RequestCounts
 from pebblehinge.core.effects import Effects
--- a/pebblehinge/core/answers.py
+++ b/pebblehinge/core/answers.py
@@ -1,4 +1,4 @@
-"""How requests end: the final answers with their numbers on the wire, and the counters of a gateway."""
+"""The final answers to requests with their numbers on the wire, and the request counters of a gateway."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class FinalStatus(IntEnum):
-    """The final answer to a request; the value is its number on the wire and in captures."""
+    """A final answer to a request; its value is the number used on the wire and in captures."""
 
     SUCCEEDED = 0
     REJECTED = 1
     FAILED = 2
 
 
-# The final answers that the scheduler gives. SUCCEEDED is not among them: the request table gives it, on the outcome of
-# an attempt.
+# The final answers that the scheduler gives. SUCCEEDED is not among them: the request table gives that answer when an
+# attempt succeeds.
 STATUS_OF_FINAL = {Final.REJECTED: FinalStatus.REJECTED, Final.FAILED: FinalStatus.FAILED}
 
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests since the start, each counted in `received` and, once it is over, in one of the others.
+    """Counts of requests since the start. Each one counts in `received` and, once it has ended, in one other field.
 
     Attributes:
-        received: Requests that a client sent.
-        succeeded: Answered with SUCCEEDED.
-        rejected: Answered with REJECTED by the scheduler.
-        failed: Answered with FAILED.
-        client_gone: Not answered, as the client left or cancelled the request.
-        not_admitted: Answered with REJECTED by the front, and never given to the scheduler.
+        received: Requests that clients sent.
+        succeeded: Requests answered with SUCCEEDED.
+        rejected: Requests answered with REJECTED by the scheduler.
+        failed: Requests answered with FAILED.
+        client_gone: Requests without an answer, as the client disconnected or cancelled the request.
+        not_admitted: Requests answered with REJECTED by the frontend, and never given to the scheduler.
     """
 
     received: int = 0
@@ -42,7 +42,7 @@
     not_admitted: int = 0
 
     def count_final(self, status: FinalStatus) -> None:
-        """Counts one request that got a final answer."""
+        """Counts one request that was given this final answer."""
         if status is FinalStatus.SUCCEEDED:
             self.succeeded += 1
         elif status is FinalStatus.REJECTED:
@@ -51,15 +51,15 @@
             self.failed += 1
 
     def by_label(self) -> dict[str, int]:
-        """The counters by their words in metrics, the console's JSON and logs.
+        """Returns the counters by their labels in metrics, the console's JSON and logs.
 
         Returns:
-            A new dict, in the order in which the counters are shown.
+            A new dict, in the order in which the counters are displayed.
         """
         return {label: getattr(self, counter) for counter, label in COUNTER_LABELS.items()}
 
 
-# The term in the code: the word in metrics (with "_" for a space), in the console's JSON and in logs.
+# Maps each field of RequestCounts to its label in metrics (with "_" for a space), in the console's JSON and in logs.
 COUNTER_LABELS = {
     "received": "taken",
     "succeeded": "honoured",
--- a/pebblehinge/core/effects.py
+++ b/pebblehinge/core/effects.py
@@ -1,4 +1,4 @@
-"""The interface through which the request table has its front act."""
+"""The interface by which the request table tells its frontend what to do."""
 
 from __future__ import annotations
 
@@ -10,19 +10,21 @@
 
 
 class Effects(Protocol):
-    """What the request table has its front do."""
+    """The actions that the request table requests from its frontend."""
 
-    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
-        """Sends attempt number `attempt`, from 0, to a storage node; at clock time `until_ms` it times out."""
+    def send_attempt(self, pending: PendingRequest, node: str, attempt: int, until_ms: float) -> None:
+        """Sends attempt number `attempt`, counted from 0, to a storage node; it times out at clock time `until_ms`."""
 
     def cancel_attempt(self, pending: PendingRequest) -> None:
-        """Cancels the attempt in flight; no outcome of it is reported any more."""
+        """Cancels the attempt in flight, whose outcome must not be reported afterwards."""
 
-    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
-        """Sends the final answer to the client; `stay_ms` is how long to stay away, 0 for no such time."""
+    def answer(
+        self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
+        """Sends the final answer to the client; `retry_after_ms` is the least delay of a retry, 0 for none."""
 
     def wake_at(self, at_ms: float) -> None:
-        """Calls `RequestTable.woken` at this clock time."""
+        """Calls `RequestTable.woken` at this clock time, in milliseconds."""
 
     def call_discovery(self, call: ListCall) -> None:
-        """Calls the service that keeps the endpoint list."""
+        """Calls discovery, which keeps the endpoint list."""
--- a/pebblehinge/core/pending_request.py
+++ b/pebblehinge/core/pending_request.py
@@ -1,4 +1,4 @@
-"""A request from its arrival until its last event, as the request table keeps it."""
+"""The record of a request that the request table keeps, from its arrival until its last event."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class PendingRequest:
-    """One request that this gateway has accepted. A front derives a class with what its attempts need.
+    """One request that this gateway has accepted. A frontend derives a class with the data that its attempts need.
 
     Attributes:
-        key: Its number in the request table, counted from 1.
-        conn: The front's connection to its client.
+        key: Number of the request in the request table, counted from 1.
+        origin: The object of the frontend that sent the request and receives its answer, such as a connection.
         id: The client's id of the request.
-        request: The scheduler's handle, None until the request table has accepted the request.
-        volume: Name of its volume.
-        units: Size in units of work.
-        data: The payload, empty once nothing more can be sent of it.
-        came_ms: When it arrived, on the clock of the loop.
-        answered: Whether it has its final answer, or its client is gone.
-        attempt: What the front keeps of the attempt in flight, None where there is none.
-        attempts: How many attempts were sent.
-        shelf: Name of the storage node of the last attempt.
-        sent_ms: When the last attempt was sent.
-        begin_by_ms: Clock time past which the last attempt may not begin any more.
-        attempt_ms: How long the last attempt took that ended with an outcome of its node.
+        handle: The scheduler's handle, None until the request table has accepted the request.
+        volume: Name of the request's volume.
+        units: Cost of the request in units.
+        data: The payload, empty once it can't be sent any more.
+        arrived_ms: Clock time at which the request arrived.
+        answered: Whether the request has its final answer, or its client is gone.
+        attempt: The frontend's record of the attempt in flight, or None.
+        attempt_count: Number of attempts sent.
+        node: Name of the storage node of the last attempt.
+        sent_ms: Clock time at which the last attempt was sent.
+        begin_by_ms: Clock time after which the last attempt must not begin.
+        last_attempt_ms: Duration of the last attempt whose outcome the frontend reported.
     """
 
     __slots__ = (
--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -1,9 +1,10 @@
-"""The requests that a gateway has accepted and not yet finished.
+"""The table of requests that a gateway has accepted and not yet finished.
 
-The table stands between a front's sockets and the scheduler. It keeps what the scheduler need not know (connections,
-payloads, counters) and decides nothing. It does no I/O and reads no clock: each call brings the time in milliseconds,
-and what is to be done goes out through `Effects`. A request of which an attempt succeeded is answered here; every other
-final answer comes from the scheduler. The front decides what is admitted, and then calls `RequestTable.accept`.
+The table connects the sockets of a frontend to the scheduler. It holds what the scheduler does not need (connections,
+payloads, counters) and takes no scheduling decisions. It does no I/O and reads no clock: each call passes the time in
+milliseconds, and the resulting actions go out through `Effects`. The table itself answers a request when one of its
+attempts succeeds; every other final answer comes from the scheduler. The frontend decides which requests are admitted,
+and calls `RequestTable.accept` for those.
 """
 
 from __future__ import annotations
@@ -23,19 +24,20 @@
 
 
 class RequestTable:
-    """All requests of one running gateway that may still get events, by key.
+    """All requests of one running gateway that can still get events.
 
     Attributes:
+        scheduler: The scheduler, which decides on the requests.
         pending: The requests, by key.
-        open: How many of them have no final answer yet.
-        bytes: Payload held for them.
-        stopping: Whether the front is shutting down; kept here for fronts, which set and read it.
-        counts: Counters of requests.
-        outcomes: Counters of attempts, by outcome.
-        reasons: How often a request was not served, by the scheduler's reason.
-        retries: Attempts beyond the first of their request.
-        wakes: Calls of `woken`.
-        now: The time of the last call, in milliseconds.
+        open_count: Number of these requests that have no final answer yet.
+        payload_bytes: Bytes of payload held for these requests.
+        stopping: Whether the frontend is shutting down; the frontend alone sets and reads it.
+        counts: Counts of requests by their end.
+        outcome_counts: Counts of attempts by outcome.
+        reason_counts: Counts of requests that were not served, by the scheduler's reason.
+        retry_count: Number of attempts beyond the first of their request.
+        wake_up_count: Number of calls of `woken`.
+        now: Clock time of the last call, in milliseconds.
     """
 
     def __init__(
@@ -57,10 +59,10 @@
         self.now = now
 
     def start(self, now: float) -> None:
-        """Starts the scheduler; called once, before all other calls."""
+        """Starts the scheduler; must be called once, before all other calls."""
         self._apply(self.scheduler.start(now), now)
 
-    # ---- from clients
+    # ---- events of clients
 
     def accept(
         self,
@@ -72,20 +74,20 @@
         set_size: int,
         slot: int,
         deadline_ms: float,
-        again: bool | None,
+        is_retry: bool | None,
     ) -> None:
-        """Takes in a request that its front has admitted, and schedules it.
+        """Accepts a request that the frontend has admitted, and schedules it.
 
         Args:
             now: Clock time in milliseconds.
-            pending: The request; its volume, units and data are set.
-            extent: The extent that it concerns, None for none.
-            request_class: Name of its class in the settings.
-            quota_plan: Name of its volume's quota plan.
+            pending: The request; its volume, units and data must be set.
+            extent: The extent that the request addresses, None for none.
+            request_class: Name of the request class in the settings.
+            quota_plan: Name of the volume's quota plan.
             set_size: Number of gateways that serve the volume.
-            slot: Slot of placement, under 0 where any node will do.
-            deadline_ms: Clock time by which it has to be answered.
-            again: Whether the client marked it as a retry, None where clients mark none.
+            slot: Slot of placement, negative if any node can serve the request.
+            deadline_ms: Clock time by which the request must be answered.
+            is_retry: Whether the client marked the request as a retry, None where clients mark no retries.
         """
         self._last_key += 1
         pending.key = self._last_key
@@ -95,15 +97,15 @@
         self.payload_bytes += len(pending.data)
         volume, units = pending.volume, pending.units
         pending.handle, changes = self.scheduler.take(
-            now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, again
+            now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, is_retry
         )
-        # Before the changes are applied: an attempt that is sent at once was queued for no time.
+        # This precedes _apply, so that an attempt which is sent at once counts as queued for no time.
         if self.wait_accounting is not None and pending.handle.shelf >= 0:
             track_queued(self.wait_accounting, now, pending, self.scheduler.shelfs.names[pending.handle.shelf])
         self._apply(changes, now)
 
     def left(self, now: float, pending: PendingRequest) -> None:
-        """The client is gone, or has cancelled the request: it gets no answer and no further attempt."""
+        """Ends a request whose client is gone or has cancelled it: it gets no answer and no further attempt."""
         if pending.answered:
             return
         pending.answered = True
@@ -115,76 +117,76 @@
         self._apply(changes, now)
         self._remove_if_finished(pending)
 
-    # ---- from storage nodes, the endpoint list and the clock
+    # ---- events of storage nodes, of discovery and of the clock
 
     def ended(
-        self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
+        self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes = b""
     ) -> None:
-        """Reports the outcome of an attempt; each attempt that was sent and not cancelled has exactly one."""
-        request = pending.handle
-        assert request is not None
+        """Takes the outcome of an attempt; each attempt that was sent and not cancelled must report exactly one."""
+        handle = pending.handle
+        assert handle is not None
         self.outcome_counts[outcome] += 1
         pending.attempt = None
-        pending.last_attempt_ms = took_ms
+        pending.last_attempt_ms = duration_ms
         self.now = now
         if outcome is Outcome.SUCCEEDED and not pending.answered:
             self._answer(pending, FinalStatus.SUCCEEDED, 0.0, "", data)
-        over = pending.answered
+        is_answered = pending.answered
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
-        changes = request.ended(now, attempt, outcome, over, took_ms)
+        changes = handle.ended(now, attempt, outcome, is_answered, duration_ms)
         self._apply(changes, now)
         self._remove_if_finished(pending)
 
     def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
-        """Gives the scheduler an endpoint list, or changes to it."""
+        """Passes an endpoint list, or changes to it, to the scheduler."""
         self._apply(self.scheduler.listed(now, kind, entries), now)
         if self.wait_accounting is not None:
             self.wait_accounting.retain_nodes(self.scheduler.shelfs.index)
 
     def woken(self, now: float) -> None:
-        """A time has come that was asked for by `Effects.wake_at`."""
+        """Wakes the scheduler at a time that it requested by `Effects.wake_at`."""
         self.wake_up_count += 1
         self._apply(self.scheduler.woken(now), now)
 
     def adopt(self, now: float, settings: Settings) -> None:
-        """Takes new settings, which hold for the pending requests too; none is dropped."""
+        """Replaces the settings, also for the pending requests, none of which is dropped."""
         self._apply(self.scheduler.adopt(now, settings), now)
 
     def leaves(self, now: float, end_ms: float) -> None:
-        """Begins the shutdown: by clock time `end_ms` the scheduler has answered all that is pending."""
+        """Begins the shutdown; the scheduler answers all pending requests by clock time `end_ms`."""
         self._apply(self.scheduler.leaves(now, end_ms), now)
 
     def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
-        """Called when a request has its final answer, or (`final` is None) lost its client.
+        """Handles the end of a request: its final answer, or the loss of its client (`final` is None).
 
-        A front that keeps records of requests overrides it.
+        A frontend that records requests overrides this method, which does nothing by itself.
         """
 
-    # ---- applying what the scheduler decided
+    # ---- applying the scheduler's decisions
 
-    def _apply(self, first: Changes, now: float) -> None:
-        """Does what a call to the scheduler decided; reports cancelled attempts to it once that is done."""
+    def _apply(self, first_changes: Changes, now: float) -> None:
+        """Applies the changes that a scheduler call returned, then those that the cancellations among them cause."""
         self.now = now
-        todo = deque((first,))
-        while todo:
-            changes = todo.popleft()
+        queue = deque((first_changes,))
+        while queue:
+            changes = queue.popleft()
             for handle in changes.handles:
-                self._apply_to_request(handle, now, todo)
+                self._apply_to_request(handle, now, queue)
             for call in changes.list_calls:
                 self.effects.call_discovery(call)
             if changes.wake_ms is not None:
                 self.effects.wake_at(changes.wake_ms)
 
-    def _apply_to_request(self, handle: Handle, now: float, todo: deque[Changes]) -> None:
-        """Sends, cancels and answers for one request; what its cancellations change is appended to `todo`."""
+    def _apply_to_request(self, handle: Handle, now: float, queue: deque[Changes]) -> None:
+        """Applies the changes of one request; appends the changes that its cancellations cause to `queue`."""
         pending = self.pending[handle.id]
         attempts, cancellations, answer = handle.drain()
         for attempt in attempts:
             self._send_attempt(pending, attempt, now)
         for number in cancellations:
             if pending.attempt is not None:
-                todo.append(self._cancel_attempt(pending, handle, number, now))
+                queue.append(self._cancel_attempt(pending, handle, number, now))
         if answer is not None:
             self._answer_by_scheduler(pending, answer)
         self._remove_if_finished(pending)
@@ -202,7 +204,7 @@
         pending.attempt_count += 1
 
     def _cancel_attempt(self, pending: PendingRequest, handle: Handle, number: int, now: float) -> Changes:
-        """Cancels the attempt in flight and returns what the scheduler changes on that."""
+        """Cancels the attempt in flight, reports that to the scheduler and returns the resulting changes."""
         self.effects.cancel_attempt(pending)
         pending.attempt = None
         self.outcome_counts[Outcome.CANCELLED] += 1
@@ -215,20 +217,22 @@
             self.reason_counts[answer.why] = self.reason_counts.get(answer.why, 0) + 1
         self._answer(pending, STATUS_OF_FINAL[answer.final], answer.stay_away_ms, answer.why, b"")
 
-    def _answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
-        """Gives the one final answer; a request that has it already gets no other."""
+    def _answer(
+        self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
+        """Sends the final answer; a request that is answered already gets no other."""
         if pending.answered:
             return
         pending.answered = True
         self.open_count -= 1
         self.counts.count_final(final)
         self.on_request_end(pending, final, self.now)
-        self.effects.answer(pending, final, stay_ms, reason, data)
+        self.effects.answer(pending, final, retry_after_ms, reason, data)
 
     def _remove_if_finished(self, pending: PendingRequest) -> None:
-        """Removes a request that is answered, and of which nothing is in flight or owed any more."""
-        request = pending.handle
-        if not pending.answered or request is None or not request.over or request.out:
+        """Removes a request that is answered, has no attempt in flight and is finished for the scheduler."""
+        handle = pending.handle
+        if not pending.answered or handle is None or not handle.over or handle.out:
             return
         if self.pending.pop(pending.key, None) is None:
             return
--- a/pebblehinge/core/wait_tracking.py
+++ b/pebblehinge/core/wait_tracking.py
@@ -1,4 +1,4 @@
-"""What the request table tells the wait accounting, where a gateway keeps one."""
+"""Reports of the request table to the wait accounting, for gateways that have one."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def track_queued(accounting: WaitAccounting, now: float, pending: PendingRequest, node: str) -> None:
-    """The request is queued for a storage node from now on."""
+    """Reports that a request is queued for a storage node from now on."""
     accounting.enqueue(now, pending.key, pending.volume, node, pending.units)
 
 
 def track_sent(accounting: WaitAccounting, now: float, pending: PendingRequest, node: str) -> None:
-    """An attempt is about to be sent; a request that wasn't tracked was queued for no time."""
+    """Reports that an attempt is about to be sent; an untracked request counts as queued for no time."""
     if pending.key not in accounting.tracked_requests:
         track_queued(accounting, now, pending, node)
     accounting.start_attempt(now, pending.key, pending.attempt_count == 0)
 
 
 def track_attempt_end(accounting: WaitAccounting, now: float, pending: PendingRequest) -> None:
-    """An attempt is over; a request without an answer is queued anew, for the attempt that may follow."""
+    """Reports that an attempt has ended; a request without an answer is queued again, as a retry may follow."""
     if pending.key not in accounting.tracked_requests:
         return
     accounting.end_attempt(now, pending.key)
--- a/pebblehinge/http1/__init__.py
+++ b/pebblehinge/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages parsed from bytes and written as bytes, in both directions. No I/O, no clock, no decisions."""
+"""Parsers and writers of HTTP/1.1 requests and responses. The package does no I/O and reads no clock."""
 
 from pebblehinge.http1.messages import HttpMessage, HttpRequest, HttpResponse
 from pebblehinge.http1.parsers import RequestParser, ResponseParser, ResponseStream
--- a/pebblehinge/http1/messages.py
+++ b/pebblehinge/http1/messages.py
@@ -1,4 +1,4 @@
-"""Complete HTTP messages as values."""
+"""Data classes for complete HTTP messages."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class HttpMessage:
-    """What requests and responses have in common.
+    """The fields that requests and responses share.
 
     Attributes:
-        headers: Names in lower case and values as received, in their order.
-        body: The complete body, without any transfer coding.
-        keep_alive: Whether the sender lets the connection go on after this message.
+        headers: Pairs of name and value in the order received; names are in lower case, values unchanged.
+        body: The complete body, with any transfer coding removed.
+        keep_alive: Whether the sender allows further messages on the connection.
     """
 
     headers: list[tuple[bytes, bytes]]
@@ -20,13 +20,13 @@
     keep_alive: bool
 
     def header_values(self, name: bytes) -> list[bytes]:
-        """Return the values of all headers of a name, which is given in lower case."""
+        """Returns the values of all headers with this name, which must be in lower case."""
         return [header_value for header_name, header_value in self.headers if header_name == name]
 
 
 @dataclass(slots=True)
 class HttpRequest(HttpMessage):
-    """A complete request; `version` is that of HTTP, such as "1.1"."""
+    """A complete request; `version` is its HTTP version, such as "1.1"."""
 
     method: bytes
     target: bytes
--- a/pebblehinge/http1/parsers.py
+++ b/pebblehinge/http1/parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of requests, of responses, and of one response without end."""
+"""Parsers of requests, responses and streamed responses."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from pebblehinge.http1.messages import HttpRequest, HttpResponse
 from pebblehinge.http1.reader import MAX_RESPONSE_BODY_BYTES, HttpError, MessageReader
 
-MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses skipped before one final response
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses that are skipped before a final response
 MIN_FINAL_STATUS = 200
 BODYLESS_STATUSES = (204, 304)
-MAX_STREAM_BYTES = 2**40  # bytes; a stream is not kept, so that only what a length header may say is bounded
+MAX_STREAM_BYTES = 2**40  # bounds only the Content-Length of a stream, whose body is not stored
 
 
 class RequestParser(MessageReader):
-    """Requests from what a client sends.
+    """Parser of the requests that a client sends.
 
     Attributes:
-        expects_continue: The client has sent `Expect: 100-continue` and waits for the interim response.
+        target: The request target received so far.
+        expects_continue: Whether the client sent `Expect: 100-continue` and waits for the interim response.
     """
 
     __slots__ = ("target", "expects_continue")
@@ -32,10 +33,10 @@
         super().__init__(httptools.HttpRequestParser)
 
     def next(self) -> HttpRequest | None:
-        """Return the next complete request, or None until more bytes have come.
+        """Returns the next complete request, or None if more bytes are needed.
 
         Raises:
-            HttpError: What was received is no request within the limits.
+            HttpError: The bytes are not a valid request, or exceed a limit.
         """
         if not self._read_message():
             return None
@@ -53,11 +54,11 @@
         return request
 
     def on_url(self, url: bytes) -> None:
-        """Append a piece of the request's target; called by llhttp."""
+        """Appends a part of the request target; called by llhttp."""
         self.target += url
 
     def on_headers_complete(self) -> None:
-        """Read the framing of the body once the head is complete; called by llhttp."""
+        """Reads the framing of the body from the complete head; called by llhttp."""
         before_http11 = self.parser.get_http_version() != "1.1"
         self._read_framing(before_http11)
         if self.error is None and not before_http11:
@@ -67,7 +68,7 @@
 
 
 class ResponseParser(MessageReader):
-    """Responses from what a storage node sends; informational ones (1xx) before them are skipped."""
+    """Parser of the responses that a storage node sends; it skips informational responses (1xx)."""
 
     __slots__ = ("informational_count",)
 
@@ -79,10 +80,10 @@
         super().__init__(httptools.HttpResponseParser)
 
     def next(self) -> HttpResponse | None:
-        """Return the response once it is complete, or None until more bytes have come.
+        """Returns the next complete final response, or None if more bytes are needed.
 
         Raises:
-            HttpError: What was received is no response within the limits.
+            HttpError: The bytes are not a valid response, or exceed a limit.
         """
         while self._read_message():
             status = self.parser.get_status_code()
@@ -93,25 +94,27 @@
                 return response
             self.informational_count += 1
             if self.informational_count > MAX_INFORMATIONAL_RESPONSES:
-                raise HttpError(502, f"more than {MAX_INFORMATIONAL_RESPONSES} answers in front of one")
+                raise HttpError(
+                    502, f"more than {MAX_INFORMATIONAL_RESPONSES} informational responses before the final response"
+                )
         return None
 
     def on_headers_complete(self) -> None:
-        """Read the framing of the body once the head is complete; called by llhttp."""
+        """Reads the framing of the body from the complete head; called by llhttp."""
         status = self.parser.get_status_code()
         if not 100 <= status <= 599:
-            self.error = HttpError(502, f"a status of {status}")
+            self.error = HttpError(502, f"invalid status code {status}")
         bodyless = status < MIN_FINAL_STATUS or status in BODYLESS_STATUSES
         framed = self._read_framing(bodyless)
         if self.error is None and bodyless:
             self.length = 0
         elif self.error is None and not framed:
-            # Such a body ends with its connection: one cut short could not be told from a complete one.
-            self.error = HttpError(502, "an answer that does not tell its length")
+            # Such a body ends when the connection closes, so a truncated body would look complete.
+            self.error = HttpError(502, "the response does not state the length of its body")
 
 
 class ResponseStream(ResponseParser):
-    """One response without end, whose body is passed to `sink` as it arrives."""
+    """Parser of one response of unlimited length, whose body is passed to `sink` as it arrives."""
 
     __slots__ = ("sink",)
 
@@ -123,14 +126,14 @@
 
     @property
     def status(self) -> int:
-        """Status of the response once its head is complete, 0 before."""
+        """The status code of the response, or 0 until its head is complete."""
         return self.parser.get_status_code() if self.head_complete else 0
 
     def on_body(self, data: bytes) -> None:
-        """Pass on a piece of the body; called by llhttp."""
+        """Passes a part of the body to `sink`; called by llhttp."""
         self.body_size += len(data)
         self.sink(data)
 
-    def _check_size(self, count: int, in_head: bool) -> None:
+    def _check_size(self, byte_count: int, in_head: bool) -> None:
         if in_head:
-            super()._check_size(count, in_head)
+            super()._check_size(byte_count, in_head)
--- a/pebblehinge/http1/writing.py
+++ b/pebblehinge/http1/writing.py
@@ -1,4 +1,4 @@
-"""Requests and responses as bytes."""
+"""Functions that encode requests and responses."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def write_request(method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """Return a request's head without its empty last line, so that the caller may add headers of its own.
+    """Returns the head of a request without its final empty line, so that the caller can append headers.
 
     Args:
-        method: Such as GET.
+        method: The method, such as GET.
         target: Path and query.
-        headers: Names and values, in their order; Content-Length is added to them.
-        body: What the caller sends behind the head; only its length goes into the result.
+        headers: Pairs of name and value, in order; Content-Length is added, except to a GET without a body.
+        body: The body that the caller sends after the head; only its length is used here.
     """
     lines = [method + b" " + target + b" HTTP/1.1\r\n"]
     lines += [name + b": " + value + b"\r\n" for name, value in headers]
@@ -32,7 +32,7 @@
 
 
 def write_response(status: int, body: bytes, keep_alive: bool, extra_headers: bytes = b"") -> bytes:
-    """Return a complete response; `extra_headers` are complete lines of its head."""
+    """Returns a complete response; `extra_headers` holds complete header lines."""
     reason = REASON_PHRASES.get(status, "").encode()
     close = b"" if keep_alive else b"Connection: close\r\n"
     head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n" % (status, reason, len(body), close, extra_headers)
--- a/pebblehinge/net/__init__.py
+++ b/pebblehinge/net/__init__.py
@@ -1,4 +1,4 @@
-"""The layer between asyncio's transports and the framed protocol: one class a connection, and addresses."""
+"""Connections that speak the framed protocol over asyncio transports, and the parsing of addresses."""
 
 from pebblehinge.net.address import AddressError, parse_address
 from pebblehinge.net.peer import Peer, dial
--- a/pebblehinge/net/address.py
+++ b/pebblehinge/net/address.py
@@ -1,22 +1,22 @@
-"""Addresses as settings and operators write them."""
+"""Parsing of the addresses in settings and commands."""
 
 from __future__ import annotations
 
 MAX_PORT = 65535
-"""The greatest port of TCP."""
+"""The greatest TCP port."""
 
 
 class AddressError(ValueError):
-    """A text that is no address; its message says what was expected."""
+    """The text is not a valid address; the message states the expected form."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Splits `host:port`; an IPv6 host may stand in brackets, which are removed.
+    """Splits `host:port`; brackets around an IPv6 host are removed.
 
     Raises:
-        AddressError: No host, or no port of TCP.
+        AddressError: The text has no host, or no valid TCP port.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise AddressError(f"{text!r} is no address: expected host:port")
+        raise AddressError(f"{text!r} is not an address: expected host:port")
     return host.strip("[]"), int(port)
--- a/pebblehinge/net/handlers.py
+++ b/pebblehinge/net/handlers.py
@@ -1,4 +1,4 @@
-"""The methods that handle frames, by the kind of the frame."""
+"""The names of the methods that handle frames, by the kind of the frame."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     Kind.TOLD: "on_told",
     Kind.NEWS: "on_news",
 }
-"""The method that handles a kind of frame; it is called with the frame's values."""
+"""Name of the method of Peer that handles a kind of frame; it is called with the values of the frame."""
 
 COMMON_KINDS = frozenset({Kind.HELLO, Kind.ERROR, Kind.PING, Kind.PONG})
-"""The kinds that any peer may send."""
+"""The kinds that every peer may send."""
--- a/pebblehinge/net/peer.py
+++ b/pebblehinge/net/peer.py
@@ -1,4 +1,4 @@
-"""A connection that speaks the framed protocol. Subclasses handle frames in methods `on_<kind>`."""
+"""A connection that speaks the framed protocol; subclasses handle frames in the methods that HANDLERS names."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from pebblehinge.wire import Kind, Session, WireError, encode
 
 MAX_SILENT_INTERVALS = 3
-"""A connection is cut after so many keepalive intervals without a byte, or without a complete greeting."""
+"""A connection is aborted after this many keepalive intervals without a byte, or without a complete greeting."""
 
 
 async def dial(loop: asyncio.AbstractEventLoop, peer: Peer, address: str) -> None:
-    """Connects a peer that greets to `address` (host:port).
+    """Connects `peer`, whose session has `dialed` set, to `address` (host:port).
 
-    A peer whose dial fails, is cancelled or runs out of its caller's time writes nothing from then on: uvloop may have
-    closed a connection that was established already without telling its protocol.
+    A peer whose dial fails, is cancelled or times out in the caller writes nothing afterwards, since uvloop may have
+    closed an established connection without notifying its protocol.
 
     Raises:
-        OSError: The connection could not be made.
-        AddressError: `address` is none.
+        OSError: The connection could not be established.
+        AddressError: `address` is not a valid address.
     """
     host, port = parse_address(address)
     try:
@@ -33,20 +33,20 @@
 
 
 class Peer(asyncio.Protocol):
-    """One end of a connection: dispatches frames to handlers, coalesces writes, and keeps both directions bounded.
+    """One end of a connection: dispatches frames to handlers, coalesces writes, and bounds the buffers both ways.
 
-    What is sent within one turn of the loop goes out in one write. A peer that does not read is not read from either,
-    and is cut after `stall_ms`. With a `keepalive_ms` above 0, a silent connection is sent a PING after that time and
-    cut after `SILENT_INTERVALS` times that.
+    All frames sent in one iteration of the event loop go out in one write. While the other end does not read, this end
+    does not read from it either, and aborts the connection after `stall_ms`. If `keepalive_ms` is above 0, this end
+    sends a PING on a connection that was silent for that time, and aborts it after `MAX_SILENT_INTERVALS` times that.
 
     Attributes:
-        FRAMES: The kinds that the other end may send beside the common ones. For subclasses.
+        ACCEPTED_KINDS: The kinds that the other end may send in addition to the common ones; set by subclasses.
         session: The protocol state.
-        transport: The transport, None before the connection is made.
-        paused: Whether the other end does not read.
-        closed: Whether this end has closed, or lost, the connection: nothing is read or written any more.
-        failed: Whether the connection ends with an ERROR of this end.
-        heard: When bytes last came, in seconds of the loop's clock.
+        transport: The transport, None before the connection is established.
+        write_paused: Whether writing is paused, since the other end does not read.
+        closed: Whether this end has closed or lost the connection; nothing is read or written any more.
+        failed: Whether this end has ended the connection with an ERROR.
+        last_received_s: Loop time at which bytes were last received, in seconds.
     """
 
     ACCEPTED_KINDS: frozenset[Kind] = frozenset()
@@ -72,12 +72,12 @@
             kind: getattr(self, HANDLERS[kind]) for kind in self.ACCEPTED_KINDS | COMMON_KINDS
         }
 
-    # ---- called by the transport
+    # ---- callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is established: greets, if this end made it, and starts the keepalive."""
-        self.transport = cast(asyncio.Transport, transport)  # the virtual network's transports are no subclasses of it
-        if self.closed:  # its dial was given up
+        """Sends the greeting, if this end dialed, and starts the keepalive."""
+        self.transport = cast(asyncio.Transport, transport)  # transports of the virtual network don't inherit from it
+        if self.closed:  # the dial was abandoned
             self.transport.abort()
             return
         self.last_received_s = self.loop.time()
@@ -87,8 +87,8 @@
             self._keepalive_timer = self.loop.call_later(self.keepalive_ms / 1000.0, self._check_alive)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: calls the handler of each complete frame, and fails the connection on a malformed one."""
-        if self.closed:  # nothing more is read from a peer that was told why it is cut
+        """Calls the handler of each complete frame, and fails the connection on an invalid one."""
+        if self.closed:  # ignores the data of a peer after an ERROR was sent to it
             return
         self.last_received_s = self.loop.time()
         session = self.session
@@ -105,28 +105,28 @@
             self.fail(str(error))
 
     def pause_writing(self) -> None:
-        """The other end does not read: it is not read from until it does, and cut if that takes too long."""
+        """Stops reading until the other end reads again, and aborts the connection after `stall_ms`."""
         self.write_paused = True
         self._stall_timer = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
         if not self.closed:
-            self._connected().pause_reading()
+            self._established_transport().pause_reading()
 
     def resume_writing(self) -> None:
-        """The other end reads again."""
+        """Resumes reading, as the other end reads again."""
         self.write_paused = False
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
         if not self.closed:
-            self._connected().resume_reading()
+            self._established_transport().resume_reading()
             self.on_writable()
 
     def eof_received(self) -> bool:
-        """The other end has closed its side; the transport closes the connection."""
+        """Lets the transport close the connection, as the other end has closed its side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over, with an exception if it broke."""
+        """Stops the timers and calls `on_disconnect`; `exc` is None unless the connection broke."""
         self.closed = True
         for timer in (self._stall_timer, self._keepalive_timer):
             if timer is not None:
@@ -134,40 +134,40 @@
         self._unsent.clear()
         self.on_disconnect(exc)
 
-    # ---- hooks for subclasses
+    # ---- hooks for subclasses, which do nothing here
 
     def on_batch_start(self) -> None:
-        """Called when bytes have come, before their frames are handled."""
+        """Prepares for the frames in received bytes, before the first of them is handled."""
 
     def on_ready(self) -> None:
-        """Called when the greeting is over."""
+        """Handles the completion of the greeting."""
 
     def on_writable(self) -> None:
-        """Called when the other end reads again."""
+        """Resumes sending, as the other end reads again."""
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """Called when the connection is over, with an exception if it broke."""
+        """Handles the end of the connection; `exc` is None unless it broke."""
 
     def on_rejection(self, reason: str) -> None:
-        """Called when the other end sent ERROR, which it does before it closes."""
+        """Handles an ERROR, which the other end sends before it closes the connection."""
 
     # ---- operations
 
     def send(self, kind: Kind, *values: Any) -> None:
-        """Sends a frame; nothing on a connection that is closed or has failed."""
+        """Sends a frame, unless the connection is closed or has failed."""
         if not self.closed and not self.failed:
             self._write(encode(kind, *values))
 
     def flush(self) -> None:
-        """Hands to the transport what was sent and not yet written."""
+        """Passes the frames that were sent, but not written yet, to the transport."""
         self._flush_scheduled = False
         if self._unsent and not self.closed:
             data = self._unsent[0] if len(self._unsent) == 1 else b"".join(self._unsent)
             self._unsent.clear()
-            self._connected().write(data)
+            self._established_transport().write(data)
 
     def fail(self, reason: str) -> None:
-        """Sends one ERROR frame with the reason, then closes."""
+        """Sends one ERROR frame with the reason, then closes the connection."""
         if self.closed or self.failed:
             return
         self.failed = True
@@ -175,29 +175,29 @@
         self.close()
 
     def close(self) -> None:
-        """Writes what is left and closes; a peer that does not take it within `stall_ms` is cut."""
+        """Writes the remaining frames and closes; aborts if the other end does not read them within `stall_ms`."""
         if self.closed:
             return
         self.flush()
         self.closed = True
-        self._connected().close()
+        self._established_transport().close()
         if self._stall_timer is None:
             self._stall_timer = self.loop.call_later(self.stall_ms / 1000.0, self.abort)
 
     def abort(self) -> None:
-        """Cuts the connection, if there is one; what was not written is dropped."""
+        """Aborts the connection, if there is one, and discards unwritten data."""
         if self.transport is not None:
             self.transport.abort()
 
     def abandon(self) -> None:
-        """Ends a peer whose dial was given up: nothing is read or written, even if its connection is made yet."""
+        """Closes a peer whose dial was abandoned, even if its connection is established later."""
         self.closed = True
         self._unsent.clear()
         self.abort()
 
-    def _connected(self) -> asyncio.Transport:
-        """Returns the transport of a connection that was made."""
-        assert self.transport is not None, "the connection is not made yet"
+    def _established_transport(self) -> asyncio.Transport:
+        """Returns the transport, which must be set."""
+        assert self.transport is not None, "the connection is not established yet"
         return self.transport
 
     def _write(self, data: bytes) -> None:
@@ -210,7 +210,8 @@
         silent_ms = (self.loop.time() - self.last_received_s) * 1000.0
         greeted = self.session.version is not None
         self._keepalive_checks += 1
-        if not greeted and self._keepalive_checks > MAX_SILENT_INTERVALS:  # bytes that trickle in keep no greeting open
+        # Bytes of an incomplete greeting don't prolong the time that the other end has for it.
+        if not greeted and self._keepalive_checks > MAX_SILENT_INTERVALS:
             self.abort()
             return
         if silent_ms >= MAX_SILENT_INTERVALS * self.keepalive_ms and not self.write_paused:
@@ -223,19 +224,19 @@
     # ---- handlers of the common kinds
 
     def on_hello(self, *_: Any) -> None:
-        """The other end's greeting, which the session has accepted: it is answered if this end did not greet."""
+        """Answers the other end's greeting, which the session has accepted, if the other end dialed."""
         if not self.session.dialed:
             self._write(self.session.encode_greeting())
         self.on_ready()
 
     def on_error(self, reason: str) -> None:
-        """The other end rejects what was sent, and closes."""
+        """Closes the connection, since the other end has rejected it."""
         self.on_rejection(reason)
         self.close()
 
     def on_ping(self, token: int) -> None:
-        """Answered with the same token, after all that came before."""
+        """Answers with the same token, after the frames that were sent before."""
         self.send(Kind.PONG, token)
 
     def on_pong(self, token: int) -> None:
-        """The answer to a PING; that it came is enough."""
+        """Ignores the answer to a PING, whose arrival alone shows that the other end is alive."""
--- a/pebblehinge/wait_accounting/accounting.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -1,13 +1,13 @@
-"""Accounting of waiting time. Each millisecond that a request was queued, or in flight, is charged to one cause.
+"""Accounting of waiting time: charges each millisecond that a request is queued or in flight to one cause.
 
-While attempts of this gateway are in flight at its node, a queued request waits for those, in equal parts; while none
-is, it waits for the gateway itself (the limit of its quota plan, the slow start of the node, a reserved slot). An
-attempt that is in flight beside others of the gateway shares the time at the node with them: beyond what such an
-attempt usually takes, the others' parts are waiting for those. What is left of its own part beyond the usual is charged
-to the node, and so is that part of what it kept others waiting; this is settled when the attempt ends. Retries are a
-cause of their own.
+While attempts of this gateway are in flight at the node of a queued request, the request waits for these attempts in
+equal shares. While no attempt is in flight there, it waits for the gateway itself (the limit of its quota plan, the
+slow start of the node, or a reserved slot). Attempts of the gateway that are in flight at the same node divide the time
+there equally. Of the time that an attempt takes beyond the typical duration, the shares of the other attempts count as
+waiting for those. The rest of the excess is charged to the node, and so is that fraction of the delay that the
+attempt caused for queued requests; both are charged when the attempt ends. Retries are a cause of their own.
 
-Memory is bounded: at most `max_pairs` pairs of volume and cause are kept, the smallest of which are merged.
+Memory is bounded: the accounting stores about `max_pairs` pairs of volume and cause, and merges the smallest ones.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 from pebblehinge.wait_accounting.causes import GATEWAY, OTHERS, OWN_WORK, RETRIES, CauseKind, WaitCause
 
-MAX_PAIRS = 12_288  # five causes of 2,000 volumes and some: 1.5 MB
-MERGE_DIVISOR = 4  # one in so many pairs is merged when there are too many
-TYPICAL_TIME_STEP = 0.02  # how far one attempt moves the usual time
-MAX_REPORTED_CAUSES = 8  # lines of a report
-MERGED_VOLUME = "others"  # stands for the volumes whose merged time was merged once more
+MAX_PAIRS = 12_288  # slightly more than 5 causes of 2,000 volumes; takes 1.5 MB
+MERGE_DIVISOR = 4  # one in 4 pairs is merged when there are too many
+TYPICAL_TIME_STEP = 0.02  # twice the fraction by which one attempt changes the typical duration
+MAX_REPORTED_CAUSES = 8
+MERGED_VOLUME = "others"  # the volume name of waiting time that was merged over several volumes
 
 
 @dataclass(slots=True)
@@ -30,25 +30,31 @@
     """One attempt in flight.
 
     Attributes:
-        volume: Name of the volume that it is for.
-        units: Size of its request in units of work.
-        since: When it was sent, in milliseconds.
-        first: Whether it is the first of its request.
-        delayed: Milliseconds for which it kept queued requests waiting, by their volume.
-        shared: Milliseconds of its own time that are the parts of other attempts, by their volume.
+        volume: Name of the volume of its request.
+        units: Cost of its request in units.
+        sent_ms: Clock time at which the attempt was sent.
+        is_first: Whether it is the first attempt of its request.
+        caused_delay_ms: Milliseconds for which the attempt delayed queued requests, by their volume.
+        shared_ms: Milliseconds of its own time that are the shares of other attempts, by their volume.
     """
 
     volume: str
     units: float
-    since: float
-    first: bool
-    delayed: dict[str, float] = field(default_factory=dict)
-    shared: dict[str, float] = field(default_factory=dict)
+    sent_ms: float
+    is_first: bool
+    caused_delay_ms: dict[str, float] = field(default_factory=dict)
+    shared_ms: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class NodeWaits:
-    """One storage node: requests queued for it by volume, attempts in flight by key, both as of a clock time."""
+    """The state of one storage node at a clock time.
+
+    Attributes:
+        queued_by_volume: Number of requests queued for the node, by volume.
+        in_flight: Attempts in flight at the node, by the key of their request.
+        as_of_ms: Clock time up to which the time at the node is charged.
+    """
 
     queued_by_volume: dict[str, int] = field(default_factory=dict)
     in_flight: dict[int, TrackedAttempt] = field(default_factory=dict)
@@ -56,7 +62,7 @@
 
 
 class TrackedRequest(NamedTuple):
-    """Where a request is queued or in flight, and what it is."""
+    """A request that is queued or in flight: its node, its volume and its cost in units."""
 
     node: str
     volume: str
@@ -65,23 +71,23 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitShare:
-    """How much of a volume's time went to a cause, in milliseconds and as a part of its whole time (0 to 1)."""
+    """The time of a volume that is charged to a cause, in milliseconds and as a fraction of its total time (0 to 1)."""
 
     cause: WaitCause
-    ms: float
+    duration_ms: float
     fraction: float
 
 
 class WaitAccounting:
-    """Told what happens to requests, by their key; knows where the time of each volume's requests went.
+    """Follows requests by their keys, and charges the time of each volume's requests to causes.
 
     Attributes:
-        max_pairs: How many pairs of volume and cause are kept.
-        nodes: The storage nodes that are in use, by name.
-        tracked: The requests that are queued or in flight, by key.
-        usual_ms: What an attempt of average size usually takes, over all nodes; 0 before the first.
+        max_pairs: Number of pairs of volume and cause at which the smallest ones are merged.
+        nodes: The state of the storage nodes in use, by name.
+        tracked_requests: The requests that are queued or in flight, by key.
+        typical_ms: Typical duration of an attempt of one unit over all nodes; 0 before the first attempt ends.
         waits: Milliseconds by volume and cause.
-        requests: How many requests each volume had.
+        request_counts: Number of requests by volume.
     """
 
     def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
@@ -90,102 +96,104 @@
         self.tracked_requests: dict[int, TrackedRequest] = {}
         self.typical_ms = 0.0
         self.waits: dict[tuple[str, WaitCause], float] = {}
-        self.requests: dict[str, int] = {}
+        self.request_counts: dict[str, int] = {}
 
-    # ---- what happens to requests
+    # ---- events of requests
 
     def enqueue(self, now: float, key: int, volume: str, node: str, units: float) -> None:
-        """A request is queued for a node from now on."""
+        """Records that a request is queued for a node from now on."""
         waits = self._advance(now, node)
         waits.queued_by_volume[volume] = waits.queued_by_volume.get(volume, 0) + 1
         if key not in self.tracked_requests:
-            self.requests[volume] = self.requests.get(volume, 0) + 1
+            self.request_counts[volume] = self.request_counts.get(volume, 0) + 1
         self.tracked_requests[key] = TrackedRequest(node, volume, units)
 
-    def start_attempt(self, now: float, key: int, first: bool) -> None:
-        """An attempt of a queued request is sent to its node."""
+    def start_attempt(self, now: float, key: int, is_first: bool) -> None:
+        """Records that an attempt of a queued request is sent to its node."""
         node, volume, units = self.tracked_requests[key]
         waits = self._advance(now, node)
         _dequeue(waits, volume)
-        waits.in_flight[key] = TrackedAttempt(volume, units, now, first)
+        waits.in_flight[key] = TrackedAttempt(volume, units, now, is_first)
 
     def end_attempt(self, now: float, key: int) -> None:
-        """The attempt in flight has an outcome; its time is charged."""
+        """Records that the attempt in flight has ended, and charges its time."""
         node, volume, _ = self.tracked_requests[key]
         attempt = self._advance(now, node).in_flight.pop(key)
-        took = now - attempt.since
-        size = (1.0 + attempt.units) / 2.0
-        others = sum(attempt.shared.values())
-        own = took - others
-        usual = self.typical_ms * size if self.typical_ms else own
-        # A node that serves several at once loses nobody time up to the usual: that much is its own work.
-        charged = max(own, min(took, usual))
-        for other, ms in attempt.shared.items():
-            self._add(volume, WaitCause.volume(other), ms * (took - charged) / others if others else 0.0)
-        late = max(0.0, charged - usual)
-        late_part = late / took if took > 0 else 0.0
-        for waiter, ms in attempt.delayed.items():
-            self._add(waiter, WaitCause.volume(volume), ms * (1.0 - late_part))
-            self._add(waiter, WaitCause.node(node), ms * late_part)
-        self._add(volume, OWN_WORK if attempt.first else RETRIES, charged - late)
-        self._add(volume, WaitCause.node(node), late)
-        self._learn(own / size)
+        duration = now - attempt.sent_ms
+        size_factor = (1.0 + attempt.units) / 2.0
+        others = sum(attempt.shared_ms.values())
+        own = duration - others
+        typical = self.typical_ms * size_factor if self.typical_ms else own
+        # Up to the typical duration, serving several attempts at once delays none of them: that time is own work.
+        charged = max(own, min(duration, typical))
+        for other, ms in attempt.shared_ms.items():
+            self._add(volume, WaitCause.volume(other), ms * (duration - charged) / others if others else 0.0)
+        excess = max(0.0, charged - typical)
+        excess_fraction = excess / duration if duration > 0 else 0.0
+        for waiter, ms in attempt.caused_delay_ms.items():
+            self._add(waiter, WaitCause.volume(volume), ms * (1.0 - excess_fraction))
+            self._add(waiter, WaitCause.node(node), ms * excess_fraction)
+        self._add(volume, OWN_WORK if attempt.is_first else RETRIES, charged - excess)
+        self._add(volume, WaitCause.node(node), excess)
+        self._update_typical_time(own / size_factor)
 
     def end_request(self, now: float, key: int) -> None:
-        """The request is over, whether it was queued or in flight; one that isn't tracked is ignored."""
-        known = self.tracked_requests.get(key)
-        if known is None:
+        """Records the end of a request that is queued or in flight; ignores a request that isn't tracked."""
+        request = self.tracked_requests.get(key)
+        if request is None:
             return
-        waits = self._advance(now, known.node)
+        waits = self._advance(now, request.node)
         if key in waits.in_flight:
             self.end_attempt(now, key)
         else:
-            _dequeue(waits, known.volume)
+            _dequeue(waits, request.volume)
         del self.tracked_requests[key]
 
     def forget(self, key: int) -> None:
-        """Its attempt has ended and nothing follows."""
+        """Stops tracking a request whose attempt has ended."""
         self.tracked_requests.pop(key, None)
 
     def retain_nodes(self, nodes: Container[str]) -> None:
-        """Forgets the nodes that aren't among these any more, once nothing is queued or in flight there."""
+        """Removes the nodes that aren't among `nodes` and have no request queued or in flight."""
         for name in [n for n, w in self.nodes.items() if n not in nodes and not w.queued_by_volume and not w.in_flight]:
             del self.nodes[name]
 
-    # ---- the arithmetic
+    # ---- charging time to causes
 
-    def _learn(self, unit_ms: float) -> None:
-        """Moves the usual time, to the lower part of what attempts take: one slow node of many must not set it."""
+    def _update_typical_time(self, unit_ms: float) -> None:
+        """Moves the typical duration towards the median of all attempts, so that one slow node can't set it."""
         if not self.typical_ms:
             self.typical_ms = unit_ms
             return
         self.typical_ms += TYPICAL_TIME_STEP * self.typical_ms * (0.5 if unit_ms > self.typical_ms else -0.5)
 
     def _advance(self, now: float, node: str) -> NodeWaits:
-        """Charges the time that has passed at a node: each request queued waited for each in flight, in equal parts."""
+        """Charges the time since the last call at a node, and returns the state of the node."""
         waits = self.nodes.setdefault(node, NodeWaits(as_of_ms=now))
-        passed = now - waits.as_of_ms
+        elapsed_ms = now - waits.as_of_ms
         waits.as_of_ms = now
-        if passed > 0:
-            self._charge_in_flight(waits, passed)
-            self._charge_queued(waits, passed)
+        if elapsed_ms > 0:
+            self._charge_in_flight(waits, elapsed_ms)
+            self._charge_queued(waits, elapsed_ms)
         return waits
 
-    def _charge_in_flight(self, waits: NodeWaits, passed: float) -> None:
-        parts = len(waits.in_flight)
-        for attempt in waits.in_flight.values() if parts > 1 else ():
+    def _charge_in_flight(self, waits: NodeWaits, elapsed_ms: float) -> None:
+        """Divides the elapsed time equally among the attempts in flight."""
+        count = len(waits.in_flight)
+        for attempt in waits.in_flight.values() if count > 1 else ():
             for other in waits.in_flight.values():
                 if other is not attempt:
-                    attempt.shared[other.volume] = attempt.shared.get(other.volume, 0.0) + passed / parts
+                    attempt.shared_ms[other.volume] = attempt.shared_ms.get(other.volume, 0.0) + elapsed_ms / count
 
-    def _charge_queued(self, waits: NodeWaits, passed: float) -> None:
+    def _charge_queued(self, waits: NodeWaits, elapsed_ms: float) -> None:
+        """Charges the elapsed time of each queued request to the attempts in flight equally, or to the gateway."""
         for volume, count in waits.queued_by_volume.items():
-            ms = passed * count
+            ms = elapsed_ms * count
             if not waits.in_flight:
                 self._add(volume, GATEWAY, ms)
                 continue
             for attempt in waits.in_flight.values():
-                attempt.delayed[volume] = attempt.delayed.get(volume, 0.0) + ms / len(waits.in_flight)
+                attempt.caused_delay_ms[volume] = attempt.caused_delay_ms.get(volume, 0.0) + ms / len(waits.in_flight)
 
     def _add(self, volume: str, cause: WaitCause, ms: float) -> None:
         if ms <= 0:
@@ -196,36 +204,38 @@
         self.waits[pair] = self.waits.get(pair, 0.0) + ms
 
     def _merge_least(self) -> None:
-        """Merges the smallest pairs, each into its volume's OTHERS; those that are such, into one for all volumes."""
+        """Merges each of the smallest pairs into OTHERS of its volume, and a pair of OTHERS into MERGED_VOLUME."""
         by_size = sorted(self.waits, key=lambda pair: (self.waits[pair], pair[0], pair[1].label))
         for volume, cause in by_size[: max(1, self.max_pairs // MERGE_DIVISOR)]:
             ms = self.waits.pop((volume, cause))
-            into = (MERGED_VOLUME if cause.kind is CauseKind.OTHERS else volume, OTHERS)
-            self.waits[into] = self.waits.get(into, 0.0) + ms
+            target = (MERGED_VOLUME if cause.kind is CauseKind.OTHERS else volume, OTHERS)
+            self.waits[target] = self.waits.get(target, 0.0) + ms
 
     # ---- reports
 
     def shares(self, volume: str) -> list[WaitShare]:
-        """Where a volume's time went, the largest share first; an attempt still in flight is not in it yet."""
+        """Returns the causes of a volume's time, the largest first; attempts still in flight are not included."""
         rows = [(cause, ms) for (waiter, cause), ms in self.waits.items() if waiter == volume]
         total = sum(ms for _, ms in rows) or 1.0
         return [WaitShare(cause, ms, ms / total) for cause, ms in sorted(rows, key=lambda r: (-r[1], r[0].label))]
 
     def report(self, volume: str) -> list[str]:
-        """The same as lines of text: a summary, then one line for each of the largest shares."""
-        count = self.requests.get(volume, 0)
+        """Returns the largest shares of a volume's time as text: a summary, then one line for each share."""
+        count = self.request_counts.get(volume, 0)
         shares = self.shares(volume)
         if not shares:
-            return [f"volume {volume}: nothing of it has ended here yet"]
-        each = max(1, count)
-        lines = [f"volume {volume}: {count} accesses, {sum(s.ms for s in shares) / each:.0f} ms each"]
+            return [f"volume {volume}: no access of it has ended here yet"]
+        divisor = max(1, count)
+        lines = [f"volume {volume}: {count} accesses, {sum(s.duration_ms for s in shares) / divisor:.0f} ms each"]
         for share in shares[:MAX_REPORTED_CAUSES]:
-            lines.append(f"  {share.fraction:4.0%}  {share.ms / each:8.1f} ms each  {share.cause.describe(volume)}")
+            lines.append(
+                f"  {share.fraction:4.0%}  {share.duration_ms / divisor:8.1f} ms each  {share.cause.describe(volume)}"
+            )
         return lines
 
 
 def _dequeue(waits: NodeWaits, volume: str) -> None:
-    """One request of a volume is queued no more."""
+    """Removes one request of a volume from the queue of a node."""
     waits.queued_by_volume[volume] -= 1
     if not waits.queued_by_volume[volume]:
         del waits.queued_by_volume[volume]
--- a/pebblehinge/wire/__init__.py
+++ b/pebblehinge/wire/__init__.py
@@ -1,7 +1,7 @@
-"""The framed protocol between clients, gateways, storage nodes, discovery and the replicated configuration. No I/O.
+"""The framed protocol between clients, gateways, storage nodes, discovery and the replicated configuration.
 
-`docs/protocol.md` describes every field. `kinds` lists the kinds of frames, `frames` cuts bytes into checked frames,
-`session` adds the greeting.
+`docs/protocol.md` describes every field. `kinds` defines the kinds of frames, `frames` encodes and decodes frames, and
+`session` adds the greeting. The package does no I/O.
 """
 
 from pebblehinge.wire.frames import FrameDecoder, WireError, encode
--- a/pebblehinge/wire/kinds.py
+++ b/pebblehinge/wire/kinds.py
@@ -1,18 +1,18 @@
-"""The kinds of frames: the number of each on the wire, and the types of its values.
+"""The kinds of frames: their numbers on the wire and the types of their values.
 
-`docs/protocol.md` names the values. A member's name goes out in texts of errors, so names, numbers and types are
-all part of the protocol and stay as they are. Where the code has another term:
+`docs/protocol.md` names the values. Error messages on the wire contain the names of kinds, so names, numbers and types
+are all part of the protocol and must not change. Some kinds have another term in the code:
 
 | kind | term in the code |
 | --- | --- |
 | TAKE, ANSWER | a request and its final answer |
 | TRIP, OUTCOME | an attempt of a request at a storage node, and its outcome |
-| RECALL | cancels an attempt |
-| LIST | the endpoint list, whole or its changes |
+| RECALL | cancellation of an attempt |
+| LIST | the endpoint list, or changes to it |
 | REGISTER, STANDING | registration of an endpoint, and its state |
 | RENEW, GRANT | renewal of a gateway's lease, and the lease |
 | ASK, TOLD | an operator's request to the replicated configuration, and its result |
-| NEWS | a watch event: another configuration version is there |
+| NEWS | a watch event: a new version of the configuration exists |
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Kind(IntEnum):
-    """What a frame means; the number is its byte on the wire."""
+    """The kind of a frame; the value is its byte on the wire."""
 
     HELLO = 1
     ERROR = 2
@@ -50,7 +50,7 @@
 
 
 ENDPOINT_ROW = tuple[str, str, str, int, float]
-"""A row of LIST: storage node, address, state, placement slot, milliseconds since its start or -1 for long ago."""
+"""A row of LIST: storage node, address, state, slot of placement, milliseconds since its start or -1 for long ago."""
 
 VALUE_TYPES: dict[Kind, Any] = {
     Kind.HELLO: tuple[str, int, int, str, str, int, int],
@@ -79,4 +79,4 @@
     Kind.TOLD: tuple[int, bool, str, str],
     Kind.NEWS: tuple[int],
 }
-"""The types of the values of each kind, in their order."""
+"""The types of the values of each kind, in order."""
--- a/pebblehinge/wire/session.py
+++ b/pebblehinge/wire/session.py
@@ -1,4 +1,4 @@
-"""One connection's protocol state: the greeting with its version, then frames. No I/O."""
+"""The protocol state of a connection: the greeting, which agrees on a version, and the frames after it."""
 
 from __future__ import annotations
 
@@ -8,35 +8,36 @@
 from pebblehinge.wire.kinds import Kind
 
 MAGIC = "pebblehinge"
-"""The first value of a greeting, by which the protocol is known."""
+"""The first value of a greeting, which identifies the protocol."""
 
 OLDEST_VERSION, NEWEST_VERSION = 1, 1
-"""The versions of the protocol that are spoken here."""
+"""The range of supported protocol versions."""
 
 MAX_GREETING_BYTES = 1024
-"""Bytes of a frame that a peer may announce before its greeting was accepted; also the least limit it may name."""
+"""Limit of a frame's length before the greeting is accepted; also the least limit that a greeting may state."""
 
 MAX_NAME_CHARS = 200
-"""Characters of this side's name that a greeting carries."""
+"""Limit of this end's name in a greeting; a longer name is truncated."""
 
 MAX_QUOTED_MAGIC_CHARS = 20
-"""Characters of a wrong magic value that the text of its error repeats."""
+"""Limit of the quotation of an invalid magic value in the error message."""
 
 
 class Session:
     """The protocol state of one end of a connection.
 
     Attributes:
-        role: What this end is, as its greeting says: `client`, `head`, `shelf`, `listing`, `lab`, `member`, `operator`.
+        role: The role of this end: `client`, `head`, `shelf`, `listing`, `lab`, `group`, `member` or `operator`.
         name: The name of this end.
-        limit: The greatest length of a frame that this end accepts, in bytes.
-        streams: How many requests may be open on the connection at once.
-        greets: Whether this end made the connection and so sends its greeting first.
+        max_frame_bytes: The greatest length of a frame that this end accepts, in bytes.
+        max_streams: The number of requests that this end allows to be open on the connection at once.
+        dialed: Whether this end dialed the connection and so sends its greeting first.
+        decoder: The decoder of the received frames.
         version: The protocol version agreed on, None before the greeting.
-        peer_role: The other end's role, empty before the greeting.
-        peer_name: The other end's name, empty before the greeting.
-        peer_limit: The greatest length of a frame that the other end accepts, in bytes.
-        peer_streams: How many open requests the other end allows.
+        peer_role: The role of the other end, empty before the greeting.
+        peer_name: The name of the other end, empty before the greeting.
+        peer_max_frame_bytes: The greatest length of a frame that the other end accepts, in bytes.
+        peer_max_streams: The number of open requests that the other end allows.
     """
 
     def __init__(self, role: str, name: str, max_frame_bytes: int, max_streams: int, *, dialed: bool) -> None:
@@ -53,24 +54,24 @@
         self.peer_max_streams = 0
 
     def encode_greeting(self) -> bytes:
-        """Returns this end's greeting, encoded."""
+        """Returns the encoded greeting of this end."""
         name = self.name[:MAX_NAME_CHARS]
         return encode(
             Kind.HELLO, MAGIC, OLDEST_VERSION, NEWEST_VERSION, self.role, name, self.max_frame_bytes, self.max_streams
         )
 
     def feed(self, data: bytes) -> None:
-        """Adds bytes as they were received."""
+        """Passes received bytes to the decoder."""
         self.decoder.feed(data)
 
     def next(self) -> tuple[Kind, tuple[Any, ...]] | None:
         """Returns the next frame, or None if it is not complete yet.
 
-        The first frame must be the greeting: it sets version and peer attributes and is returned as well. The end that
-        greets may get an ERROR in its place, since the other end may reject the connection.
+        The first frame must be the greeting, which sets the version and the peer attributes and is returned as well.
+        The end that dialed may receive an ERROR instead, since the other end may reject the connection.
 
         Raises:
-            WireError: A frame that is not allowed, or not at this time.
+            WireError: The frame violates the protocol, or is not allowed at this time.
         """
         frame = self.decoder.next()
         if frame is None:
