--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,7 +9,7 @@
 from drawn import CONFIG
 from helpers import FLEET, Rig, on_rig
 from lone_head import SAFE, listed, served, take, went
-from test_core_properties import Client, Effects
+from test_core_properties import StubClient, RecordingEffects
 from test_scenarios import PLANS
 
 from pebblehinge.console.view import GatewayView
@@ -157,17 +157,33 @@
 @pytest.mark.parametrize("left", [float("nan"), float("inf"), 1e300])
 def test_a_request_with_no_sound_time_is_refused_and_hurts_no_other(left: float) -> None:
     """Seen: one request with a time that is no number made every later call for its shelf fail."""
-    doing = Effects()
+    doing = RecordingEffects()
     core = GatewayCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
     core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
 
     def one(id_: int, left_ms: float) -> Any:
         return core.take(
-            1000.0, Client(), id_, f"t{id_}", "gold-1", None, "look", "x", 0, 1.0, left_ms, None, None, 0, 0, 10, b""
+            1000.0,
+            StubClient(),
+            id_,
+            f"t{id_}",
+            "gold-1",
+            None,
+            "look",
+            "x",
+            0,
+            1.0,
+            left_ms,
+            None,
+            None,
+            0,
+            0,
+            10,
+            b"",
         )
 
-    assert one(1, left) is None and doing.finals[1] == 1
-    assert one(2, 900.0) is not None and [row[0].id for row in doing.out] == [2]
+    assert one(1, left) is None and doing.answer_counts[1] == 1
+    assert one(2, 900.0) is not None and [row[0].id for row in doing.in_flight] == [2]
 
 
 def test_what_a_running_head_keeps_of_a_shelf_goes_when_its_place_does() -> None:
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -12,32 +12,32 @@
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
-class Client:
+class StubClient:
     """What a core knows of a connection."""
 
     inside = False
 
 
-class Effects:
+class RecordingEffects:
     """Stands where the sockets are: keeps what the core has done, and what the clients were told."""
 
     def __init__(self) -> None:
-        self.out: list[Any] = []
-        self.finals: Counter[int] = Counter()
+        self.in_flight: list[Any] = []
+        self.answer_counts: Counter[int] = Counter()
         self.wake = float("inf")
         self.faults: list[str] = []
 
     def send_attempt(self, pending: Any, shelf: str, attempt: int, until_ms: float) -> None:
-        if self.finals[pending.id] or pending.attempt is not None:
+        if self.answer_counts[pending.id] or pending.attempt is not None:
             self.faults.append(f"trip {attempt} of {pending.id}: answered, or out already")
         pending.attempt = (pending, attempt, until_ms)
-        self.out.append(pending.attempt)
+        self.in_flight.append(pending.attempt)
 
     def cancel_attempt(self, pending: Any) -> None:
-        self.out.remove(pending.attempt)
+        self.in_flight.remove(pending.attempt)
 
     def answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        self.finals[pending.id] += 1
+        self.answer_counts[pending.id] += 1
 
     def wake_at(self, at_ms: float) -> None:
         self.wake = min(self.wake, at_ms)
@@ -46,9 +46,9 @@
         self.faults.append("a list that is pushed was asked for")
 
 
-def through_the_core(seed: int, kind: type[GatewayCore]) -> tuple[list[str], GatewayCore, Effects]:
+def run_core(seed: int, kind: type[GatewayCore]) -> tuple[list[str], GatewayCore, RecordingEffects]:
     """One run of a head's core; what is wrong with it."""
-    rng, doing, now, left = random.Random(f"{seed}/core"), Effects(), 1000.0, set()
+    rng, doing, now, left = random.Random(f"{seed}/core"), RecordingEffects(), 1000.0, set()
     core = kind(CONFIG, CONFIG.head["h1"], now, doing)
     core.start(now)
     truth = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
@@ -58,14 +58,14 @@
     def pass_until(end: float) -> None:
         nonlocal now
         while True:
-            due = min(doing.out, key=lambda row: row[2], default=None)
+            due = min(doing.in_flight, key=lambda row: row[2], default=None)
             at = min(due[2] if due else end, doing.wake, end)
             now = max(now, at)
             if doing.wake <= now:
                 doing.wake = float("inf")
                 core.woken(now)
             elif due and due[2] <= now:
-                doing.out.remove(due)
+                doing.in_flight.remove(due)
                 core.ended(now, due[0], due[1], Outcome.TIMED_OUT, 1.0)
             else:
                 return
@@ -77,7 +77,7 @@
             count += 1
             pending = core.take(
                 now,
-                Client(),
+                StubClient(),
                 count,
                 f"t{count}",
                 rng.choice(("gold-1", "gold-2", "gold-3", "capped-1", "none")),
@@ -95,8 +95,8 @@
                 b"0123456789",
             )
             takens += [pending] if pending is not None else []
-        elif what < 0.85 and doing.out:
-            row = doing.out.pop(rng.randrange(len(doing.out)))
+        elif what < 0.85 and doing.in_flight:
+            row = doing.in_flight.pop(rng.randrange(len(doing.in_flight)))
             outcome = Outcome.SUCCEEDED if rng.random() < 0.4 else rng.choice(list(Outcome))
             core.ended(now, row[0], row[1], outcome, rng.uniform(1.0, 100.0))
         elif what < 0.93 and takens:
@@ -114,7 +114,7 @@
         else:
             core.adopt_config(now, CONFIG)
     pass_until(now + 5000.0)
-    told = {i: doing.finals[i] for i in range(1, count + 1)}
+    told = {i: doing.answer_counts[i] for i in range(1, count + 1)}
     faults = doing.faults + [f"{i}: {n} answers" for i, n in told.items() if n != (i not in left)]
     if core.pending or core.open_count or core.payload_bytes:
         faults.append(
@@ -126,7 +126,7 @@
 def test_the_core_answers_each_request_once_and_keeps_nothing_of_it() -> None:
     met: Counter[str] = Counter()
     for seed in range(RUNS):
-        faults, core, _ = through_the_core(seed, GatewayCore)
+        faults, core, _ = run_core(seed, GatewayCore)
         assert not faults, f"seed {seed}: {faults}"
         met.update(core.counts.by_label())
         met.update({o.value: n for o, n in core.outcome_counts.items()})
@@ -140,4 +140,4 @@
             if pending.key % 7:
                 super()._remove_if_finished(pending)
 
-    assert "kept" in through_the_core(0, Keeps)[0][-1]
+    assert "kept" in run_core(0, Keeps)[0][-1]
