--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,7 +9,7 @@
 from drawn import CONFIG
 from helpers import FLEET, Rig, on_rig
 from lone_head import SAFE, listed, served, take, went
-from test_core_properties import StubClient, RecordingEffects
+from test_core_properties import Origin, RecordingEffects
 from test_scenarios import PLANS
 
 from pebblehinge.console.view import GatewayView
@@ -163,23 +163,7 @@
 
     def one(id_: int, left_ms: float) -> Any:
         return core.take(
-            1000.0,
-            StubClient(),
-            id_,
-            f"t{id_}",
-            "gold-1",
-            None,
-            "look",
-            "x",
-            0,
-            1.0,
-            left_ms,
-            None,
-            None,
-            0,
-            0,
-            10,
-            b"",
+            1000.0, Origin(), id_, f"t{id_}", "gold-1", None, "look", "x", 0, 1.0, left_ms, None, None, 0, 0, 10, b""
         )
 
     assert one(1, left) is None and doing.answer_counts[1] == 1
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -12,7 +12,7 @@
 from pebblehinge.interface import Entry, ListKind, Outcome, Standing
 
 
-class StubClient:
+class Origin:
     """What a core knows of a connection."""
 
     inside = False
@@ -77,7 +77,7 @@
             count += 1
             pending = core.take(
                 now,
-                StubClient(),
+                Origin(),
                 count,
                 f"t{count}",
                 rng.choice(("gold-1", "gold-2", "gold-3", "capped-1", "none")),
