--- a/benchmarks/raft_size.py
+++ b/benchmarks/raft_size.py
@@ -39,13 +39,13 @@
         while ready := self.raft.ready():
             self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
             if ready.entries or ready.snapshot:
-                self.raft.persisted(self.raft.log.last_index)
+                self.raft.mark_persisted(self.raft.log.last_index)
             if ready.snapshot_to_restore is not None:
                 self.count, self.at = int(ready.snapshot_to_restore.data[:20]), ready.snapshot_to_restore.index
             for entry in ready.committed_entries:
                 self.count += entry.kind == 1
                 self.at = entry.index
-            self.raft.applied(self.at)
+            self.raft.mark_applied(self.at)
             way += [*ready.messages, *ready.messages_after_persist]
 
     def compact(self) -> None:
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -56,7 +56,7 @@
     loop: asyncio.AbstractEventLoop, config: Config, name: str, folder: str, begin: bool, seed: int, log: Logger
 ) -> int:
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
-    from pebblehinge.raft.identity import identify  # noqa: PLC0415
+    from pebblehinge.raft.identity import ensure_identity  # noqa: PLC0415
     from pebblehinge.replicated_config.server import MemberServer  # noqa: PLC0415
     from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
 
@@ -65,7 +65,7 @@
     try:
         disk = RealDisk(folder)
         disk.own()
-        identify(disk, config.group.id, name, begin)
+        ensure_identity(disk, config.group.id, name, begin)
         server = MemberServer(loop, clock_of(loop), config, name, disk, log, seed or os.getpid())
     except (StorageError, OSError) as error:
         give_up(f"member {name}: {folder}: {describe(error)}")
--- a/pebblehinge/raft/core.py
+++ b/pebblehinge/raft/core.py
@@ -172,13 +172,13 @@
         """What is to be done since the last call."""
         return self.state.take_ready()
 
-    def persisted(self, index: int) -> None:
+    def mark_persisted(self, index: int) -> None:
         """Entries up to an index are on disk."""
         state = self.state
         state.persisted_index = max(state.persisted_index, min(index, state.log.last_index))
         self.leader.on_persisted()
 
-    def applied(self, index: int) -> None:
+    def mark_applied(self, index: int) -> None:
         """Entries up to an index are applied to the state machine."""
         self.state.last_applied = max(self.state.last_applied, index)
 
--- a/pebblehinge/raft/leader.py
+++ b/pebblehinge/raft/leader.py
@@ -114,7 +114,7 @@
             return
         progress = self.replicator.progress[response.source]
         progress.note_response()
-        progress.inflight = max(0, progress.inflight - 1)
+        progress.inflight_appends = max(0, progress.inflight_appends - 1)
         self.reads.on_response(response.source, response.read_round)
         if response.success:
             self._on_success(response)
@@ -146,7 +146,7 @@
         if response.index > progress.match_index:
             progress.match_index = response.index
             self._advance_commit_index()
-        if progress.probing:
+        if progress.is_probing:
             progress.replicate_from_match()
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         self.replicator.replicate(response.source)
--- a/pebblehinge/raft/model_state.py
+++ b/pebblehinge/raft/model_state.py
@@ -37,11 +37,11 @@
         raft = self.rafts[member]
         while ready := raft.ready():
             if ready.entries:
-                raft.persisted(raft.log.last_index)
+                raft.mark_persisted(raft.log.last_index)
             for entry in ready.committed_entries:
                 if self.committed.setdefault(entry.index, entry) != entry:
                     raise SafetyViolationError(f"two entries are committed at {entry.index}")
-                raft.applied(entry.index)
+                raft.mark_applied(entry.index)
             sent = (*ready.messages, *ready.messages_after_persist)
             fresh = [message for message in sent if message not in self.in_transit]
             self.in_transit = (self.in_transit + tuple(dict.fromkeys(fresh)))[-max_in_transit:]
@@ -93,7 +93,7 @@
     progress: list[tuple[str, int, int, int, bool]] = []
     if state.role is Role.LEADER:
         progress = [
-            (renamed[name], p.match_index, p.next_index, p.inflight, p.probing)
+            (renamed[name], p.match_index, p.next_index, p.inflight_appends, p.is_probing)
             for name, p in raft.leader.replicator.progress.items()
         ]
     else:
--- a/pebblehinge/raft/node.py
+++ b/pebblehinge/raft/node.py
@@ -51,13 +51,13 @@
         self.compact_after = compact_after
         self.waiting_reads: list[ReadState] = []  # until their index is applied
         self.timer: asyncio.TimerHandle | None = None
-        self.up = True
+        self.is_running = True
         self.processing = False
 
     @property
     def is_leader(self) -> bool:
         """Whether this member runs, and believes that it leads."""
-        return self.up and self.raft.role is Role.LEADER
+        return self.is_running and self.raft.role is Role.LEADER
 
     def start(self) -> None:
         """Time begins to pass for the core."""
@@ -65,7 +65,7 @@
 
     def stop(self) -> None:
         """Stops for good: nothing is sent, stored or applied any more."""
-        self.up = False
+        self.is_running = False
         if self.timer is not None:
             self.timer.cancel()
         for link in self.links.values():
@@ -73,7 +73,7 @@
 
     def receive(self, data: bytes) -> None:
         """Takes a message from another member. Raises msgspec.DecodeError if these bytes are not one."""
-        if self.up:
+        if self.is_running:
             self.raft.step(decode_message(data))
             self.process_ready()
 
@@ -83,7 +83,7 @@
             return
         self.processing = True
         try:
-            while self.up and (ready := self.raft.ready()):
+            while self.is_running and (ready := self.raft.ready()):
                 self._process(ready)
         except StorageError as error:
             # What is on disk is not known: to go on would be to promise what may be lost.
@@ -93,7 +93,7 @@
             self.processing = False
 
     def _tick(self) -> None:
-        if self.up:
+        if self.is_running:
             self.timer = self.loop.call_later(self.tick_s, self._tick)
             self.raft.tick()
             self.process_ready()
@@ -103,13 +103,13 @@
         self._send(ready.messages)
         if ready.must_persist:
             self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
-            self.raft.persisted(self.raft.log.last_index)
+            self.raft.mark_persisted(self.raft.log.last_index)
         self._send(ready.messages_after_persist)
         if ready.snapshot_to_restore is not None:
             self._restore(ready.snapshot_to_restore)
         for entry in ready.committed_entries:
             self.callbacks.apply(entry)
-            self.raft.applied(entry.index)
+            self.raft.mark_applied(entry.index)
         self._finish_reads(ready.read_states)
         if self.raft.last_applied - self.raft.log.snapshot_index >= self.compact_after:
             self._compact()
@@ -122,7 +122,7 @@
 
     def _restore(self, snapshot: Snapshot) -> None:
         self.callbacks.restore(snapshot.data)
-        self.raft.applied(snapshot.index)
+        self.raft.mark_applied(snapshot.index)
 
     def _finish_reads(self, read_states: Iterable[ReadState]) -> None:
         """Tells of reads that failed, and of those whose index is applied by now."""
--- a/pebblehinge/raft/progress.py
+++ b/pebblehinge/raft/progress.py
@@ -15,17 +15,17 @@
 
     next_index: int
     match_index: int = 0
-    inflight: int = 0  # messages with entries that are not answered yet
-    probing: bool = True  # one message at a time, until it is known where the logs match
+    inflight_appends: int = 0  # messages with entries that are not answered yet
+    is_probing: bool = True  # one message at a time, until it is known where the logs match
     recently_active: bool = True  # heard from since the last check of the quorum
     ticks_since_response: int = 0
     snapshot: Snapshot | None = None  # being sent
     snapshot_offset: int = 0  # of the piece that is being sent
 
     @property
-    def window_full(self) -> bool:
+    def is_window_full(self) -> bool:
         """Whether no more entries may be sent before an answer."""
-        return self.inflight >= (1 if self.probing else MAX_INFLIGHT_APPENDS)
+        return self.inflight_appends >= (1 if self.is_probing else MAX_INFLIGHT_APPENDS)
 
     def note_response(self) -> None:
         """The follower was heard from."""
@@ -34,14 +34,14 @@
 
     def replicate_from_match(self) -> None:
         """The logs are known to match at `match_index`: entries after it go in a pipeline."""
-        self.probing = False
-        self.inflight = 0
+        self.is_probing = False
+        self.inflight_appends = 0
         self.next_index = self.match_index + 1
 
     def probe_from(self, next_index: int) -> None:
         """It is not known where the logs match: one message at a time, from an index on."""
-        self.probing = True
-        self.inflight = 0
+        self.is_probing = True
+        self.inflight_appends = 0
         self.next_index = next_index
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
--- a/pebblehinge/raft/records.py
+++ b/pebblehinge/raft/records.py
@@ -18,7 +18,7 @@
 from pebblehinge.raft.errors import StorageDamagedError
 
 RECORD_HEADER = struct.Struct(">IIB")
-SEAL = struct.Struct(">I")
+CHECKSUM_HEADER = struct.Struct(">I")
 KIND_BYTES = 1  # of the header, counted in a record's length
 MAX_RECORD_BYTES = 64 << 20
 
@@ -44,7 +44,7 @@
     """The records of a segment, and the length of the file up to its torn tail, if it has one."""
 
     records: list[Entry | Truncation]
-    sound_bytes: int
+    valid_bytes: int
 
 
 def encode_record(record: Entry | Truncation) -> bytes:
@@ -79,16 +79,16 @@
     return Segment(records, start)
 
 
-def seal(value: object) -> bytes:
+def encode_checksummed(value: object) -> bytes:
     """The bytes of a file that holds one value."""
     body = msgspec.msgpack.encode(value)
-    return SEAL.pack(xxhash.xxh32_intdigest(body)) + body
+    return CHECKSUM_HEADER.pack(xxhash.xxh32_intdigest(body)) + body
 
 
-def unseal(data: bytes, kind: type[_Value], name: str) -> _Value:
+def decode_checksummed(data: bytes, kind: type[_Value], name: str) -> _Value:
     """The value of a sealed file. Raises StorageDamagedError if the checksum does not match."""
-    body = data[SEAL.size :]
-    if len(data) < SEAL.size or xxhash.xxh32_intdigest(body) != SEAL.unpack_from(data)[0]:
+    body = data[CHECKSUM_HEADER.size :]
+    if len(data) < CHECKSUM_HEADER.size or xxhash.xxh32_intdigest(body) != CHECKSUM_HEADER.unpack_from(data)[0]:
         raise StorageDamagedError(f"{name} is damaged: this instance can't know what it has promised")
     return msgspec.msgpack.decode(body, type=kind)
 
--- a/pebblehinge/raft/replication.py
+++ b/pebblehinge/raft/replication.py
@@ -70,12 +70,12 @@
     def broadcast_heartbeat(self) -> None:
         """Sends everyone at least an empty AppendEntries; whoever was silent for long is probed anew."""
         for name, progress in self.progress.items():
-            if progress.ticks_since_response >= self.state.election_timeout and not progress.probing:
+            if progress.ticks_since_response >= self.state.election_timeout and not progress.is_probing:
                 # What was on its way to it may be lost: find out where it stands.
-                progress.probing = True
+                progress.is_probing = True
                 progress.next_index = progress.match_index + 1
             if progress.ticks_since_response >= self.state.heartbeat_interval * 2:
-                progress.inflight = 0
+                progress.inflight_appends = 0
             self.replicate(name, heartbeat=True)
 
     def replicate(self, name: str, heartbeat: bool = False) -> None:
@@ -99,7 +99,7 @@
             return False
         entries = (
             []
-            if progress.window_full
+            if progress.is_window_full
             else state.log.slice(progress.next_index, state.log.last_index, max_bytes=MAX_APPEND_BYTES)
         )
         if not entries and not heartbeat:
@@ -117,8 +117,8 @@
         state.send(message)
         if not entries:
             return False
-        progress.inflight += 1
-        if not progress.probing:
+        progress.inflight_appends += 1
+        if not progress.is_probing:
             progress.next_index += len(entries)
         return True
 
@@ -146,7 +146,7 @@
     def on_conflict(self, response: AppendEntriesResponse) -> None:
         """The logs do not match there: backs off by whole terms (paper, 5.3), never below what is known to match."""
         progress = self.progress[response.source]
-        if response.index <= progress.match_index and not progress.probing:
+        if response.index <= progress.match_index and not progress.is_probing:
             return  # overtaken by a success
         log = self.state.log
         next_index = response.conflict_index
--- a/pebblehinge/raft/storage.py
+++ b/pebblehinge/raft/storage.py
@@ -17,7 +17,7 @@
 
 from pebblehinge.raft.entries import Entry, HardState, Snapshot
 from pebblehinge.raft.errors import StorageDamagedError, StorageFailedError
-from pebblehinge.raft.records import Truncation, decode_segment, encode_record, seal, unseal
+from pebblehinge.raft.records import Truncation, decode_checksummed, decode_segment, encode_checksummed, encode_record
 from pebblehinge.store.disk import Disk
 
 STATE_FILE = "raft.state"
@@ -48,9 +48,9 @@
     def _load(self) -> None:
         names = self.disk.names()
         if STATE_FILE in names:
-            self.hard_state = unseal(self.disk.read(STATE_FILE), HardState, STATE_FILE)
+            self.hard_state = decode_checksummed(self.disk.read(STATE_FILE), HardState, STATE_FILE)
         for name in self._matching(names, SNAPSHOT_PREFIX)[-1:]:
-            self.snapshot = unseal(self.disk.read(name), Snapshot, name)
+            self.snapshot = decode_checksummed(self.disk.read(name), Snapshot, name)
         for name in names:
             if name.endswith(TEMPORARY_SUFFIX):
                 self.disk.remove(name)
@@ -67,8 +67,8 @@
         for name in names:
             data = self.disk.read(name)
             segment = decode_segment(data, name, newest=name == names[-1])
-            if segment.sound_bytes < len(data):
-                self.disk.truncate(name, segment.sound_bytes)
+            if segment.valid_bytes < len(data):
+                self.disk.truncate(name, segment.valid_bytes)
             for record in segment.records:
                 for index in [index for index in stored if index >= record.index]:
                     del stored[index]
@@ -109,7 +109,7 @@
             raise self.failure
         try:
             if hard_state is not None:
-                self.disk.replace(STATE_FILE, seal(hard_state))
+                self.disk.replace(STATE_FILE, encode_checksummed(hard_state))
                 self.hard_state = hard_state
             if snapshot is not None:
                 self._store_snapshot(snapshot)
@@ -145,7 +145,7 @@
 
     def _store_snapshot(self, snapshot: Snapshot) -> None:
         name = f"{SNAPSHOT_PREFIX}{snapshot.index:012d}{SUFFIX}"
-        self.disk.replace(name, seal(snapshot))
+        self.disk.replace(name, encode_checksummed(snapshot))
         self.snapshot = snapshot
         for stored in self.disk.names():
             if stored.startswith(SNAPSHOT_PREFIX) and stored != name:
--- a/pebblehinge/replicated_config/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -123,7 +123,7 @@
         self.stop()
 
     def _tick(self) -> None:
-        if not self.node.up:
+        if not self.node.is_running:
             return
         self.timer = self.loop.call_later(self.config.group.tick / 1000.0, self._tick)
         if self.node.is_leader:
--- a/tests/compatibility/exchange.py
+++ b/tests/compatibility/exchange.py
@@ -13,7 +13,7 @@
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
 from pebblehinge.raft.codec import decode_message, encode_message
-from pebblehinge.raft.identity import identify
+from pebblehinge.raft.identity import ensure_identity
 from pebblehinge.raft.ready import ReadState
 from pebblehinge.raft.storage import Storage
 from pebblehinge.replicated_config.state_machine import ConfigState
@@ -60,7 +60,7 @@
 
     def __init__(self, name: str, folder: Path) -> None:
         disk = RealDisk(folder)
-        identify(disk, "porto", name, True)
+        ensure_identity(disk, "porto", name, True)
         self.storage = Storage(disk)
         snapshot = initial_snapshot(["a", "b", "c"])
         self.raft = Raft(name, snapshot, [], HardState(), random.Random(f"exchange/{name}"))
@@ -69,7 +69,7 @@
 
     def apply(self, entry: Entry) -> None:
         self.state.apply(entry)
-        self.raft.applied(entry.index)
+        self.raft.mark_applied(entry.index)
 
     def compact(self) -> None:
         snapshot = self.raft.compact(self.state.dump(), self.raft.last_applied)
@@ -101,10 +101,10 @@
         while ready := member.raft.ready():
             if ready.must_persist:
                 member.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
-                member.raft.persisted(member.raft.log.last_index)
+                member.raft.mark_persisted(member.raft.log.last_index)
             if ready.snapshot_to_restore is not None:
                 member.state = ConfigState.restore(ready.snapshot_to_restore.data)
-                member.raft.applied(ready.snapshot_to_restore.index)
+                member.raft.mark_applied(ready.snapshot_to_restore.index)
             for entry in ready.committed_entries:
                 member.apply(entry)
             member.reads += ready.read_states
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -16,7 +16,7 @@
 from pebblehinge.capture import CaptureError, CaptureWriter, parse_capture
 from pebblehinge.capture.format import BLOCK_START, FILE_START, OUTCOMES
 from pebblehinge.raft import Entry, Snapshot
-from pebblehinge.raft.identity import identify
+from pebblehinge.raft.identity import ensure_identity
 from pebblehinge.raft.storage import Storage
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.replicated_config.version_application import StoredVersions, VersionApplication
@@ -36,7 +36,7 @@
 def check_member(folder: Path, expected: dict[str, Any]) -> None:
     """A member's folder: whose it is, term, vote, snapshot and entries, and the state that follows from them."""
     disk = RealDisk(folder)
-    identify(disk, "porto", "a", False)
+    ensure_identity(disk, "porto", "a", False)
     storage = Storage(disk)
     assert [storage.hard_state.current_term, storage.hard_state.voted_for] == [expected["term"], expected["vote"]]
     assert plain(storage.snapshot) == expected["snapshot"]
--- a/tests/config_group.py
+++ b/tests/config_group.py
@@ -61,7 +61,7 @@
 
     def kill_member(self, name: str) -> None:
         self.nodes[name].kill()
-        self.members[name].node.up = False
+        self.members[name].node.is_running = False
         self.disks[name].crash()
 
     def start_head(self, name: str) -> None:
--- a/tests/raft_instance.py
+++ b/tests/raft_instance.py
@@ -83,7 +83,7 @@
                 self.up = False
                 return
             if ready.entries or ready.snapshot:
-                self.raft.persisted(self.raft.log.last_index)
+                self.raft.mark_persisted(self.raft.log.last_index)
             if ready.snapshot_to_restore is not None:
                 self.restore(ready.snapshot_to_restore.data, ready.snapshot_to_restore.index)
             for entry in ready.committed_entries:
@@ -113,7 +113,7 @@
         assert known == entry, f"two entries committed at {entry.index}: {known} and {entry}"
         if entry.kind == EntryKind.DATA:
             self.apply_data(entry)
-        self.raft.applied(entry.index)
+        self.raft.mark_applied(entry.index)
 
     def texts(self) -> list[str]:
         """What sessions have set, in order: its length is the version."""
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -113,10 +113,10 @@
     raft = Raft("a", initial_snapshot(["a", "b", "c"]), [Entry(1, 1, 1, b"old")], HardState(1, "a"), random.Random(1))
     elect(raft)
     raft.ready()
-    raft.persisted(1)  # its own no-op at 2 is not on disk yet
+    raft.mark_persisted(1)  # its own no-op at 2 is not on disk yet
     raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=1))
     assert raft.commit_index == 0
-    raft.persisted(2)
+    raft.mark_persisted(2)
     raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=2))
     assert raft.commit_index == 2
 
@@ -168,7 +168,7 @@
         world.run(1)
     world.until(lambda: leader.applied[-1:] == ["x99"])
     progress = leader.raft.leader.replicator.progress[slow]
-    assert progress.inflight <= 16  # nothing piles up for it
+    assert progress.inflight_appends <= 16  # nothing piles up for it
 
 
 def test_a_group_of_one_commits_alone() -> None:
--- a/tests/test_raft_broken.py
+++ b/tests/test_raft_broken.py
@@ -87,7 +87,7 @@
     start = initial_snapshot(["a", "b", "c"])
     raft = Raft("a", start, [Entry(1, 1, 1, b"old")], HardState(1, "a"), random.Random(1))
     elect(raft)
-    raft.persisted(1)
+    raft.mark_persisted(1)
     raft.step(AppendEntriesResponse("b", "a", raft.current_term, success=True, index=1))
     assert raft.commit_index == 1  # what test_an_entry_of_an_old_term_is_not_committed_by_counting forbids
 
--- a/tests/test_raft_codec.py
+++ b/tests/test_raft_codec.py
@@ -19,7 +19,7 @@
     RequestVoteResponse,
     TimeoutNow,
 )
-from pebblehinge.raft.records import Truncation, decode_segment, encode_record, seal, unseal
+from pebblehinge.raft.records import Truncation, decode_checksummed, decode_segment, encode_checksummed, encode_record
 
 ENTRY = Entry(7, 6, 1, b"x", "s", 3)
 MEMBERSHIP = Membership(("a", "b"), ("c",))
@@ -90,5 +90,5 @@
 
 @pytest.mark.parametrize(("value", "stored"), SEALED)
 def test_a_sealed_value_has_these_bytes_and_is_read_from_them(value: object, stored: str) -> None:
-    assert seal(value).hex() == stored
-    assert unseal(bytes.fromhex(stored), type(value), "file") == value
+    assert encode_checksummed(value).hex() == stored
+    assert decode_checksummed(bytes.fromhex(stored), type(value), "file") == value
--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -75,7 +75,7 @@
     raft = Raft("a", initial_snapshot(["a", "b", "c", "d"]), [Entry(1, 1, 1)], HardState(1, "a"), random.Random(1))
     elect(raft)
     rejected(raft, Membership(("a", "b", "c")), "this term has committed nothing yet")
-    raft.persisted(2)
+    raft.mark_persisted(2)
     for name in "bc":
         raft.step(AppendEntriesResponse(name, "a", raft.current_term, success=True, index=2))
     raft.change_membership(Membership(("a", "b", "c")))
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -10,7 +10,7 @@
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.raft import Entry, HardState, Log, Membership, Snapshot, initial_snapshot
 from pebblehinge.raft.errors import IdentityError, LogError, StorageDamagedError, StorageFailedError
-from pebblehinge.raft.identity import identify
+from pebblehinge.raft.identity import ensure_identity
 from pebblehinge.raft.storage import SEGMENT_BYTES, Storage
 from pebblehinge.store.disk import RealDisk
 
@@ -123,12 +123,12 @@
 def test_a_folder_is_one_members_of_one_group() -> None:
     disk = FaultyDisk(random.Random(1))
     with pytest.raises(IdentityError, match="^the folder is empty: if a has never run before, say --begin"):
-        identify(disk, "grp", "a", begin=False)
-    identify(disk, "grp", "a", begin=True)
-    identify(disk, "grp", "a", begin=False)
+        ensure_identity(disk, "grp", "a", allow_empty=False)
+    ensure_identity(disk, "grp", "a", allow_empty=True)
+    ensure_identity(disk, "grp", "a", allow_empty=False)
     with pytest.raises(IdentityError, match="^the folder is a's of group 'grp', not b's of 'grp'$"):
-        identify(disk, "grp", "b", begin=True)
+        ensure_identity(disk, "grp", "b", allow_empty=True)
     disk.remove("raft.identity")
     Storage(disk).store(HardState(1, "a"))
     with pytest.raises(IdentityError, match="^the folder holds a log and no identity"):
-        identify(disk, "grp", "a", begin=True)
+        ensure_identity(disk, "grp", "a", allow_empty=True)
--- a/tests/test_read_rounds.py
+++ b/tests/test_read_rounds.py
@@ -18,8 +18,8 @@
     """SafetyViolationError on purpose: a read that comes while a round is out is served by it."""
 
     def read_index(self, context: int) -> bool:
-        if self.role is Role.LEADER and self.leader.reads.in_round:
-            self.leader.reads.in_round.append(context)
+        if self.role is Role.LEADER and self.leader.reads.round_contexts:
+            self.leader.reads.round_contexts.append(context)
             return True
         return super().read_index(context)
 
@@ -28,7 +28,7 @@
     """A leader of five whose term has committed its first entry; nothing is left to be done."""
     raft = kind("a", initial_snapshot(FIVE), [], HardState(), random.Random(1))
     elect(raft)
-    raft.persisted(raft.log.last_index)
+    raft.mark_persisted(raft.log.last_index)
     for name in "bc":
         answer(raft, name, 0)
     assert raft.commit_index == raft.term_start_index
@@ -116,10 +116,10 @@
     raft.ready()
     assert raft.read_index(1) and raft.read_index(2)
     assert raft.ready().messages == []
-    raft.persisted(raft.log.last_index)
+    raft.mark_persisted(raft.log.last_index)
     for name in "bc":
         answer(raft, name, 0)
-    assert raft.leader.reads.in_round == [1, 2]
+    assert raft.leader.reads.round_contexts == [1, 2]
     raft.read_index(3)
     raft.step(AppendEntries("b", "a", raft.current_term + 1, raft.log.last_index, raft.log.last_term))
     lost = sorted(raft.ready().read_states, key=lambda read: read.context)
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -119,7 +119,7 @@
 
     def kill_member(self, name: str) -> None:
         self.nodes[name].kill()
-        self.members[name].node.up = False
+        self.members[name].node.is_running = False
         self.disks[name].crash()
 
     def start_head(self, name: str) -> None:
