--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -13,7 +13,7 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.village import Quiet
-from pebblehinge.replicated_config.activation import transitional
+from pebblehinge.replicated_config.activation import transitional_config
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.version_application import VersionApplication
 from pebblehinge.settings import Config
@@ -113,17 +113,17 @@
 def version(heads: int, volumes: int) -> dict[str, Any]:
     old, new = text(heads, volumes), text(heads, volumes, 90)
     one, other = loads(old), loads(new)
-    half, head = transitional(one, other, "h1"), head_of(one)
+    half, head = transitional_config(one, other, "h1"), head_of(one)
     turns = itertools.cycle((half, one))  # settings that are as they were are not taken up anew
     grant = (1, 3000.0, 1, old, 2, new, {}, "")
     return {
         "text_bytes": len(old),
         "read_ms": least_ms(lambda: loads(old)),
-        "careful_ms": least_ms(lambda: transitional(one, other, "h1")),
+        "careful_ms": least_ms(lambda: transitional_config(one, other, "h1")),
         "take_up_ms": least_ms(lambda: head.adopt(next(turns))),
         "kept_bytes": kept_by(lambda: pending(old, new)),
         "one_config_bytes": kept_by(lambda: loads(old)),
-        "careful_bytes": kept_by(lambda: transitional(one, other, "h1")),
+        "careful_bytes": kept_by(lambda: transitional_config(one, other, "h1")),
         "grant_both_ms": least_ms(lambda: encode(Kind.GRANT, *grant)),
     }
 
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from pebblehinge.gateway import GatewayServer
-    from pebblehinge.replicated_config.config_publisher import Log
+    from pebblehinge.replicated_config.config_publisher import Logger
     from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 
 
@@ -24,7 +24,7 @@
     name: str,
     server: GatewayServer,
     version_file: str | None,
-    log: Log,
+    log: Logger,
 ) -> ConfigWatcher:
     """Connects a gateway to the group that replicates its configuration.
 
@@ -43,7 +43,7 @@
         The watcher, not yet started.
     """
     from pebblehinge.replicated_config import VersionApplication  # noqa: PLC0415
-    from pebblehinge.replicated_config.activation import cut_off  # noqa: PLC0415
+    from pebblehinge.replicated_config.activation import config_without_lease  # noqa: PLC0415
     from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: PLC0415
     from pebblehinge.store.background import in_thread  # noqa: PLC0415
     from pebblehinge.store.disk import RealDisk  # noqa: PLC0415
@@ -65,5 +65,5 @@
         server.version_shown = {"version": application.active, "pending": application.pending, "mode": mode}
         server.adopt(new)
 
-    server.adopt(cut_off(config, floor))
+    server.adopt(config_without_lease(config, floor))
     return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, in_thread(loop))
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -12,7 +12,7 @@
 from pebblehinge.lab.faults.ways import Held
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config import VersionApplication
-from pebblehinge.replicated_config.activation import cut_off
+from pebblehinge.replicated_config.activation import config_without_lease
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.settings import Config
 from pebblehinge.store.background import Background, Done, inline
@@ -40,7 +40,7 @@
     application = VersionApplication(name, floor)
     if disk.exists(AGREED):
         application = VersionApplication.restore(name, floor, disk.read(AGREED))
-    head.adopt(cut_off(config, floor))
+    head.adopt(config_without_lease(config, floor))
     watcher = ConfigWatcher(
         node,
         clock,
--- a/pebblehinge/replicated_config/activation.py
+++ b/pebblehinge/replicated_config/activation.py
@@ -40,24 +40,24 @@
     config: Config
 
 
-NOTHING = Allowance(0.0, 0.0)
+NO_ALLOWANCE = Allowance(0.0, 0.0)
 
 
 def allowances_of(config: Config, gateway: str) -> dict[str, Allowance]:
     """What one gateway may send, by volume with a limit; nothing for volumes that do not come through it."""
-    found: dict[str, Allowance] = {}
+    allowances: dict[str, Allowance] = {}
     for name, volume in config.volume.items():
         plan = config.plan[volume.plan]
         if not plan.limit:
             continue
         if volume.through and gateway not in volume.through:
-            found[name] = NOTHING
+            allowances[name] = NO_ALLOWANCE
         else:
-            found[name] = Allowance(plan.limit / volume.heads, (plan.burst + plan.slack) / volume.heads)
-    return found
+            allowances[name] = Allowance(plan.limit / volume.heads, (plan.burst + plan.slack) / volume.heads)
+    return allowances
 
 
-def transitional(old: Config, new: Config, gateway: str, floor: float = 0.0) -> Config:
+def transitional_config(old: Config, new: Config, gateway: str, floor: float = 0.0) -> Config:
     """The old version, with each allowance no greater than the new one's less the floor's share.
 
     What only the new one limits is limited already; what is gone in the new one keeps the old figures until it is gone.
@@ -70,7 +70,7 @@
     plans: dict[str, PlanBlock] = dict(old.plan)
     volumes: dict[str, VolumeBlock] = {}
     for name, volume in old.volume.items():
-        allowance = _smaller(old_allowances.get(name), new_allowances.get(name))
+        allowance = _min_allowance(old_allowances.get(name), new_allowances.get(name))
         if allowance is None:
             volumes[name] = volume
             continue
@@ -79,7 +79,7 @@
     return msgspec.structs.replace(old, plan=plans, volume=volumes)
 
 
-def _smaller(old: Allowance | None, new: Allowance | None) -> Allowance | None:
+def _min_allowance(old: Allowance | None, new: Allowance | None) -> Allowance | None:
     """None for no limit in either."""
     if old is None or new is None:
         return new if old is None else old
@@ -91,11 +91,13 @@
     rate, burst = allowance
     heads = volume.heads
     name = f"{volume.plan}~{rate:g}~{burst:g}~{heads}"
-    own = msgspec.structs.replace(plan, limit=max(rate, MIN_RATE) * heads, burst=max(0.0, burst * heads), slack=0.0)
-    return msgspec.structs.replace(volume, plan=name), own
+    own_plan = msgspec.structs.replace(
+        plan, limit=max(rate, MIN_RATE) * heads, burst=max(0.0, burst * heads), slack=0.0
+    )
+    return msgspec.structs.replace(volume, plan=name), own_plan
 
 
-def cut_off(config: Config, floor: float) -> Config:
+def config_without_lease(config: Config, floor: float) -> Config:
     """What a gateway without a lease acts on: the floor's share of every limit."""
     plans = dict(config.plan)
     for name, plan in config.plan.items():
@@ -106,23 +108,23 @@
     return msgspec.structs.replace(config, plan=plans)
 
 
-def reserved_for(unreachable: Sequence[UnreachableGateway], floor: float) -> Reservations:
+def reservations_for(unreachable: Sequence[UnreachableGateway], floor: float) -> Reservations:
     """What unreachable gateways could still send by volume, each by the last version that it acknowledged."""
     total: Reservations = {}
     for gateway, config in unreachable:
         for volume, (rate, burst) in allowances_of(config, gateway).items():
-            before = total.get(volume, NOTHING)
-            total[volume] = Allowance(before[0] + rate * floor, before[1] + burst * floor)
+            previous = total.get(volume, NO_ALLOWANCE)
+            total[volume] = Allowance(previous[0] + rate * floor, previous[1] + burst * floor)
     return dict(sorted(total.items()))
 
 
-def less_reserved(config: Config, reserved: Reservations) -> Config:
+def subtract_reservations(config: Config, reservations: Reservations) -> Config:
     """The active version, less what is reserved."""
-    if not reserved:
+    if not reservations:
         return config
     plans = dict(config.plan)
     volumes = dict(config.volume)
-    for name, (rate, burst) in reserved.items():
+    for name, (rate, burst) in reservations.items():
         volume = config.volume.get(name)
         plan = config.plan[volume.plan] if volume is not None else None
         if volume is None or plan is None or not plan.limit or (rate == 0 and burst == 0):
@@ -130,14 +132,14 @@
         allowance = Allowance(
             max(0.0, plan.limit - rate) / volume.heads, max(0.0, plan.burst + plan.slack - burst) / volume.heads
         )
-        volumes[name], own = _with_allowance(volume, plan, allowance)
-        plans[volumes[name].plan] = own
+        volumes[name], own_plan = _with_allowance(volume, plan, allowance)
+        plans[volumes[name].plan] = own_plan
     return msgspec.structs.replace(config, plan=plans, volume=volumes)
 
 
-def find_conflict(config: Config, reserved: Reservations) -> str | None:
+def find_conflict(config: Config, reservations: Reservations) -> str | None:
     """Why a version can't be active while so much is reserved, or None."""
-    for name, (rate, burst) in reserved.items():
+    for name, (rate, burst) in reservations.items():
         volume = config.volume.get(name)
         if volume is None:
             if rate > 0:
@@ -152,19 +154,19 @@
     return None
 
 
-def leaves_capacity(config: Config, reserved: Reservations, floor: float, unreachable: Sequence[str]) -> bool:
+def reservations_fit(config: Config, reservations: Reservations, floor: float, unreachable: Sequence[str]) -> bool:
     """Whether a version may be active with so much reserved though no gateway has heard of that yet.
 
     Transitional gateways act on its allowances less the floor's share, and unreachable ones on none of it.
     """
-    for name, (rate, burst) in reserved.items():
+    for name, (rate, burst) in reservations.items():
         volume = config.volume.get(name)
         plan = config.plan[volume.plan] if volume is not None else None
         if volume is None or plan is None or not plan.limit:
             continue
         # Who may send is known by name alone.
-        unused = sum(gateway in volume.through for gateway in unreachable) / volume.heads
-        capacity = floor + (1.0 - floor) * min(1.0, unused)
+        unreachable_share = sum(gateway in volume.through for gateway in unreachable) / volume.heads
+        capacity = floor + (1.0 - floor) * min(1.0, unreachable_share)
         if rate > plan.limit * capacity or burst > (plan.burst + plan.slack) * capacity:
             return False
     return True
--- a/pebblehinge/replicated_config/application_types.py
+++ b/pebblehinge/replicated_config/application_types.py
@@ -26,7 +26,7 @@
 
     active: int
     text: str
-    reserved: Reservations
+    reservations: Reservations
     pending: int = 0
     pending_text: str = ""
 
@@ -48,7 +48,7 @@
     active_text: str
     pending: int
     pending_text: str
-    reserved: Reservations
+    reservations: Reservations
     leader: str = ""
 
     @property
@@ -71,7 +71,7 @@
 
     active: int
     pending: int
-    reserved: Reservations
-    lease_until: float
+    reservations: Reservations
+    lease_expires_ms: float
     configs: dict[int, Config]
     texts: dict[int, str]
--- a/pebblehinge/replicated_config/commands.py
+++ b/pebblehinge/replicated_config/commands.py
@@ -64,7 +64,7 @@
     """A version is active, with so much reserved. `revision` is the state's, from which the leader computed it."""
 
     version: int
-    reserved: Reservations
+    reservations: Reservations
     revision: int
 
 
--- a/pebblehinge/replicated_config/config_publisher.py
+++ b/pebblehinge/replicated_config/config_publisher.py
@@ -17,7 +17,7 @@
 Persist = Callable[[bytes], None]  # raises OSError if the bytes can't be kept
 
 
-class Log(Protocol):
+class Logger(Protocol):
     """A structured log."""
 
     def info(self, event: str, **values: object) -> object:
@@ -27,13 +27,13 @@
         """A fault."""
 
 
-class Published(NamedTuple):
+class PublishedState(NamedTuple):
     """What was handed on last, as far as it tells one configuration from another."""
 
     active: int
     pending: int
     mode: str
-    reserved: str
+    reservations: str
 
 
 class ConfigPublisher:
@@ -46,8 +46,8 @@
         application: VersionApplication,
         adopt: Adopt,
         persist: Persist,
-        log: Log,
-        beside: Background,
+        log: Logger,
+        run_in_background: Background,
         on_committed: Callable[[bool], None],
     ) -> None:
         """One gateway's.
@@ -59,7 +59,7 @@
             adopt: acts on what is published.
             persist: keeps bytes over restarts; may raise OSError.
             log: hears of versions and of faults.
-            beside: calls `persist` without holding the loop.
+            run_in_background: calls `persist` without holding the loop.
             on_committed: hears that something was persisted and applied, and whether more has come meanwhile.
         """
         self.loop = loop
@@ -68,13 +68,13 @@
         self.adopt = adopt
         self.persist = persist
         self.log = log
-        self.beside = beside
+        self.run_in_background = run_in_background
         self.on_committed = on_committed
-        self.published: Published | None = None
+        self.last_published: PublishedState | None = None
         self.expiry_timer: asyncio.TimerHandle | None = None
-        self.persisting = False
-        self.superseded = False  # another grant came while one was being persisted
-        self.failure = ""  # why the last could not be persisted
+        self.is_persisting = False
+        self.grant_skipped = False  # another grant came while one was being persisted
+        self.persist_error = ""  # why the last could not be persisted
         self.closed = False
 
     def close(self) -> None:
@@ -86,40 +86,40 @@
     def persist_then_commit(self, checkpoint: Checkpoint) -> None:
         """Withholds what came since the checkpoint until it is persisted; the loop goes on meanwhile."""
         data = self.application.dump()
-        applied = self.application.withhold(checkpoint)
-        self.superseded = self.persisting
-        if not self.persisting:
-            self.persisting = True
-            self.beside(lambda: self.persist(data), lambda error: self._on_persisted(error, applied))
-
-    def _on_persisted(self, error: BaseException | None, applied: Checkpoint) -> None:
-        self.persisting = False
+        applied_state = self.application.withhold(checkpoint)
+        self.grant_skipped = self.is_persisting
+        if not self.is_persisting:
+            self.is_persisting = True
+            self.run_in_background(lambda: self.persist(data), lambda error: self._on_persisted(error, applied_state))
+
+    def _on_persisted(self, error: BaseException | None, applied_state: Checkpoint) -> None:
+        self.is_persisting = False
         if error is not None:
-            if self.failure != str(error):  # it comes again with each renewal: logged once
-                self.failure = str(error)
-                self.log.error("a version can't be kept and is not taken up", why=self.failure)
+            if self.persist_error != str(error):  # it comes again with each renewal: logged once
+                self.persist_error = str(error)
+                self.log.error("a version can't be kept and is not taken up", why=self.persist_error)
             return
-        self.failure = ""
+        self.persist_error = ""
         if self.closed:
             return
-        self.application.commit(applied)
+        self.application.commit(applied_state)
         self.publish()
-        superseded, self.superseded = self.superseded, False
-        self.on_committed(superseded)
+        grant_skipped, self.grant_skipped = self.grant_skipped, False
+        self.on_committed(grant_skipped)
 
     def publish(self) -> None:
         """Hands on what to act on now, and comes again when the lease expires."""
         application = self.application
         config, mode = application.effective_config(self.clock())
-        now = Published(application.active, application.pending, mode, repr(application.reserved))
-        before = self.published
-        if config is not None and now != before:
-            if before is None or before.mode != mode or before.active != now.active:
-                self.log.info("configuration", version=now.active, pending=now.pending, mode=mode)
-            self.published = now
+        current = PublishedState(application.active, application.pending, mode, repr(application.reservations))
+        previous = self.last_published
+        if config is not None and current != previous:
+            if previous is None or previous.mode != mode or previous.active != current.active:
+                self.log.info("configuration", version=current.active, pending=current.pending, mode=mode)
+            self.last_published = current
             self.adopt(config, mode)
         if self.expiry_timer is not None:
             self.expiry_timer.cancel()
-        left_ms = application.lease_until - self.clock()
-        if left_ms > 0:
-            self.expiry_timer = self.loop.call_later(left_ms / 1000.0 + EXPIRY_MARGIN_S, self.publish)
+        remaining_ms = application.lease_expires_ms - self.clock()
+        if remaining_ms > 0:
+            self.expiry_timer = self.loop.call_later(remaining_ms / 1000.0 + EXPIRY_MARGIN_S, self.publish)
--- a/pebblehinge/replicated_config/in_flight.py
+++ b/pebblehinge/replicated_config/in_flight.py
@@ -13,7 +13,7 @@
     """Who waits for an entry, and the term in which it was proposed."""
 
     term: int
-    done: Callable[[CommandResult], None]
+    on_result: Callable[[CommandResult], None]
 
 
 @dataclass(frozen=True, slots=True)
--- a/pebblehinge/replicated_config/lease_granting.py
+++ b/pebblehinge/replicated_config/lease_granting.py
@@ -13,12 +13,12 @@
 from pebblehinge.replicated_config import session_roles
 from pebblehinge.replicated_config.commands import AcknowledgeMany, AnyCommand, RejectVersion, encode_command
 from pebblehinge.replicated_config.leases import Leases
-from pebblehinge.replicated_config.renewals import Renewal, Renewals, VersionsInForce
+from pebblehinge.replicated_config.renewals import CurrentVersions, Renewal, Renewals
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 from pebblehinge.wire import Kind
 
-GRANTS_PER_TURN = 64  # of the loop: a new text for a thousand gateways must not hold it
+MAX_GRANTS_PER_ITERATION = 64  # of the loop: a new text for a thousand gateways must not hold it
 
 
 class Member(Protocol):
@@ -39,10 +39,10 @@
     def commands_in_flight(self) -> Iterable[AnyCommand]:
         """The leader's own, not applied yet."""
 
-    def forget_commands_in_flight(self) -> None:
+    def clear_commands_in_flight(self) -> None:
         """Begins with none: they were of another term."""
 
-    def read(self, done: Callable[[bool], None]) -> None:
+    def confirm_leadership(self, callback: Callable[[bool], None]) -> None:
         """Calls back when a round of the majority that begins from now on is over; False if there was none."""
 
     def propose_once(self, command: AnyCommand) -> None:
@@ -58,9 +58,9 @@
 
     token: int
     gateway: str
-    acknowledged: int
-    known: int
-    rejected: int
+    acknowledged_version: int
+    known_version: int
+    rejected_version: int
     reason: str
 
 
@@ -74,11 +74,11 @@
         self.leases: Leases | None = None
         self.term = 0
         self.renewals = Renewals(self.group.tick)
-        self.to_answer: deque[Renewal] = deque()  # each was counted by `renewals` until now
-        self.answering = False
+        self.answer_queue: deque[Renewal] = deque()  # each was counted by `renewals` until now
+        self.answer_scheduled = False
 
     @property
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this member leads in the term that `leases` and `renewals` are of."""
         node = self.member.node
         return self.leases is not None and node.is_leader and self.term == node.raft.current_term
@@ -89,11 +89,11 @@
         """Every tick of a leader: what came meanwhile, and whether a version may be activated."""
         raft = self.member.node.raft
         now = self.member.clock()
-        if not self.leads:
+        if not self.is_leading:
             self.lose_leadership()
             self.leases = Leases(self.group.lease, self.group.drift, self.group.floor, now)
             self.term = raft.current_term
-            self.member.forget_commands_in_flight()
+            self.member.clear_commands_in_flight()
         if raft.last_applied >= raft.term_start_index:  # it knows all that was agreed before it
             self._activate()
             self._propose_acknowledgements(now)
@@ -106,14 +106,14 @@
             return  # nothing was taken in: the followers' look at each tick
         renewals, self.renewals = self.renewals, Renewals(self.group.tick)
         self.leases = None
-        waiting = [*self.to_answer, *renewals.pending_renewals()]
-        self.to_answer.clear()
+        waiting = [*self.answer_queue, *renewals.pending_renewals()]
+        self.answer_queue.clear()
         for renewal in waiting:
             self._redirect(renewal.connection, renewal.token, self.member.leader_address())
 
     def _activate(self) -> None:
         # Beside acknowledgements in flight it would be computed from a state that has moved on.
-        if self.leases is not None and not self.renewals.in_flight:
+        if self.leases is not None and not self.renewals.proposed_acknowledgements:
             command = self.leases.next_activation(self.member.clock(), self.member.state)
             if command is not None:
                 self.member.propose_once(command)
@@ -130,7 +130,7 @@
     def _notify(self) -> None:
         state = self.member.state
         now = self.member.clock()
-        versions = VersionsInForce(state.active, state.pending)
+        versions = CurrentVersions(state.active, state.pending)
         if self.renewals.notification_due(now, versions):
             self.renewals.mark_notified(now, versions)
             for connection in self.member.connections:
@@ -142,15 +142,17 @@
     def on_renewal(self, connection: Peer, request: RenewalRequest) -> None:
         """A gateway asks for its lease, and says which version it has acknowledged."""
         member, state = self.member, self.member.state
-        if not self.leads:
+        if not self.is_leading:
             self._redirect(connection, request.token, member.leader_address())
             return
-        if request.rejected and request.rejected == state.pending:
+        if request.rejected_version and request.rejected_version == state.pending:
             self._reject_pending(request)
         record = state.gateways.get(request.gateway)
-        is_new = record is None or record.version < request.acknowledged
-        is_known = request.acknowledged != 0 and state.text(request.acknowledged) is not None
-        renewal = Renewal(connection, request.token, request.gateway, request.acknowledged, request.known)
+        is_new = record is None or record.version < request.acknowledged_version
+        is_known = request.acknowledged_version != 0 and state.text(request.acknowledged_version) is not None
+        renewal = Renewal(
+            connection, request.token, request.gateway, request.acknowledged_version, request.known_version
+        )
         if not self.renewals.add(renewal, is_new and is_known):
             self._redirect(connection, request.token, member.config.member[member.name].listen)  # here, and later
             return
@@ -158,19 +160,19 @@
 
     def on_applied(self, index: int) -> None:
         """The state machine has gone on to an index."""
-        if self.leads:
-            settled = self.renewals.mark_applied(index)
-            if settled:
+        if self.is_leading:
+            answerable = self.renewals.mark_applied(index)
+            if answerable:
                 self._activate()
-                self._answer(settled)
+                self._answer(answerable)
             self._notify()
 
     def _reject_pending(self, request: RenewalRequest) -> None:
         """The first gateway's reason counts."""
         for command in self.member.commands_in_flight:
-            if isinstance(command, RejectVersion) and command.version == request.rejected:
+            if isinstance(command, RejectVersion) and command.version == request.rejected_version:
                 return
-        self.member.propose_once(RejectVersion(request.rejected, f"{request.gateway}: {request.reason}"))
+        self.member.propose_once(RejectVersion(request.rejected_version, f"{request.gateway}: {request.reason}"))
 
     def _begin_round(self) -> None:
         """Only a round of the majority shows that no other leader has computed without these gateways meanwhile."""
@@ -178,7 +180,7 @@
         now = self.member.clock()
         if renewals.round_due(now):
             number = renewals.begin_round(now)
-            self.member.read(lambda confirmed: self._on_round_over(renewals, number, confirmed))
+            self.member.confirm_leadership(lambda confirmed: self._on_round_over(renewals, number, confirmed))
 
     def _on_round_over(self, renewals: Renewals, number: int, confirmed: bool) -> None:
         if renewals is not self.renewals:
@@ -191,27 +193,28 @@
     # ---- answers
 
     def _answer(self, renewals: list[Renewal]) -> None:
-        self.to_answer += renewals
-        if not self.answering and self.to_answer:
-            self._answer_some()
-
-    def _answer_some(self) -> None:
-        self.answering = False
-        for _ in range(min(GRANTS_PER_TURN, len(self.to_answer))):
-            self._grant(self.to_answer.popleft())
-        if self.to_answer:
-            self.answering = True
-            self.member.loop.call_soon(self._answer_some)
+        self.answer_queue += renewals
+        if not self.answer_scheduled and self.answer_queue:
+            self._answer_batch()
+
+    def _answer_batch(self) -> None:
+        self.answer_scheduled = False
+        for _ in range(min(MAX_GRANTS_PER_ITERATION, len(self.answer_queue))):
+            self._grant(self.answer_queue.popleft())
+        if self.answer_queue:
+            self.answer_scheduled = True
+            self.member.loop.call_soon(self._answer_batch)
 
     def _grant(self, renewal: Renewal) -> None:
         """The state as it is, with a lease if one may be granted, and with the texts that the gateway has not."""
         state = self.member.state
         lease_ms = 0.0
-        if self.leases is not None and self.leases.may_grant(state, renewal.gateway, renewal.acknowledged):
+        if self.leases is not None and self.leases.may_grant(state, renewal.gateway, renewal.acknowledged_version):
             self.leases.record_grant(self.member.clock(), renewal.gateway)
             lease_ms = self.group.lease
         active_text, pending_text = (
-            (state.text(number) or "") if number > renewal.known else "" for number in (state.active, state.pending)
+            (state.text(number) or "") if number > renewal.known_version else ""
+            for number in (state.active, state.pending)
         )
         renewal.connection.send(
             Kind.GRANT,
@@ -221,7 +224,7 @@
             active_text,
             state.pending,
             pending_text,
-            state.reserved,
+            state.reservations,
             "",
         )
 
--- a/pebblehinge/replicated_config/leases.py
+++ b/pebblehinge/replicated_config/leases.py
@@ -13,8 +13,8 @@
 from pebblehinge.replicated_config.activation import (
     UnreachableGateway,
     find_conflict,
-    leaves_capacity,
-    reserved_for,
+    reservations_fit,
+    reservations_for,
 )
 from pebblehinge.replicated_config.commands import Activate
 from pebblehinge.replicated_config.state_machine import ConfigState
@@ -54,14 +54,14 @@
         """This gateway was answered: its lease runs from its asking, at the latest from now."""
         self.by_gateway[gateway] = Lease(now)
 
-    def may_grant(self, state: ConfigState, gateway: str, acknowledged: int) -> bool:
+    def may_grant(self, state: ConfigState, gateway: str, acknowledged_version: int) -> bool:
         """Only to a gateway whose acknowledgement the group holds, and only for what is to come.
 
         While a version is pending, a gateway that has not prepared for it gets no further lease, or the version could
         be activated behind its back.
         """
         record = state.gateways.get(gateway)
-        return record is not None and record.version == acknowledged >= max(state.active, state.pending) > 0
+        return record is not None and record.version == acknowledged_version >= max(state.active, state.pending) > 0
 
     def expires_at(self, gateway: str) -> float:
         """When a gateway's lease has surely expired."""
@@ -88,34 +88,34 @@
         target = state.pending or state.active
         if not target:
             return None
-        behind = self._gateways_behind(state, target)
-        if any(now < self.expires_at(name) for name in behind):
+        lagging = self._lagging_gateways(state, target)
+        if any(now < self.expires_at(name) for name in lagging):
             return None  # it may act on an older version in full: wait for its acknowledgement or its lease
-        unreachable = self._with_configs(state, behind)
-        reserved = reserved_for(unreachable, self.floor)
+        unreachable = self._unreachable_gateways(state, lagging)
+        reservations = reservations_for(unreachable, self.floor)
         config = self.config(state, target)
-        if config is None or find_conflict(config, reserved) is not None:
+        if config is None or find_conflict(config, reservations) is not None:
             return None
         names = [gateway.name for gateway in unreachable]
-        if target == state.pending and not leaves_capacity(config, reserved, self.floor, names):
+        if target == state.pending and not reservations_fit(config, reservations, self.floor, names):
             return None
-        if target == state.active and reserved == state.reserved:
+        if target == state.active and reservations == state.reservations:
             return None
-        return Activate(target, reserved, state.revision)
+        return Activate(target, reservations, state.revision)
 
-    def describe_waiting(self, now: float, state: ConfigState) -> list[str]:
+    def describe_lagging_gateways(self, now: float, state: ConfigState) -> list[str]:
         """Why the pending version is not active yet, for operators: a line for each gateway that is behind."""
         if not state.pending:
             return []
         lines = []
-        for name in self._gateways_behind(state, state.pending):
-            left = self.expires_at(name) - now
-            lease = f", its lease for {left / 1000:.1f} s" if left > 0 else ", cut off"
+        for name in self._lagging_gateways(state, state.pending):
+            remaining_ms = self.expires_at(name) - now
+            lease = f", its lease for {remaining_ms / 1000:.1f} s" if remaining_ms > 0 else ", cut off"
             lines.append(f"{name} is at {state.gateways[name].version}{lease}")
         return lines
 
     @staticmethod
-    def _gateways_behind(state: ConfigState, target: int) -> list[str]:
+    def _lagging_gateways(state: ConfigState, target: int) -> list[str]:
         """Gateways that have not acknowledged a version, by name.
 
         While the lease of another one runs it acts on the version in full; once that has expired, on the floor of the
@@ -123,10 +123,10 @@
         """
         return [name for name, record in sorted(state.gateways.items()) if record.version < target]
 
-    def _with_configs(self, state: ConfigState, names: list[str]) -> list[UnreachableGateway]:
-        found: list[UnreachableGateway] = []
+    def _unreachable_gateways(self, state: ConfigState, names: list[str]) -> list[UnreachableGateway]:
+        unreachable: list[UnreachableGateway] = []
         for name in names:
             config = self.config(state, state.gateways[name].version)
             if config is not None:
-                found.append(UnreachableGateway(name, config))
-        return found
+                unreachable.append(UnreachableGateway(name, config))
+        return unreachable
--- a/pebblehinge/replicated_config/member_connection.py
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -16,7 +16,7 @@
 from pebblehinge.wire import Kind, Session, WireError
 
 
-class Server(Protocol):
+class Member(Protocol):
     """The member that is connected to."""
 
     loop: asyncio.AbstractEventLoop
@@ -33,39 +33,47 @@
 
     FRAMES = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, member: Member) -> None:
         """A connection that is being accepted."""
-        limits = server.config.limits
-        session = Session("group", server.name, limits.frame, limits.streams, greets=False)
-        super().__init__(server.loop, session, limits.stall, limits.keepalive)
-        self.server = server
+        limits = member.config.limits
+        session = Session("group", member.name, limits.frame, limits.streams, greets=False)
+        super().__init__(member.loop, session, limits.stall, limits.keepalive)
+        self.member = member
 
     def connection_made(self, transport: Any) -> None:
         """The connection is open."""
         super().connection_made(transport)
-        self.server.connections[self] = None
+        self.member.connections[self] = None
 
     def gone(self, exc: Exception | None) -> None:
         """The connection is over."""
-        self.server.connections.pop(self, None)
+        self.member.connections.pop(self, None)
 
     def on_raft(self, data: bytes) -> None:
         """A message of another member."""
         if self.session.peer_role != session_roles.MEMBER:
             raise WireError("RAFT is for instances of the group")
-        group = self.server.config.group.id
+        group = self.member.config.group.id
         if self.session.peer_name.rpartition("@")[2] != group:
             raise WireError(f"this is group {group!r}: {self.session.peer_name!r} is of another")
         try:
-            self.server.node.receive(data)
+            self.member.node.receive(data)
         except msgspec.DecodeError as error:
             raise WireError(f"RAFT: {error}") from None
 
-    def on_renew(self, token: int, gateway: str, acknowledged: int, known: int, rejected: int, reason: str) -> None:
+    def on_renew(
+        self,
+        token: int,
+        gateway: str,
+        acknowledged_version: int,
+        known_version: int,
+        rejected_version: int,
+        reason: str,
+    ) -> None:
         """A gateway asks for its lease."""
-        request = RenewalRequest(token, gateway, acknowledged, known, rejected, reason)
-        self.server.lease_granting.on_renewal(self, request)
+        request = RenewalRequest(token, gateway, acknowledged_version, known_version, rejected_version, reason)
+        self.member.lease_granting.on_renewal(self, request)
 
     def on_ask(self, token: int, verb: str, values: dict[str, str | int]) -> None:
         """An operator asks."""
-        self.server.operator_requests.on_request(self, token, verb, values)
+        self.member.operator_requests.on_request(self, token, verb, values)
--- a/pebblehinge/replicated_config/member_dialer.py
+++ b/pebblehinge/replicated_config/member_dialer.py
@@ -16,13 +16,13 @@
 DIAL_TIMEOUT_S = 1.0
 
 
-class Listener(Protocol):
+class ConnectionListener(Protocol):
     """Who uses the connections."""
 
-    def on_connected(self, connection: MemberConnection) -> None:
+    def on_connected(self, connection: OutboundConnection) -> None:
         """A connection may be written to."""
 
-    def on_connection_lost(self, connection: MemberConnection) -> None:
+    def on_connection_lost(self, connection: OutboundConnection) -> None:
         """A connection is over."""
 
     def on_watch_event(self) -> None:
@@ -32,13 +32,18 @@
         """A renewal is answered."""
 
 
-class MemberConnection(Peer):
+class OutboundConnection(Peer):
     """A connection to one member."""
 
     FRAMES = frozenset({Kind.GRANT, Kind.NEWS})
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, session: Session, stall_ms: float, address: str, listener: Listener
+        self,
+        loop: asyncio.AbstractEventLoop,
+        session: Session,
+        stall_ms: float,
+        address: str,
+        listener: ConnectionListener,
     ) -> None:
         """To `address`, host:port."""
         super().__init__(loop, session, stall_ms)
@@ -65,11 +70,11 @@
         active_text: str,
         pending: int,
         pending_text: str,
-        reserved: Reservations,
+        reservations: Reservations,
         leader: str,
     ) -> None:
         """A renewal is answered."""
-        self.listener.on_grant(Grant(token, lease_ms, active, active_text, pending, pending_text, reserved, leader))
+        self.listener.on_grant(Grant(token, lease_ms, active, active_text, pending, pending_text, reservations, leader))
 
 
 class MemberDialer:
@@ -81,7 +86,7 @@
         gateway: str,
         addresses: Sequence[str],
         limits: LimitsBlock,
-        listener: Listener,
+        listener: ConnectionListener,
     ) -> None:
         """Tries the addresses in turn, but for a redirect."""
         self.loop = loop
@@ -89,18 +94,18 @@
         self.addresses = addresses
         self.limits = limits
         self.listener = listener
-        self.redirect = ""
-        self.turn = 0  # counts addresses that were tried
+        self.redirect_address = ""
+        self.dial_count = 0  # counts addresses that were tried
         self.task: asyncio.Task[None] | None = None
 
     def connect(self) -> None:
         """Opens a connection, unless one is being opened. One that fails is not tried again by itself."""
         if self.task is not None:
             return
-        address, self.redirect = self.redirect, ""
+        address, self.redirect_address = self.redirect_address, ""
         if not address:
-            address = self.addresses[self.turn % len(self.addresses)]
-            self.turn += 1
+            address = self.addresses[self.dial_count % len(self.addresses)]
+            self.dial_count += 1
         self.task = self.loop.create_task(self._dial(address))
 
     def close(self) -> None:
@@ -110,7 +115,7 @@
 
     async def _dial(self, address: str) -> None:
         session = Session(session_roles.GATEWAY, self.gateway, self.limits.frame, self.limits.streams, greets=True)
-        connection = MemberConnection(self.loop, session, self.limits.stall, address, self.listener)
+        connection = OutboundConnection(self.loop, session, self.limits.stall, address, self.listener)
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await dial(self.loop, connection, address)
--- a/pebblehinge/replicated_config/membership_requests.py
+++ b/pebblehinge/replicated_config/membership_requests.py
@@ -8,10 +8,10 @@
 from pebblehinge.raft import Membership, RaftError
 from pebblehinge.raft.node import Node
 from pebblehinge.replicated_config.errors import RequestError
-from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.replies import OperatorReply, SendReply
 from pebblehinge.settings import Config
 
-Values = Mapping[str, str | int]  # of an ASK frame
+RequestValues = Mapping[str, str | int]  # of an ASK frame
 
 
 class Member(Protocol):
@@ -28,43 +28,43 @@
         """Requests to one member."""
         self.member = member
 
-    def members(self, values: Values, reply: Reply) -> None:
+    def members(self, values: RequestValues, reply: SendReply) -> None:
         """Lists members, adds or removes one."""
         current = self.member.node.raft.membership
         action = str(values.get("do", "list"))
         if action == "list":
             learners = " ".join(current.learners) or "none"
-            reply(OperatorReply.done(f"voters {' '.join(current.voters)}\nlearners {learners}"))
+            reply(OperatorReply.success(f"voters {' '.join(current.voters)}\nlearners {learners}"))
             return
-        changed = self._changed(current, action, str(values.get("name", "")))
-        if changed == current:
-            reply(OperatorReply.done("it is so already"))
+        new_membership = self._changed_membership(current, action, str(values.get("name", "")))
+        if new_membership == current:
+            reply(OperatorReply.success("it is so already"))
             return
         try:
-            self.member.node.raft.change_membership(changed)
+            self.member.node.raft.change_membership(new_membership)
         except RaftError as error:
             raise RequestError(str(error)) from None
         self.member.node.process_ready()
-        learners = " ".join(changed.learners) or "none"
-        reply(OperatorReply.done(f"voters {' '.join(changed.voters)}; learners {learners}"))
+        learners = " ".join(new_membership.learners) or "none"
+        reply(OperatorReply.success(f"voters {' '.join(new_membership.voters)}; learners {learners}"))
 
-    def transfer(self, values: Values, reply: Reply) -> None:
+    def transfer(self, values: RequestValues, reply: SendReply) -> None:
         """Hands leadership over to another member."""
         try:
             self.member.node.raft.transfer_leadership(str(values["to"]))
         except RaftError as error:
             raise RequestError(str(error)) from None
         self.member.node.process_ready()
-        reply(OperatorReply.done("under way"))
+        reply(OperatorReply.success("under way"))
 
-    def _changed(self, current: Membership, action: str, name: str) -> Membership:
+    def _changed_membership(self, current: Membership, action: str, name: str) -> Membership:
         if action == "add":
-            return self._with(current, name)
+            return self._with_member(current, name)
         if action == "remove":
             return Membership(_without(current.voters, name), _without(current.learners, name))
         raise RequestError(f"members {action!r}: expected list, add or remove")
 
-    def _with(self, current: Membership, name: str) -> Membership:
+    def _with_member(self, current: Membership, name: str) -> Membership:
         configured = self.member.config.member
         if name not in configured:
             raise RequestError(f"{name!r} has no member block here: expected one of {', '.join(configured)}")
--- a/pebblehinge/replicated_config/operator_client.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -13,50 +13,50 @@
 from pebblehinge.wire import Kind, Session
 
 MAX_STREAMS = 64  # that the session announces
-STALL_MS = 5_000.0
+STALL_TIMEOUT_MS = 5_000.0
 RETRY_DELAY_S = 0.1
 NO_LEADER = "no leader is known"
 # Reasons after which the same request may succeed, by a word of theirs.
 TRANSIENT_REASONS = ("ask whether it was done", "leads no more", "wait for it")
 
-Values = Mapping[str, str | int]
+RequestValues = Mapping[str, str | int]
 
 
-class _Connection(Peer):
+class _OperatorConnection(Peer):
     FRAMES = frozenset({Kind.TOLD})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         session = Session(session_roles.OPERATOR, session_roles.OPERATOR, MAX_FRAME_BYTES, MAX_STREAMS, greets=True)
-        super().__init__(loop, session, STALL_MS)
-        self.waiting: dict[int, asyncio.Future[MemberReply]] = {}
+        super().__init__(loop, session, STALL_TIMEOUT_MS)
+        self.pending_replies: dict[int, asyncio.Future[MemberReply]] = {}
         self.tokens = itertools.count(1)
 
     def gone(self, exc: Exception | None) -> None:
         """The connection is over."""
-        for future in self.waiting.values():
+        for future in self.pending_replies.values():
             if not future.done():
                 future.set_exception(ConnectionError("the instance closed the connection"))
 
     def on_told(self, token: int, ok: bool, text: str, leader: str) -> None:
         """A reply has come."""
-        future = self.waiting.pop(token, None)
+        future = self.pending_replies.pop(token, None)
         if future is not None and not future.done():
             future.set_result(MemberReply(ok, text, leader))
 
-    async def ask(self, verb: str, values: Values) -> MemberReply:
+    async def ask(self, verb: str, values: RequestValues) -> MemberReply:
         """Sends a request and waits for its reply."""
         token = next(self.tokens)
-        self.waiting[token] = self.loop.create_future()
+        self.pending_replies[token] = self.loop.create_future()
         self.send(Kind.ASK, token, verb, values)
-        return await self.waiting[token]
+        return await self.pending_replies[token]
 
 
 async def ask_member(
-    loop: asyncio.AbstractEventLoop, address: str, verb: str, values: Values, within_s: float = 3.0
+    loop: asyncio.AbstractEventLoop, address: str, verb: str, values: RequestValues, timeout_s: float = 3.0
 ) -> MemberReply:
     """One member's reply. Raises OSError or TimeoutError."""
-    connection = _Connection(loop)
-    async with asyncio.timeout(within_s):
+    connection = _OperatorConnection(loop)
+    async with asyncio.timeout(timeout_s):
         await dial(loop, connection, address)
         try:
             return await connection.ask(verb, values)
@@ -65,30 +65,30 @@
 
 
 async def ask_group(
-    loop: asyncio.AbstractEventLoop, addresses: list[str], verb: str, values: Values, within_s: float = 10.0
+    loop: asyncio.AbstractEventLoop, addresses: list[str], verb: str, values: RequestValues, timeout_s: float = 10.0
 ) -> OperatorReply:
     """The leader's reply, or the last reason for which there is none.
 
     A proposal carries a session and serial, so that asking again applies it once.
     """
-    deadline = loop.time() + within_s
+    deadline = loop.time() + timeout_s
     last_reason = "no instance of the group can be reached"
-    turns = itertools.cycle(addresses)
-    address = next(turns)
+    address_cycle = itertools.cycle(addresses)
+    address = next(address_cycle)
     while loop.time() < deadline:
         try:
             reply = await ask_member(loop, address, verb, values)
-            if not _is_worth_retrying(reply):
+            if not _is_transient(reply):
                 return OperatorReply(reply.ok, reply.text)
             last_reason = reply.text
-            address = reply.leader or next(turns)
+            address = reply.leader or next(address_cycle)
         except (OSError, TimeoutError):
-            address = next(turns)
+            address = next(address_cycle)
         await asyncio.sleep(RETRY_DELAY_S)
     return OperatorReply(False, last_reason)
 
 
-def _is_worth_retrying(reply: MemberReply) -> bool:
+def _is_transient(reply: MemberReply) -> bool:
     if reply.ok:
         return False
     if reply.leader or reply.text == NO_LEADER:
--- a/pebblehinge/replicated_config/operator_requests.py
+++ b/pebblehinge/replicated_config/operator_requests.py
@@ -12,9 +12,9 @@
 from pebblehinge.replicated_config.commands import CommandResult, ForgetGateway, ProposeVersion, encode_command
 from pebblehinge.replicated_config.errors import NoProposalsError, ReplicatedConfigError, RequestError
 from pebblehinge.replicated_config.leases import Leases
-from pebblehinge.replicated_config.membership_requests import MembershipRequests, Values
+from pebblehinge.replicated_config.membership_requests import MembershipRequests, RequestValues
 from pebblehinge.replicated_config.proposal_queue import ProposalQueue
-from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.replies import OperatorReply, SendReply
 from pebblehinge.replicated_config.size_limits import check_text_size
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.replicated_config.status import status_json, status_text
@@ -43,10 +43,12 @@
     def pending_requests(self) -> int:
         """Proposals and reads that wait."""
 
-    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+    def propose(
+        self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
+    ) -> bool:
         """Appends a command to the log; False if it can't now."""
 
-    def after_read(self, reply: Reply, query: Callable[[], str]) -> None:
+    def reply_after_read(self, reply: SendReply, query: Callable[[], str]) -> None:
         """Replies with what is agreed now."""
 
     def leader_address(self) -> str:
@@ -59,9 +61,9 @@
     def __init__(self, member: Member) -> None:
         """Requests to one member."""
         self.member = member
-        self.proposals = ProposalQueue(member)
+        self.proposal_queue = ProposalQueue(member)
         membership = MembershipRequests(member)
-        self.handlers: dict[str, Callable[[Values, Reply], None]] = {
+        self.handlers: dict[str, Callable[[RequestValues, SendReply], None]] = {
             "propose": self._propose,
             "rollback": self._roll_back,
             "forget": self._forget,
@@ -72,14 +74,14 @@
             "transfer": membership.transfer,
         }
 
-    def on_request(self, connection: Peer, token: int, verb: str, values: Values) -> None:
+    def on_request(self, connection: Peer, token: int, verb: str, values: RequestValues) -> None:
         """An ASK frame has come."""
 
-        def reply(answer: OperatorReply) -> None:
-            connection.send(Kind.TOLD, token, answer.ok, answer.text, "")
+        def reply(result: OperatorReply) -> None:
+            connection.send(Kind.TOLD, token, result.ok, result.text, "")
 
         if verb == "status":
-            reply(OperatorReply.done(status_json(self.member) if values.get("json") else status_text(self.member)))
+            reply(OperatorReply.success(status_json(self.member) if values.get("json") else status_text(self.member)))
             return
         if not self.member.node.is_leader:
             leader = self.member.leader_address()
@@ -88,11 +90,11 @@
         try:
             self._dispatch(verb, values, reply)
         except ReplicatedConfigError as error:
-            reply(OperatorReply.failed(error))
+            reply(OperatorReply.failure(error))
         except (KeyError, TypeError, ValueError) as error:
             reply(OperatorReply(False, f"{verb}: {error}"))
 
-    def _dispatch(self, verb: str, values: Values, reply: Reply) -> None:
+    def _dispatch(self, verb: str, values: RequestValues, reply: SendReply) -> None:
         if self.member.pending_requests > MAX_PENDING_REQUESTS:
             raise RequestError("too much is asked at once")
         handler = self.handlers.get(verb)
@@ -102,7 +104,7 @@
 
     # ---- proposals
 
-    def _propose(self, values: Values, reply: Reply) -> None:
+    def _propose(self, values: RequestValues, reply: SendReply) -> None:
         text = str(values["text"])
         check_text_size(text)
         try:
@@ -110,9 +112,9 @@
         except SettingsError as error:
             raise RequestError(str(error)) from None
         command = ProposeVersion(int(values["base"]), text, str(values.get("author", "")), str(values.get("note", "")))
-        self.proposals.add(command, str(values.get("session", "")), int(values.get("serial", 0)), reply)
+        self.proposal_queue.add(command, str(values.get("session", "")), int(values.get("serial", 0)), reply)
 
-    def _roll_back(self, values: Values, reply: Reply) -> None:
+    def _roll_back(self, values: RequestValues, reply: SendReply) -> None:
         """Proposes an older version's text as the next version."""
         text = self.member.state.text(int(values["version"]))
         if text is None:
@@ -120,16 +122,16 @@
         note = f"back to version {values['version']}"
         self._propose({**values, "text": text, "base": self.member.state.newest, "note": note}, reply)
 
-    def _forget(self, values: Values, reply: Reply) -> None:
-        def done(result: CommandResult) -> None:
-            reply(OperatorReply.of(result.error, "forgotten"))
+    def _forget(self, values: RequestValues, reply: SendReply) -> None:
+        def on_result(result: CommandResult) -> None:
+            reply(OperatorReply.from_error(result.error, "forgotten"))
 
-        if not self.member.propose(encode_command(ForgetGateway(str(values["head"]))), done):
+        if not self.member.propose(encode_command(ForgetGateway(str(values["head"]))), on_result):
             raise NoProposalsError
 
     # ---- versions
 
-    def _show(self, values: Values, reply: Reply) -> None:
+    def _show(self, values: RequestValues, reply: SendReply) -> None:
         def query() -> str:
             number = int(values.get("version", 0)) or self.member.state.active
             text = self.member.state.text(number)
@@ -137,9 +139,9 @@
                 raise RequestError(f"version {number} is not kept")
             return text
 
-        self.member.after_read(reply, query)
+        self.member.reply_after_read(reply, query)
 
-    def _diff(self, values: Values, reply: Reply) -> None:
+    def _diff(self, values: RequestValues, reply: SendReply) -> None:
         def query() -> str:
             old = self.member.state.text(int(values["a"]))
             new = self.member.state.text(int(values["b"]))
@@ -148,16 +150,16 @@
             names = (f"version {values['a']}", f"version {values['b']}")
             return "\n".join(difflib.unified_diff(old.splitlines(), new.splitlines(), *names, lineterm=""))
 
-        self.member.after_read(reply, query)
+        self.member.reply_after_read(reply, query)
 
-    def _history(self, values: Values, reply: Reply) -> None:
+    def _history(self, values: RequestValues, reply: SendReply) -> None:
         def query() -> str:
             state = self.member.state
             lines = []
             for number, version in state.versions.items():
-                what = "active" if number == state.active else "pending" if number == state.pending else ""
-                what = f"refused: {version.rejection}" if version.rejection else what
-                lines.append(f"{number}  {version.author or '-'}  {version.note or '-'}  {what}".rstrip())
+                version_state = "active" if number == state.active else "pending" if number == state.pending else ""
+                version_state = f"refused: {version.rejection}" if version.rejection else version_state
+                lines.append(f"{number}  {version.author or '-'}  {version.note or '-'}  {version_state}".rstrip())
             return "\n".join(lines) or "no version yet"
 
-        self.member.after_read(reply, query)
+        self.member.reply_after_read(reply, query)
--- a/pebblehinge/replicated_config/proposal_queue.py
+++ b/pebblehinge/replicated_config/proposal_queue.py
@@ -16,7 +16,7 @@
     ProposalQueueFullError,
     VersionPendingError,
 )
-from pebblehinge.replicated_config.replies import OperatorReply, Reply
+from pebblehinge.replicated_config.replies import OperatorReply, SendReply
 from pebblehinge.replicated_config.state_machine import ConfigState
 
 MAX_QUEUED_PROPOSALS = 16  # each holds its text
@@ -29,7 +29,9 @@
     loop: asyncio.AbstractEventLoop
     state: ConfigState
 
-    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+    def propose(
+        self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
+    ) -> bool:
         """Appends a command to the log; False if it can't now."""
 
 
@@ -46,7 +48,7 @@
     """One that was not proposed yet."""
 
     data: bytes
-    reply: Reply
+    reply: SendReply
     session: str
     serial: int
     timer: asyncio.TimerHandle
@@ -62,19 +64,19 @@
         """An empty queue."""
         self.member = member
         self.queue: OrderedDict[ProposalId, QueuedProposal] = OrderedDict()
-        self.count = 0  # names those without a session
-        self.in_flight = False
+        self.proposal_count = 0  # names those without a session
+        self.proposal_in_flight = False
 
-    def add(self, command: ProposeVersion, session: str, serial: int, reply: Reply) -> None:
+    def add(self, command: ProposeVersion, session: str, serial: int, reply: SendReply) -> None:
         """One that comes again keeps its place; the newer request is answered."""
-        self.count += 1
-        key = ProposalId(session, serial) if session else ProposalId("", self.count)
+        self.proposal_count += 1
+        key = ProposalId(session, serial) if session else ProposalId("", self.proposal_count)
         queued = self.queue.get(key)
         if queued is not None:
             queued.reply = reply
             return
         if len(self.queue) >= MAX_QUEUED_PROPOSALS:
-            reply(OperatorReply.failed(ProposalQueueFullError(len(self.queue), MAX_QUEUED_PROPOSALS)))
+            reply(OperatorReply.failure(ProposalQueueFullError(len(self.queue), MAX_QUEUED_PROPOSALS)))
             return
         timer = self.member.loop.call_later(MAX_QUEUE_TIME_MS / 1000.0, self._on_timeout, key)
         self.queue[key] = QueuedProposal(encode_command(command), reply, session, serial, timer)
@@ -82,27 +84,27 @@
 
     def propose_next(self) -> None:
         """Proposes what may be proposed now; called whenever something was applied."""
-        while self.queue and not self.in_flight and not self.member.state.pending:
+        while self.queue and not self.proposal_in_flight and not self.member.state.pending:
             _, proposal = self.queue.popitem(last=False)
             proposal.timer.cancel()
-            self.in_flight = True
+            self.proposal_in_flight = True
 
-            def done(result: CommandResult, reply: Reply = proposal.reply) -> None:
-                self.in_flight = False
-                reply(OperatorReply.of(result.error, str(self.member.state.newest)))
+            def on_result(result: CommandResult, reply: SendReply = proposal.reply) -> None:
+                self.proposal_in_flight = False
+                reply(OperatorReply.from_error(result.error, str(self.member.state.newest)))
 
-            if not self.member.propose(proposal.data, done, proposal.session, proposal.serial):
-                self.in_flight = False
-                proposal.reply(OperatorReply.failed(NoProposalsError()))
+            if not self.member.propose(proposal.data, on_result, proposal.session, proposal.serial):
+                self.proposal_in_flight = False
+                proposal.reply(OperatorReply.failure(NoProposalsError()))
 
     def lose_leadership(self) -> None:
         """This member leads no more: all that wait are told."""
         queue, self.queue = self.queue, OrderedDict()
         for proposal in queue.values():
             proposal.timer.cancel()
-            proposal.reply(OperatorReply.failed(OutcomeUnknownError(LEADERSHIP_LOST)))
+            proposal.reply(OperatorReply.failure(OutcomeUnknownError(LEADERSHIP_LOST)))
 
     def _on_timeout(self, key: ProposalId) -> None:
         proposal = self.queue.pop(key, None)
         if proposal is not None:
-            proposal.reply(OperatorReply.failed(VersionPendingError(self.member.state.pending)))
+            proposal.reply(OperatorReply.failure(VersionPendingError(self.member.state.pending)))
--- a/pebblehinge/replicated_config/renewals.py
+++ b/pebblehinge/replicated_config/renewals.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 MAX_PENDING_RENEWALS = 4096  # some 500 bytes each; a connection has one, or one for each stage of it
-NEVER = float("-inf")
+NEVER_MS = float("-inf")
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,11 +25,11 @@
     connection: Any  # any hashable: only its identity counts here
     token: int
     gateway: str
-    acknowledged: int
-    known: int
+    acknowledged_version: int
+    known_version: int
 
 
-class VersionsInForce(NamedTuple):
+class CurrentVersions(NamedTuple):
     """The active and the pending version; 0 for none."""
 
     active: int
@@ -46,96 +46,103 @@
     def __init__(self, tick_ms: float) -> None:
         """Rounds, commands and notifications are a tick apart at least."""
         self.tick_ms = tick_ms
-        self.waiting: dict[Any, Renewal] = {}  # for a round to begin
+        self.awaiting_round: dict[Any, Renewal] = {}  # for a round to begin
         self.in_round: dict[Any, Renewal] = {}  # served by the round that is out
-        self.confirmed: dict[Any, Renewal] = {}  # the round is over, their acknowledgements are not in the log yet
-        self.round = 0  # counts rounds
-        self.round_out = False
-        self.round_ms = NEVER
-        self.proposed_ms = NEVER
-        self.notified_ms = NEVER
-        self.unproposed: dict[str, int] = {}  # gateway -> version that it acknowledges
-        self.in_flight: dict[str, int] = {}  # the same, proposed
-        self.in_flight_index = 0  # of the entry that holds them
-        self.notified: VersionsInForce | None = None  # as gateways were notified last
+        self.awaiting_commit: dict[
+            Any, Renewal
+        ] = {}  # the round is over, their acknowledgements are not in the log yet
+        self.round_number = 0  # counts rounds
+        self.round_in_flight = False
+        self.last_round_ms = NEVER_MS
+        self.last_proposal_ms = NEVER_MS
+        self.last_notification_ms = NEVER_MS
+        self.unproposed_acknowledgements: dict[str, int] = {}  # gateway -> version that it acknowledges
+        self.proposed_acknowledgements: dict[str, int] = {}  # the same, proposed
+        self.proposed_index = 0  # of the entry that holds them
+        self.notified_versions: CurrentVersions | None = None  # as gateways were notified last
 
     def add(self, renewal: Renewal, is_new: bool) -> bool:
         """A renewal has come; `is_new`: the group does not hold its acknowledgement yet. False if too many wait."""
-        pending = len(self.waiting) + len(self.in_round) + len(self.confirmed)
-        if pending >= MAX_PENDING_RENEWALS and renewal.connection not in self.waiting:
+        pending = len(self.awaiting_round) + len(self.in_round) + len(self.awaiting_commit)
+        if pending >= MAX_PENDING_RENEWALS and renewal.connection not in self.awaiting_round:
             return False
-        self.waiting[renewal.connection] = renewal
-        if is_new and self.in_flight.get(renewal.gateway) != renewal.acknowledged:
-            self.unproposed[renewal.gateway] = renewal.acknowledged
+        self.awaiting_round[renewal.connection] = renewal
+        if is_new and self.proposed_acknowledgements.get(renewal.gateway) != renewal.acknowledged_version:
+            self.unproposed_acknowledgements[renewal.gateway] = renewal.acknowledged_version
         return True
 
     def pending_renewals(self) -> list[Renewal]:
         """All that were not answered yet."""
-        return [*self.confirmed.values(), *self.in_round.values(), *self.waiting.values()]
+        return [*self.awaiting_commit.values(), *self.in_round.values(), *self.awaiting_round.values()]
 
     # ---- rounds
 
     def round_due(self, now: float) -> bool:
         """Whether a round may begin, and any renewal waits for it."""
-        return bool(self.waiting) and not self.round_out and now - self.round_ms >= self.tick_ms
+        return bool(self.awaiting_round) and not self.round_in_flight and now - self.last_round_ms >= self.tick_ms
 
     def begin_round(self, now: float) -> int:
         """A round begins now, for all that wait. Returns its number, for `end_round`."""
-        self.round += 1
-        self.round_out = True
-        self.round_ms = now
-        self.in_round = self.waiting
-        self.waiting = {}
-        return self.round
+        self.round_number += 1
+        self.round_in_flight = True
+        self.last_round_ms = now
+        self.in_round = self.awaiting_round
+        self.awaiting_round = {}
+        return self.round_number
 
     def end_round(self, number: int) -> list[Renewal]:
         """The majority has answered. Returns the renewals to be answered now."""
-        if not self.round_out or number != self.round:
+        if not self.round_in_flight or number != self.round_number:
             return []
-        self.round_out = False
-        self.confirmed |= self.in_round
+        self.round_in_flight = False
+        self.awaiting_commit |= self.in_round
         self.in_round = {}
-        return self._take_settled()
+        return self._pop_answerable()
 
     # ---- acknowledgements
 
     def acknowledgements_due(self, now: float) -> dict[str, int]:
         """What is to be proposed now, in one command; nothing if none came, or one is in flight."""
-        if self.in_flight or not self.unproposed or now - self.proposed_ms < self.tick_ms:
+        if (
+            self.proposed_acknowledgements
+            or not self.unproposed_acknowledgements
+            or now - self.last_proposal_ms < self.tick_ms
+        ):
             return {}
-        return dict(sorted(self.unproposed.items()))
+        return dict(sorted(self.unproposed_acknowledgements.items()))
 
     def mark_proposed(self, now: float, index: int) -> None:
         """What `acknowledgements_due` returned stands in the log at an index, not committed yet."""
-        self.proposed_ms = now
-        self.in_flight_index = index
-        self.in_flight = self.unproposed
-        self.unproposed = {}
+        self.last_proposal_ms = now
+        self.proposed_index = index
+        self.proposed_acknowledgements = self.unproposed_acknowledgements
+        self.unproposed_acknowledgements = {}
 
     def mark_applied(self, index: int) -> list[Renewal]:
         """The state machine has applied all up to an index. Returns the renewals to be answered now."""
-        if not self.in_flight or index < self.in_flight_index:
+        if not self.proposed_acknowledgements or index < self.proposed_index:
             return []
-        self.in_flight = {}
-        return self._take_settled()
+        self.proposed_acknowledgements = {}
+        return self._pop_answerable()
 
-    def _take_settled(self) -> list[Renewal]:
-        settled = [
+    def _pop_answerable(self) -> list[Renewal]:
+        answerable = [
             renewal
-            for renewal in self.confirmed.values()
-            if renewal.gateway not in self.unproposed and renewal.gateway not in self.in_flight
+            for renewal in self.awaiting_commit.values()
+            if renewal.gateway not in self.unproposed_acknowledgements
+            and renewal.gateway not in self.proposed_acknowledgements
         ]
-        for renewal in settled:
-            del self.confirmed[renewal.connection]
-        return settled
+        for renewal in answerable:
+            del self.awaiting_commit[renewal.connection]
+        return answerable
 
     # ---- watch events
 
-    def notification_due(self, now: float, versions: VersionsInForce) -> bool:
+    def notification_due(self, now: float, versions: CurrentVersions) -> bool:
         """Whether gateways are to be notified now. What is reserved is no event: every renewal brings it."""
-        return self.notified != versions and now - self.notified_ms >= self.tick_ms
+        return self.notified_versions != versions and now - self.last_notification_ms >= self.tick_ms
 
-    def mark_notified(self, now: float, versions: VersionsInForce) -> None:
+    def mark_notified(self, now: float, versions: CurrentVersions) -> None:
         """Gateways are being notified of these versions."""
-        self.notified = versions
-        self.notified_ms = now
+        self.notified_versions = versions
+        self.last_notification_ms = now
--- a/pebblehinge/replicated_config/replies.py
+++ b/pebblehinge/replicated_config/replies.py
@@ -15,19 +15,19 @@
     text: str
 
     @classmethod
-    def done(cls, text: str) -> OperatorReply:
+    def success(cls, text: str) -> OperatorReply:
         """The request was done, with this result."""
         return cls(True, text)
 
     @classmethod
-    def failed(cls, error: ReplicatedConfigError) -> OperatorReply:
+    def failure(cls, error: ReplicatedConfigError) -> OperatorReply:
         """The request was not done."""
         return cls(False, str(error))
 
     @classmethod
-    def of(cls, error: ReplicatedConfigError | None, text: str) -> OperatorReply:
+    def from_error(cls, error: ReplicatedConfigError | None, text: str) -> OperatorReply:
         """`text` if there was no error."""
-        return cls.done(text) if error is None else cls.failed(error)
+        return cls.success(text) if error is None else cls.failure(error)
 
 
 class MemberReply(NamedTuple):
@@ -38,4 +38,4 @@
     leader: str
 
 
-Reply = Callable[[OperatorReply], None]  # answers a request, once
+SendReply = Callable[[OperatorReply], None]  # answers a request, once
--- a/pebblehinge/replicated_config/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -13,7 +13,7 @@
 from pebblehinge.raft.storage import Storage
 from pebblehinge.raft.transport import LinkSettings, PeerLink
 from pebblehinge.replicated_config.commands import AnyCommand, CommandResult, encode_command
-from pebblehinge.replicated_config.config_publisher import Log
+from pebblehinge.replicated_config.config_publisher import Logger
 from pebblehinge.replicated_config.errors import (
     LEADER_CHANGED,
     LEADERSHIP_LOST,
@@ -27,8 +27,8 @@
 from pebblehinge.replicated_config.leases import Leases
 from pebblehinge.replicated_config.member_connection import MemberConnection
 from pebblehinge.replicated_config.operator_requests import OperatorRequests
-from pebblehinge.replicated_config.replies import OperatorReply, Reply
-from pebblehinge.replicated_config.size_limits import with_group_frames
+from pebblehinge.replicated_config.replies import OperatorReply, SendReply
+from pebblehinge.replicated_config.size_limits import with_group_frame_limit
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 from pebblehinge.store.disk import Disk
@@ -47,7 +47,7 @@
         config: Config,
         name: str,
         disk: Disk,
-        log: Log,
+        log: Logger,
         seed: int = 0,
     ) -> None:
         """A member as it starts from its folder.
@@ -63,7 +63,7 @@
         """
         self.loop = loop
         self.clock = clock
-        self.config = with_group_frames(config)
+        self.config = with_group_frame_limit(config)
         self.name = name
         self.log = log
         storage = Storage(disk)
@@ -75,20 +75,20 @@
         callbacks = NodeCallbacks(
             self._apply, self._restore, lambda: self.state.dump(), self._on_read_done, self._on_storage_failed
         )
-        self.node = Node(loop, raft, storage, self._links(), callbacks, group.tick, group.compact)
+        self.node = Node(loop, raft, storage, self._peer_links(), callbacks, group.tick, group.compact)
         self.connections: dict[MemberConnection, None] = {}  # in the order of their coming
-        self.proposals: dict[int, PendingProposal] = {}  # by index
-        self.reads: dict[int, Callable[[bool], None]] = {}  # by context
-        self.contexts = itertools.count(1)
-        self.in_flight: dict[bytes, CommandInFlight] = {}  # commands of the leader itself, by their bytes
+        self.pending_proposals: dict[int, PendingProposal] = {}  # by index
+        self.pending_reads: dict[int, Callable[[bool], None]] = {}  # by context
+        self.read_contexts = itertools.count(1)
+        self.own_commands: dict[bytes, CommandInFlight] = {}  # commands of the leader itself, by their bytes
         self.operator_requests = OperatorRequests(self)
         self.lease_granting = LeaseGranting(self)
         self.failure = ""  # why it stopped by itself
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
 
-    def _links(self) -> dict[str, PeerLink]:
+    def _peer_links(self) -> dict[str, PeerLink]:
         limits = self.config.limits
         greeting = f"{self.name}@{self.config.group.id}"
         settings = LinkSettings(greeting, limits.frame, limits.stall, limits.keepalive)
@@ -110,8 +110,8 @@
         self.node.stop()
         if self.server is not None:
             self.server.close()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         for connection in list(self.connections):
             connection.close()
         if not self.stopped.done():
@@ -125,33 +125,35 @@
     def _tick(self) -> None:
         if not self.node.up:
             return
-        self.timer = self.loop.call_later(self.config.group.tick / 1000.0, self._tick)
+        self.tick_timer = self.loop.call_later(self.config.group.tick / 1000.0, self._tick)
         if self.node.is_leader:
             self.lease_granting.tick()
         else:
             self.lease_granting.lose_leadership()
             self._fail_proposals(OutcomeUnknownError(LEADERSHIP_LOST))
-            self.operator_requests.proposals.lose_leadership()
+            self.operator_requests.proposal_queue.lose_leadership()
 
     # ---- the state machine
 
     def _apply(self, entry: Entry) -> None:
         result = self.state.apply(entry)
-        pending = self.proposals.pop(entry.index, None)
-        if pending is not None:
-            is_ours = pending.term == entry.term
-            pending.done(result if is_ours else CommandResult(OutcomeUnknownError(LEADER_CHANGED)))
-        for key in [key for key, own in self.in_flight.items() if own.index <= entry.index]:
-            del self.in_flight[key]
+        proposal = self.pending_proposals.pop(entry.index, None)
+        if proposal is not None:
+            is_same_term = proposal.term == entry.term
+            proposal.on_result(result if is_same_term else CommandResult(OutcomeUnknownError(LEADER_CHANGED)))
+        for data in [data for data, command in self.own_commands.items() if command.index <= entry.index]:
+            del self.own_commands[data]
         self.lease_granting.on_applied(entry.index)
         if self.node.is_leader:
-            self.operator_requests.proposals.propose_next()
+            self.operator_requests.proposal_queue.propose_next()
 
     def _restore(self, data: bytes) -> None:
         self.state = ConfigState.restore(data)
         self._fail_proposals(OutcomeUnknownError(LEADER_CHANGED))
 
-    def propose(self, data: bytes, done: Callable[[CommandResult], None], session: str = "", serial: int = 0) -> bool:
+    def propose(
+        self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
+    ) -> bool:
         """Appends a command to the log, and calls back once its outcome is known or lost.
 
         False if this member does not lead, hands over, or too much waits for its commit.
@@ -159,33 +161,33 @@
         index = self.node.raft.propose(data, session, serial)
         if index is None:
             return False
-        self.proposals[index] = PendingProposal(self.node.raft.current_term, done)
+        self.pending_proposals[index] = PendingProposal(self.node.raft.current_term, on_result)
         self.node.process_ready()
         return True
 
     def _fail_proposals(self, error: ReplicatedConfigError) -> None:
-        for pending in self.proposals.values():
-            pending.done(CommandResult(error))
-        self.proposals.clear()
+        for proposal in self.pending_proposals.values():
+            proposal.on_result(CommandResult(error))
+        self.pending_proposals.clear()
 
     def propose_once(self, command: AnyCommand) -> None:
         """Proposes a command of the leader's own, unless the same is in flight."""
         data = encode_command(command)
-        if data in self.in_flight:
+        if data in self.own_commands:
             return
         index = self.node.raft.propose(data)
         if index is not None:
-            self.in_flight[data] = CommandInFlight(command, index)
+            self.own_commands[data] = CommandInFlight(command, index)
             self.node.process_ready()
 
     @property
     def commands_in_flight(self) -> list[AnyCommand]:
         """The leader's own, not applied yet."""
-        return [own.command for own in self.in_flight.values()]
+        return [in_flight.command for in_flight in self.own_commands.values()]
 
-    def forget_commands_in_flight(self) -> None:
+    def clear_commands_in_flight(self) -> None:
         """Begins with none: they were of another term."""
-        self.in_flight.clear()
+        self.own_commands.clear()
 
     # ---- reads
 
@@ -197,38 +199,38 @@
     @property
     def pending_requests(self) -> int:
         """Proposals and reads that wait."""
-        return len(self.reads) + len(self.proposals)
+        return len(self.pending_reads) + len(self.pending_proposals)
 
-    def read(self, done: Callable[[bool], None]) -> None:
+    def confirm_leadership(self, callback: Callable[[bool], None]) -> None:
         """Calls back when a round of the majority that begins from now on is over; False if there was none."""
-        context = next(self.contexts)
-        self.reads[context] = done
+        context = next(self.read_contexts)
+        self.pending_reads[context] = callback
         if not self.node.raft.read_index(context):
-            self.reads.pop(context)(False)
+            self.pending_reads.pop(context)(False)
         self.node.process_ready()
 
     def _on_read_done(self, context: int, confirmed: bool) -> None:
-        done = self.reads.pop(context, None)
-        if done is not None:
-            done(confirmed)
+        callback = self.pending_reads.pop(context, None)
+        if callback is not None:
+            callback(confirmed)
 
-    def after_read(self, reply: Reply, query: Callable[[], str]) -> None:
+    def reply_after_read(self, reply: SendReply, query: Callable[[], str]) -> None:
         """Replies with what is agreed now, not with what this member believed when it led.
 
         `query` may raise RequestError.
         """
 
-        def done(confirmed: bool) -> None:
+        def callback(confirmed: bool) -> None:
             if not confirmed:
-                reply(OperatorReply.failed(LeadershipLostError()))
+                reply(OperatorReply.failure(LeadershipLostError()))
                 return
             try:
-                answer = OperatorReply.done(query())
+                answer = OperatorReply.success(query())
             except RequestError as error:
-                answer = OperatorReply.failed(error)
+                answer = OperatorReply.failure(error)
             reply(answer)
 
-        self.read(done)
+        self.confirm_leadership(callback)
 
     def leader_address(self) -> str:
         """The address of the leader as far as it is another member and known, else ""."""
--- a/pebblehinge/replicated_config/size_limits.py
+++ b/pebblehinge/replicated_config/size_limits.py
@@ -12,7 +12,7 @@
 MAX_FRAME_BYTES = 8 << 20  # a GRANT brings two texts and what is reserved, a diff may show all lines of two
 
 
-def with_group_frames(config: Config) -> Config:
+def with_group_frame_limit(config: Config) -> Config:
     """The settings under which members and gateways talk about versions: frames may have MAX_FRAME_BYTES at least.
 
     Clients and storage nodes keep the settings' limit: what one of them may make a gateway hold stays as stated.
--- a/pebblehinge/replicated_config/snapshot.py
+++ b/pebblehinge/replicated_config/snapshot.py
@@ -38,7 +38,7 @@
     versions: list[Version]
     active: int
     pending: int
-    reserved: Reservations
+    reservations: Reservations
     gateways: dict[str, GatewayRecord]
     sessions: list[SessionRecord]
     revision: int = 0
--- a/pebblehinge/replicated_config/state_machine.py
+++ b/pebblehinge/replicated_config/state_machine.py
@@ -50,7 +50,7 @@
         self.versions: OrderedDict[int, Version] = OrderedDict()
         self.active = 0
         self.pending = 0
-        self.reserved: Reservations = {}
+        self.reservations: Reservations = {}
         self.gateways: dict[str, GatewayRecord] = {}
         self.sessions: OrderedDict[str, SessionRecord] = OrderedDict()
         self.revision = 0  # counts the changes that concern gateways
@@ -60,14 +60,14 @@
         if entry.kind != EntryKind.DATA:
             return CommandResult()
         if entry.session:
-            known = self.sessions.get(entry.session)
-            if known is not None and known.serial > entry.serial:
+            previous = self.sessions.get(entry.session)
+            if previous is not None and previous.serial > entry.serial:
                 return CommandResult(SupersededProposalError())
-            if known is not None and known.serial == entry.serial:
-                return CommandResult.from_stored(known.reason)
+            if previous is not None and previous.serial == entry.serial:
+                return CommandResult.from_stored(previous.reason)
         result = self._execute(decode_command(entry.data))
         if entry.session:
-            self._remember(SessionRecord(entry.session, entry.serial, result.stored_reason()))
+            self._store_session(SessionRecord(entry.session, entry.serial, result.stored_reason()))
         return result
 
     def _execute(self, command: AnyCommand) -> CommandResult:
@@ -89,7 +89,7 @@
             return CommandResult(error)
         return CommandResult()
 
-    def _remember(self, record: SessionRecord) -> None:
+    def _store_session(self, record: SessionRecord) -> None:
         self.sessions[record.session] = record
         self.sessions.move_to_end(record.session)
         if len(self.sessions) > MAX_SESSIONS:
@@ -156,10 +156,10 @@
             raise StaleRevisionError
         if version not in (self.pending, self.active):
             raise NotPendingError(f"version {version} is neither pending nor active")
-        if version == self.active and command.reserved == self.reserved:
+        if version == self.active and command.reservations == self.reservations:
             return
         self.active = version
-        self.reserved = command.reserved
+        self.reservations = command.reservations
         if self.pending == version:
             self.pending = 0
         self.revision += 1
@@ -193,7 +193,7 @@
             list(self.versions.values()),
             self.active,
             self.pending,
-            self.reserved,
+            self.reservations,
             self.gateways,
             list(self.sessions.values()),
             self.revision,
@@ -209,7 +209,7 @@
             state.versions = OrderedDict((version.number, version) for version in snapshot.versions)
             state.active = snapshot.active
             state.pending = snapshot.pending
-            state.reserved = snapshot.reserved
+            state.reservations = snapshot.reservations
             state.gateways = snapshot.gateways
             state.sessions = OrderedDict((record.session, record) for record in snapshot.sessions)
             state.revision = snapshot.revision
--- a/pebblehinge/replicated_config/status.py
+++ b/pebblehinge/replicated_config/status.py
@@ -64,16 +64,16 @@
         pending=state.pending,
         members=raft.membership.voters,
         learners=raft.membership.learners,
-        heads=_gateways(member),
+        heads=_gateway_statuses(member),
     )
     return msgspec.json.encode(status).decode()
 
 
-def _gateways(member: Member) -> list[GatewayStatus]:
+def _gateway_statuses(member: Member) -> list[GatewayStatus]:
     now = member.clock()
-    granted = member.leases.by_gateway if member.leases is not None else {}
+    leases = member.leases.by_gateway if member.leases is not None else {}
     return [
-        GatewayStatus(name, record.version, round(now - granted[name].granted_ms, 1) if name in granted else None)
+        GatewayStatus(name, record.version, round(now - leases[name].granted_ms, 1) if name in leases else None)
         for name, record in sorted(member.state.gateways.items())
     ]
 
@@ -88,9 +88,9 @@
         f"active {state.active}, pending {state.pending or 'none'}",
     ]
     lines += [f"head {record.name}: version {record.version}" for _, record in sorted(state.gateways.items())]
-    for volume, (rate, burst) in state.reserved.items():
+    for volume, (rate, burst) in state.reservations.items():
         if rate or burst:
             lines.append(f"set aside for {volume}: {rate:g}/s, {burst:g} at once")
     if member.leases is not None:
-        lines += [f"waits: {reason}" for reason in member.leases.describe_waiting(member.clock(), state)]
+        lines += [f"waits: {reason}" for reason in member.leases.describe_lagging_gateways(member.clock(), state)]
     return "\n".join(lines)
--- a/pebblehinge/replicated_config/version_application.py
+++ b/pebblehinge/replicated_config/version_application.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pebblehinge.replicated_config.activation import cut_off, less_reserved, transitional
+from pebblehinge.replicated_config.activation import config_without_lease, subtract_reservations, transitional_config
 from pebblehinge.replicated_config.application_types import (
     Checkpoint,
     EffectiveConfig,
@@ -25,7 +25,7 @@
 
 MAX_RENEWALS_IN_FLIGHT = 16  # an answer to an older one counts for nothing
 MAX_UNUSED_VERSIONS = 2  # parsed ones that outlast a rollback
-NO_LEASE = -1.0
+NO_LEASE_MS = -1.0
 
 
 class VersionApplication:
@@ -39,9 +39,9 @@
         self.pending = 0
         self.texts: dict[int, str] = {}
         self.configs: dict[int, Config] = {}
-        self.reserved: Reservations = {}
-        self.lease_until = NO_LEASE
-        self.renewals: dict[int, float] = {}  # token -> when it left
+        self.reservations: Reservations = {}
+        self.lease_expires_ms = NO_LEASE_MS
+        self.renewal_times: dict[int, float] = {}  # token -> when it left
         self.last_token = 0
         self.rejection: Rejection | None = None
 
@@ -58,18 +58,18 @@
                 application._parse(number, text)
         application.active = stored.active
         application.pending = stored.pending
-        application.reserved = stored.reserved
+        application.reservations = stored.reservations
         return application
 
     def dump(self) -> bytes:
         """The bytes to keep over restarts."""
         active_text = self.texts.get(self.active, "")
         pending_text = self.texts.get(self.pending, "")
-        stored = StoredVersions(self.active, active_text, self.reserved, self.pending, pending_text)
+        stored = StoredVersions(self.active, active_text, self.reservations, self.pending, pending_text)
         return msgspec.msgpack.encode(stored)
 
     @property
-    def acknowledged(self) -> int:
+    def acknowledged_version(self) -> int:
         """The newest version that this gateway has applied, or is transitional towards."""
         return max(self.active, self.pending)
 
@@ -78,9 +78,9 @@
     def begin_renewal(self, now: float) -> int:
         """A renewal leaves now. Returns its token."""
         self.last_token += 1
-        self.renewals[self.last_token] = now
-        for old in list(self.renewals)[:-MAX_RENEWALS_IN_FLIGHT]:
-            del self.renewals[old]
+        self.renewal_times[self.last_token] = now
+        for old in list(self.renewal_times)[:-MAX_RENEWALS_IN_FLIGHT]:
+            del self.renewal_times[old]
         return self.last_token
 
     def apply_grant(self, grant: Grant) -> bool:
@@ -88,22 +88,22 @@
 
         Returns whether something changed that must be persisted before it is acknowledged.
         """
-        sent_at = self.renewals.pop(grant.token, None)
-        if sent_at is None:
+        sent_ms = self.renewal_times.pop(grant.token, None)
+        if sent_ms is None:
             return False
-        before = (self.active, self.pending, self.reserved)
+        previous = (self.active, self.pending, self.reservations)
         for number, text in ((grant.active, grant.active_text), (grant.pending, grant.pending_text)):
-            if number and text and number not in self.configs and not self._is_usable(number, text):
+            if number and text and number not in self.configs and not self._accept_text(number, text):
                 return False
         if grant.active in self.configs or grant.active == 0:
-            self._advance(grant, sent_at)
+            self._apply_versions(grant, sent_ms)
         self._drop_old_versions(grant)
-        return before != (self.active, self.pending, self.reserved)
+        return previous != (self.active, self.pending, self.reservations)
 
-    def _advance(self, grant: Grant, sent_at: float) -> None:
+    def _apply_versions(self, grant: Grant, sent_ms: float) -> None:
         if grant.active >= self.active:
             self.active = grant.active
-            self.reserved = grant.reserved
+            self.reservations = grant.reservations
             if self.pending <= grant.active:
                 self.pending = 0
         if grant.pending in self.configs:
@@ -112,7 +112,7 @@
             self.pending = 0  # it was given up
         # Only what this gateway really acts on earns it a lease.
         if grant.active == self.active:
-            self.lease_until = max(self.lease_until, sent_at + grant.lease_ms)
+            self.lease_expires_ms = max(self.lease_expires_ms, sent_ms + grant.lease_ms)
 
     def _drop_old_versions(self, grant: Grant) -> None:
         needed = (grant.active, grant.pending)
@@ -125,20 +125,23 @@
     def checkpoint(self) -> Checkpoint:
         """What `withhold` and `roll_back` go back to."""
         return Checkpoint(
-            self.active, self.pending, self.reserved, self.lease_until, dict(self.configs), dict(self.texts)
+            self.active, self.pending, self.reservations, self.lease_expires_ms, dict(self.configs), dict(self.texts)
         )
 
     def withhold(self, checkpoint: Checkpoint) -> Checkpoint:
         """Goes back to a checkpoint until what came since is persisted. Returns what `commit` needs."""
-        applied = self.checkpoint()
+        applied_state = self.checkpoint()
         self.roll_back(checkpoint)
-        return applied
+        return applied_state
 
-    def commit(self, applied: Checkpoint) -> None:
+    def commit(self, applied_state: Checkpoint) -> None:
         """What was withheld is persisted now. The lease that came with it counts from its asking, as ever."""
-        lease_until = max(self.lease_until if self.active == applied.active else NO_LEASE, applied.lease_until)
-        self._set(applied)
-        self.lease_until = lease_until
+        lease_expires_ms = max(
+            self.lease_expires_ms if self.active == applied_state.active else NO_LEASE_MS,
+            applied_state.lease_expires_ms,
+        )
+        self._restore_checkpoint(applied_state)
+        self.lease_expires_ms = lease_expires_ms
 
     def roll_back(self, checkpoint: Checkpoint) -> None:
         """Takes back an answer that could not be persisted.
@@ -148,22 +151,22 @@
         next time.
         """
         configs, texts = self.configs, self.texts
-        self._set(checkpoint)
+        self._restore_checkpoint(checkpoint)
         for number in sorted(set(configs) - set(self.configs))[-MAX_UNUSED_VERSIONS:]:
             self.configs[number] = configs[number]
             self.texts[number] = texts[number]
 
-    def _set(self, checkpoint: Checkpoint) -> None:
+    def _restore_checkpoint(self, checkpoint: Checkpoint) -> None:
         self.active = checkpoint.active
         self.pending = checkpoint.pending
-        self.reserved = checkpoint.reserved
-        self.lease_until = checkpoint.lease_until
+        self.reservations = checkpoint.reservations
+        self.lease_expires_ms = checkpoint.lease_expires_ms
         self.configs = checkpoint.configs
         self.texts = checkpoint.texts
 
     # ---- versions
 
-    def _is_usable(self, number: int, text: str) -> bool:
+    def _accept_text(self, number: int, text: str) -> bool:
         try:
             self._parse(number, text)
         except SettingsError as error:
@@ -184,16 +187,17 @@
         """What to act on now, and the mode."""
         if not self.active:
             return EffectiveConfig(None, Mode.NONE.value)
-        if now >= self.lease_until:
+        if now >= self.lease_expires_ms:
             # Whatever was reserved since, the group counts this gateway for the floor of what it acknowledged last.
             return EffectiveConfig(
-                cut_off(self._towards_pending(self.configs[self.active]), self.floor), Mode.CUT_OFF.value
+                config_without_lease(self._transitional_config(self.configs[self.active]), self.floor),
+                Mode.CUT_OFF.value,
             )
-        config = self._towards_pending(less_reserved(self.configs[self.active], self.reserved))
+        config = self._transitional_config(subtract_reservations(self.configs[self.active], self.reservations))
         mode = Mode.TRANSITIONAL if self.pending else Mode.ACTIVE
         return EffectiveConfig(config, mode.value)
 
-    def _towards_pending(self, config: Config) -> Config:
+    def _transitional_config(self, config: Config) -> Config:
         if not self.pending:
             return config
-        return transitional(config, self.configs[self.pending], self.gateway, self.floor)
+        return transitional_config(config, self.configs[self.pending], self.gateway, self.floor)
--- a/pebblehinge/replicated_config/version_cache.py
+++ b/pebblehinge/replicated_config/version_cache.py
@@ -31,10 +31,10 @@
 
 def parse_version(text: str, name: str) -> Config:
     """The checked settings of a text, not to be altered. Raises SettingsError with places in `name`."""
-    cached = _cache.get(text)
-    if cached is not None:
+    entry = _cache.get(text)
+    if entry is not None:
         _cache.move_to_end(text)
-        return cached.config
+        return entry.config
     config = loads(text, name)
     if "include" not in text:
         _cache[text] = ParsedVersion(text, config)
@@ -45,5 +45,5 @@
 
 def shared_text(text: str) -> str:
     """The cached string equal to a text, so that many gateways of a process keep one of it; else the text itself."""
-    cached = _cache.get(text)
-    return text if cached is None else cached.text
+    entry = _cache.get(text)
+    return text if entry is None else entry.text
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -94,14 +94,14 @@
     application = VersionApplication.restore("h1", 0.2, data)
     acts_on, mode = application.effective_config(0.0)
     assert acts_on is not None
-    assert [mode, application.acknowledged] == [expected["mode"], expected["acknowledges"]]
+    assert [mode, application.acknowledged_version] == [expected["mode"], expected["acknowledges"]]
     assert plain(acts_on.plan) == expected["acts_on"]
     assert application.dump() == data
     assert plain(msgspec.msgpack.decode(data, type=StoredVersions)) == expected["values"]
     active, text, aside, pending, pending_text = expected["values"]
     assert [text, pending_text] == expected["texts"]
     assert plain(StoredVersions(active, text, aside, pending, pending_text)) == expected["values"]
-    assert application.active == active and application.pending == pending and plain(application.reserved) == aside
+    assert application.active == active and application.pending == pending and plain(application.reservations) == aside
 
 
 def check_capture(data: bytes, expected: dict[str, Any]) -> None:
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -111,7 +111,7 @@
     application = VersionApplication.restore("h1", 0.2, msgspec.msgpack.encode(held))
     acts, mode = application.effective_config(0.0)
     assert acts is not None
-    save("kept_version", {"values": plain(held), "mode": mode, "acknowledges": application.acknowledged,
+    save("kept_version", {"values": plain(held), "mode": mode, "acknowledges": application.acknowledged_version,
                           "acts_on": plain(acts.plan), "texts": [version(100), version(80)]})  # fmt: skip
 
 
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -69,7 +69,7 @@
         waiting, later = Conn(), Conn()
         granting.renewals.begin_round(g.clock())  # one that will not be over in this term
         granting.on_renewal(waiting, RenewalRequest(1, "h1", 1, 1, 0, ""))
-        assert granting.leads and waiting.grants == []
+        assert granting.is_leading and waiting.grants == []
         raft.state.current_term += 1  # it lost the lead and has it again, within a tick
         granting.on_renewal(later, RenewalRequest(2, "h2", 1, 1, 0, ""))
         assert later.grants == [(2, 0.0, 0, "", 0, "", {}, "")]
@@ -77,7 +77,7 @@
         granting.tick()
         assert granting.leases is not was and granting.leases.elected_ms == g.clock()
         assert waiting.grants == [(1, 0.0, 0, "", 0, "", {}, "")]
-        assert not granting.renewals.waiting and not granting.renewals.in_round  # answered once, and not again
+        assert not granting.renewals.awaiting_round and not granting.renewals.in_round  # answered once, and not again
         raft.state.current_term -= 1
 
     on_group(script)
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -92,7 +92,7 @@
     rig.watcher.on_grant(
         Grant(rig.wire.renewals[-1][0], 2_000.0, 1, "", 0, "", {"v": (1.0, 1.0)}, "")
     )  # set aside: kept, not told
-    assert rig.watcher.application.reserved and len(rig.wire.renewals) == 3
+    assert rig.watcher.application.reservations and len(rig.wire.renewals) == 3
 
 
 def test_without_progress_it_asks_ever_more_seldom_and_in_one_line() -> None:
@@ -132,7 +132,7 @@
     rig.in_force()
     rig.watcher.renew()
     rig.grant(leader=leader)
-    assert rig.wire.closed == closed and rig.watcher.dialer.redirect == (leader if closed else "")
+    assert rig.wire.closed == closed and rig.watcher.dialer.redirect_address == (leader if closed else "")
     if not closed:
         assert rig.run(0.5) == 1  # it comes back
 
@@ -143,8 +143,8 @@
     rig.watcher.renew()
     rig.grant(leader=f"{LOOPBACK}:6002")
     rig.watcher.on_connection_lost(rig.wire)  # type: ignore[arg-type]
-    assert rig.watcher.dialer.task is None and rig.watcher.delayed is not None
-    assert rig.world.now < rig.watcher.delayed.when() <= rig.world.now + 0.15  # half a beat
+    assert rig.watcher.dialer.task is None and rig.watcher.retry_timer is not None
+    assert rig.world.now < rig.watcher.retry_timer.when() <= rig.world.now + 0.15  # half a beat
 
 
 def test_a_connection_that_comes_after_it_was_given_up_is_closed() -> None:
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -81,8 +81,8 @@
     before = (
         application.dump(),
         application.effective_config(100.0)[1],
-        application.acknowledged,
-        application.lease_until,
+        application.acknowledged_version,
+        application.lease_expires_ms,
     )
     lower = TEXT.replace("limit 50/s", "limit 20/s")
     assert loads(lower).plan["basico"].limit == 20.0
@@ -98,6 +98,6 @@
         assert (
             application.dump(),
             application.effective_config(100.0)[1],
-            application.acknowledged,
-            application.lease_until,
+            application.acknowledged_version,
+            application.lease_expires_ms,
         ) == before
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -106,7 +106,7 @@
         for name in dead:  # a zone's heads come back all at once
             f.start_head(name)
         await f.until(lambda: f.in_force(2), 3.0)
-        await f.until(lambda: not any(r for r, _ in f.leader().state.reserved.values()), 3.0)
+        await f.until(lambda: not any(r for r, _ in f.leader().state.reservations.values()), 3.0)
 
     on_fleet(script, HEADS, 5)
 
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblehinge.replicated_config.renewals import MAX_PENDING_RENEWALS, Renewal, Renewals, VersionsInForce
+from pebblehinge.replicated_config.renewals import MAX_PENDING_RENEWALS, CurrentVersions, Renewal, Renewals
 
 TICK = 40.0
 
@@ -78,7 +78,7 @@
             self.acknowledged[head] = max(self.version, self.pending)
         renewal = Renewal(head, self.turn, head, self.acknowledged[head], 0)
         self.came[renewal.token] = self.turn
-        assert self.renewals.add(renewal, self.held[head] < renewal.acknowledged)
+        assert self.renewals.add(renewal, self.held[head] < renewal.acknowledged_version)
         self.newest[head] = renewal
         self.ask()
 
@@ -103,8 +103,8 @@
         self.tell()
 
     def tell(self) -> None:
-        if self.renewals.notification_due(self.now, VersionsInForce(self.version, self.pending)):
-            self.renewals.mark_notified(self.now, VersionsInForce(self.version, self.pending))
+        if self.renewals.notification_due(self.now, CurrentVersions(self.version, self.pending)):
+            self.renewals.mark_notified(self.now, CurrentVersions(self.version, self.pending))
             self.news.append((self.now, self.version, self.pending))
 
     def answer(self, renewals: list[Renewal], begun: int | None) -> None:
@@ -112,7 +112,9 @@
             last = begun if begun is not None else self.shown_by
             assert renewal.token not in self.answered, "answered twice"
             assert self.came[renewal.token] < last, f"{renewal.gateway} by a round begun before it came"
-            assert self.held[renewal.gateway] >= renewal.acknowledged, f"{renewal.gateway} before the log has its word"
+            assert self.held[renewal.gateway] >= renewal.acknowledged_version, (
+                f"{renewal.gateway} before the log has its word"
+            )
             self.answered[renewal.token] = self.now
 
     def check(self) -> None:
@@ -149,7 +151,7 @@
 
 class JoinsTheRound(Renewals):
     def add(self, renewal: Renewal, is_new: bool) -> bool:
-        if self.round_out:
+        if self.round_in_flight:
             self.in_round[renewal.connection] = renewal
             return True
         return super().add(renewal, is_new)
@@ -158,24 +160,24 @@
 class BeforeTheLog(Renewals):
     def end_round(self, number: int) -> list[Renewal]:
         done = super().end_round(number)
-        done += self.confirmed.values()
-        self.confirmed = {}
+        done += self.awaiting_commit.values()
+        self.awaiting_commit = {}
         return done
 
 
 class ForgetsWhoWaits(Renewals):
     def mark_applied(self, index: int) -> list[Renewal]:
         done = super().mark_applied(index)
-        self.confirmed = {}
+        self.awaiting_commit = {}
         return done[:-1]
 
 
 class EachAtOnce(Renewals):
-    def notification_due(self, now: float, versions: VersionsInForce) -> bool:
-        return self.notified != versions
+    def notification_due(self, now: float, versions: CurrentVersions) -> bool:
+        return self.notified_versions != versions
 
     def acknowledgements_due(self, now: float) -> dict[str, int]:
-        return {} if self.in_flight else dict(self.unproposed)
+        return {} if self.proposed_acknowledgements else dict(self.unproposed_acknowledgements)
 
 
 @pytest.mark.parametrize(
@@ -210,6 +212,6 @@
     renewals = Renewals(TICK)
     renewals.add(Renewal("a", 1, "a", 0, 0), False)
     number = renewals.begin_round(0.0)
-    assert renewals.end_round(number - 1) == [] and renewals.round_out
+    assert renewals.end_round(number - 1) == [] and renewals.round_in_flight
     assert [r.token for r in renewals.end_round(number)] == [1]
     assert renewals.end_round(number) == []
--- a/tests/test_replicated_config.py
+++ b/tests/test_replicated_config.py
@@ -11,7 +11,13 @@
 from config_group import Group, on_group
 
 from pebblehinge.raft import Entry
-from pebblehinge.replicated_config.activation import cut_off, find_conflict, less_reserved, reserved_for, transitional
+from pebblehinge.replicated_config.activation import (
+    config_without_lease,
+    find_conflict,
+    reservations_for,
+    subtract_reservations,
+    transitional_config,
+)
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.commands import CommandResult
 from pebblehinge.replicated_config.state_machine import ConfigState
@@ -28,13 +34,13 @@
         old = loads(document(rng.choice([20, 50, 100, 300]), rng.randint(1, 4)))
         new = loads(document(rng.choice([20, 50, 100, 300]), rng.randint(1, 4)))
         low = min(old.plan["capped"].limit, new.plan["capped"].limit)
-        assert sum(rate(transitional(old, new, h), h) for h in names) <= low + SMALL
+        assert sum(rate(transitional_config(old, new, h), h) for h in names) <= low + SMALL
         missing = rng.sample(names, rng.randint(0, 3))
-        aside = reserved_for([(h, old) for h in missing], 0.2)
+        aside = reservations_for([(h, old) for h in missing], 0.2)
         if find_conflict(new, aside) is None:
-            rest = less_reserved(new, aside)
+            rest = subtract_reservations(new, aside)
             total = sum(rate(rest, h) for h in names if h not in missing)
-            total += sum(rate(cut_off(old, 0.2), h) for h in missing)
+            total += sum(rate(config_without_lease(old, 0.2), h) for h in missing)
             assert total <= new.plan["capped"].limit + SMALL
 
 
@@ -171,12 +177,12 @@
         # Its lease with the clocks' drift, and one more where a leader came anew; a renewal, the ways, an election.
         assert g.clock() - began < 2 * 2000 * 1.05 + 300 + 4 * 1 + 800
         assert g.acts["h1"][1:] == ("cut off", 1)
-        aside = g.leader().state.reserved["v"][0]
+        aside = g.leader().state.reservations["v"][0]
         assert aside == pytest.approx(100 / 3 * 0.2)
         assert rate(g.acts["h2"][0], "h2") == pytest.approx((40 - aside) / 3, rel=1e-4)
         g.loop.net.heal(["h1"], [f"g{n}" for n in range(1, 6)])
         await g.until(lambda: all((m, v) == ("active", 2) for _, m, v in g.acts.values()))
-        await g.until(lambda: not any(r for r, _ in g.leader().state.reserved.values()))
+        await g.until(lambda: not any(r for r, _ in g.leader().state.reservations.values()))
         await g.until(lambda: rate(g.acts["h2"][0], "h2") == pytest.approx(40 / 3, rel=1e-4))
 
     on_group(script, 4)
--- a/tests/test_replicated_config_faults.py
+++ b/tests/test_replicated_config_faults.py
@@ -103,7 +103,7 @@
             if g.acts[h][1] == "dead":
                 g.start_head(h)
         await g.until(lambda: g.active() and all((m, v) == ("active", g.active()) for _, m, v in g.acts.values()), 60)
-        await g.until(lambda: not any(r for r, _ in g.leader().state.reserved.values()))
+        await g.until(lambda: not any(r for r, _ in g.leader().state.reservations.values()))
 
     rng = random.Random(f"{seed}/clocks")
     names = [f"g{n}" for n in range(1, 6)] + [f"h{n}" for n in range(1, 5)]
@@ -124,7 +124,7 @@
         await asyncio.sleep(0.3)
         assert leader.node.is_leader
         await asyncio.sleep(1.0)
-        assert g.watchers["h1"].application.lease_until <= cut_at + 2000.0 + 5.0
+        assert g.watchers["h1"].application.lease_expires_ms <= cut_at + 2000.0 + 5.0
 
     on_group(script, 8)
 
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -52,7 +52,7 @@
     assert applied(state, Entry(1, 1, EntryKind.DATA, packed("propose", 0, text, "a", ""))) == ""
     application = VersionApplication("h1023", 0.25)
     assert application.apply_grant(Grant(application.begin_renewal(0.0), 3000.0, 0, "", 1, state.text(1) or "", {}))
-    assert application.rejection is None and application.acknowledged == 1
+    assert application.rejection is None and application.acknowledged_version == 1
 
 
 def test_a_line_that_is_longer_still_is_refused_with_its_place_and_length() -> None:
--- a/tests/test_wide_group.py
+++ b/tests/test_wide_group.py
@@ -10,7 +10,7 @@
 from wide_world import OverLimit
 
 from pebblehinge.replicated_config import leases, version_application
-from pebblehinge.replicated_config.activation import transitional
+from pebblehinge.replicated_config.activation import transitional_config
 from pebblehinge.replicated_config.leases import Leases
 
 
@@ -25,11 +25,20 @@
 # What holds the sum under the limit: (part of the program, its name, what stands in its place), seed, heads, seconds.
 DEFENCES: dict[str, tuple[list[tuple[Any, str, Any]], int, int, float]] = {
     "the leader waits for leases": ([(Leases, "expires_at", lambda self, head: 0.0)], 2, 12, 6.0),
-    "heads are careful": ([(version_application, "transitional", lambda old, new, gateway, floor: old)], 2, 12, 6.0),
+    "heads are careful": (
+        [(version_application, "transitional_config", lambda old, new, gateway, floor: old)],
+        2,
+        12,
+        6.0,
+    ),
     "careful heads leave room for those who are away": (
         [
-            (version_application, "transitional", lambda old, new, gateway, floor: transitional(old, new, gateway)),
-            (leases, "leaves_capacity", lambda *_: True),
+            (
+                version_application,
+                "transitional_config",
+                lambda old, new, gateway, floor: transitional_config(old, new, gateway),
+            ),
+            (leases, "reservations_fit", lambda *_: True),
         ],
         1,
         6,
--- a/tests/wide_world.py
+++ b/tests/wide_world.py
@@ -166,7 +166,7 @@
     def settled(self) -> bool:
         """All heads act in full on the newest version of all, and nothing is set aside."""
         leader = self.leader()
-        if leader is None or leader.state.pending or any(r for r, _ in leader.state.reserved.values()):
+        if leader is None or leader.state.pending or any(r for r, _ in leader.state.reservations.values()):
             return False
         return set(self.modes.values()) == {("active", leader.state.newest)}
 
