--- a/benchmarks/caps_service.py
+++ b/benchmarks/caps_service.py
@@ -19,8 +19,8 @@
     Cap(
         "extents and volumes remembered",
         "pebblehinge/decide/request.py",
-        "REMEMBERED = ",
-        constant("pebblehinge.decide.request", "REMEMBERED"),
+        "MAX_CACHE_ENTRIES = ",
+        constant("pebblehinge.decide.request", "MAX_CACHE_ENTRIES"),
         "",
         "thinktimes by extent, stores of volumes at rest",
         VOLUMES,
@@ -31,8 +31,8 @@
     Cap(
         "trips of a head at a shelf",
         "pebblehinge/decide/node_health.py",
-        "CONCURRENCY_LIMIT = ",
-        constant("pebblehinge.decide.node_health", "CONCURRENCY_LIMIT"),
+        "MAX_CONCURRENCY = ",
+        constant("pebblehinge.decide.node_health", "MAX_CONCURRENCY"),
         "trips",
         "out at one shelf",
         None,
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from pebblehinge.console.view import GatewayView
-from pebblehinge.decide import REMEMBERED, Scheduler
-from pebblehinge.interface import Entry, ListKind, Standing
+from pebblehinge.decide import MAX_CACHE_ENTRIES, Scheduler
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
 from pebblehinge.settings import Config, show
 from pebblehinge.settings.load import loads
 from pebblehinge.settings.policy import VolumeBlock
@@ -85,7 +85,9 @@
 def view_bytes(shelfs: int = SHELFS) -> int:
     """A console's rows of shelfs, as one look sends them to each viewer."""
     module = Scheduler(loads(SETTINGS).module_settings(HeadBlock()), 1, 0.0)
-    module.listed(0.0, ListKind.WHOLE, [Entry(f"shelf-{n}", Standing.READY, n, 0.0) for n in range(shelfs)])
+    module.apply_endpoint_list(
+        0.0, ListKind.WHOLE, [EndpointEntry(f"shelf-{n}", EndpointState.READY, n, 0.0) for n in range(shelfs)]
+    )
     view = GatewayView(SimpleNamespace(core=SimpleNamespace(module=module)))
     return len(msgspec.json.encode(view.storage_nodes(100_000.0)))
 
@@ -96,8 +98,8 @@
     state = {
         "shelfs": {f"shelf-{n}": (123.456, 123.456, 98.7, 1234.5, 4.0, -1.0) for n in range(shelfs)},
         "every": (1.5, 1.5, 1.5, 1.5),
-        "thinks": {f"vol-{n}/tender/{n}": {b: 1.5 for b in range(buckets)} for n in range(REMEMBERED)},
-        "limits": {f"vol-{n}": (12.5, 25.5) for n in range(REMEMBERED)},
+        "thinks": {f"vol-{n}/tender/{n}": {b: 1.5 for b in range(buckets)} for n in range(MAX_CACHE_ENTRIES)},
+        "limits": {f"vol-{n}": (12.5, 25.5) for n in range(MAX_CACHE_ENTRIES)},
         "further": [1.5] * 1000,
         "lives": {f"shelf-{n}": (n, 123_456.7) for n in range(shelfs)},
     }
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -24,14 +24,14 @@
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import (
     DeduplicationScope,
-    Entry,
+    EndpointEntry,
+    EndpointState,
     Idempotency,
     ListKind,
     Outcome,
     QuotaPlan,
     RequestClass,
     Settings,
-    Standing,
 )
 
 SETTINGS = Settings(
@@ -39,25 +39,27 @@
         RequestClass("p", 1.0, 60_000.0, 90_000.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False),
     ),
     quota_plans=(QuotaPlan("g", 1e6, 1e6, 0.0, 0.0, 0.0, 1.0, 1.0), QuotaPlan("c", 1e6, 0.0, 1e6, 1e6, 0.0, 1.0, 1.0)),
-    mean_units=2.0, most_units=6.0, share_value=0.3, excess_value=0.1, asks_for_list=False, marks_repeats=False,
-    may_cancel=True, stay_away_max_ms=500.0, try_limit=3, step_ms=1.0, cold_share=0.3, warm_ms=10_000.0,
-    fall_multiple=2.0, order_settle_ms=0.0, budget_share=None, budget_free=0.0, budget_window_ms=5_000.0,
+    mean_units=2.0, max_units=6.0, share_value=0.3, excess_value=0.1, must_request_watch=False,
+    clients_mark_retries=False, cancellation_allowed=True, max_retry_after_ms=500.0, max_attempts=3,
+    clock_resolution_ms=1.0, slow_start_initial_share=0.3, slow_start_duration_ms=10_000.0,
+    slow_start_failure_multiple=2.0, order_settle_ms=0.0, retry_budget_share=None, retry_budget_min_retries=0.0,
+    retry_budget_window_ms=5_000.0,
 )  # fmt: skip
 ROUNDS = 2_000
 
 
-def fleet(count: int, first: int = 0) -> list[Entry]:
-    return [Entry(f"s{first + i}", Standing.READY, i, 0.0) for i in range(count)]
+def fleet(count: int, first: int = 0) -> list[EndpointEntry]:
+    return [EndpointEntry(f"s{first + i}", EndpointState.READY, i, 0.0) for i in range(count)]
 
 
 def head_of(count: int) -> Scheduler:
     head = Scheduler(SETTINGS, 1, 0.0)
-    head.listed(0.0, ListKind.WHOLE, fleet(count))
+    head.apply_endpoint_list(0.0, ListKind.WHOLE, fleet(count))
     return head
 
 
 def take(head: Scheduler, now: float, n: int, slot: int, plan: str = "g") -> Request:
-    return head.take(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
+    return head.submit(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
 
 
 def timed(call: Callable[[], Any], into: list[float]) -> Any:
@@ -80,10 +82,10 @@
         take(head, now, n + 7, 0)
     for n in range(ROUNDS):
         now += 0.05
-        while len(head.shelfs.queued[0]) < held:
+        while len(head.nodes.queues[0]) < held:
             take(head, now, n + 11, 0)
-        out = head.shelfs.in_flight[0][0]
-        timed(lambda a=out, t=now: a.ended(t, a.sent - 1, Outcome.SUCCEEDED, True, 5.0), times)
+        out = head.nodes.in_flight[0][0]
+        timed(lambda a=out, t=now: a.on_attempt_end(t, a.attempt_count - 1, Outcome.SUCCEEDED, True, 5.0), times)
     return told(times)
 
 
@@ -92,9 +94,9 @@
     head, times, now = head_of(shelfs), [], 0.0
     for n in range(ROUNDS // 4):
         now += 10.0
-        standing = Standing.DRAINING if n % 2 else Standing.READY
-        row = [Entry("s3", standing, 3, 0.0)]
-        timed(lambda t=now, r=row: head.listed(t, ListKind.CHANGES, r), times)
+        standing = EndpointState.DRAINING if n % 2 else EndpointState.READY
+        row = [EndpointEntry("s3", standing, 3, 0.0)]
+        timed(lambda t=now, r=row: head.apply_endpoint_list(t, ListKind.CHANGES, r), times)
     return told(times)
 
 
@@ -102,7 +104,7 @@
     """A shelf is drawn for a new object."""
     head, times = head_of(shelfs), []
     for _ in range(ROUNDS):
-        timed(head.shelfs.pick_new, times)
+        timed(head.nodes.pick_for_new_object, times)
     return told(times)
 
 
@@ -117,18 +119,18 @@
         now = tracemalloc.get_traced_memory()[0]
         found[what], before = (now - before) / 1024.0, now
 
-    head.listed(0.0, ListKind.WHOLE, fleet(shelfs))
+    head.apply_endpoint_list(0.0, ListKind.WHOLE, fleet(shelfs))
     note("shelfs")
     for n in range(volumes):
-        a = head.take(0.0, n, None, "p", "c", f"v{n}", 2, n % shelfs, 2.0, 90_000.0)[0]
-        a.left(0.0)
-        a.ended(0.0, 0, Outcome.CANCELLED, True, 1.0)
+        a = head.submit(0.0, n, None, "p", "c", f"v{n}", 2, n % shelfs, 2.0, 90_000.0)[0]
+        a.on_client_disconnect(0.0)
+        a.on_attempt_end(0.0, 0, Outcome.CANCELLED, True, 1.0)
     note("volumes")
     for n in range(extents):
         for at in (1.0, 3.0, 7.0):
-            a = head.take(at + n, n, f"x{n}", "p", "g", "v0", 2, n % shelfs, 2.0, 90_000.0)[0]
-            a.ended(at + n + 0.5, 0, Outcome.SUCCEEDED, True, 0.5)
-    head.woken(1e6)
+            a = head.submit(at + n, n, f"x{n}", "p", "g", "v0", 2, n % shelfs, 2.0, 90_000.0)[0]
+            a.on_attempt_end(at + n + 0.5, 0, Outcome.SUCCEEDED, True, 0.5)
+    head.on_wake_up(1e6)
     note("extents")
     tracemalloc.stop()
     return found
@@ -139,12 +141,12 @@
     head, now = Scheduler(SETTINGS, 1, 0.0), 0.0
     for n in range(names // shelfs):
         now += 1000.0
-        head.listed(now, ListKind.WHOLE, fleet(shelfs, n * shelfs))
+        head.apply_endpoint_list(now, ListKind.WHOLE, fleet(shelfs, n * shelfs))
         for slot in range(shelfs):
             a = take(head, now, n, slot)
-            a.ended(now + 1.0, 0, Outcome.SUCCEEDED, True, 1.0)
-        head.woken(now + 900.0)
-    return {"columns": len(head.shelfs.names), "names": len(head.shelfs.index), "wakes": len(head.notes.wakes)}
+            a.on_attempt_end(now + 1.0, 0, Outcome.SUCCEEDED, True, 1.0)
+        head.on_wake_up(now + 900.0)
+    return {"columns": len(head.nodes.names), "names": len(head.nodes.index), "wakes": len(head.change_set.wake_ups)}
 
 
 def way(shelfs: int = 40, requests: int = 20_000, held: int = 12) -> float:
@@ -156,16 +158,16 @@
         now += 0.05
         plan = "c" if n % 5 == 0 else "g"
         slot = rng.randrange(shelfs)
-        a, changes = head.take(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)
+        a, changes = head.submit(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)
         while True:
             out += [b for b in changes.handles if b.drain()[0]]
             if len(out) <= shelfs * 2 + held * shelfs // 3:
                 break
             b = out.pop(rng.randrange(len(out)))
             outcome = Outcome.SUCCEEDED if n % 50 else Outcome.SERVER_ERROR
-            changes = b.ended(now, b.sent - 1, outcome, outcome is Outcome.SUCCEEDED, now - b.sent_ms)
+            changes = b.on_attempt_end(now, b.attempt_count - 1, outcome, outcome is Outcome.SUCCEEDED, now - b.sent_ms)
         if changes.wake_ms is not None and changes.wake_ms <= now:
-            head.woken(now)
+            head.on_wake_up(now)
     return (time.perf_counter() - began) / requests * 1e6
 
 
--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -20,15 +20,15 @@
 from pebblehinge.interface import (
     Changes,
     DeduplicationScope,
-    Entry,
-    Final,
+    EndpointEntry,
+    EndpointState,
+    FinalAnswerKind,
     Idempotency,
     ListKind,
     Outcome,
     QuotaPlan,
     RequestClass,
     Settings,
-    Standing,
 )
 
 EXPECTED_MS, PATIENCE_MS = 400.0, 2_500.0  # doc-read of examples/head.conf
@@ -43,22 +43,22 @@
     request_classes=(READ,),
     quota_plans=(FREE,),
     mean_units=1.0,
-    most_units=1.0,
+    max_units=1.0,
     share_value=0.35,
     excess_value=0.05,
-    asks_for_list=False,
-    marks_repeats=True,
-    may_cancel=True,
-    stay_away_max_ms=500.0,
-    try_limit=3,
-    step_ms=2.0,
-    cold_share=0.3,
-    warm_ms=10_000.0,
-    fall_multiple=2.0,
+    must_request_watch=False,
+    clients_mark_retries=True,
+    cancellation_allowed=True,
+    max_retry_after_ms=500.0,
+    max_attempts=3,
+    clock_resolution_ms=2.0,
+    slow_start_initial_share=0.3,
+    slow_start_duration_ms=10_000.0,
+    slow_start_failure_multiple=2.0,
     order_settle_ms=0.0,
-    budget_share=None,
-    budget_free=0.0,
-    budget_window_ms=5_000.0,
+    retry_budget_share=None,
+    retry_budget_min_retries=0.0,
+    retry_budget_window_ms=5_000.0,
 )
 
 
@@ -82,13 +82,13 @@
         self.now, self.order, self.ids = 0.0, itertools.count(), itertools.count(1)
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.wakes = [math.inf] * heads
-        entries = [Entry(f"s{s}", Standing.READY, s, 0.0) for s in range(shelfs)]
+        entries = [EndpointEntry(f"s{s}", EndpointState.READY, s, 0.0) for s in range(shelfs)]
         self.heads: list[Scheduler] = []
         for h in range(heads):
             begin = born[h] if born else 0.0
             self.heads.append(Scheduler(settings, self.rng.randrange(1 << 30), begin))
             self.heads[h].start(begin)
-            self.heads[h].listed(begin, ListKind.WHOLE, entries)
+            self.heads[h].apply_endpoint_list(begin, ListKind.WHOLE, entries)
 
     # ---- what a scene says
 
@@ -133,7 +133,7 @@
     ) -> Any:
         """A client's request comes now, of one unit."""
         until = self.now + PATIENCE_MS
-        request, changes = self.heads[h].take(
+        request, changes = self.heads[h].submit(
             self.now, next(self.ids), None, "read", plan, volume, set_size, slot, 1.0, until, False
         )
         request.note, request.came_ms = note, self.now  # before anything asks for them: changes are acted on here
@@ -146,11 +146,11 @@
             for attempt in attempts:
                 self.left(h, request, attempt)
                 when, outcome = self.answers(h, request, attempt)
-                if when > attempt.until_ms:
-                    when, outcome = attempt.until_ms, Outcome.TIMED_OUT
-                self.at(max(when, self.now), self._ends, h, request, request.sent - 1, outcome, self.now)
+                if when > attempt.deadline_ms:
+                    when, outcome = attempt.deadline_ms, Outcome.TIMED_OUT
+                self.at(max(when, self.now), self._ends, h, request, request.attempt_count - 1, outcome, self.now)
             if answer is not None:
-                self.over(h, request, False, answer.why if answer.final is Final.REJECTED else "terminated")
+                self.over(h, request, False, answer.reason if answer.kind is FinalAnswerKind.REJECTED else "terminated")
             for number in cancellations:
                 self.at(self.now, self._ends, h, request, number, Outcome.CANCELLED, self.now)
         if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
@@ -160,15 +160,15 @@
     def _woken(self, h: int, asked: float) -> None:
         if self.wakes[h] == asked:  # else a sooner one has come since, and asked anew
             self.wakes[h] = math.inf
-            self.do(h, self.heads[h].woken(self.now))
+            self.do(h, self.heads[h].on_wake_up(self.now))
 
     def _ends(self, h: int, request: Any, number: int, outcome: Outcome, left: float) -> None:
-        if not request.out or number != request.sent - 1:
+        if not request.attempt_in_flight or number != request.attempt_count - 1:
             return
         succeeded = outcome is Outcome.SUCCEEDED
-        if succeeded and not request.over:
+        if succeeded and not request.closed:
             self.over(h, request, True, "")
-        self.do(h, request.ended(self.now, number, outcome, succeeded or request.over, self.now - left))
+        self.do(h, request.on_attempt_end(self.now, number, outcome, succeeded or request.closed, self.now - left))
 
 
 def with_plan(limit: float, burst: float, slack: float, **figures: Any) -> Settings:
--- a/benchmarks/decisions_learning.py
+++ b/benchmarks/decisions_learning.py
@@ -41,7 +41,7 @@
         return self.fault_ms <= self.now < self.well_ms
 
     def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
-        if attempt.shelf != "s0":
+        if attempt.node_name != "s0":
             return self.now + SHELF_MS, Outcome.SUCCEEDED
         if self.sick() and self.case != "slow":
             return (math.inf, Outcome.TIMED_OUT) if self.case == "hang" else (self.now + 2.0, Outcome.SERVER_ERROR)
@@ -71,7 +71,7 @@
         request = self.take(h, 0, note=note)
         if note == "sick":
             self.asked += 1
-            if not request.sent:
+            if not request.attempt_count:
                 self.learned.setdefault(h, self.now)
 
     def figures(self) -> dict[str, Any]:
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -80,7 +80,7 @@
         return self.now + SHELF_MS, Outcome.SUCCEEDED
 
     def left(self, h: int, request: Any, attempt: Any) -> None:
-        if request.sent == 1:
+        if request.attempt_count == 1:
             self.sends.append(self.now)
             self.used += self.counted_ms <= self.now < self.end_ms
 
@@ -92,7 +92,7 @@
         for _ in range(IN_STEP if self.shape == "bursts" else 1):
             counted = self.now >= self.counted_ms
             self.asked += counted
-            self.let += self.keeper.lets(self.now, EXPECTED_MS - 2 * self.cfg.step_ms) and counted
+            self.let += self.keeper.lets(self.now, EXPECTED_MS - 2 * self.cfg.clock_resolution_ms) and counted
             self.take(h, self.rng.randrange(SLOTS), "limited", "v", self.set_size, counted)
 
     def figures(self) -> dict[str, float]:
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -20,7 +20,11 @@
 
 SHELF_MS = 15.0
 DIES_MS, SETTLED_MS, END_MS = 2_000.0, 4_000.0, 10_000.0
-BUDGET = {"budget_share": 0.15, "budget_free": 3.0, "budget_window_ms": 5_000.0}  # lab/days/_booking.conf
+BUDGET = {
+    "retry_budget_share": 0.15,
+    "retry_budget_min_retries": 3.0,
+    "retry_budget_window_ms": 5_000.0,
+}  # lab/days/_booking.conf
 ERRING = 0.1  # of the requests asked for shelfs that err
 
 
@@ -36,14 +40,14 @@
         self.attempts = self.retries = self.asked = 0
 
     def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
-        if attempt.shelf == "s0" and self.now >= DIES_MS:
+        if attempt.node_name == "s0" and self.now >= DIES_MS:
             return self.now + 1.0, self.outcome
         return self.now + SHELF_MS, Outcome.SUCCEEDED
 
     def left(self, h: int, request: Any, attempt: Any) -> None:
         if self.now >= SETTLED_MS:
-            self.attempts += attempt.shelf == "s0"
-            self.retries += request.sent > 1
+            self.attempts += attempt.node_name == "s0"
+            self.retries += request.attempt_count > 1
 
     def figures(self) -> dict[str, float]:
         heads = len(self.heads)
@@ -83,8 +87,10 @@
             rate = 2.0  # a head, of requests in all: of the 868 a second at the size, what a run can bear
             y = Sums(heads, seed, ERRING * rate, (1 - ERRING) * rate, Outcome.SERVER_ERROR, shape, budget).figures()
             if budget:
-                window_s = budget["budget_window_ms"] / 1000.0
-                y["allowed_s"] = round(heads * (budget["budget_free"] / window_s + budget["budget_share"] * rate), 1)
-                y["allowed_free_s"] = round(heads * budget["budget_free"] / window_s, 1)
+                window_s = budget["retry_budget_window_ms"] / 1000.0
+                y["allowed_s"] = round(
+                    heads * (budget["retry_budget_min_retries"] / window_s + budget["retry_budget_share"] * rate), 1
+                )
+                y["allowed_free_s"] = round(heads * budget["retry_budget_min_retries"] / window_s, 1)
             found.append({"x": {**x, "case": "budget", "budget": bool(budget), "head_s": rate}, "y": y})
     return found
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -81,7 +81,7 @@
         kind = GatewayCore if what == "real" else PassThrough
         server = GatewayServer(loop, clock_of(loop), config, "h1", Quiet(), core=kind)
         await server.start()
-        while len(server.core.module.shelfs.at_slot) < count:
+        while len(server.core.module.nodes.node_at_slot) < count:
             await asyncio.sleep(0.01)
 
     import gc
--- a/benchmarks/head_cost_ends.py
+++ b/benchmarks/head_cost_ends.py
@@ -61,18 +61,18 @@
     """In the decision module's place: every request goes to its shelf at once, and comes back once."""
 
     class Handle:
-        __slots__ = ("id", "attempts", "answer", "over", "out", "module")
+        __slots__ = ("id", "attempts", "answer", "closed", "attempt_in_flight", "module")
 
         def drain(self) -> tuple[list[Attempt], list[int], None]:
             attempts, self.attempts = self.attempts, []
             return attempts, [], None
 
-        def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took: float) -> Changes:
-            self.over, self.out = True, False
+        def on_attempt_end(self, now: float, attempt: int, outcome: Outcome, over: bool, took: float) -> Changes:
+            self.closed, self.attempt_in_flight = True, False
             return Changes()
 
-        def left(self, now: float) -> Changes:
-            self.over = True
+        def on_client_disconnect(self, now: float) -> Changes:
+            self.closed = True
             return Changes()
 
     def __init__(self) -> None:
@@ -84,14 +84,14 @@
     def start(self, now: float) -> Changes:
         return Changes()
 
-    def woken(self, now: float) -> Changes:
+    def on_wake_up(self, now: float) -> Changes:
         return Changes()
 
-    def listed(self, now: float, kind: Any, entries: list[Any]) -> Changes:
-        self.at_slot.update({e.slot: e.shelf for e in entries})
+    def apply_endpoint_list(self, now: float, kind: Any, entries: list[Any]) -> Changes:
+        self.at_slot.update({e.slot: e.node_name for e in entries})
         return Changes()
 
-    def take(
+    def submit(
         self,
         now: float,
         id_: int,
@@ -106,7 +106,7 @@
         again: bool | None,
     ) -> tuple[Any, Changes]:
         handle = self.Handle()
-        handle.id, handle.over, handle.out = id_, False, True
+        handle.id, handle.closed, handle.attempt_in_flight = id_, False, True
         handle.attempts = [Attempt(self.at_slot[slot], deadline_ms)]
         return handle, Changes([handle])
 
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -62,7 +62,7 @@
         def _done(self, name: str, life: Any, changes: Any) -> None:
             self.calls += 1
             rows = [(a.id, a.attempts, a.cancellations, a.answer) for a in changes.handles]
-            self.note((self.now, name, rows, changes.wake_ms, changes.list_calls))
+            self.note((self.now, name, rows, changes.wake_ms, changes.discovery_calls))
             super()._done(name, life, changes)
 
         def note(self, what: Any) -> None:
@@ -73,7 +73,7 @@
         world = Watched(COLD if rule == "cold" else CONFIG, seed, rule)
         world.play(events_of(seed, rule))
         for name, life in world.lives.items():
-            world.note((name, life.head.remembered(world.now)))
+            world.note((name, life.head.snapshot(world.now)))
         yield rule, seed, world.said.hexdigest()[:16], world.calls
 
 
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -18,7 +18,7 @@
 
 from pebblehinge.cli import clock_of
 from pebblehinge.gateway.discovery_link import DiscoveryLink
-from pebblehinge.interface import Entry, ListKind, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
 from pebblehinge.lab.quiet import Quiet
 from pebblehinge.replicated_config import version_application
 from pebblehinge.settings import Config, load
@@ -85,15 +85,15 @@
     def _keep(self, data: bytes) -> None:
         self.kept = data
 
-    def _listed(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
+    def _listed(self, now: float, kind: ListKind, entries: list[EndpointEntry], addresses: dict[str, str]) -> None:
         if kind is ListKind.WHOLE:
             self.ready.clear()
             self.wholes += 1
         for entry in entries:
-            if entry.standing is Standing.READY:
-                self.ready.add(sys.intern(entry.shelf))
+            if entry.state is EndpointState.READY:
+                self.ready.add(sys.intern(entry.node_name))
             else:
-                self.ready.discard(entry.shelf)
+                self.ready.discard(entry.node_name)
         if self.attempts is not None:
             self.attempts.listed(addresses)
 
--- a/pebblehinge/console/node_health.py
+++ b/pebblehinge/console/node_health.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from pebblehinge.decide import CONCURRENCY_LIMIT
+from pebblehinge.decide import MAX_CONCURRENCY
 
 
 class NodeHealth(StrEnum):
@@ -40,10 +40,10 @@
     if nodes.is_down(node, now_ms):
         losses = nodes.consecutive_losses[node]
         return HealthReport(NodeHealth.DOWN, f"{losses} trips lost in a row, or silent with trips out")
-    started_ms = nodes.slow_start_ms[node]
-    if started_ms is not None and now_ms - started_ms < nodes.settings.current.warm_ms:
+    started_ms = nodes.slow_start_since_ms[node]
+    if started_ms is not None and now_ms - started_ms < nodes.settings.current.slow_start_duration_ms:
         return HealthReport(NodeHealth.WARMING_UP, f"{(now_ms - started_ms) / 1000:.1f} s since its start")
     limit = nodes.concurrency_limit[node]
-    if limit < CONCURRENCY_LIMIT:
+    if limit < MAX_CONCURRENCY:
         return HealthReport(NodeHealth.SLOW, f"trips take long: {limit} at a time")
     return HealthReport(NodeHealth.HEALTHY, "")
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -38,7 +38,7 @@
 
     def storage_nodes(self, now_ms: float) -> list[NodeRow]:
         """Each storage node with its health as this gateway sees it, in order of slots."""
-        nodes = self.gateway.core.module.shelfs
+        nodes = self.gateway.core.module.nodes
         rows = []
         for node, name in enumerate(nodes.names):
             report = node_health(nodes, node, now_ms)
@@ -48,7 +48,7 @@
                     slot=nodes.slots[node],
                     health=report.health.value,
                     why=report.reason,
-                    held=len(nodes.queued[node]),
+                    held=len(nodes.queues[node]),
                     out=len(nodes.in_flight[node]),
                     mean_ms=round(nodes.mean_latency(node, now_ms), 1),
                 )
@@ -83,7 +83,7 @@
             outcomes={outcome.value: count for outcome, count in core.outcomes.items()},
             refused_because=dict(core.reasons),
             latency_ms=self._latencies(),
-            waits=sum(len(reserved) for reserved in core.module.shelfs.reserved_slots),
+            waits=sum(len(reserved) for reserved in core.module.nodes.reservations),
             shelfs=nodes,
             volumes=self.volumes(),
             events=self.events.latest(),
@@ -104,9 +104,9 @@
             name=name,
             plan=volume.plan if volume is not None else "",
             limit=plan.limit if plan else 0.0,
-            units=round(buckets.limit, 1) if plan and plan.limit else None,
-            reserve=round(buckets.reserve, 1),
-            share=round(buckets.share, 1),
+            units=round(buckets.limit_tokens, 1) if plan and plan.limit else None,
+            reserve=round(buckets.reserve_tokens, 1),
+            share=round(buckets.share_tokens, 1),
         )
 
     def _rates(self, counts: dict[str, int], now_ms: float) -> dict[str, float]:
--- a/pebblehinge/core/answers.py
+++ b/pebblehinge/core/answers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from pebblehinge.interface import Final
+from pebblehinge.interface import FinalAnswerKind
 
 
 class FinalStatus(IntEnum):
@@ -18,7 +18,7 @@
 
 # The final answers that the scheduler gives. SUCCEEDED is not among them: the request table gives it, on the outcome of
 # an attempt.
-STATUS_OF_FINAL = {Final.REJECTED: FinalStatus.REJECTED, Final.FAILED: FinalStatus.FAILED}
+STATUS_OF_FINAL = {FinalAnswerKind.REJECTED: FinalStatus.REJECTED, FinalAnswerKind.FAILED: FinalStatus.FAILED}
 
 
 @dataclass(slots=True)
--- a/pebblehinge/core/effects.py
+++ b/pebblehinge/core/effects.py
@@ -6,7 +6,7 @@
 
 from pebblehinge.core.answers import FinalStatus
 from pebblehinge.core.pending_request import PendingRequest
-from pebblehinge.interface import ListCall
+from pebblehinge.interface import DiscoveryCall
 
 
 class Effects(Protocol):
@@ -24,5 +24,5 @@
     def wake_at(self, at_ms: float) -> None:
         """Calls `RequestTable.woken` at this clock time."""
 
-    def call_list(self, call: ListCall) -> None:
+    def call_list(self, call: DiscoveryCall) -> None:
         """Calls the service that keeps the endpoint list."""
--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -16,7 +16,7 @@
 from pebblehinge.core.pending_request import PendingRequest
 from pebblehinge.core.wait_tracking import track_attempt_end, track_queued, track_sent
 from pebblehinge.decide import Scheduler
-from pebblehinge.interface import Answer, Attempt, Changes, Entry, Handle, ListKind, Outcome, Settings
+from pebblehinge.interface import Attempt, Changes, EndpointEntry, FinalAnswer, Handle, ListKind, Outcome, Settings
 
 if TYPE_CHECKING:
     from pebblehinge.wait_accounting import WaitAccounting
@@ -94,12 +94,12 @@
         self.open += 1
         self.bytes += len(pending.data)
         volume, units = pending.volume, pending.units
-        pending.request, changes = self.module.take(
+        pending.request, changes = self.module.submit(
             now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, again
         )
         # Before the changes are applied: an attempt that is sent at once was queued for no time.
-        if self.wait_accounting is not None and pending.request.shelf >= 0:
-            track_queued(self.wait_accounting, now, pending, self.module.shelfs.names[pending.request.shelf])
+        if self.wait_accounting is not None and pending.request.node >= 0:
+            track_queued(self.wait_accounting, now, pending, self.module.nodes.names[pending.request.node])
         self._apply(changes, now)
 
     def left(self, now: float, pending: PendingRequest) -> None:
@@ -111,7 +111,7 @@
         self.counts.client_gone += 1
         self.request_ended(pending, None, now)
         assert pending.request is not None
-        changes = pending.request.left(now)
+        changes = pending.request.on_client_disconnect(now)
         self._apply(changes, now)
         self._forget(pending)
 
@@ -132,28 +132,28 @@
         over = pending.answered
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
-        changes = request.ended(now, attempt, outcome, over, took_ms)
+        changes = request.on_attempt_end(now, attempt, outcome, over, took_ms)
         self._apply(changes, now)
         self._forget(pending)
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+    def listed(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
         """Gives the scheduler an endpoint list, or changes to it."""
-        self._apply(self.module.listed(now, kind, entries), now)
+        self._apply(self.module.apply_endpoint_list(now, kind, entries), now)
         if self.wait_accounting is not None:
-            self.wait_accounting.retain(self.module.shelfs.index)
+            self.wait_accounting.retain(self.module.nodes.index)
 
     def woken(self, now: float) -> None:
         """A time has come that was asked for by `Effects.wake_at`."""
         self.wakes += 1
-        self._apply(self.module.woken(now), now)
+        self._apply(self.module.on_wake_up(now), now)
 
     def adopt(self, now: float, settings: Settings) -> None:
         """Takes new settings, which hold for the pending requests too; none is dropped."""
-        self._apply(self.module.adopt(now, settings), now)
+        self._apply(self.module.replace_settings(now, settings), now)
 
     def leaves(self, now: float, end_ms: float) -> None:
         """Begins the shutdown: by clock time `end_ms` the scheduler has answered all that is pending."""
-        self._apply(self.module.leaves(now, end_ms), now)
+        self._apply(self.module.begin_shutdown(now, end_ms), now)
 
     def request_ended(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Called when a request has its final answer, or (`final` is None) lost its client.
@@ -171,7 +171,7 @@
             changes = todo.popleft()
             for handle in changes.handles:
                 self._apply_to_request(handle, now, todo)
-            for call in changes.list_calls:
+            for call in changes.discovery_calls:
                 self.effects.call_list(call)
             if changes.wake_ms is not None:
                 self.effects.wake_at(changes.wake_ms)
@@ -194,11 +194,11 @@
         if number > 0:
             self.retries += 1
         if self.wait_accounting is not None:
-            track_sent(self.wait_accounting, now, pending, attempt.shelf)
-        pending.shelf = attempt.shelf
+            track_sent(self.wait_accounting, now, pending, attempt.node_name)
+        pending.shelf = attempt.node_name
         pending.sent_ms = now
         pending.begin_by_ms = attempt.begin_by_ms
-        self.effects.send_attempt(pending, attempt.shelf, number, attempt.until_ms)
+        self.effects.send_attempt(pending, attempt.node_name, number, attempt.deadline_ms)
         pending.attempts += 1
 
     def _cancel_attempt(self, pending: PendingRequest, handle: Handle, number: int, now: float) -> Changes:
@@ -208,12 +208,12 @@
         self.outcomes[Outcome.CANCELLED] += 1
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
-        return handle.ended(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
+        return handle.on_attempt_end(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
 
-    def _answer_by_scheduler(self, pending: PendingRequest, answer: Answer) -> None:
+    def _answer_by_scheduler(self, pending: PendingRequest, answer: FinalAnswer) -> None:
         if not pending.answered:
-            self.reasons[answer.why] = self.reasons.get(answer.why, 0) + 1
-        self._answer(pending, STATUS_OF_FINAL[answer.final], answer.stay_away_ms, answer.why, b"")
+            self.reasons[answer.reason] = self.reasons.get(answer.reason, 0) + 1
+        self._answer(pending, STATUS_OF_FINAL[answer.kind], answer.retry_after_ms, answer.reason, b"")
 
     def _answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Gives the one final answer; a request that has it already gets no other."""
@@ -228,7 +228,7 @@
     def _forget(self, pending: PendingRequest) -> None:
         """Removes a request that is answered, and of which nothing is in flight or owed any more."""
         request = pending.request
-        if not pending.answered or request is None or not request.over or request.out:
+        if not pending.answered or request is None or not request.closed or request.attempt_in_flight:
             return
         if self.pending.pop(pending.key, None) is None:
             return
--- a/pebblehinge/decide/__init__.py
+++ b/pebblehinge/decide/__init__.py
@@ -1,8 +1,8 @@
 """All scheduling decisions. How they are called stands in interface.py; the way of a request in dispatch.py."""
 
-from pebblehinge.decide.dispatch import NEVER_RAN
-from pebblehinge.decide.node_health import CONCURRENCY_LIMIT
-from pebblehinge.decide.request import REMEMBERED, Request
+from pebblehinge.decide.dispatch import NEVER_RAN_OUTCOMES
+from pebblehinge.decide.node_health import MAX_CONCURRENCY
+from pebblehinge.decide.request import MAX_CACHE_ENTRIES, Request
 from pebblehinge.decide.scheduler import Scheduler
 
-__all__ = ["CONCURRENCY_LIMIT", "NEVER_RAN", "REMEMBERED", "Request", "Scheduler"]
+__all__ = ["MAX_CACHE_ENTRIES", "MAX_CONCURRENCY", "NEVER_RAN_OUTCOMES", "Request", "Scheduler"]
--- a/pebblehinge/decide/anticipation.py
+++ b/pebblehinge/decide/anticipation.py
@@ -17,26 +17,32 @@
     """
 
     def __init__(self, shelfs: NodeHealth, extents: dict[str, ExtentState], notes: ChangeSet) -> None:
-        self.shelfs = shelfs
+        self.nodes = shelfs
         self.extents = extents
-        self.notes = notes
+        self.change_set = notes
 
-    def pays(self, node: int, candidate: Request, done: str, now: float) -> bool:
+    def try_reserve(self, node: int, candidate: Request, done: str, now: float) -> bool:
         """Weighs benefit against cost (paper 3.3) of keeping the freed slot for the extent's next request.
 
         Returns:
             Whether the wait pays; the slot is then reserved.
         """
         state = self.extents.get(done)
-        sequential_ms = self.shelfs.sequential_latency_ms[node]
-        if state is None or state.open or state.answered_ms is None or not state.counts or not sequential_ms:
+        sequential_ms = self.nodes.sequential_latency_ms[node]
+        if (
+            state is None
+            or state.open_requests
+            or state.idle_since_ms is None
+            or not state.think_time_counts
+            or not sequential_ms
+        ):
             return False  # without an average the benefit is 0 (design)
-        is_sequential = candidate.extent == self.shelfs.last_extent[node]
-        expected_ms = sequential_ms if is_sequential else self.shelfs.random_latency_ms[node]
-        elapsed_ms = now - state.answered_ms
-        until_ms = state.answered_ms + state.quantile(0.95)
-        if expected_ms - sequential_ms <= max(0.0, state.quantile(0.5) - elapsed_ms) or until_ms <= now:
+        is_sequential = candidate.extent == self.nodes.last_extent[node]
+        expected_ms = sequential_ms if is_sequential else self.nodes.random_latency_ms[node]
+        elapsed_ms = now - state.idle_since_ms
+        until_ms = state.idle_since_ms + state.think_time_quantile(0.95)
+        if expected_ms - sequential_ms <= max(0.0, state.think_time_quantile(0.5) - elapsed_ms) or until_ms <= now:
             return False
-        self.shelfs.reserved_slots[node].append((done, until_ms))
-        self.notes.wake(until_ms, node)
+        self.nodes.reservations[node].append((done, until_ms))
+        self.change_set.request_wake_up(until_ms, node)
         return True
--- a/pebblehinge/decide/load_shedding.py
+++ b/pebblehinge/decide/load_shedding.py
@@ -6,12 +6,12 @@
 from bisect import insort
 
 from pebblehinge.decide.limits import Limits
-from pebblehinge.decide.node_health import CONCURRENCY_LIMIT
-from pebblehinge.decide.request import FLOOR, ExtentState, Request
-from pebblehinge.interface import Answer, DeduplicationScope, Final, Idempotency
+from pebblehinge.decide.node_health import MAX_CONCURRENCY
+from pebblehinge.decide.request import EPSILON, ExtentState, Request
+from pebblehinge.interface import DeduplicationScope, FinalAnswer, FinalAnswerKind, Idempotency
 
-IDLE = 1.7  # latency of an idle node, in lower quartiles of the latencies of all nodes
-TEMPER = 2.0  # exponent: how much more room to spare is asked of what earns less than usual
+IDLE_LATENCY_QUARTILES = 1.7  # latency of an idle node, in lower quartiles of the latencies of all nodes
+VALUE_EXPONENT = 2.0  # exponent: how much more room to spare is asked of what earns less than usual
 
 
 class LoadShedder:
@@ -25,8 +25,8 @@
     def __init__(self, limits: Limits, extents: dict[str, ExtentState]) -> None:
         self.limits = limits
         self.extents = extents
-        self.notes = limits.notes
-        self.shelfs = limits.shelfs
+        self.change_set = limits.change_set
+        self.nodes = limits.nodes
         self.valuation = limits.valuation
 
     def shed(self, node: int, now: float) -> None:
@@ -38,13 +38,13 @@
         little to choose from: what earns less than usual here needs more room to spare, what earns more needs less.
         Harm: some are given up that the node could have served.
         """
-        shelfs = self.shelfs
-        queued = shelfs.queued[node]
+        shelfs = self.nodes
+        queued = shelfs.queues[node]
         mean_ms = shelfs.mean_latency(node, now)
         concurrency_limit = shelfs.concurrency_limit[node]
         if not queued:
             return
-        idle_ms = min(mean_ms, IDLE * shelfs.low_quartile_ms)
+        idle_ms = min(mean_ms, IDLE_LATENCY_QUARTILES * shelfs.low_quartile_ms)
         is_down = shelfs.is_down(node, now)
         room = concurrency_limit - len(shelfs.in_flight[node])
         position = 0
@@ -54,11 +54,11 @@
             return
         while position < len(queued):
             request = queued[position]
-            ready_ms = self.limits.earliest(request, now)
-            value = self.valuation.mean_value_per_unit / max(request.value_per_unit, FLOOR)
-            needs_ms = request.size * (idle_ms + (mean_ms - idle_ms) * value**TEMPER)
+            ready_ms = self.limits.earliest_send_ms(request, now)
+            value = self.valuation.mean_value_per_unit / max(request.value_per_unit, EPSILON)
+            needs_ms = request.relative_duration * (idle_ms + (mean_ms - idle_ms) * value**VALUE_EXPONENT)
             if ready_ms > now and ready_ms + needs_ms > request.due_ms:  # at whatever cost to others
-                self.give_up(request, "too late by " + request.waits_for)
+                self.give_up(request, "too late by " + request.delay_reason)
                 continue
             if now + needs_ms >= request.due_ms and request.due_ms < request.deadline_ms:
                 # Late value takes only capacity that nobody else wants.
@@ -66,7 +66,7 @@
                 continue
             if least:
                 heapq.heappush(least, (request.value_per_unit, -request.due_ms, -request.seq, request))
-            while request.queued and (
+            while request.is_queued and (
                 (is_down and position)
                 or now >= request.deadline_ms
                 or now + needs_ms + mean_ms * max(0, position + 1 - room) / concurrency_limit > request.due_ms
@@ -78,24 +78,26 @@
                 expired = now >= victim.deadline_ms
                 self.give_up(victim, "its time is up" if expired else "others earn more there")
                 position -= victim is not request
-            position += request.queued
+            position += request.is_queued
         if queued:  # rule 1: whichever node a request has been queued at, the next end is asked for there
-            self.notes.wake(min(r.deadline_ms if r.due_ms >= r.deadline_ms else r.due_ms for r in queued), node)
+            self.change_set.request_wake_up(
+                min(r.deadline_ms if r.due_ms >= r.deadline_ms else r.due_ms for r in queued), node
+            )
 
     def _give_up_all(self, node: int) -> None:
-        for request in list(self.shelfs.queued[node]):
+        for request in list(self.nodes.queues[node]):
             self.give_up(request, "its shelf is down")
 
     def _is_narrowed(self, node: int) -> bool:
         """Whether a node with attempts in flight gets fewer at once than a healthy one."""
-        return self.shelfs.concurrency_limit[node] < CONCURRENCY_LIMIT and bool(self.shelfs.in_flight[node])
+        return self.nodes.concurrency_limit[node] < MAX_CONCURRENCY and bool(self.nodes.in_flight[node])
 
     def _lower_to_late_value(self, request: Request, give_up: bool) -> None:
         """Queues a request that will be late anew by its late value, or gives it up."""
         if give_up:
             self.give_up(request, "its shelf is too slow for it")
             return
-        queued = self.shelfs.queued[request.shelf]
+        queued = self.nodes.queues[request.node]
         queued.remove(request)
         request.due_ms = request.deadline_ms
         request.value_per_unit *= request.request_class.late_value_share
@@ -106,28 +108,32 @@
 
         A rejection comes with a Retry-After that is drawn, so that clients don't come back in step.
         """
-        repeat = request.request_class.repeat
-        group = request.request_class.group
+        repeat = request.request_class.idempotency
+        group = request.request_class.deduplication_scope
         harmless = (
-            (request.risk_ms is None and not request.out)
+            (request.may_have_run_since_ms is None and not request.attempt_in_flight)
             or repeat is Idempotency.IDEMPOTENT
             or (repeat is Idempotency.IDEMPOTENT_WITH_KEY and group is DeduplicationScope.ALL)
         )
-        stay_away_ms = self.shelfs.settings.current.stay_away_max_ms * self.shelfs.rng.uniform(0.5, 1.0)
-        request.answer = Answer(Final.REJECTED, stay_away_ms, why) if harmless else Answer(Final.FAILED, why=why)
-        self.valuation.give_back(request)
-        self.notes.changed(request)
+        stay_away_ms = self.nodes.settings.current.max_retry_after_ms * self.nodes.rng.uniform(0.5, 1.0)
+        request.answer = (
+            FinalAnswer(FinalAnswerKind.REJECTED, stay_away_ms, why)
+            if harmless
+            else FinalAnswer(FinalAnswerKind.FAILED, reason=why)
+        )
+        self.valuation.refund(request)
+        self.change_set.add_handle(request)
         self.close(request)
 
     def close(self, request: Request) -> None:
         """Nothing more is owed to the client: takes the request out of its queue and of its extent's count."""
-        if request.queued:
-            self.shelfs.queued[request.shelf].remove(request)
-            request.queued = False
-            self.limits.queued_retries -= request.sent > 0
-        if not request.over:
-            request.over = True
+        if request.is_queued:
+            self.nodes.queues[request.node].remove(request)
+            request.is_queued = False
+            self.limits.queued_retries -= request.attempt_count > 0
+        if not request.closed:
+            request.closed = True
             state = self.extents.get(request.extent) if request.extent is not None else None
             if state is not None:
-                state.open -= state.open > 0
-        self.limits.on_closed(request)
+                state.open_requests -= state.open_requests > 0
+        self.limits.on_close(request)
--- a/pebblehinge/decide/request.py
+++ b/pebblehinge/decide/request.py
@@ -6,12 +6,12 @@
 from pebblehinge.scheduler_state import RequestHandle
 from pebblehinge.scheduler_state.request_handle import RequestOwner
 
-BUCKET_MS = 0.5  # width of a think time's bucket (paper 3.3)
-BUCKETS = 400  # think times past the last bucket count in it
-FADE = 0.9  # what is left of the counts at each new think time (paper 3.3)
-LEAST_COUNT = 0.01  # a bucket that has faded below is dropped
-REMEMBERED = 4096  # extents, and volumes at rest for a minute: the least recently used goes first
-FLOOR = 1e-9  # in place of a divisor of 0, and what counts as none
+THINK_TIME_BUCKET_MS = 0.5  # width of a think time's bucket (paper 3.3)
+MAX_THINK_TIME_BUCKET = 400  # think times past the last bucket count in it
+THINK_TIME_DECAY = 0.9  # what is left of the counts at each new think time (paper 3.3)
+MIN_THINK_TIME_COUNT = 0.01  # a bucket that has faded below is dropped
+MAX_CACHE_ENTRIES = 4096  # extents, and volumes at rest for a minute: the least recently used goes first
+EPSILON = 1e-9  # in place of a divisor of 0, and what counts as none
 
 
 class ExtentState:
@@ -22,28 +22,32 @@
             the client's next one.
     """
 
-    __slots__ = ("counts", "answered_ms", "open", "slow_start_turn")
+    __slots__ = ("think_time_counts", "idle_since_ms", "open_requests", "slow_start_turn")
 
     def __init__(self, slow_start_turn: float) -> None:
         self.slow_start_turn = slow_start_turn
-        self.counts: dict[int, float] = {}  # faded counts by bucket
-        self.answered_ms: float | None = None  # when its last request ended, while none is open
-        self.open = 0
+        self.think_time_counts: dict[int, float] = {}  # faded counts by bucket
+        self.idle_since_ms: float | None = None  # when its last request ended, while none is open
+        self.open_requests = 0
 
-    def note(self, think_time_ms: float) -> None:
+    def add_think_time(self, think_time_ms: float) -> None:
         """Counts a think time; the earlier ones fade."""
-        self.counts = {b: n * FADE for b, n in self.counts.items() if n * FADE >= LEAST_COUNT}
-        bucket = min(int(think_time_ms / BUCKET_MS), BUCKETS)
-        self.counts[bucket] = self.counts.get(bucket, 0.0) + 1.0
+        self.think_time_counts = {
+            b: n * THINK_TIME_DECAY
+            for b, n in self.think_time_counts.items()
+            if n * THINK_TIME_DECAY >= MIN_THINK_TIME_COUNT
+        }
+        bucket = min(int(think_time_ms / THINK_TIME_BUCKET_MS), MAX_THINK_TIME_BUCKET)
+        self.think_time_counts[bucket] = self.think_time_counts.get(bucket, 0.0) + 1.0
 
-    def quantile(self, part: float) -> float:
+    def think_time_quantile(self, part: float) -> float:
         """Returns the think time (ms) that this part of them, 0 to 1, does not exceed; there has to be a count."""
-        left = part * sum(self.counts.values())
-        for bucket in sorted(self.counts):
-            left -= self.counts[bucket]
-            if left <= FLOOR:
+        left = part * sum(self.think_time_counts.values())
+        for bucket in sorted(self.think_time_counts):
+            left -= self.think_time_counts[bucket]
+            if left <= EPSILON:
                 break
-        return (bucket + 1) * BUCKET_MS
+        return (bucket + 1) * THINK_TIME_BUCKET_MS
 
 
 class Request(RequestHandle):
@@ -93,20 +97,22 @@
         self.set_size = set_size
         self.slot = slot
         self.units = units
-        self.size = size
+        self.relative_duration = size
         self.slow_start_turn = slow_start_turn
         self.due_ms = due_ms
         self.deadline_ms = deadline_ms
-        self.shelf = -1  # index of its node
-        self.queued = False
-        self.over = False  # nothing more is owed to the client
-        self.sequential = False  # its attempt follows one to the same extent
+        self.node = -1  # index of its node
+        self.is_queued = False
+        self.closed = False  # nothing more is owed to the client
+        self.is_sequential = False  # its attempt follows one to the same extent
         self.sent_ms = 0.0  # when its last attempt was sent
-        self.risk_ms: float | None = None  # when the first attempt that may have run was sent
-        self.overtaken = 0.0  # later attempts that were answered before its own; -inf once that one is cancelled
-        self.charged = (0.0, 0.0)  # units taken from its volume's reserve and share
+        self.may_have_run_since_ms: float | None = None  # when the first attempt that may have run was sent
+        self.overtaking_answers = (
+            0.0  # later attempts that were answered before its own; -inf once that one is cancelled
+        )
+        self.charged_units = (0.0, 0.0)  # units taken from its volume's reserve and share
         self.value_per_unit = 0.0
-        self.waits_for = ""  # what holds it back, in words for the answer
+        self.delay_reason = ""  # what holds it back, in words for the answer
 
     def __lt__(self, other: Request) -> bool:
         return (self.due_ms, self.seq) < (other.due_ms, other.seq)
--- a/pebblehinge/decide/retries.py
+++ b/pebblehinge/decide/retries.py
@@ -6,18 +6,20 @@
 from bisect import insort
 
 from pebblehinge.decide.limits import Limits
-from pebblehinge.decide.node_health import LATENCIES
+from pebblehinge.decide.node_health import SILENCE_LATENCIES
 from pebblehinge.decide.request import Request
 from pebblehinge.interface import Outcome
 
-RETRYABLE = (  # a further attempt may succeed
+RETRYABLE_OUTCOMES = (  # a further attempt may succeed
     Outcome.SERVER_ERROR,
     Outcome.OVERLOADED,
     Outcome.CONNECT_FAILED,
     Outcome.CONNECTION_LOST,
     Outcome.CANCELLED,
 )
-OVERTAKEN = 3  # later attempts answered first, after which an attempt out for LATENCIES mean latencies counts as lost
+MIN_OVERTAKING_ANSWERS = (
+    3  # later attempts answered first, after which an attempt out for LATENCIES mean latencies counts as lost
+)
 
 
 class Retries:
@@ -30,22 +32,22 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.settings = limits.settings
-        self.shelfs = limits.shelfs
-        self.notes = limits.notes
+        self.nodes = limits.nodes
+        self.change_set = limits.change_set
 
     def queue(self, request: Request, node: int, now: float, outcome: Outcome) -> bool:
         """Queues a failed request again, for the only node that has its data; returns whether it did."""
-        shelfs = self.shelfs
-        late = now + shelfs.mean_latency(node, now) * request.size > request.deadline_ms
+        shelfs = self.nodes
+        late = now + shelfs.mean_latency(node, now) * request.relative_duration > request.deadline_ms
         moved = 0 <= request.slot != shelfs.slots[node]  # its data is elsewhere by now
-        spent = request.sent >= self.settings.current.try_limit
-        if not shelfs.ready[node] or late or moved or spent or outcome not in RETRYABLE:
+        spent = request.attempt_count >= self.settings.current.max_attempts
+        if not shelfs.ready[node] or late or moved or spent or outcome not in RETRYABLE_OUTCOMES:
             return False
         if shelfs.is_down(node, now) or not self.limits.may_retry(request, now, 1):
             return False
         self.limits.queued_retries += 1
-        request.queued = True
-        insort(shelfs.queued[node], request)
+        request.is_queued = True
+        insort(shelfs.queues[node], request)
         return True
 
     def cancel_overtaken(self, answered: Request, node: int, now: float) -> None:
@@ -55,18 +57,25 @@
         request's units are allowed for.
         """
         settings = self.settings.current
-        for request in self.shelfs.in_flight[node]:
+        for request in self.nodes.in_flight[node]:
             if request.sent_ms >= answered.sent_ms:
                 break
-            request.overtaken += 1
-            usual_ms = self.shelfs.mean_latency(node, now) * max(1.0, request.size)
-            lost = request.overtaken >= OVERTAKEN and now - request.sent_ms >= LATENCIES * usual_ms
-            useful = not request.over and now + usual_ms <= request.due_ms and request.sent < settings.try_limit
-            if lost and useful and settings.may_cancel and self.limits.may_retry(request, now, 1, True):
+            request.overtaking_answers += 1
+            usual_ms = self.nodes.mean_latency(node, now) * max(1.0, request.relative_duration)
+            lost = (
+                request.overtaking_answers >= MIN_OVERTAKING_ANSWERS
+                and now - request.sent_ms >= SILENCE_LATENCIES * usual_ms
+            )
+            useful = (
+                not request.closed
+                and now + usual_ms <= request.due_ms
+                and request.attempt_count < settings.max_attempts
+            )
+            if lost and useful and settings.cancellation_allowed and self.limits.may_retry(request, now, 1, True):
                 self.cancel(request)
 
     def cancel(self, request: Request) -> None:
         """Asks for the cancellation of the attempt in flight, once."""
-        request.overtaken = -math.inf
-        request.cancellations.append(request.sent - 1)
-        self.notes.changed(request)
+        request.overtaking_answers = -math.inf
+        request.cancellations.append(request.attempt_count - 1)
+        self.change_set.add_handle(request)
--- a/pebblehinge/gateway/discovery_link.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from pebblehinge.interface import Entry, ListCall, ListKind, Standing
+from pebblehinge.interface import DiscoveryCall, EndpointEntry, EndpointState, ListKind
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session, WireError
@@ -21,7 +21,7 @@
 MAX_QUOTED_WORD, MAX_QUOTED_NAME = 20, 60
 """Characters of a wrong word or its node's name that the text of an error repeats."""
 
-ListReceived = Callable[[float, ListKind, list[Entry], dict[str, str]], None]
+ListReceived = Callable[[float, ListKind, list[EndpointEntry], dict[str, str]], None]
 """Takes the time, the kind of a list, its entries, and the addresses of its storage nodes by name."""
 
 
@@ -78,7 +78,7 @@
         self.list_received = list_received
         self.polls = polls
         self.connection: _DiscoveryConnection | None = None
-        self.calls: list[ListCall] = []
+        self.calls: list[DiscoveryCall] = []
         self.closed = False
         self._dialing: asyncio.Task[None] | None = None
         self._redial_timer: asyncio.TimerHandle | None = None
@@ -87,7 +87,7 @@
         """Begins a dial."""
         self._dialing = self.loop.create_task(self._connect())
 
-    def call(self, call: ListCall) -> None:
+    def call(self, call: DiscoveryCall) -> None:
         """Asks for the list, at once or when there is a connection."""
         if self.connection is None:
             self.calls.append(call)
@@ -127,12 +127,12 @@
         now = self.clock()
         if kind not in LIST_KINDS:
             raise WireError(f"LIST: kind {kind[:MAX_QUOTED_WORD]!r}: expected one of {', '.join(LIST_KINDS)}")
-        entries: list[Entry] = []
+        entries: list[EndpointEntry] = []
         addresses: dict[str, str] = {}
         for node, address, state, slot, age_ms in rows:
             # The list says how long ago a node started: no wall clock of another machine is trusted.
             start_ms = max(0.0, now - age_ms) if age_ms >= 0 else 0.0
-            entries.append(Entry(node, _read_state(state, node), slot, start_ms))
+            entries.append(EndpointEntry(node, _read_state(state, node), slot, start_ms))
             addresses[node] = address
         self.list_received(now, LIST_KINDS[kind], entries, addresses)
 
@@ -149,10 +149,10 @@
             self._redial_timer = self.loop.call_later(self.rng.uniform(*REDIAL_S), self.start)
 
 
-def _read_state(state: str, node: str) -> Standing:
+def _read_state(state: str, node: str) -> EndpointState:
     """Returns an endpoint's state by its word on the wire."""
     try:
-        return Standing(state)
+        return EndpointState(state)
     except ValueError:
         quoted = f"{state[:MAX_QUOTED_WORD]!r} of {node[:MAX_QUOTED_NAME]!r}"
         raise WireError(f"LIST: standing {quoted} is not known") from None
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -16,7 +16,7 @@
 from pebblehinge.gateway.discovery_link import DiscoveryLink
 from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
 from pebblehinge.gateway.node_link import NodeLink
-from pebblehinge.interface import Entry, ListCall, ListKind, Outcome
+from pebblehinge.interface import DiscoveryCall, EndpointEntry, ListKind, Outcome
 from pebblehinge.settings.schema import Config, HeadBlock
 
 TIMER_SLACK_S = 0.0005
@@ -116,7 +116,7 @@
             self._wake_ms = at_ms
             self.wake_timer = self.loop.call_at(at_ms / 1000.0 + TIMER_SLACK_S, self._wake)
 
-    def call_list(self, call: ListCall) -> None:
+    def call_list(self, call: DiscoveryCall) -> None:
         """Asks discovery for its list."""
         self.discovery.call(call)
 
@@ -138,14 +138,14 @@
         self.now = now
         self.core.ended(now, pending, attempt, outcome, took_ms, data)
 
-    def _on_list(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
+    def _on_list(self, now: float, kind: ListKind, entries: list[EndpointEntry], addresses: dict[str, str]) -> None:
         self.now = now
         for node, address in addresses.items():
             self._link_to(node, address)
-        self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
+        self.note(now, "listed", kind=kind.value, entries=[(e.node_name, e.state.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.listed(now, kind, entries)
-        for node in [name for name in self.links if name not in self.core.module.shelfs.index]:
+        for node in [name for name in self.links if name not in self.core.module.nodes.index]:
             self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
 
     def _link_to(self, node: str, address: str) -> None:
--- a/pebblehinge/gateway/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -53,11 +53,11 @@
         yield GaugeMetricFamily("pebblehinge_connections", "Connections of clients", value=len(gateway.conns))
 
     def _storage_nodes(self) -> Iterator[Metric]:
-        nodes = self.gateway.core.module.shelfs
+        nodes = self.gateway.core.module.nodes
         queued = GaugeMetricFamily("pebblehinge_shelf_held", "Accesses held, by shelf", labels=["shelf"])
         in_flight = GaugeMetricFamily("pebblehinge_shelf_away", "Trips out, by shelf", labels=["shelf"])
         for index, name in enumerate(list(nodes.names)):
-            queued.add_metric([name], len(nodes.queued[index]))
+            queued.add_metric([name], len(nodes.queues[index]))
             in_flight.add_metric([name], len(nodes.in_flight[index]))
         yield queued
         yield in_flight
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -37,7 +37,7 @@
         except (StorageError, OSError) as error:
             context.log.warning("memory is not taken up", why=str(error))
             return
-        context.core.module.recall(context.clock(), recalled.state, recalled.age_ms, recalled.complete)
+        context.core.module.restore(context.clock(), recalled.state, recalled.age_ms, recalled.complete)
         shelfs, extents = len(recalled.state["shelfs"]), len(recalled.state["thinks"])
         context.log.info("memory", what=recalled.summary, shelfs=shelfs, extents=extents)
 
@@ -45,7 +45,7 @@
         """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
         context = self.context
         self.settings_mark = memory.mark_of(context.config.module_settings(context.block))
-        state = context.core.module.remembered(context.clock())
+        state = context.core.module.snapshot(context.clock())
         snapshot = memory.Snapshot(context.name, self.settings_mark, *self.times(), complete, state)
 
         def write() -> None:
--- a/pebblehinge/interface.py
+++ b/pebblehinge/interface.py
@@ -51,7 +51,7 @@
     NOT_SENT = "moot"  # never sent
 
 
-class Standing(Enum):
+class EndpointState(Enum):
     """The state of a storage node in the endpoint list."""
 
     READY = "ready"
@@ -68,13 +68,13 @@
     FAILED = "failed"
 
 
-class ListCall(Enum):
+class DiscoveryCall(Enum):
     """A call to discovery."""
 
     WATCH = "watch"
 
 
-class Final(Enum):
+class FinalAnswerKind(Enum):
     """A final answer that the gateway gives by itself. The values are words of answers that clients match on."""
 
     REJECTED = "pushed back"
@@ -90,9 +90,9 @@
     latency_objective_ms: float  # an answer later than this counts with late_value_share of its value
     max_wait_ms: float  # how long its clients wait
     late_value_share: float
-    repeat: Idempotency
-    group: DeduplicationScope
-    window_ms: float  # for how long an idempotency key is known, from the first attempt that may have run
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_ms: float  # for how long an idempotency key is known, from the first attempt that may have run
     in_order: bool  # one at a time per extent, in order of arrival
 
 
@@ -102,11 +102,11 @@
 
     name: str
     rate: float  # the usual one
-    reserve: float  # rate that counts with its full value
+    reserved_rate: float  # rate that counts with its full value
     limit_rate: float  # 0 is no limit
     limit_burst: float  # units
     limit_slack: float  # units
-    weight: float  # of its share beyond the reserve
+    share_weight: float  # of its share beyond the reserve
     value_factor: float
 
 
@@ -117,30 +117,30 @@
     request_classes: tuple[RequestClass, ...]
     quota_plans: tuple[QuotaPlan, ...]
     mean_units: float  # of a request
-    most_units: float  # of a request
+    max_units: float  # of a request
     share_value: float  # value of a unit inside the volume's share but beyond its reserve
     excess_value: float  # value of a unit beyond both
-    asks_for_list: bool  # discovery has to be asked for a watch; else it pushes lists
-    marks_repeats: bool  # clients say whether a request is a retry of theirs
-    may_cancel: bool
-    stay_away_max_ms: float  # the longest Retry-After, 0 where none may be given
-    try_limit: int  # attempts a request
-    step_ms: float  # resolution of the clock
-    cold_share: float  # of its capacity that a node has at its start
-    warm_ms: float  # duration of a slow start
-    fall_multiple: float  # a node that is warming up fails at this multiple of what it can do
+    must_request_watch: bool  # discovery has to be asked for a watch; else it pushes lists
+    clients_mark_retries: bool  # clients say whether a request is a retry of theirs
+    cancellation_allowed: bool
+    max_retry_after_ms: float  # the longest Retry-After, 0 where none may be given
+    max_attempts: int  # attempts a request
+    clock_resolution_ms: float  # resolution of the clock
+    slow_start_initial_share: float  # of its capacity that a node has at its start
+    slow_start_duration_ms: float  # duration of a slow start
+    slow_start_failure_multiple: float  # a node that is warming up fails at this multiple of what it can do
     order_settle_ms: float  # wait in an extent's queue after an attempt that may still run
-    budget_share: float | None  # retry budget as a share of requests, None for no budget
-    budget_free: float  # retries a window allowed in any case
-    budget_window_ms: float
+    retry_budget_share: float | None  # retry budget as a share of requests, None for no budget
+    retry_budget_min_retries: float  # retries a window allowed in any case
+    retry_budget_window_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class EndpointEntry:
     """One line of an endpoint list. A start of 0 is long ago."""
 
-    shelf: str
-    standing: Standing
+    node_name: str
+    state: EndpointState
     slot: int
     started_ms: float
 
@@ -149,18 +149,18 @@
 class Attempt:
     """An attempt to send. Times are on the caller's clock."""
 
-    shelf: str
-    until_ms: float  # its deadline: abandoned then
+    node_name: str
+    deadline_ms: float  # its deadline: abandoned then
     begin_by_ms: float = float("inf")  # by when all of it has to have left, else it is not to begin
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class FinalAnswer:
     """A final answer. `why` says in a few words, for people, which rule gave it."""
 
-    final: Final
-    stay_away_ms: float = 0.0  # Retry-After, 0 is none
-    why: str = ""
+    kind: FinalAnswerKind
+    retry_after_ms: float = 0.0  # Retry-After, 0 is none
+    reason: str = ""
 
 
 class Handle(Protocol):
@@ -168,20 +168,20 @@
 
     id: int
     seq: int
-    shelf: int  # index of its node, under 0 where it has none
-    out: bool  # an attempt is in flight
-    over: bool  # nothing more is owed
+    node: int  # index of its node, under 0 where it has none
+    attempt_in_flight: bool  # an attempt is in flight
+    closed: bool  # nothing more is owed
 
-    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
+    def on_attempt_end(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
         """An attempt, counted from 0, has ended; `over` says that nothing more is owed to the client."""
 
-    def begun(self, now: float) -> Changes:
+    def on_response_start(self, now: float) -> Changes:
         """The answer has begun to stream."""
 
-    def left(self, now: float) -> Changes:
+    def on_client_disconnect(self, now: float) -> Changes:
         """The client is gone."""
 
-    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
+    def drain(self) -> tuple[list[Attempt], list[int], FinalAnswer | None]:
         """Returns what is new since the last call: attempts, numbers of attempts to cancel, the final answer."""
 
 
@@ -191,4 +191,4 @@
 
     handles: list[Handle] = field(default_factory=list)
     wake_ms: float | None = None
-    list_calls: list[ListCall] = field(default_factory=list)
+    discovery_calls: list[DiscoveryCall] = field(default_factory=list)
--- a/pebblehinge/platform_settings.py
+++ b/pebblehinge/platform_settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pebblehinge.interface import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings, Standing
+from pebblehinge.interface import DeduplicationScope, EndpointState, Idempotency, QuotaPlan, RequestClass, Settings
 
 T = TypeVar("T")
 
@@ -20,7 +20,7 @@
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 DEDUPLICATION_SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
-STANDINGS = {"Ready": Standing.READY, "Terminating": Standing.DRAINING, "Gone": Standing.GONE}
+ENDPOINT_STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.GONE}
 
 
 class PlatformSettingsError(Exception):
@@ -44,7 +44,7 @@
             raise PlatformSettingsError(f"{whole}: {place or 'the whole'} is no object: expected named values")
         self.raw: dict[str, Any] = raw
         self.place = place
-        self.whole = whole
+        self.document = whole
 
     def get(self, key: str, kind: type[T], default: T | None = None, scale: float = 1.0) -> T:
         """Returns the value of a key.
@@ -59,30 +59,30 @@
         if key not in self.raw:
             if default is not None:
                 return default
-            raise PlatformSettingsError(f"{self.whole}: {where} is missing: expected {kind.__name__}")
+            raise PlatformSettingsError(f"{self.document}: {where} is missing: expected {kind.__name__}")
         try:
             value: Any = msgspec.convert(self.raw[key], kind)
         except msgspec.ValidationError as error:
-            raise PlatformSettingsError(f"{self.whole}: {where}: {error}") from None
+            raise PlatformSettingsError(f"{self.document}: {where}: {error}") from None
         converted: T = value * scale if kind is float else value
         return converted
 
-    def word(self, key: str, words: dict[str, T], default: str | None = None) -> T:
+    def choice(self, key: str, words: dict[str, T], default: str | None = None) -> T:
         """Returns what the table has for the word under a key, or for the default where the key is missing."""
         value = self.get(key, str, default)
         if value not in words:
             expected = ", ".join(words)
-            raise PlatformSettingsError(f"{self.whole}: {self.place}.{key} is {value!r}: expected one of {expected}")
+            raise PlatformSettingsError(f"{self.document}: {self.place}.{key} is {value!r}: expected one of {expected}")
         return words[value]
 
-    def sub(self, key: str) -> SettingsReader:
+    def child(self, key: str) -> SettingsReader:
         """Returns a reader of the object under a key."""
-        return SettingsReader(self.get(key, dict), self._place_of(key), self.whole)
+        return SettingsReader(self.get(key, dict), self._place_of(key), self.document)
 
     def rows(self, key: str) -> list[SettingsReader]:
         """Returns readers of the objects in the list under a key."""
         rows = self.get(key, list)
-        return [SettingsReader(row, f"{key}[{i}]", self.whole) for i, row in enumerate(rows)]
+        return [SettingsReader(row, f"{key}[{i}]", self.document) for i, row in enumerate(rows)]
 
     def _place_of(self, key: str) -> str:
         return f"{self.place}.{key}" if self.place else key
@@ -95,9 +95,9 @@
         latency_objective_ms=row.get("on_time_s", float, scale=MS_PER_S),
         max_wait_ms=row.get("give_up_s", float, scale=MS_PER_S),
         late_value_share=row.get("late_worth", float, 0.0),
-        repeat=row.word("effect", IDEMPOTENCY_BY_EFFECT),
-        group=row.word("group", DEDUPLICATION_SCOPES, "all"),
-        window_ms=row.get("repeat_window_s", float, 0.0, scale=MS_PER_S),
+        idempotency=row.choice("effect", IDEMPOTENCY_BY_EFFECT),
+        deduplication_scope=row.choice("group", DEDUPLICATION_SCOPES, "all"),
+        deduplication_window_ms=row.get("repeat_window_s", float, 0.0, scale=MS_PER_S),
         in_order=row.get("sequential", bool, False),
     )
 
@@ -106,11 +106,11 @@
     return QuotaPlan(
         name=row.get("name", str),
         rate=row.get("base_rate", float),
-        reserve=row.get("reserve", float, 0.0),
+        reserved_rate=row.get("reserve", float, 0.0),
         limit_rate=row.get("ceiling_rate", float, 0.0),
         limit_burst=row.get("limit_burst", float, 0.0),
         limit_slack=row.get("cap_slack", float, 0.0),
-        weight=row.get("proportion", float, 1.0),
+        share_weight=row.get("proportion", float, 1.0),
         value_factor=row.get("worth_factor", float, 1.0),
     )
 
@@ -125,9 +125,9 @@
         PlatformSettingsError: a value is missing or not as it should be.
     """
     env = SettingsReader(raw, "")
-    caps = env.sub("ceilings")
-    rules = env.sub("rules")
-    info = env.sub("family_info")
+    caps = env.child("ceilings")
+    rules = env.child("rules")
+    info = env.child("family_info")
     habits = SettingsReader(env.get("client_habits", dict, {}), "client_habits")
     has_budget = "repeat_ratio" in rules.raw or "min_extra" in rules.raw
     request_classes = tuple(_read_request_class(row) for row in env.rows("classes"))
@@ -136,20 +136,20 @@
         request_classes=request_classes,
         quota_plans=quota_plans,
         mean_units=info.get("mean_units", float),
-        most_units=info.get("most_units", float),
+        max_units=info.get("most_units", float),
         share_value=info.get("within_share", float),
         excess_value=info.get("idle_worth", float),
-        asks_for_list=env.word("membership_mode", {"push": False, "ask": True}),
-        marks_repeats=habits.get("marks_retry", bool, False),
-        may_cancel=caps.get("cancel", bool),
-        stay_away_max_ms=caps.get("max_retry_after_s", float, 0.0, scale=MS_PER_S) * caps.get("retry_after", bool),
-        try_limit=caps.get("try_limit", int),
-        step_ms=env.get("step_s", float, scale=MS_PER_S),
-        cold_share=rules.get("cold_share", float),
-        warm_ms=rules.get("warm_after_s", float, scale=MS_PER_S),
-        fall_multiple=rules.get("fall_multiple", float),
+        must_request_watch=env.choice("membership_mode", {"push": False, "ask": True}),
+        clients_mark_retries=habits.get("marks_retry", bool, False),
+        cancellation_allowed=caps.get("cancel", bool),
+        max_retry_after_ms=caps.get("max_retry_after_s", float, 0.0, scale=MS_PER_S) * caps.get("retry_after", bool),
+        max_attempts=caps.get("try_limit", int),
+        clock_resolution_ms=env.get("step_s", float, scale=MS_PER_S),
+        slow_start_initial_share=rules.get("cold_share", float),
+        slow_start_duration_ms=rules.get("warm_after_s", float, scale=MS_PER_S),
+        slow_start_failure_multiple=rules.get("fall_multiple", float),
         order_settle_ms=rules.get("order_settle_s", float, 0.0, scale=MS_PER_S),
-        budget_share=rules.get("repeat_ratio", float) if has_budget else None,
-        budget_free=rules.get("min_extra", float) if has_budget else 0.0,
-        budget_window_ms=rules.get("look_back_s", float, scale=MS_PER_S) if has_budget else 0.0,
+        retry_budget_share=rules.get("repeat_ratio", float) if has_budget else None,
+        retry_budget_min_retries=rules.get("min_extra", float) if has_budget else 0.0,
+        retry_budget_window_ms=rules.get("look_back_s", float, scale=MS_PER_S) if has_budget else 0.0,
     )
--- a/pebblehinge/rsync/request_scheduler.py
+++ b/pebblehinge/rsync/request_scheduler.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from pebblehinge.interface import Final, Outcome
+from pebblehinge.interface import FinalAnswerKind, Outcome
 
 SUCCEEDED = Outcome.SUCCEEDED.value
-REJECTED = Final.REJECTED.value
+REJECTED = FinalAnswerKind.REJECTED.value
 
 ABANDONED = "left"
 """The end of a request that was granted and not sent, or whose transfer ended before its answer."""
--- a/pebblehinge/scheduler_state/__init__.py
+++ b/pebblehinge/scheduler_state/__init__.py
@@ -10,7 +10,7 @@
 from pebblehinge.scheduler_state.node_table import NodeTable
 from pebblehinge.scheduler_state.request_handle import RequestHandle
 from pebblehinge.scheduler_state.settings_view import SettingsView
-from pebblehinge.scheduler_state.snapshot import FleetFigures, NodeSnapshot, pack
+from pebblehinge.scheduler_state.snapshot import FleetStatistics, NodeSnapshot, pack_snapshot
 from pebblehinge.scheduler_state.token_buckets import TokenBuckets
 
 __all__ = [
@@ -19,9 +19,9 @@
     "SettingsView",
     "KeyQueues",
     "ChangeSet",
-    "FleetFigures",
+    "FleetStatistics",
     "NodeSnapshot",
     "LruCache",
     "TokenBuckets",
-    "pack",
+    "pack_snapshot",
 ]
--- a/pebblehinge/scheduler_state/change_set.py
+++ b/pebblehinge/scheduler_state/change_set.py
@@ -16,43 +16,43 @@
     """
 
     def __init__(self, step_ms: float) -> None:
-        self.step_ms = step_ms or 1.0
-        self.wakes: list[tuple[float, int]] = []  # a heap of (time, subject)
-        self.asked: set[tuple[float, int]] = set()  # the same rows, for the look-up
+        self.wake_up_grid_ms = step_ms or 1.0
+        self.wake_ups: list[tuple[float, int]] = []  # a heap of (time, subject)
+        self.requested_wake_ups: set[tuple[float, int]] = set()  # the same rows, for the look-up
         self.changes = Changes()
-        self.marked: set[int] = set()  # sequence numbers of the handles in changes
+        self.changed_seqs: set[int] = set()  # sequence numbers of the handles in changes
 
-    def wake(self, at_ms: float, subject: int) -> None:
+    def request_wake_up(self, at_ms: float, subject: int) -> None:
         """Requests a wake-up.
 
         Args:
             at_ms: when, rounded up to the grid; the same time and subject twice is one wake-up.
             subject: what is to be looked at then: a node's index, or one of the scheduler's numbers under 0.
         """
-        wake = (math.ceil(at_ms / self.step_ms) * self.step_ms, subject)
-        if wake not in self.asked:
-            self.asked.add(wake)
-            heapq.heappush(self.wakes, wake)
+        wake = (math.ceil(at_ms / self.wake_up_grid_ms) * self.wake_up_grid_ms, subject)
+        if wake not in self.requested_wake_ups:
+            self.requested_wake_ups.add(wake)
+            heapq.heappush(self.wake_ups, wake)
 
-    def due(self, now: float) -> list[int]:
+    def pop_due(self, now: float) -> list[int]:
         """Takes out the wake-ups due by now (ms) and returns their subjects, each once, in ascending order."""
         due = set()
-        while self.wakes and self.wakes[0][0] <= now:
-            wake = heapq.heappop(self.wakes)
-            self.asked.discard(wake)
+        while self.wake_ups and self.wake_ups[0][0] <= now:
+            wake = heapq.heappop(self.wake_ups)
+            self.requested_wake_ups.discard(wake)
             due.add(wake[1])
         return sorted(due)
 
-    def changed(self, handle: Handle) -> None:
+    def add_handle(self, handle: Handle) -> None:
         """Notes that a handle has something new to drain."""
-        if handle.seq not in self.marked:
-            self.marked.add(handle.seq)
+        if handle.seq not in self.changed_seqs:
+            self.changed_seqs.add(handle.seq)
             self.changes.handles.append(handle)
 
     def finish(self, now: float) -> Changes:
         """Ends a call and returns what it changed, with the time of the next wake-up (ms, never before now)."""
         changes = self.changes
         self.changes = Changes()
-        self.marked.clear()
-        changes.wake_ms = max(now, self.wakes[0][0]) if self.wakes else None
+        self.changed_seqs.clear()
+        changes.wake_ms = max(now, self.wake_ups[0][0]) if self.wake_ups else None
         return changes
--- a/pebblehinge/scheduler_state/lru_cache.py
+++ b/pebblehinge/scheduler_state/lru_cache.py
@@ -13,12 +13,12 @@
 
     def __init__(self, most: int) -> None:
         super().__init__()
-        self.most = most
+        self.max_rows = most
 
-    def use(self, key: str, new: T) -> T:
+    def get_or_insert(self, key: str, new: T) -> T:
         """Returns the row of a key, or stores the new one; it is the last used now, and the oldest may be dropped."""
         found = self.pop(key, None) or new
         self[key] = found
-        if len(self) > self.most:
+        if len(self) > self.max_rows:
             self.popitem(last=False)
         return found
--- a/pebblehinge/scheduler_state/request_handle.py
+++ b/pebblehinge/scheduler_state/request_handle.py
@@ -4,19 +4,19 @@
 
 from typing import Any, Protocol
 
-from pebblehinge.interface import Answer, Attempt, Changes, Outcome
+from pebblehinge.interface import Attempt, Changes, FinalAnswer, Outcome
 from pebblehinge.scheduler_state.change_set import ChangeSet
 
 
 class RequestOwner(Protocol):
     """Decides what a call on a handle means; `notes` collects what it changed."""
 
-    notes: ChangeSet
+    change_set: ChangeSet
 
-    def ended(self, request: Any, now: float, outcome: Outcome, over: bool, took: float, /) -> None:
+    def on_attempt_end(self, request: Any, now: float, outcome: Outcome, over: bool, took: float, /) -> None:
         """The attempt in flight has its outcome."""
 
-    def left(self, request: Any, now: float, /) -> None:
+    def on_client_disconnect(self, request: Any, now: float, /) -> None:
         """The client is gone."""
 
 
@@ -27,11 +27,11 @@
         self.dispatcher = dispatcher
         self.attempts: list[Attempt] = []  # new ones since the last drain, like the two below
         self.cancellations: list[int] = []
-        self.answer: Answer | None = None
-        self.sent = 0  # attempts so far
-        self.out = False  # one is in flight
+        self.answer: FinalAnswer | None = None
+        self.attempt_count = 0  # attempts so far
+        self.attempt_in_flight = False  # one is in flight
 
-    def ended(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
+    def on_attempt_end(self, now: float, attempt: int, outcome: Outcome, over: bool, took_ms: float) -> Changes:
         """Takes the outcome of an attempt, counted from 0; one that is no longer in flight is ignored.
 
         Args:
@@ -41,20 +41,20 @@
             over: the client has its answer, nothing more is owed.
             took_ms: from its start to its end.
         """
-        if self.out and attempt == self.sent - 1:
-            self.dispatcher.ended(self, now, outcome, over, took_ms)
-        return self.dispatcher.notes.finish(now)
+        if self.attempt_in_flight and attempt == self.attempt_count - 1:
+            self.dispatcher.on_attempt_end(self, now, outcome, over, took_ms)
+        return self.dispatcher.change_set.finish(now)
 
-    def begun(self, now: float) -> Changes:
+    def on_response_start(self, now: float) -> Changes:
         """The answer has begun to stream: nothing is left to decide until its outcome."""
-        return self.dispatcher.notes.finish(now)
+        return self.dispatcher.change_set.finish(now)
 
-    def left(self, now: float) -> Changes:
+    def on_client_disconnect(self, now: float) -> Changes:
         """The client is gone: nothing more is owed."""
-        self.dispatcher.left(self, now)
-        return self.dispatcher.notes.finish(now)
+        self.dispatcher.on_client_disconnect(self, now)
+        return self.dispatcher.change_set.finish(now)
 
-    def drain(self) -> tuple[list[Attempt], list[int], Answer | None]:
+    def drain(self) -> tuple[list[Attempt], list[int], FinalAnswer | None]:
         """Returns what is new since the last call: attempts, numbers of attempts to cancel, the final answer."""
         changed = self.attempts, self.cancellations, self.answer
         self.attempts = []
--- a/pebblehinge/scheduler_state/settings_view.py
+++ b/pebblehinge/scheduler_state/settings_view.py
@@ -9,13 +9,13 @@
     """The settings in force, with look-ups by name and sums. A scheduler's parts share one, so all change at once."""
 
     def __init__(self, settings: Settings) -> None:
-        self.adopt(settings)
+        self.replace(settings)
 
-    def adopt(self, settings: Settings) -> None:
+    def replace(self, settings: Settings) -> None:
         """Replaces the settings."""
         self.current = settings
         self.request_classes = {row.name: row for row in settings.request_classes}
         self.quota_plans = {row.name: row for row in settings.quota_plans}
-        self.rates = sum(row.rate for row in settings.quota_plans)  # units a second
-        self.weights = sum(row.weight for row in settings.quota_plans)
-        self.shortest_ms = min(row.latency_objective_ms for row in settings.request_classes)
+        self.total_rate = sum(row.rate for row in settings.quota_plans)  # units a second
+        self.total_share_weight = sum(row.share_weight for row in settings.quota_plans)
+        self.shortest_latency_objective_ms = min(row.latency_objective_ms for row in settings.request_classes)
--- a/pebblehinge/scheduler_state/snapshot.py
+++ b/pebblehinge/scheduler_state/snapshot.py
@@ -20,12 +20,12 @@
     mean_latency_ms: float
     mean_updated_ms: float
     unrounded_limit: float
-    slow_start_ms: float | None  # since when
-    life: tuple[int, float] | None  # its process's slot and start, where that was packed
-    left: float  # how much of it still counts, 0 to 1
+    slow_start_since_ms: float | None  # since when
+    process: tuple[int, float] | None  # its process's slot and start, where that was packed
+    freshness: float  # how much of it still counts, 0 to 1
 
     @classmethod
-    def of(cls, row: list[float], life: tuple[int, float] | None, then: float, left: float) -> NodeSnapshot:
+    def unpack(cls, row: list[float], life: tuple[int, float] | None, then: float, left: float) -> NodeSnapshot:
         """Unpacks a node's row.
 
         Args:
@@ -42,7 +42,7 @@
         return cls(random_ms, sequential_ms, mean_ms, then - mean_age_ms, unrounded_limit, slow_start_ms, life, left)
 
 
-class FleetFigures(NamedTuple):
+class FleetStatistics(NamedTuple):
     """What a scheduler knows of all nodes and requests together."""
 
     mean_ms: float
@@ -55,10 +55,10 @@
     return -1.0 if since is None else now - since
 
 
-def pack(
+def pack_snapshot(
     now: float,
     nodes: NodeTable[Any],
-    fleet: FleetFigures,
+    fleet: FleetStatistics,
     think_times: dict[str, dict[int, float]],
     limits: dict[str, TokenBuckets],
     retries: deque[float],
@@ -83,13 +83,13 @@
             nodes.mean_latency_ms[index],
             now - nodes.mean_updated_ms[index],
             nodes.unrounded_limit[index],
-            _age_or_none(now, nodes.slow_start_ms[index]),
+            _age_or_none(now, nodes.slow_start_since_ms[index]),
         ]
         for index, name in enumerate(nodes.names)
-        if nodes.mean_latency_ms[index] or nodes.slow_start_ms[index] is not None
+        if nodes.mean_latency_ms[index] or nodes.slow_start_since_ms[index] is not None
     }
     processes = {
-        name: [nodes.slots[index], now - nodes.started[index] if nodes.started[index] else -1.0]
+        name: [nodes.slots[index], now - nodes.started_ms[index] if nodes.started_ms[index] else -1.0]
         for name, index in nodes.index.items()
         if name in known
     }
@@ -98,6 +98,6 @@
         "lives": processes,
         "every": [fleet.mean_ms, now - fleet.mean_updated_ms, fleet.low_quartile_ms, fleet.mean_value_per_unit],
         "thinks": think_times,
-        "limits": {volume: [buckets.limit, now - buckets.at_ms] for volume, buckets in limits.items()},
+        "limits": {volume: [buckets.limit_tokens, now - buckets.filled_until_ms] for volume, buckets in limits.items()},
         "further": [now - sent_ms for sent_ms in retries],
     }
--- a/pebblehinge/scheduler_state/token_buckets.py
+++ b/pebblehinge/scheduler_state/token_buckets.py
@@ -12,10 +12,10 @@
         due: tokens of reserve and share at the start.
     """
 
-    __slots__ = ("limit", "reserve", "share", "at_ms")
+    __slots__ = ("limit_tokens", "reserve_tokens", "share_tokens", "filled_until_ms")
 
     def __init__(self, limit: float, at_ms: float, due: float) -> None:
-        self.limit = limit
-        self.at_ms = at_ms
-        self.reserve = due
-        self.share = due
+        self.limit_tokens = limit
+        self.filled_until_ms = at_ms
+        self.reserve_tokens = due
+        self.share_tokens = due
--- a/pebblehinge/service/client_request.py
+++ b/pebblehinge/service/client_request.py
@@ -119,7 +119,7 @@
     units = float(io[b"units"])
     slot = int(io[b"shard"])
     set_size = int(io[b"hosts"])
-    if not 0 < units <= config.settings.most_units or set_size < 1:
+    if not 0 < units <= config.settings.max_units or set_size < 1:
         raise HttpError(400, "X-IO: units or hosts beyond what there is")
     if config.shards and slot >= config.shards:
         raise HttpError(400, "X-IO: no such shard")
--- a/pebblehinge/service/config.py
+++ b/pebblehinge/service/config.py
@@ -75,7 +75,7 @@
         raise PlatformSettingsError(f"{DOCUMENT}: {error}: expected a JSON object") from None
     top = SettingsReader(raw, "", DOCUMENT)
     seed = _parse_seed(top.get("seed", str))
-    sockets = top.sub("limits").get("sockets", int)
+    sockets = top.child("limits").get("sockets", int)
     if sockets < FEWEST_SOCKETS:
         raise PlatformSettingsError(f"{DOCUMENT}: limits.sockets is {sockets}: expected at least {FEWEST_SOCKETS}")
     platform_settings = top.get("settings", dict)
@@ -83,8 +83,8 @@
     if not settings.request_classes or not settings.quota_plans:
         raise PlatformSettingsError("settings: classes and service_levels: expected at least one of each")
     environment = SettingsReader(platform_settings, "")
-    ceilings = environment.sub("ceilings")
-    family = environment.sub("family_info")
+    ceilings = environment.child("ceilings")
+    family = environment.child("family_info")
     writes = family.get("writes", list[bool])
     if len(writes) != len(settings.request_classes):
         raise PlatformSettingsError(f"settings: family_info.writes holds {len(writes)}: expected one for each class")
--- a/pebblehinge/service/connection_registry.py
+++ b/pebblehinge/service/connection_registry.py
@@ -88,7 +88,7 @@
         context = self.context
         now = context.clock()
         if context.core.open >= context.config.max_open:
-            conn.respond(503, extra_headers=retry_after(context.config.settings.stay_away_max_ms))
+            conn.respond(503, extra_headers=retry_after(context.config.settings.max_retry_after_ms))
             return
         pending = ClientRequest()
         pending.conn = conn
@@ -113,7 +113,7 @@
             parsed.set_size,
             parsed.slot,
             deadline_ms,
-            parsed.is_retry if context.config.settings.marks_repeats else None,
+            parsed.is_retry if context.config.settings.clients_mark_retries else None,
         )
 
     def answer(self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, data: bytes) -> None:
--- a/pebblehinge/service/departures.py
+++ b/pebblehinge/service/departures.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from pebblehinge.interface import Standing
+from pebblehinge.interface import EndpointState
 from pebblehinge.service.node_list import NodeListUpdate
 
 DEPARTED_LIMIT = 8192  # nodes that left; the first to leave is forgotten first
@@ -35,13 +35,13 @@
         Only a new start of the process, or a later version, says that it is ready again.
         """
         for index, entry in enumerate(update.entries):
-            known = self.nodes.get(entry.shelf, NEVER)
-            if entry.standing is not Standing.READY:
-                self.nodes.pop(entry.shelf, None)
-                self.nodes[entry.shelf] = Departure(max(known.version, update.version), entry.started_ms)
+            known = self.nodes.get(entry.node_name, NEVER)
+            if entry.state is not EndpointState.READY:
+                self.nodes.pop(entry.node_name, None)
+                self.nodes[entry.node_name] = Departure(max(known.version, update.version), entry.started_ms)
             elif update.version < known.version and entry.started_ms == known.started_ms:
-                update.entries[index] = replace(entry, standing=Standing.DRAINING)
+                update.entries[index] = replace(entry, state=EndpointState.DRAINING)
             else:
-                self.nodes.pop(entry.shelf, None)
+                self.nodes.pop(entry.node_name, None)
         while len(self.nodes) > DEPARTED_LIMIT:
             del self.nodes[next(iter(self.nodes))]
--- a/pebblehinge/service/node_list.py
+++ b/pebblehinge/service/node_list.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from pebblehinge.http1 import HttpError
-from pebblehinge.interface import Entry, ListKind
-from pebblehinge.platform_settings import STANDINGS, PlatformSettingsError, SettingsReader
+from pebblehinge.interface import EndpointEntry, ListKind
+from pebblehinge.platform_settings import ENDPOINT_STATES, PlatformSettingsError, SettingsReader
 from pebblehinge.service.config import parse_address
 
 OBJECT_LIMIT = 4 * 1024 * 1024  # bytes of one object
@@ -36,7 +36,7 @@
         reader = SettingsReader(raw, "", "list")
         self.version: int = reader.get("version", int)
         self.kind = ListKind.WHOLE if reader.get("full", bool, False) else ListKind.CHANGES
-        self.entries: list[Entry] = []
+        self.entries: list[EndpointEntry] = []
         self.addresses: dict[str, tuple[str, int]] = {}
         self.faults: list[str] = []
         for row in reader.rows("servers"):
@@ -48,9 +48,9 @@
     def _read_entry(self, row: SettingsReader) -> None:
         name = row.get("id", str)
         cell = row.get("cell", int)
-        standing = row.word("state", STANDINGS)
+        standing = row.choice("state", ENDPOINT_STATES)
         address = parse_address(row.get("addr", str), f"{row.place}.addr")
-        self.entries.append(Entry(name, standing, cell, row.get("started_ms", float, 0.0)))
+        self.entries.append(EndpointEntry(name, standing, cell, row.get("started_ms", float, 0.0)))
         self.addresses[name] = address
 
 
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
-from pebblehinge.interface import ListCall, ListKind, Outcome, Standing
+from pebblehinge.interface import DiscoveryCall, EndpointState, ListKind, Outcome
 from pebblehinge.platform_settings import PlatformSettingsError
 from pebblehinge.service import early
 from pebblehinge.service.client_request import ClientRequest
@@ -158,7 +158,7 @@
         """Send the final answer."""
         self.registry.answer(pending, final, stay_ms, data)
 
-    def call_list(self, call: ListCall) -> None:
+    def call_list(self, call: DiscoveryCall) -> None:
         """Do nothing: the watch is always open."""
 
     def wake_at(self, at_ms: float) -> None:
@@ -189,7 +189,7 @@
         self._apply_list(update)
 
     def _apply_list(self, update: NodeListUpdate) -> None:
-        ready = {entry.shelf: entry.standing is Standing.READY for entry in update.entries}
+        ready = {entry.node_name: entry.state is EndpointState.READY for entry in update.entries}
         self.pools.apply_list(ready, update.addresses, update.kind is ListKind.WHOLE)
         self.core.listed(self.clock(), update.kind, update.entries)
 
--- a/pebblehinge/store/memory.py
+++ b/pebblehinge/store/memory.py
@@ -40,7 +40,7 @@
         up_ms: Time since the machine started.
         boot: Identifies that start of the machine, "" if unknown.
         complete: Whether nothing was sent to storage nodes after it was taken.
-        state: What `Scheduler.remembered` returned.
+        state: What `Scheduler.snapshot` returned.
     """
 
     gateway: str
@@ -71,7 +71,7 @@
     """A snapshot that may be used.
 
     Attributes:
-        state: For `Scheduler.recall`.
+        state: For `Scheduler.restore`.
         age_ms: How old it is.
         complete: Whether nothing was sent after it, so that units of limits can be counted on.
         summary: Age and reservations in a few words for the log.
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pebblehinge import platform_settings
-from pebblehinge.interface import Entry, Final, ListCall, ListKind, Outcome, Settings
+from pebblehinge.interface import DiscoveryCall, EndpointEntry, FinalAnswerKind, ListKind, Outcome, Settings
 
 OUTCOMES = {
     "completed": Outcome.SUCCEEDED,
@@ -25,7 +25,7 @@
     "recalled": Outcome.CANCELLED,
     "superseded": Outcome.NOT_SENT,
 }
-KINDS = {
+LIST_KINDS = {
     "delta": ListKind.CHANGES,
     "full": ListKind.WHOLE,
     "cached": ListKind.CACHED,
@@ -33,7 +33,7 @@
 }
 MS_PER_S = 1000.0
 RETRY_BIT = 2  # of an ARRIVAL's options
-CALLS = {ListCall.WATCH: "LISTEN 1"}
+DISCOVERY_CALL_LINES = {DiscoveryCall.WATCH: "LISTEN 1"}
 
 
 class WireError(Exception):
@@ -131,12 +131,12 @@
         ("generation_hw", TEXT),
         ("shelf", NAME),
         ("born_s", SECONDS_OR_0),
-        ("status", _one_of(platform_settings.STANDINGS)),
+        ("status", _one_of(platform_settings.ENDPOINT_STATES)),
         ("pod", INTEGER),
         ("capacity_hint", NUMBER_OR_0),
         ("campus", TEXT),
     ),
-    Message.SYNC: (("ref", INTEGER_OR_0), ("epoch", INTEGER_OR_0), ("how", _one_of(KINDS))),
+    Message.SYNC: (("ref", INTEGER_OR_0), ("epoch", INTEGER_OR_0), ("how", _one_of(LIST_KINDS))),
     Message.ARRIVAL: (
         ("tid", INTEGER),
         ("block_key", NAME_OR_NONE),
@@ -202,10 +202,10 @@
     return message, values
 
 
-def read_entry(values: list[Any]) -> Entry:
+def read_entry(values: list[Any]) -> EndpointEntry:
     """Returns the line of an endpoint list that a ROW's values state."""
     _, node, started_ms, standing, slot, _, _ = values
-    return Entry(node, standing, slot, started_ms)
+    return EndpointEntry(node, standing, slot, started_ms)
 
 
 def seconds(ms: float) -> str:
@@ -213,9 +213,9 @@
     return f"{ms / MS_PER_S:.6f}"
 
 
-def write_answer(request_id: int, final: Final, stay_away_ms: float) -> str:
+def write_answer(request_id: int, final: FinalAnswerKind, stay_away_ms: float) -> str:
     """Returns the line of a final answer; a Retry-After of 0 ms is none."""
-    if final is Final.FAILED:
+    if final is FinalAnswerKind.FAILED:
         return f"REPORT_FAILURE {request_id}"
     retry_after = seconds(stay_away_ms) if stay_away_ms > 0 else "-"
     return f"NOT_NOW {request_id} {retry_after}"
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -5,7 +5,7 @@
 from typing import Any, BinaryIO, TextIO
 
 from pebblehinge.decide import Request, Scheduler
-from pebblehinge.interface import Changes, Entry, Handle, ListKind
+from pebblehinge.interface import Changes, EndpointEntry, Handle, ListKind
 from pebblehinge.wirehost import codec
 from pebblehinge.wirehost.codec import Message, WireError
 
@@ -18,10 +18,12 @@
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self.requests: dict[int, Request] = {}
-        self.wake_ms: float | None = None  # the earliest timer that is set
-        self.timer = 0  # its cookie
+        self.timer_due_ms: float | None = None  # the earliest timer that is set
+        self.timer_cookie = 0  # its cookie
 
-    def call(self, message: Message, values: list[Any], now: float, lists: dict[int, list[Entry]]) -> Changes | None:
+    def handle_event(
+        self, message: Message, values: list[Any], now: float, lists: dict[int, list[EndpointEntry]]
+    ) -> Changes | None:
         """Passes a message to the scheduler.
 
         Args:
@@ -37,18 +39,18 @@
             WireError: the message names something that is not there.
         """
         if message is Message.ARRIVAL:
-            return self._take(values, now)
+            return self._submit(values, now)
         if message is Message.SYNC:
-            return self._update_nodes(values, now, lists)
+            return self._apply_endpoint_list(values, now, lists)
         if message is Message.TICK_DUE:
-            if values[0] == self.timer:  # any other was replaced by an earlier one
-                self.wake_ms = None
-            return self.scheduler.woken(now)
+            if values[0] == self.timer_cookie:  # any other was replaced by an earlier one
+                self.timer_due_ms = None
+            return self.scheduler.on_wake_up(now)
         if message in (Message.VERDICT, Message.HEADERS, Message.HANGUP):
-            return self._call_request(message, values, now)
+            return self._handle_request_event(message, values, now)
         return None  # the scheduler sends no health checks and has no peers
 
-    def _take(self, values: list[Any], now: float) -> Changes:
+    def _submit(self, values: list[Any], now: float) -> Changes:
         scheduler = self.scheduler
         tid, extent, request_class, quota_plan, options, set_size, slot, units, volume, deadline_ms = values
         for field, name, known in (
@@ -57,54 +59,54 @@
         ):
             if name not in known:
                 raise WireError(f"ARRIVAL: {field} is {name!r}: expected one of {', '.join(known)}")
-        repeat = bool(options & codec.RETRY_BIT) if scheduler.settings.current.marks_repeats else None
-        request, changes = scheduler.take(
+        repeat = bool(options & codec.RETRY_BIT) if scheduler.settings.current.clients_mark_retries else None
+        request, changes = scheduler.submit(
             now, tid, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, repeat
         )
         self.requests[tid] = request
         return changes
 
-    def _update_nodes(self, values: list[Any], now: float, lists: dict[int, list[Entry]]) -> Changes:
+    def _apply_endpoint_list(self, values: list[Any], now: float, lists: dict[int, list[EndpointEntry]]) -> Changes:
         ref, _, kind = values
         if kind is ListKind.FAILED:
-            return self.scheduler.listed(now, kind, [])
+            return self.scheduler.apply_endpoint_list(now, kind, [])
         if ref not in lists:
             raise WireError(f"SYNC: ref is {ref}: expected the number of a MANIFEST that came before")
-        return self.scheduler.listed(now, kind, lists[ref])
+        return self.scheduler.apply_endpoint_list(now, kind, lists[ref])
 
-    def _call_request(self, message: Message, values: list[Any], now: float) -> Changes | None:
+    def _handle_request_event(self, message: Message, values: list[Any], now: float) -> Changes | None:
         request = self.requests.get(values[0])
         if request is None:
             return None  # over already, and nothing of it is in flight
         if message is Message.VERDICT:
             _, attempt, _, outcome, over, _, _, took_ms, _ = values
-            changes = request.ended(now, attempt, outcome, over, took_ms)
+            changes = request.on_attempt_end(now, attempt, outcome, over, took_ms)
         elif message is Message.HEADERS:
-            changes = request.begun(now)
+            changes = request.on_response_start(now)
         else:
-            changes = request.left(now)
+            changes = request.on_client_disconnect(now)
         handle: Handle = request
-        if request.over and not request.out and handle not in changes.handles:
+        if request.closed and not request.attempt_in_flight and handle not in changes.handles:
             del self.requests[request.id]
         return changes
 
-    def lines(self, changes: Changes, now: float) -> list[str]:
+    def format_changes(self, changes: Changes, now: float) -> list[str]:
         """Returns the lines that say what a call changed, and forgets the requests that are over."""
         lines = []
         for request in changes.handles:
             attempts, cancellations, answer = request.drain()
-            lines += [f"SUBMIT_TO {request.id} {sent.shelf} {codec.seconds(sent.until_ms)}" for sent in attempts]
+            lines += [f"SUBMIT_TO {request.id} {sent.node_name} {codec.seconds(sent.deadline_ms)}" for sent in attempts]
             lines += [f"ABORT_ATTEMPT {request.id} {attempt}" for attempt in cancellations]
             if answer is not None:
-                lines.append(codec.write_answer(request.id, answer.final, answer.stay_away_ms))
-            if request.over and not request.out:
+                lines.append(codec.write_answer(request.id, answer.kind, answer.retry_after_ms))
+            if request.closed and not request.attempt_in_flight:
                 self.requests.pop(request.id, None)
-        lines += [codec.CALLS[call] for call in changes.list_calls]
+        lines += [codec.DISCOVERY_CALL_LINES[call] for call in changes.discovery_calls]
         wake = changes.wake_ms
-        if wake is not None and (self.wake_ms is None or wake < self.wake_ms):
-            self.wake_ms = max(wake, now)
-            self.timer += 1
-            lines.append(f"TIMER {codec.seconds(self.wake_ms - now)} {self.timer}")
+        if wake is not None and (self.timer_due_ms is None or wake < self.timer_due_ms):
+            self.timer_due_ms = max(wake, now)
+            self.timer_cookie += 1
+            lines.append(f"TIMER {codec.seconds(self.timer_due_ms - now)} {self.timer_cookie}")
         return lines
 
 
@@ -113,14 +115,14 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, list[Entry]] = {}
+        self.lists: dict[int, list[EndpointEntry]] = {}
         self.clock = 0.0
-        self.at: str | None = None  # the instance that the lines are addressed to
+        self.current_instance: str | None = None  # the instance that the lines are addressed to
         self.reply: list[str] = []
-        self.source: str | None = None  # the instance that the reply's lines come from
-        self.open_list: tuple[list[Entry], int] | None = None  # the list that is being read, and its length
+        self.reply_source: str | None = None  # the instance that the reply's lines come from
+        self.partial_list: tuple[list[EndpointEntry], int] | None = None  # the list that is being read, and its length
 
-    def line(self, text: str) -> bool:
+    def process_line(self, text: str) -> bool:
         """Takes one line, without its end; `reply` then holds the lines of the batch's answer so far.
 
         Returns:
@@ -130,58 +132,60 @@
             WireError: the line is not what the wire allows at this place.
         """
         message, values = codec.read_line(text)
-        if self.open_list is not None:
+        if self.partial_list is not None:
             self._read_row(message, values)
         elif message is Message.BATCH:
             self.clock = values[0]
-            self.at = None
+            self.current_instance = None
             self.reply = []
-            self.source = None
+            self.reply_source = None
         elif message is Message.FOR:
-            self.at = values[0]
+            self.current_instance = values[0]
         elif message is Message.MANIFEST:
             self.lists[values[0]] = []
-            self.open_list = (self.lists[values[0]], values[1]) if values[1] else None
+            self.partial_list = (self.lists[values[0]], values[1]) if values[1] else None
         elif message is Message.ROW:
             raise WireError("ROW outside a list: expected MANIFEST before it")
         elif message is not Message.GO:
-            self._event(message, values)
+            self._handle_event(message, values)
         return message is Message.GO
 
     def _read_row(self, message: Message, values: list[Any]) -> None:
-        assert self.open_list is not None
-        entries, wanted = self.open_list
+        assert self.partial_list is not None
+        entries, wanted = self.partial_list
         if message is not Message.ROW:
             raise WireError(f"{message.value} after {len(entries)} entries of a list: expected {wanted} ROW lines")
         entries.append(codec.read_entry(values))
         if len(entries) == wanted:
-            self.open_list = None
+            self.partial_list = None
 
-    def _event(self, message: Message, values: list[Any]) -> None:
-        if self.at is None:
+    def _handle_event(self, message: Message, values: list[Any]) -> None:
+        if self.current_instance is None:
             raise WireError(f"{message.value} is addressed to no instance: expected FOR before it")
         now = self.clock
         if message is Message.HELLO:
             scheduler = Scheduler(codec.read_settings(values[1]), values[0], now)
-            self.instances[self.at] = Instance(scheduler)
-            self._write(self.instances[self.at].lines(scheduler.start(now), now))
+            self.instances[self.current_instance] = Instance(scheduler)
+            self._append_reply(self.instances[self.current_instance].format_changes(scheduler.start(now), now))
             return
         if message is Message.DESTROY:
-            self.instances.pop(self.at, None)
+            self.instances.pop(self.current_instance, None)
             return
-        instance = self.instances.get(self.at)
+        instance = self.instances.get(self.current_instance)
         if instance is None:
-            raise WireError(f"{message.value} for {self.at}, which has not started: expected HELLO before it")
-        changes = instance.call(message, values, now, self.lists)
+            raise WireError(
+                f"{message.value} for {self.current_instance}, which has not started: expected HELLO before it"
+            )
+        changes = instance.handle_event(message, values, now, self.lists)
         if changes is not None:
-            self._write(instance.lines(changes, now))
+            self._append_reply(instance.format_changes(changes, now))
 
-    def _write(self, lines: list[str]) -> None:
+    def _append_reply(self, lines: list[str]) -> None:
         if not lines:
             return
-        if self.source != self.at:
-            self.source = self.at
-            self.reply.append(f"SOURCE {self.at}")
+        if self.reply_source != self.current_instance:
+            self.reply_source = self.current_instance
+            self.reply.append(f"SOURCE {self.current_instance}")
         self.reply += lines
 
 
@@ -205,13 +209,13 @@
     for number, raw in enumerate(source, 1):
         try:
             text = raw.decode("utf-8").rstrip("\r\n")
-            if not text or not process.line(text):
+            if not text or not process.process_line(text):
                 continue
         except (WireError, UnicodeDecodeError) as error:
             message = f"line {number}: {error}"
             print(f"pebblehinge: {message}", file=errors)
-            if process.at is not None:
-                process.reply += [f"SOURCE {process.at}", f"FAULT {message}"]
+            if process.current_instance is not None:
+                process.reply += [f"SOURCE {process.current_instance}", f"FAULT {message}"]
             _answer(sink, process.reply)
             return EXIT_WIRE_ERROR
         _answer(sink, process.reply)
--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -18,7 +18,7 @@
 from service_rig import SETTINGS
 
 from pebblehinge.decide import Scheduler
-from pebblehinge.interface import Changes, Entry, Final, ListKind, Outcome, Settings, Standing
+from pebblehinge.interface import Changes, EndpointEntry, EndpointState, FinalAnswerKind, ListKind, Outcome, Settings
 from pebblehinge.platform_settings import read_settings
 
 SCENES = ("even", "skewed", "hot extent", "queue released", "late lists", "suspected", "returns at once")
@@ -57,8 +57,11 @@
         self.weights = list(itertools.accumulate(weights))
         for h in range(heads):
             self.do(h, self.heads[h].start(0.0))
-            listed = [Entry("old", Standing.READY, 0, 0.0), Entry("b", Standing.READY, 1, 0.0)]
-            self.do(h, self.heads[h].listed(0.0, ListKind.WHOLE, listed))
+            listed = [
+                EndpointEntry("old", EndpointState.READY, 0, 0.0),
+                EndpointEntry("b", EndpointState.READY, 1, 0.0),
+            ]
+            self.do(h, self.heads[h].apply_endpoint_list(0.0, ListKind.WHOLE, listed))
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.events, (when, next(self.order), what))
@@ -72,12 +75,18 @@
         else:
             late = 4000.0 if self.scene == "late lists" else 300.0
             self.at(START_MS, lambda: self.up.update(old=False))
-            entries = [Entry("old", Standing.GONE, 0, 0.0), Entry("new", Standing.READY, 0, START_MS)]
+            entries = [
+                EndpointEntry("old", EndpointState.GONE, 0, 0.0),
+                EndpointEntry("new", EndpointState.READY, 0, START_MS),
+            ]
             if self.scene == "queue released":  # the one before has hung for a while: what is held moves at once
                 self.at(START_MS - 1500.0, lambda: self.up.update(old=False))
             for h, head in enumerate(self.heads):
                 when = START_MS + (rng.uniform(0.0, late) if self.scene != "queue released" else 0.0)
-                self.at(when, lambda h=h, head=head: self.do(h, head.listed(self.now, ListKind.CHANGES, entries)))
+                self.at(
+                    when,
+                    lambda h=h, head=head: self.do(h, head.apply_endpoint_list(self.now, ListKind.CHANGES, entries)),
+                )
         while self.events and self.events[0][0] < END_MS:
             self.now, _, what = heapq.heappop(self.events)
             what()
@@ -98,7 +107,7 @@
             self.asks += 1
         units, key = self.rng.choice((1.0, 2.0, 2.0, 3.0)), next(self.ids)
         kind = "look" if self.rng.random() < 0.7 else "save"
-        request, changes = self.heads[h].take(
+        request, changes = self.heads[h].submit(
             self.now, key, extent, kind, "gold", f"v{extent}", 3, 0, units, leaves, again < 2
         )
         request.story = (h, extent, leaves, again)
@@ -111,8 +120,8 @@
                 self.send(h, request, attempt)
             if answer is not None:
                 _, extent, leaves, again = request.story
-                back = self.now + answer.stay_away_ms
-                if answer.final is Final.REJECTED and again and back < leaves:
+                back = self.now + answer.retry_after_ms
+                if answer.kind is FinalAnswerKind.REJECTED and again and back < leaves:
                     self.at(back, lambda x=extent, at=leaves, n=again - 1: self.take(h, x, at, n))
             for number in cancellations:
                 self.at(self.now, lambda a=request, n=number: self.recalled(h, a, n))
@@ -121,32 +130,32 @@
             self.at(changes.wake_ms, lambda: self.woken(h))
 
     def recalled(self, h: int, request: Any, number: int) -> None:
-        self.do(h, request.ended(self.now, number, Outcome.CANCELLED, request.over, 1.0))
+        self.do(h, request.on_attempt_end(self.now, number, Outcome.CANCELLED, request.closed, 1.0))
 
     def woken(self, h: int) -> None:
         self.wakes[h] = math.inf
-        self.do(h, self.heads[h].woken(self.now))
+        self.do(h, self.heads[h].on_wake_up(self.now))
 
     def send(self, h: int, request: Any, attempt: Any) -> None:
-        number, left = request.sent - 1, self.now
-        up = self.up.get(attempt.shelf, True)
-        shelfs = self.heads[h].shelfs
-        knows = shelfs.slow_start_ms[request.shelf] is not None  # told, or suspected: no other head can hold back
+        number, left = request.attempt_count - 1, self.now
+        up = self.up.get(attempt.node_name, True)
+        shelfs = self.heads[h].nodes
+        knows = shelfs.slow_start_since_ms[request.node] is not None  # told, or suspected: no other head can hold back
         if up and self.now >= START_MS and knows:
             self.sends.append((self.now, request.units / self.cfg.mean_units))
         if not up and self.scene == "queue released":
-            when, outcome = attempt.until_ms, Outcome.TIMED_OUT
+            when, outcome = attempt.deadline_ms, Outcome.TIMED_OUT
         elif not up:
             when, outcome = self.now + (1.0 if self.scene == "suspected" else 250.0), Outcome.CONNECT_FAILED
         else:
             when, outcome = self.now + self.rng.uniform(20.0, 60.0), Outcome.SUCCEEDED
 
         def ends() -> None:
-            if request.out and number == request.sent - 1:
-                if outcome is Outcome.SUCCEEDED and not request.over and left >= START_MS:
+            if request.attempt_in_flight and number == request.attempt_count - 1:
+                if outcome is Outcome.SUCCEEDED and not request.closed and left >= START_MS:
                     self.served += 1
-                over = outcome is Outcome.SUCCEEDED or request.over
-                self.do(h, request.ended(self.now, number, outcome, over, self.now - left))
+                over = outcome is Outcome.SUCCEEDED or request.closed
+                self.do(h, request.on_attempt_end(self.now, number, outcome, over, self.now - left))
 
         self.at(max(when, self.now), ends)
 
@@ -158,8 +167,11 @@
             while self.sends[first][0] < at - WINDOW_MS:
                 total -= self.sends[first][1]
                 first += 1
-            warmth = cfg.cold_share + (1 - cfg.cold_share) * max(0.0, at - WINDOW_MS - START_MS) / cfg.warm_ms
-            if at < START_MS + cfg.warm_ms:
-                n = cfg.fall_multiple * warmth * self.units_s * WINDOW_MS / 1000.0 / cfg.mean_units
+            warmth = (
+                cfg.slow_start_initial_share
+                + (1 - cfg.slow_start_initial_share) * max(0.0, at - WINDOW_MS - START_MS) / cfg.slow_start_duration_ms
+            )
+            if at < START_MS + cfg.slow_start_duration_ms:
+                n = cfg.slow_start_failure_multiple * warmth * self.units_s * WINDOW_MS / 1000.0 / cfg.mean_units
                 worst = max(worst, total / (n + 2 * math.sqrt(n) + 2))
         return worst
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -64,7 +64,7 @@
     def say(*said: str) -> None:
         for line in said:
             lines.append(line)
-            process.line(line)
+            process.process_line(line)
 
     env = json.dumps(SETTINGS, separators=(",", ":"))
     rows = [f"ROW 1 s{n} {'-' if n % 2 else '0.5'} Ready 0 1.0 a" for n in range(4)]
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -7,7 +7,7 @@
 from exchange import version
 
 from pebblehinge.decide import Scheduler
-from pebblehinge.interface import Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 from pebblehinge.settings import Config
 
 # The number of each kind of frame, and values for it; some kinds twice, for what is optional.
@@ -71,31 +71,31 @@
 ]
 
 
-def _fleet() -> list[Entry]:
-    return [Entry("s1", Standing.READY, 0, 0.0), Entry("s2", Standing.READY, 1, 800.0)]
+def _fleet() -> list[EndpointEntry]:
+    return [EndpointEntry("s1", EndpointState.READY, 0, 0.0), EndpointEntry("s2", EndpointState.READY, 1, 800.0)]
 
 
 def learned(config: Config) -> Scheduler:
     """A decision module that has learned latencies, think times, what a limit has left and retries."""
     head = Scheduler(config.module_settings(config.head["h1"]), 1, 0.0)
     head.start(0.0)
-    head.listed(0.0, ListKind.WHOLE, _fleet())
+    head.apply_endpoint_list(0.0, ListKind.WHOLE, _fleet())
     for n in range(40):
         slot, at = n % 2, 1000.0 + 45.0 * n
         plan, volume = ("basico", "archive") if n % 3 else ("premium", "office")
-        handle, _ = head.take(at, n, f"x{n % 5}", "doc-read", plan, volume, 2, slot, 2.0, at + 2500.0)
+        handle, _ = head.submit(at, n, f"x{n % 5}", "doc-read", plan, volume, 2, slot, 2.0, at + 2500.0)
         for number, _ in enumerate(handle.drain()[0]):
             outcome = Outcome.SERVER_ERROR if n in (11, 23) else Outcome.SUCCEEDED
             took = 18.0 + 30.0 * slot
-            handle.ended(at + took, number, outcome, outcome is Outcome.SUCCEEDED, took)
+            handle.on_attempt_end(at + took, number, outcome, outcome is Outcome.SUCCEEDED, took)
             for again, _ in enumerate(handle.drain()[0], number + 1):
-                handle.ended(at + 2 * took, again, Outcome.SUCCEEDED, True, took)
+                handle.on_attempt_end(at + 2 * took, again, Outcome.SUCCEEDED, True, took)
     return head
 
 
 def rebuilt(config: Config, state: dict[str, Any]) -> Scheduler:
     """A later life that took up what was kept."""
     head = Scheduler(config.module_settings(config.head["h1"]), 2, 8_000.0)
-    head.recall(8_000.0, state, 1_000.0, True)
-    head.listed(8_000.0, ListKind.WHOLE, _fleet())
+    head.restore(8_000.0, state, 1_000.0, True)
+    head.apply_endpoint_list(8_000.0, ListKind.WHOLE, _fleet())
     return head
--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -12,7 +12,7 @@
 import pytest
 from same_decisions import RULES, by_rule, compare, digests, lines_of, valued
 
-from pebblehinge.interface import Answer, Attempt, Final, Outcome
+from pebblehinge.interface import Attempt, FinalAnswer, FinalAnswerKind, Outcome
 
 SAVED = json.loads((Path(__file__).parent / "decisions.json").read_text())
 RUNS = 3 * len(RULES)
@@ -43,8 +43,12 @@
     attempt = Attempt("s1", 100.0, 50.0)
     for other in (Attempt("s2", 100.0, 50.0), Attempt("s1", 100.5, 50.0), Attempt("s1", 100.0, 50.5)):
         assert valued(other) != valued(attempt)
-    answer = Answer(Final.REJECTED, 2.0, "why")
-    for other in (Answer(Final.FAILED, 2.0, "why"), replace(answer, stay_away_ms=3.0), replace(answer, why="")):
+    answer = FinalAnswer(FinalAnswerKind.REJECTED, 2.0, "why")
+    for other in (
+        FinalAnswer(FinalAnswerKind.FAILED, 2.0, "why"),
+        replace(answer, retry_after_ms=3.0),
+        replace(answer, reason=""),
+    ):
         assert valued(other) != valued(answer)
     assert len({repr(valued(outcome)) for outcome in Outcome}) == len(Outcome)
     assert valued({"a": 1, "b": 2}) != valued({"b": 2, "a": 1})
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -31,7 +31,7 @@
     found["one of each"] = mark_of(
         replace(drawn, quota_plans=drawn.quota_plans[:1], request_classes=drawn.request_classes[:1])
     )
-    found["no budget"] = mark_of(replace(drawn, budget_share=None))
+    found["no budget"] = mark_of(replace(drawn, retry_budget_share=None))
     return found
 
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("changes", [
-    {"mean_units": 2.5}, {"budget_window_ms": 1.0}, {"may_cancel": False}, {"request_classes": ()},
+    {"mean_units": 2.5}, {"retry_budget_window_ms": 1.0}, {"cancellation_allowed": False}, {"request_classes": ()},
 ])  # fmt: skip
 def test_other_settings_have_another_mark(changes: dict[str, Any]) -> None:
     assert mark_of(replace(handed(CONFIG), **changes)) not in saved("settings_marks").values()
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -84,9 +84,9 @@
     found = memory.decode(data)
     assert plain(found) == expected["values"]
     assert memory.mark_of(config.module_settings(config.head["h1"])) == expected["settings"]
-    assert plain(rebuilt(config, found.state).remembered(9_000.0)) == expected["later"]
+    assert plain(rebuilt(config, found.state).snapshot(9_000.0)) == expected["later"]
     name, mark, *times, _ = expected["values"]
-    assert memory.encode(memory.Snapshot(name, mark, *times, learned(config).remembered(5_000.0))) == data
+    assert memory.encode(memory.Snapshot(name, mark, *times, learned(config).snapshot(5_000.0))) == data
 
 
 def check_kept_version(data: bytes, expected: dict[str, Any]) -> None:
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -100,11 +100,11 @@
     config = load(str(ROOT / "examples" / "head.conf"))
     mark = memory.mark_of(config.module_settings(config.head["h1"]))
     head = learned(config)
-    kept = memory.Snapshot("h1", mark, *MEMORY, head.remembered(5_000.0))
+    kept = memory.Snapshot("h1", mark, *MEMORY, head.snapshot(5_000.0))
     (FIXTURES / "memory").write_bytes(memory.encode(kept))
     read = memory.decode(memory.encode(kept))
     later = rebuilt(config, read.state)
-    save("memory", {"values": plain(read), "settings": mark, "later": plain(later.remembered(9_000.0))})
+    save("memory", {"values": plain(read), "settings": mark, "later": plain(later.snapshot(9_000.0))})
 
     held = StoredVersions(*KEPT)
     (FIXTURES / "kept_version").write_bytes(msgspec.msgpack.encode(held))
--- a/tests/drawn_fleet.py
+++ b/tests/drawn_fleet.py
@@ -10,7 +10,7 @@
 from drawn import HEADS, RUNNING, SHELFS, Life, end_of
 
 from pebblehinge.decide import Request, Scheduler
-from pebblehinge.interface import Changes, Entry, Final, Outcome, Standing
+from pebblehinge.interface import Changes, EndpointEntry, EndpointState, FinalAnswerKind, Outcome
 from pebblehinge.settings import Config
 
 
@@ -20,7 +20,7 @@
     def __init__(self, config: Config, seed: int, rule: str, kind: type[Scheduler] = Scheduler) -> None:
         self.config, self.seed, self.rule, self.kind = config, seed, rule, kind
         self.now, self.count, self.order = 1000.0, 0, 0
-        self.truth = {f"s{i}": Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)}
+        self.truth = {f"s{i}": EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(SHELFS)}
         self.old = dict(self.truth)
         self.lives: dict[str, Life] = {}
         self.agenda: list[tuple[float, int, Any]] = []  # time, order, call
@@ -53,7 +53,7 @@
                 self.now = max(self.now, at)
                 life = self.lives[name]
                 life.wake = None
-                self._done(name, life, life.head.woken(self.now))
+                self._done(name, life, life.head.on_wake_up(self.now))
             else:
                 self.now = until
                 return
@@ -83,7 +83,7 @@
         head = self.kind(settings, self.seed + self.order, self.now)
         life = self.lives[name] = Life(head, settings)
         if memory is not None:
-            head.recall(self.now, memory, 50.0, False)
+            head.restore(self.now, memory, 50.0, False)
         self._note("lab", "started", name=name)
         self._note("clients", "connected", head=name)
         self._done(name, life, head.start(self.now))
@@ -97,8 +97,8 @@
                 self.seen["recalled"] += 1
                 self.at(self.now, lambda a=request, n=number: self._end(name, life, a, n, Outcome.CANCELLED))
             if answer is not None:
-                final = "pushed back" if answer.final is Final.REJECTED else "terminated"
-                self._final(request, final, answer.stay_away_ms)
+                final = "pushed back" if answer.kind is FinalAnswerKind.REJECTED else "terminated"
+                self._final(request, final, answer.retry_after_ms)
         life.wake = changes.wake_ms
 
     def _final(self, a: Request, final: str, stay: float) -> None:
@@ -107,23 +107,23 @@
         self.seen[final] += 1
 
     def _attempt(self, name: str, life: Life, a: Request, attempt: Any) -> None:
-        n = a.sent - 1
+        n = a.attempt_count - 1
         if a.trace in self.finals:
-            self.after.append(f"{a.trace}: trip {n} to {attempt.shelf} after its final answer")
-        if a.slot >= 0 and life.slots[attempt.shelf] != a.slot:
-            self.astray.append(f"{a.trace}, for slot {a.slot}: trip {n} to {attempt.shelf} at {self.now:.0f} ms")
+            self.after.append(f"{a.trace}: trip {n} to {attempt.node_name} after its final answer")
+        if a.slot >= 0 and life.slots[attempt.node_name] != a.slot:
+            self.astray.append(f"{a.trace}, for slot {a.slot}: trip {n} to {attempt.node_name} at {self.now:.0f} ms")
         rng, outcome, takes = end_of(self.seed, self.rule, a.trace, n)
         if self.rule == "cold":  # in turn, as fast as it is warm
-            rules, age = self.config.rules, self.now - self.truth[attempt.shelf].started_ms
+            rules, age = self.config.rules, self.now - self.truth[attempt.node_name].started_ms
             warmth = min(1.0, rules.cold_share + (1.0 - rules.cold_share) * age / rules.warm)
-            begins = max(self.now, self.free_at.get(attempt.shelf, 0.0))
+            begins = max(self.now, self.free_at.get(attempt.node_name, 0.0))
             takes = begins + a.units * 14.0 / 2.0 / warmth - self.now
-            self.free_at[attempt.shelf] = self.now + takes
-        if outcome is Outcome.TIMED_OUT or self.now + takes >= attempt.until_ms:
-            outcome, takes = Outcome.TIMED_OUT, max(0.0, attempt.until_ms - self.now)
+            self.free_at[attempt.node_name] = self.now + takes
+        if outcome is Outcome.TIMED_OUT or self.now + takes >= attempt.deadline_ms:
+            outcome, takes = Outcome.TIMED_OUT, max(0.0, attempt.deadline_ms - self.now)
         if outcome not in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            age = self.now - self.truth[attempt.shelf].started_ms
-            self.shelfs[attempt.shelf].append(
+            age = self.now - self.truth[attempt.node_name].started_ms
+            self.shelfs[attempt.node_name].append(
                 {
                     "e": "got",
                     "t": self.now,
@@ -141,14 +141,14 @@
             )
             self.seen["to a cold shelf"] += age < self.config.rules.warm
         if outcome in RUNNING and rng.random() < 0.8:
-            self.shelfs[attempt.shelf].append({"e": "effect", "t": self.now + takes, "id": a.trace})
+            self.shelfs[attempt.node_name].append({"e": "effect", "t": self.now + takes, "id": a.trace})
         self.seen[outcome.value] += 1
         self.seen["further"] += n > 0
-        self.out[attempt.shelf] = [
-            row for row in self.out.get(attempt.shelf, []) if row[3] not in row[2].ended_attempts
+        self.out[attempt.node_name] = [
+            row for row in self.out.get(attempt.node_name, []) if row[3] not in row[2].ended_attempts
         ]
-        self.out[attempt.shelf].append((name, life, a, n))
-        self.at(self.now + takes, lambda: self._end(name, life, a, n, outcome, attempt.shelf))
+        self.out[attempt.node_name].append((name, life, a, n))
+        self.at(self.now + takes, lambda: self._end(name, life, a, n, outcome, attempt.node_name))
 
     def _end(self, name: str, life: Life, a: Request, n: int, outcome: Outcome, shelf: str = "") -> None:
         if self.lives.get(name) is not life or n in a.ended_attempts:
@@ -159,4 +159,4 @@
         if outcome is Outcome.SUCCEEDED and a.trace not in self.finals:
             self._final(a, "honoured", 0.0)
         over = a.trace in self.finals
-        self._done(name, life, a.ended(self.now, n, outcome, over, self.now - a.sent_ms))
+        self._done(name, life, a.on_attempt_end(self.now, n, outcome, over, self.now - a.sent_ms))
--- a/tests/drawn_world.py
+++ b/tests/drawn_world.py
@@ -8,7 +8,7 @@
 from drawn import GRACE_MS, HEADS, SHELFS
 from drawn_fleet import Fleet
 
-from pebblehinge.interface import Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 from pebblehinge.lab.check import Day
 
 
@@ -39,7 +39,7 @@
         op = {"op": trace[:-2], "head": name, "profile": profile, "x": extent, "u": units, "volume": number}
         self._note("clients", "op", t=self.now + left - block.patience, plan=volume, **op)
         self._note("clients", "sent", id=trace)
-        a, changes = life.head.take(
+        a, changes = life.head.submit(
             self.now, id_, extent, profile, volume, number, len(HEADS), slot, units, self.now + left, None
         )
         a.trace, a.ended_attempts = trace, set()
@@ -52,14 +52,14 @@
         entry, self.old = self.truth[shelf], dict(self.truth)
         self.seen[what] += 1
         if what in ("drain", "gone", "back"):
-            standing = {"drain": Standing.DRAINING, "gone": Standing.GONE, "back": Standing.READY}[what]
-            self.truth[shelf] = replace(entry, standing=standing)
+            standing = {"drain": EndpointState.DRAINING, "gone": EndpointState.GONE, "back": EndpointState.READY}[what]
+            self.truth[shelf] = replace(entry, state=standing)
         else:  # another process: what was out at the one before breaks
             for row in self.out.pop(shelf, []):
                 self._end(*row, Outcome.CONNECTION_LOST)
             started = {"earlier": self.now - 2000.0, "unstated": 0.0, "future": self.now + 500.0}.get(what, self.now)
             slot = (entry.slot + 1) % SHELFS if what == "moved" else entry.slot
-            self.truth[shelf] = Entry(shelf, Standing.READY, slot, started)
+            self.truth[shelf] = EndpointEntry(shelf, EndpointState.READY, slot, started)
             self._up(shelf, what == "restart")
         for head in HEADS:
             self.at(self.now + late, lambda h=head: self._tell(h, "changes", [shelf]))
@@ -68,16 +68,18 @@
         life = self.lives[name]
         known = self.old if kind == "stale" else self.truth
         names = some if some is not None else sorted(known)
-        entries = [known[n] for n in names if kind == "changes" or known[n].standing is not Standing.GONE]
+        entries = [known[n] for n in names if kind == "changes" or known[n].state is not EndpointState.GONE]
         told = {"failed": ListKind.FAILED, "changes": ListKind.CHANGES, "cached": ListKind.CACHED}
         kind_ = told.get(kind, ListKind.WHOLE)
         if kind_ is not ListKind.FAILED:
-            rows = [(e.shelf, e.standing.value, e.started_ms) for e in entries]
+            rows = [(e.node_name, e.state.value, e.started_ms) for e in entries]
             whole = "changes" if kind == "changes" else "whole"
             self._note("listing", "told", head=name, kind=whole, rows=rows)
-        life.slots |= {e.shelf: e.slot for e in entries if kind != "failed"}
+        life.slots |= {e.node_name: e.slot for e in entries if kind != "failed"}
         self.seen["list " + kind] += 1
-        self._done(name, life, life.head.listed(self.now, kind_, [] if kind_ is ListKind.FAILED else entries))
+        self._done(
+            name, life, life.head.apply_endpoint_list(self.now, kind_, [] if kind_ is ListKind.FAILED else entries)
+        )
 
     def _left(self, name: str, r: float, _: bool) -> None:
         life = self.lives[name]
@@ -87,7 +89,7 @@
             self._note("clients", "left", id=a.trace)
             self.finals[a.trace] = self.now
             self.seen["left"] += 1
-            self._done(name, life, a.left(self.now))
+            self._done(name, life, a.on_client_disconnect(self.now))
 
     def _kill(self, name: str, r: float, remembers: bool) -> None:
         life = self.lives[name]
@@ -95,7 +97,7 @@
         open_ = [a.trace for a in life.open.values() if a.trace not in self.finals]
         self._note("clients", "cut", open=open_)
         self.seen["killed"] += 1
-        self._start(name, life.head.remembered(self.now) if remembers else None)
+        self._start(name, life.head.snapshot(self.now) if remembers else None)
         self._tell(name, "cached")
 
     def _adopt(self, name: str, r: float, _: bool) -> None:
@@ -105,10 +107,10 @@
         )
         self.seen["adopted"] += 1
         life.settings = replace(life.settings, quota_plans=plans)
-        self._done(name, life, life.head.adopt(self.now, life.settings))
+        self._done(name, life, life.head.replace_settings(self.now, life.settings))
 
     def _early(self, name: str, *_: Any) -> None:
-        self._done(name, self.lives[name], self.lives[name].head.woken(self.now))
+        self._done(name, self.lives[name], self.lives[name].head.on_wake_up(self.now))
 
     def _deaf(self, name: str, r: float, _: bool) -> None:
         """Its wakes are missed for a while."""
@@ -122,4 +124,4 @@
         if ended:
             a, n = ended[int(r * len(ended))]
             self.seen["told twice"] += 1
-            self._done(name, life, a.ended(self.now, n, Outcome.SERVER_ERROR, False, 1.0))
+            self._done(name, life, a.on_attempt_end(self.now, n, Outcome.SERVER_ERROR, False, 1.0))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -203,7 +203,7 @@
     async def start_head(self, core: type[GatewayCore] = GatewayCore) -> None:
         self.head = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
         await self.head.start()
-        await until(lambda: len(self.head.core.module.shelfs.at_slot) == len(self.shelfs))
+        await until(lambda: len(self.head.core.module.nodes.node_at_slot) == len(self.shelfs))
 
     def kill_head(self) -> None:
         """As SIGKILL does: the system closes its sockets, nothing is said."""
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -12,7 +12,7 @@
 from service_rig import CONFIG, SETTINGS, ask, entry, listing
 
 from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
-from pebblehinge.decide import NEVER_RAN
+from pebblehinge.decide import NEVER_RAN_OUTCOMES
 from pebblehinge.http1 import ResponseParser
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.platform_settings import read_settings
@@ -147,7 +147,7 @@
 
         def ends() -> None:
             if pending.attempt is token:
-                self.risky.add(pending.id) if outcome not in NEVER_RAN else None
+                self.risky.add(pending.id) if outcome not in NEVER_RAN_OUTCOMES else None
                 self.core.ended(self.now, pending, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
 
         self.at(when, ends)
--- a/tests/lone_head.py
+++ b/tests/lone_head.py
@@ -8,15 +8,17 @@
 from test_scenarios import PLANS, PROFILES, SETTINGS
 
 from pebblehinge.decide import Request, Scheduler
-from pebblehinge.interface import Changes, Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import Changes, EndpointEntry, EndpointState, ListKind, Outcome
 
-SAFE = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS, warm_ms=10.0)
+SAFE = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS, slow_start_duration_ms=10.0)
 
 KEYWORDS = {"profile": "request_class", "plan": "quota_plan"}  # the settings' words: the scheduler's
 
 
 def listed(head: Scheduler, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES) -> Changes:
-    return head.listed(now, kind, [Entry(name, Standing.READY, slot, started) for name, slot, started in rows])
+    return head.apply_endpoint_list(
+        now, kind, [EndpointEntry(name, EndpointState.READY, slot, started) for name, slot, started in rows]
+    )
 
 
 def take(head: Scheduler, now: float, slot: int = 0, **more: Any) -> Request:
@@ -31,7 +33,7 @@
     }
     given |= {KEYWORDS.get(key, key): value for key, value in more.items()}
     left = given.pop("left")
-    return head.take(now, 1, slot=slot, deadline_ms=now + left, **given)[0]
+    return head.submit(now, 1, slot=slot, deadline_ms=now + left, **given)[0]
 
 
 def went(a: Request) -> bool:
@@ -43,4 +45,4 @@
     """A request goes and is succeeded."""
     a = take(head, now, slot)
     assert went(a), "it was to be sent"
-    a.ended(now + took, 0, Outcome.SUCCEEDED, True, took)
+    a.on_attempt_end(now + took, 0, Outcome.SUCCEEDED, True, took)
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -146,7 +146,7 @@
         await self.head.start()
         assert self.head.listener.socket is not None
         self.port = self.head.listener.socket.getsockname()[1]
-        await until(lambda: len(self.head.core.module.shelfs.at_slot) == 2)
+        await until(lambda: len(self.head.core.module.nodes.node_at_slot) == 2)
         return self
 
     async def client(self) -> Client:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,9 +13,9 @@
 from test_scenarios import PLANS
 
 from pebblehinge.console.view import GatewayView
-from pebblehinge.decide import CONCURRENCY_LIMIT, REMEMBERED, Request, Scheduler
+from pebblehinge.decide import MAX_CACHE_ENTRIES, MAX_CONCURRENCY, Request, Scheduler
 from pebblehinge.gateway import GatewayCore
-from pebblehinge.interface import Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 
 
 def sizes(head: Scheduler) -> dict[str, int]:
@@ -23,12 +23,12 @@
     parts = (
         head,
         head.settings,
-        head.notes,
-        head.shelfs,
+        head.change_set,
+        head.nodes,
         dispatcher,
         dispatcher.valuation,
         dispatcher.limits,
-        dispatcher.limits.queues,
+        dispatcher.limits.extent_queues,
         dispatcher.load_shedder,
         dispatcher.anticipation,
         dispatcher.retries,
@@ -44,7 +44,7 @@
 def test_shelfs_that_never_come_back_leave_nothing() -> None:
     """Seen: a column's place for each name ever listed, for as long as the head ran."""
     head, now = Scheduler(SAFE, 1, 0.0), 0.0
-    head.recall(
+    head.restore(
         0.0,
         {
             "shelfs": {f"old{i}": [1.0, 1.0, 1.0, 1.0, 4.0, -1.0] for i in range(50)},
@@ -61,7 +61,7 @@
         listed(head, now, *((f"s{n + i}", i, 0.0) for i in range(8)), kind=ListKind.WHOLE)
         for slot in range(8):
             served(head, now, slot, 5.0)
-    head.woken(now + 10_000.0)
+    head.on_wake_up(now + 10_000.0)
     found = sizes(head)
     bounded_otherwise = ("Limits.takes", "SettingsView.request_classes", "SettingsView.quota_plans")
     assert len(found) > 30 and max(n for name, n in found.items() if name not in bounded_otherwise) <= 20, found
@@ -72,15 +72,15 @@
     head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     a = take(head, 0.0, profile="save")
-    head.listed(1.0, ListKind.CHANGES, [Entry("A", Standing.GONE, 0, 0.0)])
+    head.apply_endpoint_list(1.0, ListKind.CHANGES, [EndpointEntry("A", EndpointState.GONE, 0, 0.0)])
     listed(head, 2.0, ("B", 0, 0.0))
-    assert head.shelfs.index["A"] != head.shelfs.index["B"]
+    assert head.nodes.index["A"] != head.nodes.index["B"]
     b = take(head, 3.0)
-    a.ended(4.0, 0, Outcome.CONNECTION_LOST, False, 4.0)
-    assert head.shelfs.in_flight[head.shelfs.index["B"]] == [b]
-    head.listed(5.0, ListKind.CHANGES, [Entry("B", Standing.DRAINING, 0, 0.0)])
+    a.on_attempt_end(4.0, 0, Outcome.CONNECTION_LOST, False, 4.0)
+    assert head.nodes.in_flight[head.nodes.index["B"]] == [b]
+    head.apply_endpoint_list(5.0, ListKind.CHANGES, [EndpointEntry("B", EndpointState.DRAINING, 0, 0.0)])
     listed(head, 6.0, ("C", 0, 0.0))
-    assert "B" in head.shelfs.index and head.shelfs.names[head.shelfs.index["C"]] == "C"
+    assert "B" in head.nodes.index and head.nodes.names[head.nodes.index["C"]] == "C"
 
 
 def test_wakes_are_not_asked_for_by_each_request_that_is_held() -> None:
@@ -89,8 +89,8 @@
     listed(head, 0.0, ("A", 0, 0.0))
     for n in range(1000):
         take(head, n * 0.1, profile="bulk", left=500.0 + n * 1.4)
-    assert sum(len(h) for h in head.shelfs.queued) > 900
-    assert len(head.notes.wakes) < 50
+    assert sum(len(h) for h in head.nodes.queues) > 900
+    assert len(head.change_set.wake_ups) < 50
 
 
 def test_giving_up_a_hundred_held_requests_costs_in_step_with_their_number() -> None:
@@ -119,10 +119,10 @@
             a = take(head, 0.0, profile="bulk")
             a.value_per_unit = Counted(a.value_per_unit)
         # Of a sudden half can't be in time.
-        head.shelfs.mean_latency_ms[0], head.shelfs.mean_updated_ms[0] = 2000.0 * CONCURRENCY_LIMIT / (count / 2), 1.0
+        head.nodes.mean_latency_ms[0], head.nodes.mean_updated_ms[0] = 2000.0 * MAX_CONCURRENCY / (count / 2), 1.0
         Counted.looks = 0
-        head.dispatcher.serve(0, 1.0, None)
-        assert count * 0.4 < len(head.shelfs.queued[0]) < count * 0.6
+        head.dispatcher.process_queue(0, 1.0, None)
+        assert count * 0.4 < len(head.nodes.queues[0]) < count * 0.6
         return Counted.looks
 
     assert looks(400) < 2.6 * looks(200)
@@ -131,12 +131,12 @@
 def test_a_volume_at_rest_does_not_get_back_more_of_its_limit_than_has_filled() -> None:
     """Seen: a volume forgotten after a minute began again as if it had filled since the head's start."""
     plans = (replace(PLANS[2], limit_rate=0.5, limit_burst=100.0, limit_slack=0.0), PLANS[0])
-    head = Scheduler(replace(SAFE, quota_plans=plans, most_units=100.0), 1, 0.0)
+    head = Scheduler(replace(SAFE, quota_plans=plans, max_units=100.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     first = take(head, 300_000.0, plan="capped", units=100.0, volume="v")
     assert went(first)
-    first.ended(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
-    for n in range(REMEMBERED + 10):
+    first.on_attempt_end(300_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
+    for n in range(MAX_CACHE_ENTRIES + 10):
         take(head, 361_000.0 + n / 100, slot=9, volume=f"w{n}")  # refused: nobody has that slot
     assert "v" not in head.dispatcher.valuation.buckets, "it was to be forgotten"
     again = take(head, 362_000.0, plan="capped", units=60.0, volume="v", profile="bulk")
@@ -145,11 +145,11 @@
 
 def test_a_limit_that_was_raised_in_service_fills_from_then_on() -> None:
     plans = (replace(PLANS[2], limit_rate=1.0, limit_burst=10.0, limit_slack=0.0), PLANS[0])
-    settings = replace(SAFE, quota_plans=plans, most_units=100.0)
+    settings = replace(SAFE, quota_plans=plans, max_units=100.0)
     head = Scheduler(settings, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     raised = replace(plans[0], limit_rate=50.0, limit_burst=100.0)
-    head.adopt(100_000.0, replace(settings, quota_plans=(raised, plans[1])))
+    head.replace_settings(100_000.0, replace(settings, quota_plans=(raised, plans[1])))
     # A volume that this head has not seen had 10 units at the most, and since then 50 a second.
     assert not went(take(head, 100_010.0, plan="capped", units=90.0, volume="new", profile="bulk"))
 
@@ -159,7 +159,7 @@
     """Seen: one request with a time that is no number made every later call for its shelf fail."""
     doing = Effects()
     core = GatewayCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
-    core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
+    core.listed(1000.0, ListKind.WHOLE, [EndpointEntry("s0", EndpointState.READY, 0, 0.0)])
 
     def one(id_: int, left_ms: float) -> Any:
         return core.take(
@@ -176,8 +176,8 @@
     async def script(rig: Rig) -> None:
         head, view = rig.head, GatewayView(rig.head)
         for n in range(60):
-            rows = [Entry(f"n{n + i}", Standing.READY, i, 0.0) for i in range(2)]
-            head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.shelf: "127.0.0.1:1" for e in rows})
+            rows = [EndpointEntry(f"n{n + i}", EndpointState.READY, i, 0.0) for i in range(2)]
+            head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.node_name: "127.0.0.1:1" for e in rows})
             head.core.wait_accounting.queued(rig.clock(), n, "v", f"n{n}", 1.0)
             head.core.wait_accounting.request_ended(rig.clock(), n)
             view.snapshot()
@@ -202,8 +202,8 @@
         for _ in range(count):
             take(head, 0.0, profile="bulk")
         looks = 0
-        changes = head.listed(1.0, ListKind.CHANGES, [Entry("A", Standing.GONE, 0, 0.0)])
-        assert len(changes.handles) == count - CONCURRENCY_LIMIT
+        changes = head.apply_endpoint_list(1.0, ListKind.CHANGES, [EndpointEntry("A", EndpointState.GONE, 0, 0.0)])
+        assert len(changes.handles) == count - MAX_CONCURRENCY
         return looks
 
     monkeypatch.setattr(Request, "__eq__", same)
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -153,8 +153,8 @@
         await until(lambda: rig.head.core.open <= 2)
         assert [await status(raw) for raw in stay] == [b"200", b"200"]
         assert len(rig.shelfs[0].asked) <= sent + 3
-        assert not rig.head.core.pending and not rig.head.core.module.dispatcher.limits.queues.rows
-        assert not any(rig.head.core.module.shelfs.queued) and not any(rig.head.core.module.shelfs.in_flight)
+        assert not rig.head.core.pending and not rig.head.core.module.dispatcher.limits.extent_queues.queues
+        assert not any(rig.head.core.module.nodes.queues) and not any(rig.head.core.module.nodes.in_flight)
 
     on_rig(script, settings=read_settings(platform_settings))
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -8,7 +8,7 @@
 from cold_fleet import SCENES, START_MS, Fleet, settings
 
 from pebblehinge.decide import Scheduler
-from pebblehinge.interface import Entry, ListKind, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
 
 MOST_ASKED = 1.2  # of what the warm shelf can do; past twice of it the line is not kept (docs/standing-test.md)
 FLEETS = [(heads, scene) for heads in (3, 30, 230) for scene in SCENES]
@@ -31,12 +31,12 @@
     """Of 200 requests to one extent of a shelf that has just started, how many may go as far as their turn goes."""
     cfg = settings(random.Random(3))
     head = Scheduler(cfg, 5, START_MS)
-    head.listed(START_MS, ListKind.WHOLE, [Entry("new", Standing.READY, 0, START_MS)])
+    head.apply_endpoint_list(START_MS, ListKind.WHOLE, [EndpointEntry("new", EndpointState.READY, 0, START_MS)])
     going = 0
     for n in range(200):
-        request, _ = head.take(START_MS + 1.0, n + 1, "e7", "look", "gold", "v1", 3, 0, 2.0, START_MS + 3000.0, again)
+        request, _ = head.submit(START_MS + 1.0, n + 1, "e7", "look", "gold", "v1", 3, 0, 2.0, START_MS + 3000.0, again)
         head.dispatcher.valuation.mean_value_per_unit = request.value_per_unit
-        going += head.dispatcher.limits.earliest(request, START_MS + 1.0) <= START_MS + 1.0
+        going += head.dispatcher.limits.earliest_send_ms(request, START_MS + 1.0) <= START_MS + 1.0
     return going
 
 
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -9,7 +9,7 @@
 from drawn import CONFIG, PROFILES, RUNS, SHELFS
 
 from pebblehinge.gateway import GatewayCore
-from pebblehinge.interface import Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 
 
 class Client:
@@ -51,7 +51,7 @@
     rng, doing, now, left = random.Random(f"{seed}/core"), Effects(), 1000.0, set()
     core = kind(CONFIG, CONFIG.head["h1"], now, doing)
     core.start(now)
-    truth = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
+    truth = [EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(SHELFS)]
     core.listed(now, ListKind.WHOLE, truth)
     count, takens = 0, []
 
@@ -106,11 +106,11 @@
             core.left(now, pending)
         elif what < 0.98:
             i = rng.randrange(SHELFS)
-            standing = rng.choice((Standing.READY, *Standing))
+            standing = rng.choice((EndpointState.READY, *EndpointState))
             started = rng.choice((0.0, 0.0, now, now - 900.0))
-            truth[i] = Entry(f"s{i}", standing, rng.choice((i, i, (i + 1) % SHELFS)), started)
+            truth[i] = EndpointEntry(f"s{i}", standing, rng.choice((i, i, (i + 1) % SHELFS)), started)
             kind_ = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
-            core.listed(now, kind_, [e for e in truth if e.standing is not Standing.GONE])
+            core.listed(now, kind_, [e for e in truth if e.state is not EndpointState.GONE])
         else:
             core.adopt_config(now, CONFIG)
     pass_until(now + 5000.0)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -73,7 +73,7 @@
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask())
         rig.discovery.conns[0].tell(listing(2, entry("s0", rig.shelfs[0].port, 0, state), full=False))
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 not in rig.head.core.module.nodes.node_at_slot)
         await nothing_is_sent(rig, gate)
         assert (await client.answer()).status == 503 and rig.head.core.outcomes[Outcome.NOT_SENT] == 1
         await until(lambda: rig.shelfs[0].conns[0].lost)  # no connection to it is kept
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -40,7 +40,7 @@
         return self
 
     def standings(self) -> dict[str, str]:
-        return {e.shelf: e.standing.value for told in self.told for e in told.entries}
+        return {e.node_name: e.state.value for told in self.told for e in told.entries}
 
 
 def on_sockets(script: Any, gated: bool = False) -> None:
--- a/tests/test_full_of_clients.py
+++ b/tests/test_full_of_clients.py
@@ -42,7 +42,7 @@
         again = await back(rig, port)
         again.list = listing(9, entry("s0", rig.shelfs[0].port, 0), entry("s1", rig.shelfs[1].port, 1, "Terminating"))
         await until(lambda: head.watch.newest == 9, 3.0)
-        assert 1 not in head.core.module.shelfs.at_slot
+        assert 1 not in head.core.module.nodes.node_at_slot
         client = await rig.client()
         client.write(ask())
         assert (await client.answer()).status == 200
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -8,7 +8,7 @@
 from lone_head import SAFE, listed, served, take, went
 from test_rules_can_break import BASE
 
-from pebblehinge.decide import CONCURRENCY_LIMIT, Scheduler
+from pebblehinge.decide import MAX_CONCURRENCY, Scheduler
 from pebblehinge.interface import ListKind, Outcome
 from pebblehinge.lab.village import play
 from pebblehinge.settings.load import loads
@@ -20,7 +20,7 @@
     head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0), ("B", 1, 0.0))
     first = take(head, 0.0, 0, left=6000.0)
-    first.ended(5000.0, 0, Outcome.SUCCEEDED, True, 5000.0)
+    first.on_attempt_end(5000.0, 0, Outcome.SUCCEEDED, True, 5000.0)
     assert went(take(head, 7000.0, 1))
 
 
@@ -29,8 +29,8 @@
     listed(head, 0.0, *((f"s{i}", i, 0.0) for i in range(20)))
     served(head, 0.0, 0, 5000.0)
     for i in range(1, 20):
-        head.shelfs.learn(i, 5000.0, 50.0)
-    assert head.shelfs.fleet_mean(5000.0) == pytest.approx((5000.0 / 0.75 + 19 * 50.0) / 20, rel=0.4)
+        head.nodes.record_latency(i, 5000.0, 50.0)
+    assert head.nodes.fleet_mean_latency(5000.0) == pytest.approx((5000.0 / 0.75 + 19 * 50.0) / 20, rel=0.4)
 
 
 def slow(head: Scheduler, now: float) -> None:
@@ -39,8 +39,8 @@
         served(head, now + n, 1, 20.0)
     for a in [take(head, now + 50, 0, left=2500.0) for _ in range(3)]:
         assert went(a)
-        a.ended(now + 2050, 0, Outcome.SUCCEEDED, True, 2000.0)
-    head.shelfs.consecutive_losses[head.shelfs.index["A"]] = 3
+        a.on_attempt_end(now + 2050, 0, Outcome.SUCCEEDED, True, 2000.0)
+    head.nodes.consecutive_losses[head.nodes.index["A"]] = 3
 
 
 @pytest.mark.parametrize("row", [("A", 0, 13_000.0), ("A", 0, 4_000.0), ("A", 0, 0.0), ("A", 7, 8_000.0)])
@@ -49,10 +49,10 @@
     head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0))
     slow(head, 10_000.0)
-    assert head.shelfs.mean_latency_ms[0] > 800.0
+    assert head.nodes.mean_latency_ms[0] > 800.0
     listed(head, 13_100.0, row)
-    s = head.shelfs.index["A"]
-    assert (head.shelfs.mean_latency_ms[s], head.shelfs.consecutive_losses[s], head.shelfs.unreachable[s]) == (
+    s = head.nodes.index["A"]
+    assert (head.nodes.mean_latency_ms[s], head.nodes.consecutive_losses[s], head.nodes.unreachable[s]) == (
         0.0,
         0,
         False,
@@ -65,20 +65,20 @@
     head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0))
     slow(head, 10_000.0)
-    before = head.shelfs.mean_latency_ms[head.shelfs.index["A"]]
+    before = head.nodes.mean_latency_ms[head.nodes.index["A"]]
     listed(head, 13_100.0, ("A", 0, 8_003.5), ("B", 1, 0.0), kind=ListKind.WHOLE)
-    assert head.shelfs.mean_latency_ms[head.shelfs.index["A"]] == before > 0
+    assert head.nodes.mean_latency_ms[head.nodes.index["A"]] == before > 0
 
 
 def test_attempts_of_a_former_process_say_nothing_of_the_new_one() -> None:
-    head = Scheduler(replace(SAFE, warm_ms=10_000.0), 1, 10_000.0)
+    head = Scheduler(replace(SAFE, slow_start_duration_ms=10_000.0), 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 0.0))
-    attempts = [take(head, 10_000.0, profile="save") for _ in range(CONCURRENCY_LIMIT)]
+    attempts = [take(head, 10_000.0, profile="save") for _ in range(MAX_CONCURRENCY)]
     listed(head, 10_500.0, ("A", 0, 10_400.0))
     for a in attempts:
-        a.ended(10_600.0, 0, Outcome.CONNECTION_LOST, False, 600.0)
-    s = head.shelfs.index["A"]
-    assert (head.shelfs.consecutive_losses[s], head.shelfs.unreachable[s], head.shelfs.slow_start_ms[s]) == (
+        a.on_attempt_end(10_600.0, 0, Outcome.CONNECTION_LOST, False, 600.0)
+    s = head.nodes.index["A"]
+    assert (head.nodes.consecutive_losses[s], head.nodes.unreachable[s], head.nodes.slow_start_since_ms[s]) == (
         0,
         False,
         10_400.0,
@@ -86,31 +86,37 @@
 
 
 def test_a_start_that_is_not_stated_any_more_counts_as_cold_from_now() -> None:
-    head = Scheduler(replace(SAFE, warm_ms=10_000.0), 1, 50_000.0)
+    head = Scheduler(replace(SAFE, slow_start_duration_ms=10_000.0), 1, 50_000.0)
     listed(head, 50_000.0, ("A", 0, 20_000.0))
-    assert head.shelfs.slow_start_ms[0] is None
+    assert head.nodes.slow_start_since_ms[0] is None
     listed(head, 60_000.0, ("A", 0, 0.0))
-    assert head.shelfs.slow_start_ms[0] == 60_000.0
+    assert head.nodes.slow_start_since_ms[0] == 60_000.0
 
 
 def test_a_dead_shelf_that_answers_is_cold_from_then_on_however_long_it_was_not_asked() -> None:
     """Seen: cold from the last failed connection on, and so nearly warm, though it may have started just now."""
-    head = Scheduler(replace(SAFE, warm_ms=10_000.0, cold_share=1.0), 1, 0.0)
+    head = Scheduler(replace(SAFE, slow_start_duration_ms=10_000.0, slow_start_initial_share=1.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
-    take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
+    take(head, 0.0).on_attempt_end(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
     a = take(head, 9_000.0)
     assert went(a)
-    a.ended(9_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
-    assert head.shelfs.slow_start_ms[0] == 9_000.0 and not head.shelfs.unreachable[0]
+    a.on_attempt_end(9_010.0, 0, Outcome.SUCCEEDED, True, 10.0)
+    assert head.nodes.slow_start_since_ms[0] == 9_000.0 and not head.nodes.unreachable[0]
 
 
 def test_of_many_heads_that_could_not_reach_a_shelf_few_try_it_together() -> None:
     """Each sends one attempt at a time to a dead shelf; a hundred would still push over one just started."""
     tried = 0
     for seed in range(100):
-        head = Scheduler(replace(SAFE, warm_ms=10_000.0, cold_share=0.02, fall_multiple=1.0), seed, 0.0)
+        head = Scheduler(
+            replace(
+                SAFE, slow_start_duration_ms=10_000.0, slow_start_initial_share=0.02, slow_start_failure_multiple=1.0
+            ),
+            seed,
+            0.0,
+        )
         listed(head, 0.0, ("A", 0, 0.0))
-        take(head, 0.0).ended(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
+        take(head, 0.0).on_attempt_end(1.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
         tried += went(take(head, 300.0))
     assert 0 < tried < 30
 
@@ -120,12 +126,12 @@
     listed(head, 10_000.0, ("A", 0, 8_000.0), ("B", 1, 0.0), ("C", 2, 0.0))
     served(head, 10_000.0, 2, 30.0)
     slow(head, 10_000.0)
-    state = head.remembered(13_100.0)
+    state = head.snapshot(13_100.0)
     later = Scheduler(SAFE, 2, 500.0)
-    later.recall(500.0, state, 1_000.0, True)
+    later.restore(500.0, state, 1_000.0, True)
     # A started anew since, B has another slot, C is as it was.
     listed(later, 600.0, ("A", 0, 550.0), ("B", 5, 0.0), ("C", 2, 0.0))
-    means = {name: later.shelfs.mean_latency_ms[later.shelfs.index[name]] for name in "ABC"}
+    means = {name: later.nodes.mean_latency_ms[later.nodes.index[name]] for name in "ABC"}
     assert means["A"] == means["B"] == 0.0 < means["C"]
 
 
@@ -133,23 +139,23 @@
     head = Scheduler(SAFE, 1, 10_000.0)
     listed(head, 10_000.0, ("A", 0, 0.0))
     served(head, 10_000.0, 0, 30.0)
-    state = {k: v for k, v in head.remembered(10_100.0).items() if k != "lives"}
+    state = {k: v for k, v in head.snapshot(10_100.0).items() if k != "lives"}
     data = memory.encode(memory.Snapshot("h1", "m", 1.0, 1.0, "b", True, state))
     kept = memory.recall(data, "h1", "m", 5.0, 5.0, "b").state
     later = Scheduler(SAFE, 2, 500.0)
-    later.recall(500.0, kept, 4.0, True)
+    later.restore(500.0, kept, 4.0, True)
     listed(later, 600.0, ("A", 0, 0.0))
-    assert later.shelfs.mean_latency_ms[0] > 0
+    assert later.nodes.mean_latency_ms[0] > 0
 
 
 def test_a_head_that_knows_nothing_sends_no_more_than_the_bound_to_each_shelf() -> None:
     head = Scheduler(SAFE, 1, 0.0)
     listed(head, 0.0, *((f"s{i}", i, 0.0) for i in range(5)))
     requests = [take(head, 0.1 * n, n % 5, left=(40.0, 399.0, 3000.0)[n % 3]) for n in range(300)]
-    assert sum(a.out for a in requests) <= 5 * CONCURRENCY_LIMIT
-    head.woken(390.0)
-    late = [a for a in requests if a.deadline_ms < 100.0 and not a.out]
-    assert late and all(a.over for a in late), "their time is over: each has its answer"
+    assert sum(a.attempt_in_flight for a in requests) <= 5 * MAX_CONCURRENCY
+    head.on_wake_up(390.0)
+    late = [a for a in requests if a.deadline_ms < 100.0 and not a.attempt_in_flight]
+    assert late and all(a.closed for a in late), "their time is over: each has its answer"
 
 
 def test_a_head_that_knows_nothing_starts_limits_empty() -> None:
@@ -175,9 +181,9 @@
     listed(other, 10_000.0, ("X", 0, 0.0), ("Y", 1, 0.0))
     served(other, 10_000.0, 0, 30.0)
     head = Scheduler(SAFE, 2, 0.0)
-    head.recall(0.0, other.remembered(10_100.0), 500.0, False)
+    head.restore(0.0, other.snapshot(10_100.0), 500.0, False)
     listed(head, 0.0, ("A", 0, 0.0))
-    assert head.shelfs.mean_latency_ms[0] == 0.0 and went(take(head, 1.0, 0))
+    assert head.nodes.mean_latency_ms[0] == 0.0 and went(take(head, 1.0, 0))
 
 
 def test_times_to_return_are_spread_over_heads_and_requests() -> None:
@@ -189,8 +195,8 @@
         for _ in range(2):  # its slot is not listed
             answer = take(head, 1.0, slot=5).drain()[2]
             assert answer is not None
-            stays.append(answer.stay_away_ms)
-    most = SAFE.stay_away_max_ms
+            stays.append(answer.retry_after_ms)
+    most = SAFE.max_retry_after_ms
     assert min(stays) >= most / 2 and max(stays) <= most
     for part in range(10):  # of any tenth of that time no more than a fifth come back
         low = most * (0.5 + part / 20)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -18,7 +18,7 @@
 from drawn_world import World
 
 from pebblehinge.decide import Request, Scheduler
-from pebblehinge.interface import Changes, Entry, ListKind, Standing
+from pebblehinge.interface import Changes, EndpointEntry, EndpointState, ListKind
 from pebblehinge.lab.check import RULES
 
 
@@ -42,14 +42,14 @@
 
 
 class Drains(Scheduler):
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> Changes:
-        return super().listed(now, kind, [replace(e, standing=Standing.READY) for e in entries])
+    def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> Changes:
+        return super().apply_endpoint_list(now, kind, [replace(e, state=EndpointState.READY) for e in entries])
 
 
 class Hot(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.shelfs.begin_slow_start = lambda *_: None  # type: ignore[method-assign]
+        self.nodes.begin_slow_start = lambda *_: None  # type: ignore[method-assign]
 
 
 class Rich(Scheduler):
@@ -59,7 +59,7 @@
 
         def rich(a: Request, now: float) -> Any:
             st = store(a, now)
-            st.limit = max(st.limit, a.units)
+            st.limit_tokens = max(st.limit_tokens, a.units)
             return st
 
         self.dispatcher.valuation.refill = rich  # type: ignore[method-assign]
@@ -74,16 +74,18 @@
 class Spends(Scheduler):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.dispatcher.limits.spare_retries = lambda now: 99.0  # type: ignore[method-assign]
+        self.dispatcher.limits.remaining_retries = lambda now: 99.0  # type: ignore[method-assign]
 
 
 class Strays(Scheduler):
     """Takes a shelf for what its name was first listed as."""
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> Changes:
-        index, slots = self.shelfs.index, self.shelfs.slots
-        known = {e.shelf: slots[index[e.shelf]] for e in entries if e.shelf in index}
-        return super().listed(now, kind, [replace(e, slot=known.get(e.shelf, e.slot)) for e in entries])
+    def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> Changes:
+        index, slots = self.nodes.index, self.nodes.slots
+        known = {e.node_name: slots[index[e.node_name]] for e in entries if e.node_name in index}
+        return super().apply_endpoint_list(
+            now, kind, [replace(e, slot=known.get(e.node_name, e.slot)) for e in entries]
+        )
 
 
 BROKEN = {
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -12,7 +12,7 @@
 
 from pebblehinge.decide import Request
 from pebblehinge.gateway import GatewayCore
-from pebblehinge.interface import Entry, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 from pebblehinge.lab.check import RULES, Verdict
 from pebblehinge.lab.village import play
 from pebblehinge.settings import Config
@@ -131,16 +131,16 @@
 
 
 class IgnoresDrains(GatewayCore):
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
-        entries = [Entry(e.shelf, Standing.READY, e.slot, e.started_ms) for e in entries]
+    def listed(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
+        entries = [EndpointEntry(e.node_name, EndpointState.READY, e.slot, e.started_ms) for e in entries]
         super().listed(now, kind, entries)
 
 
 class IgnoresCold(GatewayCore):
     """Knows of no start, neither from the list nor from broken connections, and holds nothing back."""
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
-        super().listed(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
+    def listed(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
+        super().listed(now, kind, [EndpointEntry(e.node_name, e.state, e.slot, 0.0) for e in entries])
 
     def ended(
         self, now: float, pending: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
@@ -216,7 +216,7 @@
         def _apply(self, first: Any, now: float) -> None:
             super()._apply(first, now)
             for pending in self.pending.values():
-                assert (pending.attempt is not None) == pending.request.out
+                assert (pending.attempt is not None) == pending.request.attempt_in_flight
                 seen.append(pending.request)
 
     judge(RESETS, Watches, None, length="3s")
--- a/tests/test_running_gateway.py
+++ b/tests/test_running_gateway.py
@@ -175,11 +175,11 @@
     async def script(rig: Rig) -> None:
         client = await rig.client()
         rig.listing.control("list-wrong", {"shelf": "s1"})
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 not in rig.head.core.module.nodes.node_at_slot)
         got = await client.read("v", "x", 1, **LOOK)
         assert got.final == "pushed back" and not rig.shelfs[0].attempts
         rig.listing.control("list-wrong", {"shelf": "s1", "off": 1})
-        await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 in rig.head.core.module.nodes.node_at_slot)
         assert (await client.read("v", "x", 1, **LOOK)).succeeded
 
     on_rig(script)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,14 +29,14 @@
 from pebblehinge.interface import (
     Changes,
     DeduplicationScope,
-    Entry,
+    EndpointEntry,
+    EndpointState,
     Idempotency,
     ListKind,
     Outcome,
     QuotaPlan,
     RequestClass,
     Settings,
-    Standing,
 )
 
 FOLDER = Path(__file__).parent / "scenarios"
@@ -45,22 +45,22 @@
     request_classes=(),
     quota_plans=(),
     mean_units=2.0,
-    most_units=8.0,
+    max_units=8.0,
     share_value=0.3,
     excess_value=0.1,
-    asks_for_list=False,
-    marks_repeats=False,
-    may_cancel=True,
-    stay_away_max_ms=500.0,
-    try_limit=3,
-    step_ms=1.0,
-    cold_share=0.25,
-    warm_ms=10000.0,
-    fall_multiple=4.0,
+    must_request_watch=False,
+    clients_mark_retries=False,
+    cancellation_allowed=True,
+    max_retry_after_ms=500.0,
+    max_attempts=3,
+    clock_resolution_ms=1.0,
+    slow_start_initial_share=0.25,
+    slow_start_duration_ms=10000.0,
+    slow_start_failure_multiple=4.0,
     order_settle_ms=0.0,
-    budget_share=None,
-    budget_free=0.0,
-    budget_window_ms=0.0,
+    retry_budget_share=None,
+    retry_budget_min_retries=0.0,
+    retry_budget_window_ms=0.0,
 )
 
 
@@ -92,7 +92,7 @@
         self.settings = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS)
         self.head: Scheduler | None = None
         self.handles: dict[int, Request] = {}
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.show_until = False
         self.wake: float | None = None
 
@@ -112,15 +112,15 @@
         for handle in changes.handles:
             attempts, cancellations, answer = handle.drain()
             for attempt in attempts:
-                until = f" ({attempt.until_ms:g})" if self.show_until else ""
-                done.append(f"{stamp}{handle.id}>{attempt.shelf}{until}")
+                until = f" ({attempt.deadline_ms:g})" if self.show_until else ""
+                done.append(f"{stamp}{handle.id}>{attempt.node_name}{until}")
             done += [f"{stamp}{handle.id} recall {attempt}" for attempt in cancellations]
             if answer is not None:
-                most = self.settings.stay_away_max_ms
-                spread = most / 2 <= answer.stay_away_ms <= most  # drawn; written as the most
-                stay = f" {most if spread else answer.stay_away_ms:g}" if answer.stay_away_ms else ""
-                done.append(f"{stamp}{handle.id} {answer.final.value}{stay}")
-        return done + [f"{stamp}{call.value}" for call in changes.list_calls]
+                most = self.settings.max_retry_after_ms
+                spread = most / 2 <= answer.retry_after_ms <= most  # drawn; written as the most
+                stay = f" {most if spread else answer.retry_after_ms:g}" if answer.retry_after_ms else ""
+                done.append(f"{stamp}{handle.id} {answer.kind.value}{stay}")
+        return done + [f"{stamp}{call.value}" for call in changes.discovery_calls]
 
     def step(self, now: float, verb: str, words: list[str]) -> list[str]:
         first: list[str] = []
@@ -128,27 +128,29 @@
             self.head, self.handles = Scheduler(self.settings, 7, now), {}
             first = self.told(self.head.start(now))
             if verb == "restart":
-                return first + self.told(self.head.listed(now, ListKind.CACHED, list(self.entries.values())))
+                return first + self.told(
+                    self.head.apply_endpoint_list(now, ListKind.CACHED, list(self.entries.values()))
+                )
         if verb == "wait":
             done = []
             while self.wake is not None and self.wake <= now:
                 at = self.wake
-                done += self.told(self.head.woken(at), f"@{at:g} ")
+                done += self.told(self.head.on_wake_up(at), f"@{at:g} ")
             return done
         if verb == "failed":
-            return self.told(self.head.listed(now, ListKind.FAILED, []))
+            return self.told(self.head.apply_endpoint_list(now, ListKind.FAILED, []))
         if verb in KINDS:
             entries = []
             for word in words:
                 shelf, slot, *more = word.split(":")
-                standing = Standing(more[0]) if more and more[0] else Standing.READY
-                entries.append(Entry(shelf, standing, int(slot), float(more[1]) if len(more) > 1 else 0.0))
-            self.entries.update({e.shelf: e for e in entries})
-            return first + self.told(self.head.listed(now, KINDS[verb], entries))
+                standing = EndpointState(more[0]) if more and more[0] else EndpointState.READY
+                entries.append(EndpointEntry(shelf, standing, int(slot), float(more[1]) if len(more) > 1 else 0.0))
+            self.entries.update({e.node_name: e for e in entries})
+            return first + self.told(self.head.apply_endpoint_list(now, KINDS[verb], entries))
         if verb == "take":
             more = dict(w.split("=") for w in words[5:])
             id_, extent = int(words[0]), None if words[1] == "-" else words[1]
-            request, changes = self.head.take(
+            request, changes = self.head.submit(
                 now,
                 id_,
                 extent,
@@ -165,13 +167,13 @@
             return self.told(changes)
         handle = self.handles[int(words[0])]
         if verb == "left":
-            return self.told(handle.left(now))
+            return self.told(handle.on_client_disconnect(now))
         if verb == "begun":
-            return self.told(handle.begun(now))
+            return self.told(handle.on_response_start(now))
         assert verb == "end", f"unknown verb {verb}"
         outcome = Outcome(words[1])
-        over = outcome is Outcome.SUCCEEDED or handle.over
-        return self.told(handle.ended(now, handle.sent - 1, outcome, over, now - handle.sent_ms))
+        over = outcome is Outcome.SUCCEEDED or handle.closed
+        return self.told(handle.on_attempt_end(now, handle.attempt_count - 1, outcome, over, now - handle.sent_ms))
 
 
 def cases() -> list:
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -216,7 +216,7 @@
             await until(lambda n=n: f"n{n}" in head.pools.table)
         await until(lambda: head.registry.count == 0)
         registry = head.registry
-        assert len(head.pools.table) == 2 and len(head.core.module.shelfs.names) <= 4
+        assert len(head.pools.table) == 2 and len(head.core.module.nodes.names) <= 4
         assert not (
             head.core.pending
             or registry.ids
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -67,12 +67,12 @@
         new = Shelf()
         await new.start()
         watch.tell(listing(2, entry("s0", rig.shelfs[0].port, 0, "Terminating"), full=False))
-        await until(lambda: 0 not in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 not in rig.head.core.module.nodes.node_at_slot)
         assert (await rig.ask(ask())).status == 503 and not rig.shelfs[0].asked
         broken = {**entry("s9", 1, 0), "addr": "nowhere"}
         watch.write(b"1\r\n\n\r\n")  # an empty line
         watch.tell(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
-        await until(lambda: 0 in rig.head.core.module.shelfs.at_slot)
+        await until(lambda: 0 in rig.head.core.module.nodes.node_at_slot)
         assert (await rig.ask(ask())).status == 200 and len(new.asked) == 1
         assert "s0" not in rig.head.pools.table
         rig.discovery.list = listing(4, entry("s2", new.port, 0), entry("s1", rig.shelfs[1].port, 1))
@@ -99,7 +99,7 @@
     async def script(rig: Rig) -> None:
         port = rig.shelfs[1].port
         rig.discovery.conns[0].tell(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
-        await until(lambda: len(rig.head.core.module.shelfs.at_slot) == 1500)
+        await until(lambda: len(rig.head.core.module.nodes.node_at_slot) == 1500)
         assert len(rig.head.pools.table) == 1500
         io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
         assert (await rig.ask(ask(X_IO=io))).status == 200 and len(rig.shelfs[1].asked) == 1
@@ -111,7 +111,7 @@
     told = NodeListUpdate(
         listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"})
     )
-    assert [(e.shelf, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(told.faults) == 2
+    assert [(e.node_name, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(told.faults) == 2
     with pytest.raises(PlatformSettingsError):
         NodeListUpdate([1, 2])
 
--- a/tests/test_service_settings.py
+++ b/tests/test_service_settings.py
@@ -50,12 +50,12 @@
 
 def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
     """More extents and volumes are open at once than are remembered: each has its answer, and nothing is left."""
-    monkeypatch.setattr(request, "REMEMBERED", 4)
-    monkeypatch.setattr(dispatch, "REMEMBERED", 4)
-    monkeypatch.setattr(valuation, "REMEMBERED", 4)
+    monkeypatch.setattr(request, "MAX_CACHE_ENTRIES", 4)
+    monkeypatch.setattr(dispatch, "MAX_CACHE_ENTRIES", 4)
+    monkeypatch.setattr(valuation, "MAX_CACHE_ENTRIES", 4)
 
     async def script(rig: Rig) -> None:
-        rig.head.core.module.dispatcher.extents.most = 4
+        rig.head.core.module.dispatcher.extents.max_rows = 4
         callers = [await rig.client() for _ in range(40)]
         for n, client in enumerate(callers):
             io = f"volume={n:016x},units=2,shard=0,hosts=1"
@@ -65,7 +65,7 @@
         head = rig.head
         assert (
             not head.core.pending
-            and not any(head.core.module.shelfs.queued)
+            and not any(head.core.module.nodes.queues)
             and len(head.core.module.dispatcher.extents) <= 4
         )
 
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -13,7 +13,7 @@
 
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.http1 import HttpRequest
-from pebblehinge.interface import Entry, Final, ListKind, Outcome, Standing
+from pebblehinge.interface import EndpointEntry, EndpointState, FinalAnswerKind, ListKind, Outcome
 from pebblehinge.platform_settings import read_settings
 from pebblehinge.service import node_connection
 
@@ -161,7 +161,7 @@
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.pools.attempts == 3 == len(rig.head.core.module.shelfs.in_flight[0])
+        assert rig.head.pools.attempts == 3 == len(rig.head.core.module.nodes.in_flight[0])
         assert rig.head.pools.connections == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
@@ -201,24 +201,24 @@
     One that has been silent is still found gone at once, and from then on counts as restarted."""
     head = Scheduler(read_settings(SETTINGS), 1, 0.0)
     head.start(0.0)
-    head.listed(0.0, ListKind.WHOLE, [Entry("s", Standing.READY, 0, 0.0)])
+    head.apply_endpoint_list(0.0, ListKind.WHOLE, [EndpointEntry("s", EndpointState.READY, 0, 0.0)])
 
     def take(now: float) -> Request:
-        request, _ = head.take(now, 1, "x", "save", "gold", "v", 1, 0, 2.0, now + 1000.0, False)
+        request, _ = head.submit(now, 1, "x", "save", "gold", "v", 1, 0, 2.0, now + 1000.0, False)
         return request
 
-    take(0.0).ended(30.0, 0, Outcome.SUCCEEDED, True, 30.0)
+    take(0.0).on_attempt_end(30.0, 0, Outcome.SUCCEEDED, True, 30.0)
     request = take(40.0)
     for attempt in range(2):
-        request.ended(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
+        request.on_attempt_end(41.0 + attempt, attempt, Outcome.CONNECT_FAILED, False, 1.0)
     assert (
-        request.sent == 3
-        and not request.over
-        and head.shelfs.slow_start_ms[0] is None
-        and not head.shelfs.unreachable[0]
+        request.attempt_count == 3
+        and not request.closed
+        and head.nodes.slow_start_since_ms[0] is None
+        and not head.nodes.unreachable[0]
     )
-    request.ended(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
+    request.on_attempt_end(70.0, 2, Outcome.SUCCEEDED, True, 28.0)
     request = take(900.0)
-    request.ended(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
-    assert request.over and request.answer.final is Final.REJECTED
-    assert head.shelfs.unreachable[0] and head.shelfs.slow_start_ms[0] == 901.0
+    request.on_attempt_end(901.0, 0, Outcome.CONNECT_FAILED, False, 1.0)
+    assert request.closed and request.answer.kind is FinalAnswerKind.REJECTED
+    assert head.nodes.unreachable[0] and head.nodes.slow_start_since_ms[0] == 901.0
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -66,7 +66,7 @@
     rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
     rig.head.enable_write_back(disk.disk, disk.lasts)
     await rig.head.start()
-    await until(lambda: len(rig.head.core.module.shelfs.at_slot) == len(rig.shelfs))
+    await until(lambda: len(rig.head.core.module.nodes.node_at_slot) == len(rig.shelfs))
     assert rig.head.write_back is not None
     return rig.head.write_back
 
