--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -17,7 +17,7 @@
 from pebblehinge.core.pending_request import PendingRequest
 from pebblehinge.core.wait_tracking import track_attempt_end, track_queued, track_sent
 from pebblehinge.decide import Scheduler
-from pebblehinge.interface import Answer, Attempt, Changes, Entry, Handle, ListKind, Outcome, Settings
+from pebblehinge.interface import Attempt, Changes, EndpointEntry, FinalAnswer, Handle, ListKind, Outcome, Settings
 
 if TYPE_CHECKING:
     from pebblehinge.wait_accounting import WaitAccounting
@@ -96,12 +96,12 @@
         self.open_count += 1
         self.payload_bytes += len(pending.data)
         volume, units = pending.volume, pending.units
-        pending.handle, changes = self.scheduler.take(
+        pending.handle, changes = self.scheduler.submit(
             now, pending.key, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, is_retry
         )
         # This precedes _apply, so that an attempt which is sent at once counts as queued for no time.
-        if self.wait_accounting is not None and pending.handle.shelf >= 0:
-            track_queued(self.wait_accounting, now, pending, self.scheduler.shelfs.names[pending.handle.shelf])
+        if self.wait_accounting is not None and pending.handle.node >= 0:
+            track_queued(self.wait_accounting, now, pending, self.scheduler.nodes.names[pending.handle.node])
         self._apply(changes, now)
 
     def left(self, now: float, pending: PendingRequest) -> None:
@@ -113,7 +113,7 @@
         self.counts.client_gone += 1
         self.on_request_end(pending, None, now)
         assert pending.handle is not None
-        changes = pending.handle.left(now)
+        changes = pending.handle.on_client_disconnect(now)
         self._apply(changes, now)
         self._remove_if_finished(pending)
 
@@ -134,28 +134,28 @@
         is_answered = pending.answered
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
-        changes = handle.ended(now, attempt, outcome, is_answered, duration_ms)
+        changes = handle.on_attempt_end(now, attempt, outcome, is_answered, duration_ms)
         self._apply(changes, now)
         self._remove_if_finished(pending)
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+    def listed(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
         """Passes an endpoint list, or changes to it, to the scheduler."""
-        self._apply(self.scheduler.listed(now, kind, entries), now)
+        self._apply(self.scheduler.apply_endpoint_list(now, kind, entries), now)
         if self.wait_accounting is not None:
-            self.wait_accounting.retain_nodes(self.scheduler.shelfs.index)
+            self.wait_accounting.retain_nodes(self.scheduler.nodes.index)
 
     def woken(self, now: float) -> None:
         """Wakes the scheduler at a time that it requested by `Effects.wake_at`."""
         self.wake_up_count += 1
-        self._apply(self.scheduler.woken(now), now)
+        self._apply(self.scheduler.on_wake_up(now), now)
 
     def adopt(self, now: float, settings: Settings) -> None:
         """Replaces the settings, also for the pending requests, none of which is dropped."""
-        self._apply(self.scheduler.adopt(now, settings), now)
+        self._apply(self.scheduler.replace_settings(now, settings), now)
 
     def leaves(self, now: float, end_ms: float) -> None:
         """Begins the shutdown; the scheduler answers all pending requests by clock time `end_ms`."""
-        self._apply(self.scheduler.leaves(now, end_ms), now)
+        self._apply(self.scheduler.begin_shutdown(now, end_ms), now)
 
     def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Handles the end of a request: its final answer, or the loss of its client (`final` is None).
@@ -173,7 +173,7 @@
             changes = queue.popleft()
             for handle in changes.handles:
                 self._apply_to_request(handle, now, queue)
-            for call in changes.list_calls:
+            for call in changes.discovery_calls:
                 self.effects.call_discovery(call)
             if changes.wake_ms is not None:
                 self.effects.wake_at(changes.wake_ms)
@@ -196,11 +196,11 @@
         if number > 0:
             self.retry_count += 1
         if self.wait_accounting is not None:
-            track_sent(self.wait_accounting, now, pending, attempt.shelf)
-        pending.node = attempt.shelf
+            track_sent(self.wait_accounting, now, pending, attempt.node_name)
+        pending.node = attempt.node_name
         pending.sent_ms = now
         pending.begin_by_ms = attempt.begin_by_ms
-        self.effects.send_attempt(pending, attempt.shelf, number, attempt.until_ms)
+        self.effects.send_attempt(pending, attempt.node_name, number, attempt.deadline_ms)
         pending.attempt_count += 1
 
     def _cancel_attempt(self, pending: PendingRequest, handle: Handle, number: int, now: float) -> Changes:
@@ -210,12 +210,12 @@
         self.outcome_counts[Outcome.CANCELLED] += 1
         if self.wait_accounting is not None:
             track_attempt_end(self.wait_accounting, now, pending)
-        return handle.ended(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
+        return handle.on_attempt_end(now, number, Outcome.CANCELLED, pending.answered, now - pending.sent_ms)
 
-    def _answer_by_scheduler(self, pending: PendingRequest, answer: Answer) -> None:
+    def _answer_by_scheduler(self, pending: PendingRequest, answer: FinalAnswer) -> None:
         if not pending.answered:
-            self.reason_counts[answer.why] = self.reason_counts.get(answer.why, 0) + 1
-        self._answer(pending, STATUS_OF_FINAL[answer.final], answer.stay_away_ms, answer.why, b"")
+            self.reason_counts[answer.reason] = self.reason_counts.get(answer.reason, 0) + 1
+        self._answer(pending, STATUS_OF_FINAL[answer.kind], answer.retry_after_ms, answer.reason, b"")
 
     def _answer(
         self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
@@ -232,7 +232,7 @@
     def _remove_if_finished(self, pending: PendingRequest) -> None:
         """Removes a request that is answered, has no attempt in flight and is finished for the scheduler."""
         handle = pending.handle
-        if not pending.answered or handle is None or not handle.over or handle.out:
+        if not pending.answered or handle is None or not handle.closed or handle.attempt_in_flight:
             return
         if self.pending.pop(pending.key, None) is None:
             return
