--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -138,7 +138,8 @@
             await self.start_head(name)
         await self.until(
             lambda: all(
-                len(self.servers[h].core.scheduler.nodes.node_at_slot) == len(self.config.shelf) for h in self.config.head
+                len(self.servers[h].core.scheduler.nodes.node_at_slot) == len(self.config.shelf)
+                for h in self.config.head
             )
         )
 
