--- a/pebblehinge/replicated_config/activation.py
+++ b/pebblehinge/replicated_config/activation.py
@@ -1,14 +1,15 @@
-"""Limits between versions. Pure arithmetic: what a gateway may send for a volume, whichever version others act on.
-
-A gateway's allowance of a volume's limit is rate / heads and (burst + slack) / heads. Three modes keep the sum of all
-gateways' allowances at or under the limit at every moment:
-
-- *transitional* (between N and N+1): each allowance is the smaller of N's and N+1's less the floor's share. That share
-  is left for gateways that may be unreachable on an older version (`leaves_capacity`): what is reserved for them comes
-  with N+1 itself, and until then all transitional gateways act without it. A gateway is transitional from the time
-  that it has acknowledged N+1 until it hears that N+1 is active.
-- *cut off* (no lease): a stated share, the floor, of its allowance in the last version that it knows. Whoever may be
-  cut off is counted for so much.
+"""Limits between versions: what a gateway may send for a volume, whichever version other gateways act on.
+
+This module is pure arithmetic. A gateway's allowance of a volume's limit is rate / heads and (burst + slack) / heads,
+where `heads` is the number of gateways that share the volume. Three modes keep the sum of all gateways' allowances at
+or below the limit at every moment:
+
+- *transitional* (between versions N and N+1): each allowance is the smaller of N's and of N+1's less the floor's share.
+  That share is left for gateways that may be unreachable on an older version (see `reservations_fit`): reservations
+  for them come with N+1 itself, and until then all transitional gateways act without them. A gateway is transitional
+  from the time it has acknowledged N+1 until it learns that N+1 is active.
+- *cut off* (no lease): a configured share, the floor, of its allowance in the last version that it knows. The leader
+  reserves this share for each gateway that may be cut off.
 - *active*: the version as it stands, less what is reserved for unreachable gateways.
 """
 
@@ -23,18 +24,18 @@
 from pebblehinge.settings import Config
 from pebblehinge.settings.policy import PlanBlock, VolumeBlock
 
-MIN_RATE = 1e-6  # units a second; a volume with a rate of 0 would have no limit at all
+MIN_RATE = 1e-6  # units per second; a limit of 0 would mean no limit at all
 
 
 class Allowance(NamedTuple):
-    """Units a second, and units at once. Sent and stored as an array."""
+    """Rate in units per second, and burst in units. Sent and stored as an array."""
 
     rate: float
     burst: float
 
 
 class UnreachableGateway(NamedTuple):
-    """A gateway whose lease has run out, and the last version that it acknowledged."""
+    """A gateway whose lease has expired, and the last version that it acknowledged."""
 
     name: str
     config: Config
@@ -44,7 +45,7 @@
 
 
 def allowances_of(config: Config, gateway: str) -> dict[str, Allowance]:
-    """What one gateway may send, by volume with a limit; nothing for volumes that do not come through it."""
+    """Returns what one gateway may send, by volume with a limit; nothing for volumes that other gateways serve."""
     allowances: dict[str, Allowance] = {}
     for name, volume in config.volume.items():
         plan = config.plan[volume.plan]
@@ -58,9 +59,10 @@
 
 
 def transitional_config(old: Config, new: Config, gateway: str, floor: float = 0.0) -> Config:
-    """The old version, with each allowance no greater than the new one's less the floor's share.
+    """Returns the old version with each allowance no greater than the new one's less the floor's share.
 
-    What only the new one limits is limited already; what is gone in the new one keeps the old figures until it is gone.
+    A limit that only the new version has applies already; a volume or limit that the new version lacks keeps its old
+    values until the new version is active.
     """
     share = 1.0 - floor
     old_allowances = allowances_of(old, gateway)
@@ -80,14 +82,14 @@
 
 
 def _min_allowance(old: Allowance | None, new: Allowance | None) -> Allowance | None:
-    """None for no limit in either."""
+    """Returns the smaller allowance, or None if neither version has a limit."""
     if old is None or new is None:
         return new if old is None else old
     return Allowance(min(old.rate, new.rate), min(old.burst, new.burst))
 
 
 def _with_allowance(volume: VolumeBlock, plan: PlanBlock, allowance: Allowance) -> tuple[VolumeBlock, PlanBlock]:
-    """The volume under a plan of its own, by which one gateway's allowance is exactly this."""
+    """Returns the volume on a quota plan of its own that gives one gateway exactly this allowance, and that plan."""
     rate, burst = allowance
     heads = volume.heads
     name = f"{volume.plan}~{rate:g}~{burst:g}~{heads}"
@@ -98,7 +100,7 @@
 
 
 def config_without_lease(config: Config, floor: float) -> Config:
-    """What a gateway without a lease acts on: the floor's share of every limit."""
+    """Returns what a gateway without a lease acts on: the floor's share of every limit."""
     plans = dict(config.plan)
     for name, plan in config.plan.items():
         if plan.limit:
@@ -109,7 +111,7 @@
 
 
 def reservations_for(unreachable: Sequence[UnreachableGateway], floor: float) -> Reservations:
-    """What unreachable gateways could still send by volume, each by the last version that it acknowledged."""
+    """Returns what unreachable gateways may still send, by volume, each under the last version that it acknowledged."""
     total: Reservations = {}
     for gateway, config in unreachable:
         for volume, (rate, burst) in allowances_of(config, gateway).items():
@@ -119,7 +121,7 @@
 
 
 def subtract_reservations(config: Config, reservations: Reservations) -> Config:
-    """The active version, less what is reserved."""
+    """Returns the active version less the reservations."""
     if not reservations:
         return config
     plans = dict(config.plan)
@@ -138,33 +140,34 @@
 
 
 def find_conflict(config: Config, reservations: Reservations) -> str | None:
-    """Why a version can't be active while so much is reserved, or None."""
+    """Returns why a version can't be active with these reservations, or None if it can."""
     for name, (rate, burst) in reservations.items():
         volume = config.volume.get(name)
         if volume is None:
             if rate > 0:
-                return f"volume {name} would go while a head that is cut off may still send for it"
+                return f"volume {name} would be removed while a head that is cut off may still send for it"
             continue
         plan = config.plan[volume.plan]
         if plan.limit and (rate > plan.limit or burst > plan.burst + plan.slack):
             return (
-                f"volume {name}: heads that are cut off may send {rate:g} a second and {burst:g} at once, the new "
+                f"volume {name}: heads that are cut off may send {rate:g} per second and {burst:g} at once, the new "
                 f"limit is {plan.limit:g} and {plan.burst + plan.slack:g}"
             )
     return None
 
 
 def reservations_fit(config: Config, reservations: Reservations, floor: float, unreachable: Sequence[str]) -> bool:
-    """Whether a version may be active with so much reserved though no gateway has heard of that yet.
+    """Returns whether a version may become active with these reservations although no gateway knows of them yet.
 
-    Transitional gateways act on its allowances less the floor's share, and unreachable ones on none of it.
+    Until they know, transitional gateways act on its allowances less the floor's share, and unreachable gateways use
+    none of it: the reservations have to fit into what both leave.
     """
     for name, (rate, burst) in reservations.items():
         volume = config.volume.get(name)
         plan = config.plan[volume.plan] if volume is not None else None
         if volume is None or plan is None or not plan.limit:
             continue
-        # Who may send is known by name alone.
+        # Only `through` names the gateways that may send; without it no unreachable gateway's share counts as unused.
         unreachable_share = sum(gateway in volume.through for gateway in unreachable) / volume.heads
         capacity = floor + (1.0 - floor) * min(1.0, unreachable_share)
         if rate > plan.limit * capacity or burst > (plan.burst + plan.slack) * capacity:
--- a/pebblehinge/replicated_config/application_types.py
+++ b/pebblehinge/replicated_config/application_types.py
@@ -1,4 +1,4 @@
-"""What comes into and out of `version_application`: grants, modes, and what a gateway keeps over restarts."""
+"""Types of `version_application`: grants, modes, and what a gateway stores across restarts."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Mode(Enum):
-    """How a gateway acts; the values are shown to operators."""
+    """The mode in which a gateway applies its configuration; the values are shown to operators."""
 
-    NONE = "none"  # it knows no version
-    CUT_OFF = "cut off"  # its lease has expired: it acts on the floor's share
-    TRANSITIONAL = "careful"  # it has acknowledged the pending version: on the smaller of both limits
+    NONE = "none"  # no version is known
+    CUT_OFF = "cut off"  # the lease has expired: the floor's share of every limit
+    TRANSITIONAL = "careful"  # the pending version is acknowledged: the smaller of both limits
     ACTIVE = "active"
 
 
 class StoredVersions(msgspec.Struct, array_like=True):
-    """What a gateway keeps over restarts. Stored as a msgpack array: the order of fields is fixed."""
+    """What a gateway stores across restarts, as a msgpack array: the order of fields is fixed."""
 
     active: int
     text: str
@@ -32,7 +32,7 @@
 
 
 class EffectiveConfig(NamedTuple):
-    """What to act on; `config` is None if no version is known. `mode` is a value of `Mode`."""
+    """The configuration to act on, None if no version is known. `mode` is a value of `Mode`."""
 
     config: Config | None
     mode: str
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The values of a GRANT frame, in its order. A text is "" if the gateway has it; `leader` names another member."""
+    """The values of a GRANT frame, in its order.
+
+    A text is "" if the gateway has it already. `leader` is the address of another member to ask instead, "" for none.
+    """
 
     token: int
     lease_ms: float
@@ -53,13 +56,16 @@
 
     @property
     def has_version(self) -> bool:
-        """False if there is no version yet, or the member does not lead, or too many renewals wait there."""
+        """Returns whether the grant names a version.
+
+        It names none if there is no version yet, the member does not lead, or too many renewals wait there.
+        """
         return bool(self.active or self.pending)
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A version that this gateway can't use, and why."""
+    """A version that this gateway can't use, and the reason."""
 
     version: int
     reason: str
@@ -67,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Everything that a grant may change."""
+    """All the state that a grant may change."""
 
     active: int
     pending: int
--- a/pebblehinge/replicated_config/commands.py
+++ b/pebblehinge/replicated_config/commands.py
@@ -1,7 +1,7 @@
 """Commands of the replicated state machine, and how the log stores them: a msgpack array of a verb and its values.
 
-`Verb` is the format's table of words, and the order of a command's fields is the order of the stored values: neither
-may change, since logs on disk hold them.
+The values of `Verb` are the stored verbs, and the order of a command's fields is the order of the stored values:
+neither may change, since logs on disk hold them.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from pebblehinge.replicated_config.errors import CommandRejectedError, ReplicatedConfigError
 
-Reservations = dict[str, tuple[float, float]]  # volume -> rate and burst, reserved for unreachable gateways
+Reservations = dict[str, tuple[float, float]]  # volume -> rate and burst, for unreachable gateways
 
 
 class Verb(Enum):
-    """Stored words by command."""
+    """The stored verb of each command."""
 
     PROPOSE = "propose"
     ACKNOWLEDGE = "acknowledge"
@@ -28,11 +28,11 @@
 
 
 class Command(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Base of all commands."""
+    """Base class of all commands."""
 
 
 class ProposeVersion(Command, tag=Verb.PROPOSE.value, frozen=True):
-    """A new version, by an operator who has seen version `base` as the newest."""
+    """An operator's proposal of a new version; `base` is the newest version that the operator has seen."""
 
     base: int
     text: str
@@ -41,27 +41,33 @@
 
 
 class Acknowledge(Command, tag=Verb.ACKNOWLEDGE.value, frozen=True):
-    """A gateway acts on a version, or is transitional towards it. Only logs of before `AcknowledgeMany` hold it."""
+    """One gateway's acknowledgement: it acts on a version, or is transitional towards it.
+
+    Only logs that were written before `AcknowledgeMany` existed hold this command.
+    """
 
     gateway: str
     version: int
 
 
 class AcknowledgeMany(Command, tag=Verb.ACKNOWLEDGE_MANY.value, frozen=True):
-    """What many gateways acknowledge, in one entry: gateway -> version."""
+    """The acknowledgements of many gateways in one log entry: gateway -> version."""
 
     versions: dict[str, int]
 
 
 class RejectVersion(Command, tag=Verb.REJECT.value, frozen=True):
-    """A gateway can't use the pending version: it is given up as a whole."""
+    """The rejection of the pending version, for all gateways, because one gateway can't use it."""
 
     version: int
     reason: str
 
 
 class Activate(Command, tag=Verb.ACTIVATE.value, frozen=True):
-    """A version is active, with so much reserved. `revision` is the state's, from which the leader computed it."""
+    """The activation of a version with its reservations.
+
+    `revision` is that of the state from which the leader computed the reservations.
+    """
 
     version: int
     reservations: Reservations
@@ -69,7 +75,7 @@
 
 
 class ForgetGateway(Command, tag=Verb.FORGET.value, frozen=True):
-    """An operator vouches that a gateway will not come back as it was."""
+    """The removal of a gateway, after an operator has vouched that it will not return in its old state."""
 
     gateway: str
 
@@ -80,31 +86,35 @@
 
 
 def encode_command(command: AnyCommand) -> bytes:
-    """The stored form of a command."""
+    """Returns the stored form of a command."""
     return msgspec.msgpack.encode(command)
 
 
 def decode_command(data: bytes) -> AnyCommand:
-    """The command of its stored form. Raises msgspec.DecodeError for anything else."""
+    """Returns the command of a stored form.
+
+    Raises:
+        msgspec.DecodeError: If the bytes are no stored form of a command.
+    """
     return _decode(data)
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The outcome of a command: done, or the error for which it was not done."""
+    """The outcome of a command: success, or the error for which it was rejected."""
 
     error: ReplicatedConfigError | None = None
 
     @property
     def ok(self) -> bool:
-        """Whether it was done."""
+        """Returns whether the command succeeded."""
         return self.error is None
 
     def stored_reason(self) -> str:
-        """The stored form: the reason, "" for done."""
+        """Returns the stored form: the reason of the rejection, "" for success."""
         return "" if self.error is None else str(self.error)
 
     @classmethod
     def from_stored(cls, reason: str) -> CommandResult:
-        """The result of its stored form."""
+        """Returns the result of a stored form."""
         return cls(CommandRejectedError(reason)) if reason else cls()
--- a/pebblehinge/replicated_config/config_publisher.py
+++ b/pebblehinge/replicated_config/config_publisher.py
@@ -1,4 +1,4 @@
-"""Between a gateway's versions and whoever acts on them: nothing is acted on before it is persisted."""
+"""Publishes a gateway's versions to the code that acts on them, and only once they are persisted."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from pebblehinge.settings import Config
 from pebblehinge.store.background import Background
 
-EXPIRY_MARGIN_S = 0.001  # a timer may fire a little early
+EXPIRY_MARGIN_S = 0.001  # a timer may fire slightly early
 
-Adopt = Callable[[Config, str], None]  # acts on settings from now on, in a mode
-Persist = Callable[[bytes], None]  # raises OSError if the bytes can't be kept
+Adopt = Callable[[Config, str], None]  # puts settings in force, in a mode
+Persist = Callable[[bytes], None]  # raises OSError if the bytes can't be stored
 
 
 class Logger(Protocol):
-    """A structured log."""
+    """A structured logger."""
 
     def info(self, event: str, **values: object) -> object:
-        """An event that is no fault."""
+        """Logs an event that is no fault."""
 
     def error(self, event: str, **values: object) -> object:
-        """A fault."""
+        """Logs a fault."""
 
 
 class PublishedState(NamedTuple):
-    """What was handed on last, as far as it tells one configuration from another."""
+    """The values that distinguish a published configuration from the next one."""
 
     active: int
     pending: int
@@ -37,7 +37,7 @@
 
 
 class ConfigPublisher:
-    """Calls `adopt` whenever what the gateway is to act on has changed, a lease that expires included."""
+    """Calls `adopt` whenever the gateway's effective configuration changes, also by the expiry of its lease."""
 
     def __init__(
         self,
@@ -50,17 +50,17 @@
         run_in_background: Background,
         on_committed: Callable[[bool], None],
     ) -> None:
-        """One gateway's.
+        """Creates the publisher of one gateway.
 
         Args:
-            loop: runs the timer of the lease.
-            clock: milliseconds.
-            application: the versions.
-            adopt: acts on what is published.
-            persist: keeps bytes over restarts; may raise OSError.
-            log: hears of versions and of faults.
-            run_in_background: calls `persist` without holding the loop.
-            on_committed: hears that something was persisted and applied, and whether more has come meanwhile.
+            loop: Runs the timer of the lease's expiry.
+            clock: Returns the time in milliseconds.
+            application: The gateway's versions.
+            adopt: Puts in force what is published.
+            persist: Stores bytes across restarts; may raise OSError.
+            log: Logs versions and faults.
+            run_in_background: Calls `persist` without blocking the loop.
+            on_committed: Called once a grant was persisted and applied, with whether another one was skipped meanwhile.
         """
         self.loop = loop
         self.clock = clock
@@ -73,18 +73,18 @@
         self.last_published: PublishedState | None = None
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.is_persisting = False
-        self.grant_skipped = False  # another grant came while one was being persisted
-        self.persist_error = ""  # why the last could not be persisted
+        self.grant_skipped = False  # a grant that came while another was being persisted was not persisted
+        self.persist_error = ""  # why the last grant could not be persisted
         self.closed = False
 
     def close(self) -> None:
-        """Publishes nothing more."""
+        """Stops publishing."""
         self.closed = True
         if self.expiry_timer is not None:
             self.expiry_timer.cancel()
 
     def persist_then_commit(self, checkpoint: Checkpoint) -> None:
-        """Withholds what came since the checkpoint until it is persisted; the loop goes on meanwhile."""
+        """Withholds all changes since the checkpoint until they are persisted, without blocking the loop."""
         data = self.application.dump()
         applied_state = self.application.withhold(checkpoint)
         self.grant_skipped = self.is_persisting
@@ -95,9 +95,9 @@
     def _on_persisted(self, error: BaseException | None, applied_state: Checkpoint) -> None:
         self.is_persisting = False
         if error is not None:
-            if self.persist_error != str(error):  # it comes again with each renewal: logged once
+            if self.persist_error != str(error):  # logged once, although it recurs with each renewal
                 self.persist_error = str(error)
-                self.log.error("a version can't be kept and is not taken up", why=self.persist_error)
+                self.log.error("a version can't be kept on disk and is not applied", why=self.persist_error)
             return
         self.persist_error = ""
         if self.closed:
@@ -108,7 +108,7 @@
         self.on_committed(grant_skipped)
 
     def publish(self) -> None:
-        """Hands on what to act on now, and comes again when the lease expires."""
+        """Publishes the effective configuration if it has changed, and schedules itself for the expiry of the lease."""
         application = self.application
         config, mode = application.effective_config(self.clock())
         current = PublishedState(application.active, application.pending, mode, repr(application.reservations))
--- a/pebblehinge/replicated_config/config_watcher.py
+++ b/pebblehinge/replicated_config/config_watcher.py
@@ -1,6 +1,7 @@
-"""A gateway's way to the group: renews its lease with whichever member leads, and applies what is granted.
+"""A gateway's client of the group: renews its lease with the leader, and applies what is granted.
 
-At most one renewal is out, and one timer runs beside the heartbeat; what comes up meanwhile makes one more renewal.
+At most one renewal is in flight, and at most one timer runs besides the heartbeat's. Whatever asks for a renewal while
+one is in flight causes a single further one.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from pebblehinge.store.background import Background, inline
 from pebblehinge.wire import Kind
 
-MAX_LEADERLESS_GRANTS = 3  # before another member is tried
-MAX_SILENT_HEARTBEATS = 3  # without any answer, before another member is tried
+MAX_LEADERLESS_GRANTS = 3  # grants without a known leader, before another member is tried
+MAX_SILENT_HEARTBEATS = 3  # heartbeats without an answer, before another member is tried
 NO_REJECTION = Rejection(0, "")
 NEVER_MS = float("-inf")
 
 
 class ConfigWatcher:
-    """Renews at each heartbeat, at each watch event, and as something was applied."""
+    """Renews the lease at each heartbeat, at each watch event, and when a version has been applied."""
 
     def __init__(
         self,
@@ -38,18 +39,18 @@
         log: Logger,
         run_in_background: Background = inline,
     ) -> None:
-        """One gateway's.
+        """Creates the watcher of one gateway.
 
         Args:
-            loop: runs timers and connections.
-            clock: milliseconds.
-            config: names the members, and how the group keeps time.
-            application: the gateway's versions, as of its last life.
-            adopt: called with settings and mode whenever what the gateway is to act on has changed.
-            persist: called before anything is acknowledged, so that a restart knows the last version. If it raises
+            loop: Runs timers and connections.
+            clock: Returns the time in milliseconds.
+            config: Names the members and the group's intervals.
+            application: The gateway's versions, as its last incarnation stored them.
+            adopt: Called with settings and mode whenever the effective configuration has changed.
+            persist: Called before anything is acknowledged, so that a restart knows the last version. If it raises
                 OSError, nothing is applied.
-            log: hears of versions and of faults.
-            run_in_background: calls `persist` without holding the loop.
+            log: Logs versions and faults.
+            run_in_background: Calls `persist` without blocking the loop.
         """
         self.loop = loop
         self.clock = clock
@@ -61,27 +62,27 @@
         addresses = [block.listen for block in config.member.values()]
         limits = with_group_frame_limit(config).limits
         self.dialer = MemberDialer(loop, application.gateway, addresses, limits, self)
-        self.rng = random.Random(application.gateway)  # spreads gateways that come back together
+        self.rng = random.Random(application.gateway)  # spreads gateways that reconnect at the same time
         self.connection: OutboundConnection | None = None
         self.heartbeat_timer: asyncio.TimerHandle | None = None
-        self.retry_timer: asyncio.TimerHandle | None = None  # a renewal or connection after a pause
+        self.retry_timer: asyncio.TimerHandle | None = None  # runs a delayed renewal or connection
         self.closed = False
         self.last_answer_ms = 0.0
-        self.last_renewal_ms = NEVER_MS  # when the last renewal left
-        self.last_renewal_version = -1  # what it acknowledged
-        self.token_in_flight = 0  # of the renewal that is out
-        self.renewal_queued = False  # something came up since it left
-        self.backoff_ms = self.group.tick  # before the next one if the group has not got on
+        self.last_renewal_ms = NEVER_MS  # when the last renewal was sent
+        self.last_renewal_version = -1  # the version that it acknowledged
+        self.token_in_flight = 0  # of the renewal in flight; 0 for none
+        self.renewal_queued = False  # renew again as soon as it is answered
+        self.backoff_ms = self.group.tick  # delay of the next one while the group makes no progress
         self.leaderless_grants = 0
 
     def start(self) -> None:
-        """Publishes what is known, and connects."""
+        """Publishes the stored versions, and connects."""
         self.last_answer_ms = self.clock()
         self.publisher.publish()
         self._on_heartbeat()
 
     def close(self) -> None:
-        """Stops for good."""
+        """Stops renewing and publishing, and closes the connection."""
         self.closed = True
         self.dialer.close()
         self.publisher.close()
@@ -100,13 +101,13 @@
             self._connect()
         elif now - self.last_answer_ms > MAX_SILENT_HEARTBEATS * interval_ms:
             connection, self.connection = self.connection, None
-            connection.abort()  # it does not answer: another member may
+            connection.abort()  # this member does not answer; another one may
             self._reset()
         elif not self.token_in_flight and now - self.last_renewal_ms >= interval_ms / 2:
             self.renew()
 
     def request_renewal(self) -> None:
-        """Renews now, or as soon as the renewal that is out is answered."""
+        """Renews now, or as soon as the renewal in flight is answered."""
         if self.token_in_flight:
             self.renewal_queued = True
         else:
@@ -135,7 +136,7 @@
         )
 
     def _reset(self) -> None:
-        """Nothing is out, and nothing is to follow."""
+        """Drops the renewal in flight, the queued one and the delayed action."""
         self.token_in_flight = 0
         self.renewal_queued = False
         if self.retry_timer is not None:
@@ -143,7 +144,7 @@
             self.retry_timer = None
 
     def _schedule_retry(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """After a pause, unless something waits for one already."""
+        """Runs an action after a delay, unless another one is scheduled already."""
 
         def run() -> None:
             self.retry_timer = None
@@ -153,7 +154,7 @@
             self.retry_timer = self.loop.call_later(delay_ms / 1000.0, run)
 
     def _back_off(self) -> None:
-        """Renews after a pause that grows up to a heartbeat, jittered by a quarter."""
+        """Renews after a delay that doubles up to a heartbeat's interval, with a jitter of a quarter."""
         self._schedule_retry(self.backoff_ms * self.rng.uniform(0.75, 1.25), self.request_renewal)
         self.backoff_ms = min(2 * self.backoff_ms, self.group.renew)
 
@@ -164,8 +165,8 @@
             self.dialer.connect()
 
     def on_connected(self, connection: OutboundConnection) -> None:
-        """A connection may be written to."""
-        if self.closed or self.connection is not None:  # one that was given up came after all
+        """Renews the lease over a new connection."""
+        if self.closed or self.connection is not None:  # a dial succeeded although it had been given up
             connection.close()
             return
         self.connection = connection
@@ -174,23 +175,23 @@
         self.renew()
 
     def on_connection_lost(self, connection: OutboundConnection) -> None:
-        """Without a redirect the next heartbeat finds a member: gateways beat at times of their own."""
+        """Reconnects after a redirect; without one the next heartbeat does, and gateways' heartbeats are spread."""
         if self.connection is not connection:
             return
         self.connection = None
         self._reset()
         if self.dialer.redirect_address:
-            # All that a leader loses are redirected at once: they come spread over half a heartbeat.
+            # A leader that steps down redirects all gateways at once: they reconnect spread over half a heartbeat.
             self._schedule_retry(self.rng.uniform(0.0, self.group.renew / 2), self._connect)
 
-    # ---- what the group says
+    # ---- events and grants
 
     def on_watch_event(self) -> None:
-        """The versions in force have changed."""
+        """Renews the lease, since the active or the pending version has changed."""
         self.request_renewal()
 
     def on_grant(self, grant: Grant) -> None:
-        """A renewal is answered."""
+        """Applies a grant, or handles one that names no version."""
         self.last_answer_ms = self.clock()
         if grant.token == self.token_in_flight:
             self.token_in_flight = 0
@@ -204,13 +205,13 @@
         if self.application.apply_grant(grant):
             self.publisher.persist_then_commit(checkpoint)
         elif not grant.lease_ms and self.application.acknowledged_version >= grant.active:
-            self._back_off()  # it is acknowledged, and the group has not got on
+            self._back_off()  # acknowledged without a lease: the group has made no progress
         self.publisher.publish()
         if self.renewal_queued and not self.token_in_flight:
             self.renew()
 
     def _on_grant_without_version(self, leader: str) -> None:
-        """No version: there is none yet, or this member does not lead, or too much waits there."""
+        """Follows a redirect, or backs off: the member knows no version or leader, or has too many renewals waiting."""
         if self.connection is None:
             return
         if leader and leader != self.connection.address:
@@ -221,11 +222,11 @@
         elif self.application.active:
             self.leaderless_grants += 1
             if self.leaderless_grants >= MAX_LEADERLESS_GRANTS:
-                self.connection.close()  # it may be cut off from the others: the next heartbeat tries another one
+                self.connection.close()  # the member may be partitioned off: the next heartbeat tries another one
             else:
                 self._back_off()
 
     def _on_committed(self, grant_skipped: bool) -> None:
-        """What was applied is acknowledged at once."""
+        """Acknowledges at once what was applied, or fetches the grant that was skipped."""
         if grant_skipped or self.application.acknowledged_version != self.last_renewal_version:
             self.request_renewal()
--- a/pebblehinge/replicated_config/errors.py
+++ b/pebblehinge/replicated_config/errors.py
@@ -1,9 +1,12 @@
-"""Exceptions of the replicated configuration; all derive from `ReplicatedConfigError`. Operators read the messages."""
+"""Exceptions of the replicated configuration; all derive from `ReplicatedConfigError`.
+
+Operators read the messages, and `operator_client.TRANSIENT_REASONS` matches parts of some of them.
+"""
 
 from __future__ import annotations
 
 LEADERSHIP_LOST = "this instance leads no more"
-LEADER_CHANGED = "another leader came"
+LEADER_CHANGED = "another leader was elected"
 
 
 class ReplicatedConfigError(Exception):
@@ -11,19 +14,19 @@
 
 
 class CommandRejectedError(ReplicatedConfigError):
-    """The state machine rejected a command. For a session's last command the message is stored with the session."""
+    """A command that the state machine rejected. The message of a session's last command is stored with the session."""
 
 
 class SupersededProposalError(CommandRejectedError):
-    """The session has proposed something newer since."""
+    """A proposal that is older than the last one of its session."""
 
     def __init__(self) -> None:
-        """The message is the same for every session."""
-        super().__init__("an older proposal of this session")
+        """Uses the same message for every session."""
+        super().__init__("this session has made a newer proposal")
 
 
 class StaleBaseError(CommandRejectedError):
-    """A proposal is based on a version that is not the newest."""
+    """A proposal that is based on a version other than the newest."""
 
     def __init__(self, base: int, newest: int) -> None:
         """Names both versions."""
@@ -31,7 +34,7 @@
 
 
 class VersionPendingError(CommandRejectedError):
-    """One version at a time is pending, and one is."""
+    """A proposal while another version is pending: only one may be."""
 
     def __init__(self, pending: int) -> None:
         """Names the pending version."""
@@ -39,11 +42,11 @@
 
 
 class InvalidVersionError(CommandRejectedError):
-    """A version's text is not valid; the message is that of the settings' check."""
+    """A version with an invalid text; the message is that of the settings' check."""
 
 
 class UnknownVersionError(CommandRejectedError):
-    """No such version is kept."""
+    """A version that is not stored, or no longer."""
 
     def __init__(self, version: int) -> None:
         """Names the version."""
@@ -51,19 +54,19 @@
 
 
 class NotPendingError(CommandRejectedError):
-    """A version to be rejected or activated is not the pending one."""
+    """The rejection or activation of a version that is not pending."""
 
 
 class StaleRevisionError(CommandRejectedError):
-    """The state has changed since the leader computed the command from it."""
+    """A command that the leader computed from a state that has changed since."""
 
     def __init__(self) -> None:
-        """The message is the same for every revision."""
-        super().__init__("the state has moved on since this was reckoned")
+        """Uses the same message for every revision."""
+        super().__init__("the state has moved on since this command was computed")
 
 
 class UnknownGatewayError(CommandRejectedError):
-    """No such gateway has acknowledged anything."""
+    """A gateway that has not acknowledged any version."""
 
     def __init__(self, gateway: str) -> None:
         """Names the gateway."""
@@ -71,44 +74,47 @@
 
 
 class OutcomeUnknownError(ReplicatedConfigError):
-    """Leadership changed while a proposal was in flight: it may or may not be committed."""
+    """A change of leadership while a proposal was in flight: it may or may not be committed."""
 
     def __init__(self, cause: str) -> None:
-        """Names the change, LEADERSHIP_LOST or LEADER_CHANGED."""
+        """Names the change: LEADERSHIP_LOST or LEADER_CHANGED."""
         super().__init__(f"{cause}: ask whether it was done")
 
 
 class NoProposalsError(ReplicatedConfigError):
-    """The member can't append a proposal now: it does not lead, hands over, or too much is not committed."""
+    """A member that can't append a proposal now.
+
+    It does not lead, is transferring leadership, or has too many uncommitted entries.
+    """
 
     def __init__(self) -> None:
-        """The message is the same for every cause."""
-        super().__init__("this instance takes no proposals now")
+        """Uses the same message for every cause."""
+        super().__init__("this member accepts no proposals now")
 
 
 class LeadershipLostError(ReplicatedConfigError):
-    """The member does not lead any more, so that it can't serve a read."""
+    """A read at a member that no longer leads, and so can't serve it."""
 
     def __init__(self) -> None:
-        """The message is the same for every read."""
+        """Uses the same message for every read."""
         super().__init__(LEADERSHIP_LOST)
 
 
 class ProposalQueueFullError(ReplicatedConfigError):
-    """As many proposals as may wait for the pending version do so."""
+    """A proposal beyond the limit of those that wait for the pending version."""
 
     def __init__(self, waiting: int, allowed: int) -> None:
-        """Names how many wait, and how many may."""
+        """Names the number of waiting proposals, and its limit."""
         super().__init__(f"{waiting} versions wait already: expected {allowed} at most")
 
 
 class VersionTooLargeError(ReplicatedConfigError):
-    """A text has more bytes than a version may have."""
+    """A text with more bytes than a version may have."""
 
     def __init__(self, size: int, allowed: int) -> None:
-        """Names the text's bytes, and how many there may be."""
+        """Names the text's size in bytes, and its limit."""
         super().__init__(f"the version's text has {size:,} bytes: expected at most {allowed:,}")
 
 
 class RequestError(ReplicatedConfigError):
-    """An operator's request can't be served; the message says why."""
+    """An operator's request that can't be served; the message gives the reason."""
--- a/pebblehinge/replicated_config/in_flight.py
+++ b/pebblehinge/replicated_config/in_flight.py
@@ -1,4 +1,4 @@
-"""What a member has in its log and not applied yet."""
+"""Entries of a member's log that it has not applied yet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingProposal:
-    """Who waits for an entry, and the term in which it was proposed."""
+    """A proposal whose result is awaited; `term` is the one in which it was appended."""
 
     term: int
     on_result: Callable[[CommandResult], None]
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandInFlight:
-    """A command of the leader's own, and the index of its entry."""
+    """A command that the leader proposed by itself, and the index of its entry."""
 
     command: AnyCommand
     index: int
--- a/pebblehinge/replicated_config/lease_granting.py
+++ b/pebblehinge/replicated_config/lease_granting.py
@@ -1,4 +1,4 @@
-"""A leader's side of gateways on sockets: leases, rounds, commands, events as `renewals` and `leases` decide them."""
+"""A leader's service to gateways on sockets, as `renewals` and `leases` decide: leases, rounds, commands, events."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from pebblehinge.settings import Config
 from pebblehinge.wire import Kind
 
-MAX_GRANTS_PER_ITERATION = 64  # of the loop: a new text for a thousand gateways must not hold it
+MAX_GRANTS_PER_ITERATION = 64  # of the event loop: sending a new text to a thousand gateways must not block it
 
 
 class Member(Protocol):
-    """The member that grants."""
+    """The member that grants leases."""
 
     loop: asyncio.AbstractEventLoop
     name: str
@@ -33,28 +33,28 @@
 
     @property
     def connections(self) -> Iterable[Peer]:
-        """All that are open."""
+        """Returns all open connections."""
 
     @property
     def commands_in_flight(self) -> Iterable[AnyCommand]:
-        """The leader's own, not applied yet."""
+        """Returns the leader's own commands that are not applied yet."""
 
     def clear_commands_in_flight(self) -> None:
-        """Begins with none: they were of another term."""
+        """Drops the leader's own commands, which are of an earlier term."""
 
     def confirm_leadership(self, callback: Callable[[bool], None]) -> None:
-        """Calls back when a round of the majority that begins from now on is over; False if there was none."""
+        """Calls back after a quorum round that begins from now on, with False if there was none."""
 
     def propose_once(self, command: AnyCommand) -> None:
-        """Proposes a command of the leader's own, unless the same is in flight."""
+        """Proposes a command of the leader's own, unless the same one is in flight."""
 
     def leader_address(self) -> str:
-        """Another member's, "" if none is known."""
+        """Returns the address of a leader other than this member, "" if none is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalRequest:
-    """The values of a RENEW frame, in its order. `rejected` is a version that the gateway can't use, 0 for none."""
+    """The values of a RENEW frame, in its order. The gateway can't use `rejected_version`; 0 for none."""
 
     token: int
     gateway: str
@@ -65,28 +65,28 @@
 
 
 class LeaseGranting:
-    """Answers renewals while this member leads; `leases` is None while it does not. Nothing of a term outlives it."""
+    """Answers renewals while this member leads; `leases` is None while it does not. No state outlives its term."""
 
     def __init__(self, member: Member) -> None:
-        """Begins as a follower."""
+        """Starts as a follower."""
         self.member = member
         self.group = member.config.group
         self.leases: Leases | None = None
         self.term = 0
         self.renewals = Renewals(self.group.tick)
-        self.answer_queue: deque[Renewal] = deque()  # each was counted by `renewals` until now
+        self.answer_queue: deque[Renewal] = deque()  # `renewals` counts these no longer
         self.answer_scheduled = False
 
     @property
     def is_leading(self) -> bool:
-        """Whether this member leads in the term that `leases` and `renewals` are of."""
+        """Returns whether this member leads in the term of `leases` and `renewals`."""
         node = self.member.node
         return self.leases is not None and node.is_leader and self.term == node.raft.current_term
 
-    # ---- time
+    # ---- ticks
 
     def tick(self) -> None:
-        """Every tick of a leader: what came meanwhile, and whether a version may be activated."""
+        """Handles a leader's tick: proposes activations and acknowledgements, begins a round, notifies gateways."""
         raft = self.member.node.raft
         now = self.member.clock()
         if not self.is_leading:
@@ -94,16 +94,16 @@
             self.leases = Leases(self.group.lease, self.group.drift, self.group.floor, now)
             self.term = raft.current_term
             self.member.clear_commands_in_flight()
-        if raft.last_applied >= raft.term_start_index:  # it knows all that was agreed before it
+        if raft.last_applied >= raft.term_start_index:  # it has applied all entries of earlier terms
             self._activate()
             self._propose_acknowledgements(now)
         self._begin_round()
         self._notify()
 
     def lose_leadership(self) -> None:
-        """This member leads no more, or anew: whoever waits is redirected."""
+        """Redirects all waiting gateways: this member no longer leads, or leads in another term."""
         if self.leases is None:
-            return  # nothing was taken in: the followers' look at each tick
+            return  # a follower's tick: it has accepted no renewals
         renewals, self.renewals = self.renewals, Renewals(self.group.tick)
         self.leases = None
         waiting = [*self.answer_queue, *renewals.pending_renewals()]
@@ -112,7 +112,7 @@
             self._redirect(renewal.connection, renewal.token, self.member.leader_address())
 
     def _activate(self) -> None:
-        # Beside acknowledgements in flight it would be computed from a state that has moved on.
+        # With acknowledgements in flight, the activation's revision would be stale by the time it is applied.
         if self.leases is not None and not self.renewals.proposed_acknowledgements:
             command = self.leases.next_activation(self.member.clock(), self.member.state)
             if command is not None:
@@ -140,7 +140,7 @@
     # ---- events
 
     def on_renewal(self, connection: Peer, request: RenewalRequest) -> None:
-        """A gateway asks for its lease, and says which version it has acknowledged."""
+        """Accepts a gateway's renewal and acknowledgement, or redirects the gateway."""
         member, state = self.member, self.member.state
         if not self.is_leading:
             self._redirect(connection, request.token, member.leader_address())
@@ -154,12 +154,12 @@
             connection, request.token, request.gateway, request.acknowledged_version, request.known_version
         )
         if not self.renewals.add(renewal, is_new and is_known):
-            self._redirect(connection, request.token, member.config.member[member.name].listen)  # here, and later
+            self._redirect(connection, request.token, member.config.member[member.name].listen)  # retry here later
             return
         self._begin_round()
 
     def on_applied(self, index: int) -> None:
-        """The state machine has gone on to an index."""
+        """Answers the renewals whose acknowledgements are applied now that the state machine has applied an index."""
         if self.is_leading:
             answerable = self.renewals.mark_applied(index)
             if answerable:
@@ -168,14 +168,17 @@
             self._notify()
 
     def _reject_pending(self, request: RenewalRequest) -> None:
-        """The first gateway's reason counts."""
+        """Proposes to reject the pending version, unless that is in flight: the first gateway's reason counts."""
         for command in self.member.commands_in_flight:
             if isinstance(command, RejectVersion) and command.version == request.rejected_version:
                 return
         self.member.propose_once(RejectVersion(request.rejected_version, f"{request.gateway}: {request.reason}"))
 
     def _begin_round(self) -> None:
-        """Only a round of the majority shows that no other leader has computed without these gateways meanwhile."""
+        """Begins a quorum round if one is due.
+
+        Only a round shows that no other leader has meanwhile computed an activation without these gateways.
+        """
         renewals = self.renewals
         now = self.member.clock()
         if renewals.round_due(now):
@@ -184,7 +187,7 @@
 
     def _on_round_over(self, renewals: Renewals, number: int, confirmed: bool) -> None:
         if renewals is not self.renewals:
-            return  # of a term that is over; whoever waited was redirected
+            return  # of an earlier term, whose gateways were redirected
         if confirmed:
             self._answer(renewals.end_round(number))
         else:
@@ -206,7 +209,7 @@
             self.member.loop.call_soon(self._answer_batch)
 
     def _grant(self, renewal: Renewal) -> None:
-        """The state as it is, with a lease if one may be granted, and with the texts that the gateway has not."""
+        """Sends the current state, with a lease if one may be granted, and with the texts that the gateway lacks."""
         state = self.member.state
         lease_ms = 0.0
         if self.leases is not None and self.leases.may_grant(state, renewal.gateway, renewal.acknowledged_version):
@@ -230,5 +233,5 @@
 
     @staticmethod
     def _redirect(connection: Peer, token: int, leader: str) -> None:
-        """A GRANT without a version, which names the leader's address, "" if none is known."""
+        """Sends a GRANT without a version that names the leader's address, "" if none is known."""
         connection.send(Kind.GRANT, token, 0.0, 0, "", 0, "", {}, leader)
--- a/pebblehinge/replicated_config/leases.py
+++ b/pebblehinge/replicated_config/leases.py
@@ -1,9 +1,9 @@
-"""What a leader knows of gateways' leases, and when it may activate a version. No I/O, no clock: times are handed in.
+"""What a leader knows of gateways' leases, and when it may activate a version. No I/O, no clock: times are parameters.
 
 A gateway counts its lease from the time at which it *asked*, a leader from the time at which it *answered*, which is
-later; so once `lease x (1 + drift)` has passed here since the last answer, the gateway's lease has surely expired
-there. A new leader can't know what the one before it granted: it treats every gateway as holding a lease until that
-time has passed since it was elected.
+later. So once `lease x (1 + drift)` has passed at the leader since its last answer, the lease has certainly expired at
+the gateway. A new leader can't know what its predecessor granted: it treats every gateway as holding a lease until
+that time has passed since its own election.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One gateway's lease, as far as this leader granted it."""
+    """One gateway's lease, as this leader granted it last."""
 
     granted_ms: float
 
 
 class Leases:
-    """Kept by the leader alone; a new one begins with none. Times are in milliseconds of the leader's clock."""
+    """The leases that a leader granted in its term. Times are in milliseconds of the leader's clock."""
 
     def __init__(self, lease_ms: float, drift: float, floor: float, elected_ms: float) -> None:
-        """A leader's leases as it is elected.
+        """Creates the state of a newly elected leader, which has granted no lease.
 
         Args:
-            lease_ms: how long a lease lasts.
-            drift: by what part clocks may run apart.
-            floor: what part of its allowance a gateway without a lease may send.
-            elected_ms: when the leader was elected.
+            lease_ms: The duration of a lease.
+            drift: The fraction by which clocks may run apart.
+            floor: The fraction of its allowance that a gateway without a lease may send.
+            elected_ms: When the leader was elected.
         """
         self.lease_ms = lease_ms
         self.drift = drift
@@ -51,26 +51,26 @@
         self.configs: dict[int, Config] = {}
 
     def record_grant(self, now: float, gateway: str) -> None:
-        """This gateway was answered: its lease runs from its asking, at the latest from now."""
+        """Records that a gateway is being answered: its lease runs from its request, at the latest from now."""
         self.by_gateway[gateway] = Lease(now)
 
     def may_grant(self, state: ConfigState, gateway: str, acknowledged_version: int) -> bool:
-        """Only to a gateway whose acknowledgement the group holds, and only for what is to come.
+        """Returns whether a gateway may get a lease: the group must hold its acknowledgement of the newest version.
 
-        While a version is pending, a gateway that has not prepared for it gets no further lease, or the version could
-        be activated behind its back.
+        While a version is pending, a gateway that has not acknowledged it gets no further lease; otherwise the version
+        could be activated while that gateway acts on an older one in full.
         """
         record = state.gateways.get(gateway)
         return record is not None and record.version == acknowledged_version >= max(state.active, state.pending) > 0
 
     def expires_at(self, gateway: str) -> float:
-        """When a gateway's lease has surely expired."""
+        """Returns the time at which a gateway's lease has certainly expired."""
         lease = self.by_gateway.get(gateway)
         granted_ms = lease.granted_ms if lease is not None else 0.0
         return max(self.elected_ms, granted_ms) + self.lease_ms * (1.0 + self.drift)
 
     def config(self, state: ConfigState, number: int) -> Config | None:
-        """The settings of a version, parsed once; None if it is not kept."""
+        """Returns the settings of a version, which are parsed once, or None if it is not stored."""
         if number not in self.configs:
             text = state.text(number)
             if text is None:
@@ -81,45 +81,45 @@
         return self.configs[number]
 
     def next_activation(self, now: float, state: ConfigState) -> Activate | None:
-        """What may be proposed now: to activate the pending version, or to reserve less or more under the active one.
+        """Returns the activation to propose now: of the pending version, or of the active one with other reservations.
 
-        None while a gateway may act on an older version in full, and where nothing would change.
+        Returns None while a gateway may act on an older version in full, and where nothing would change.
         """
         target = state.pending or state.active
         if not target:
             return None
-        lagging = self._lagging_gateways(state, target)
-        if any(now < self.expires_at(name) for name in lagging):
-            return None  # it may act on an older version in full: wait for its acknowledgement or its lease
-        unreachable = self._unreachable_gateways(state, lagging)
+        lagging_names = self._lagging_gateways(state, target)
+        if any(now < self.expires_at(name) for name in lagging_names):
+            return None  # one may act on an older version in full: wait for its acknowledgement or expiry
+        unreachable = self._unreachable_gateways(state, lagging_names)
         reservations = reservations_for(unreachable, self.floor)
         config = self.config(state, target)
         if config is None or find_conflict(config, reservations) is not None:
             return None
-        names = [gateway.name for gateway in unreachable]
-        if target == state.pending and not reservations_fit(config, reservations, self.floor, names):
+        unreachable_names = [gateway.name for gateway in unreachable]
+        if target == state.pending and not reservations_fit(config, reservations, self.floor, unreachable_names):
             return None
         if target == state.active and reservations == state.reservations:
             return None
         return Activate(target, reservations, state.revision)
 
     def describe_lagging_gateways(self, now: float, state: ConfigState) -> list[str]:
-        """Why the pending version is not active yet, for operators: a line for each gateway that is behind."""
+        """Returns a line for operators on each gateway that has not acknowledged the pending version."""
         if not state.pending:
             return []
         lines = []
         for name in self._lagging_gateways(state, state.pending):
             remaining_ms = self.expires_at(name) - now
-            lease = f", its lease for {remaining_ms / 1000:.1f} s" if remaining_ms > 0 else ", cut off"
-            lines.append(f"{name} is at {state.gateways[name].version}{lease}")
+            lease = f", lease expires in {remaining_ms / 1000:.1f} s" if remaining_ms > 0 else ", cut off"
+            lines.append(f"{name} is at version {state.gateways[name].version}{lease}")
         return lines
 
     @staticmethod
     def _lagging_gateways(state: ConfigState, target: int) -> list[str]:
-        """Gateways that have not acknowledged a version, by name.
+        """Returns the gateways that have not acknowledged a version, in the order of their names.
 
-        While the lease of another one runs it acts on the version in full; once that has expired, on the floor of the
-        same version, which is less than its allowance: nothing need be reserved.
+        The others need no reservation: one with a lease acts on the version in full, and one without acts on the
+        floor of the same version, which is less than its allowance.
         """
         return [name for name, record in sorted(state.gateways.items()) if record.version < target]
 
--- a/pebblehinge/replicated_config/member_connection.py
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a member of the group: from another member, a gateway, or an operator."""
+"""A member's end of a connection from another member, a gateway or an operator."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Member(Protocol):
-    """The member that is connected to."""
+    """The member that accepts the connection."""
 
     loop: asyncio.AbstractEventLoop
     name: str
@@ -29,33 +29,37 @@
 
 
 class MemberConnection(Peer):
-    """Hands each frame on to the part that answers it."""
+    """Passes each frame to the component that handles it."""
 
     FRAMES = frozenset({Kind.RAFT, Kind.RENEW, Kind.ASK})
 
     def __init__(self, member: Member) -> None:
-        """A connection that is being accepted."""
+        """Creates a connection that is being accepted."""
         limits = member.config.limits
         session = Session("group", member.name, limits.frame, limits.streams, greets=False)
         super().__init__(member.loop, session, limits.stall, limits.keepalive)
         self.member = member
 
     def connection_made(self, transport: Any) -> None:
-        """The connection is open."""
+        """Registers the connection, which is open now."""
         super().connection_made(transport)
         self.member.connections[self] = None
 
     def gone(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Unregisters the connection, which has ended."""
         self.member.connections.pop(self, None)
 
     def on_raft(self, data: bytes) -> None:
-        """A message of another member."""
+        """Passes a message from another member to Raft.
+
+        Raises:
+            WireError: If the sender is no member of this group, or the message can't be decoded.
+        """
         if self.session.peer_role != session_roles.MEMBER:
-            raise WireError("RAFT is for instances of the group")
+            raise WireError("RAFT is for members of the group")
         group = self.member.config.group.id
         if self.session.peer_name.rpartition("@")[2] != group:
-            raise WireError(f"this is group {group!r}: {self.session.peer_name!r} is of another")
+            raise WireError(f"this is group {group!r}: {self.session.peer_name!r} belongs to another")
         try:
             self.member.node.receive(data)
         except msgspec.DecodeError as error:
@@ -70,10 +74,10 @@
         rejected_version: int,
         reason: str,
     ) -> None:
-        """A gateway asks for its lease."""
+        """Handles a gateway's renewal of its lease."""
         request = RenewalRequest(token, gateway, acknowledged_version, known_version, rejected_version, reason)
         self.member.lease_granting.on_renewal(self, request)
 
     def on_ask(self, token: int, verb: str, values: dict[str, str | int]) -> None:
-        """An operator asks."""
+        """Handles an operator's request."""
         self.member.operator_requests.on_request(self, token, verb, values)
--- a/pebblehinge/replicated_config/member_dialer.py
+++ b/pebblehinge/replicated_config/member_dialer.py
@@ -1,4 +1,4 @@
-"""A gateway's connections to members of the group: one at a time, to whichever is named as the leader or comes next."""
+"""A gateway's connections to members of the group: one at a time, to the named leader or else to the next address."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class ConnectionListener(Protocol):
-    """Who uses the connections."""
+    """The user of the connections."""
 
     def on_connected(self, connection: OutboundConnection) -> None:
-        """A connection may be written to."""
+        """Handles a connection that can be written to from now on."""
 
     def on_connection_lost(self, connection: OutboundConnection) -> None:
-        """A connection is over."""
+        """Handles the end of a connection."""
 
     def on_watch_event(self) -> None:
-        """The versions in force have changed."""
+        """Handles a change of the active or the pending version."""
 
     def on_grant(self, grant: Grant) -> None:
-        """A renewal is answered."""
+        """Handles the answer to a renewal."""
 
 
 class OutboundConnection(Peer):
-    """A connection to one member."""
+    """A gateway's connection to one member."""
 
     FRAMES = frozenset({Kind.GRANT, Kind.NEWS})
 
@@ -45,21 +45,21 @@
         address: str,
         listener: ConnectionListener,
     ) -> None:
-        """To `address`, host:port."""
+        """Creates a connection to `address`, host:port."""
         super().__init__(loop, session, stall_ms)
         self.address = address
         self.listener = listener
 
     def ready(self) -> None:
-        """The greeting is over."""
+        """Tells the listener that the greeting is complete."""
         self.listener.on_connected(self)
 
     def gone(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Tells the listener that the connection has ended."""
         self.listener.on_connection_lost(self)
 
     def on_news(self, revision: int) -> None:
-        """A watch event. Its revision is of no use: whatever was missed meanwhile comes with the next grant."""
+        """Passes a watch event on. Its revision is not used, since the next grant brings whatever was missed."""
         self.listener.on_watch_event()
 
     def on_grant(
@@ -73,12 +73,12 @@
         reservations: Reservations,
         leader: str,
     ) -> None:
-        """A renewal is answered."""
+        """Passes a grant on."""
         self.listener.on_grant(Grant(token, lease_ms, active, active_text, pending, pending_text, reservations, leader))
 
 
 class MemberDialer:
-    """Opens one connection at a time; `redirect` is the address that was named as the leader's, "" for none."""
+    """Opens one connection at a time; `redirect_address` was named as the leader's address, "" for none."""
 
     def __init__(
         self,
@@ -88,18 +88,18 @@
         limits: LimitsBlock,
         listener: ConnectionListener,
     ) -> None:
-        """Tries the addresses in turn, but for a redirect."""
+        """Creates a dialer that tries the addresses in turn, unless it is redirected."""
         self.loop = loop
         self.gateway = gateway
         self.addresses = addresses
         self.limits = limits
         self.listener = listener
         self.redirect_address = ""
-        self.dial_count = 0  # counts addresses that were tried
+        self.dial_count = 0  # dials to addresses in turn
         self.task: asyncio.Task[None] | None = None
 
     def connect(self) -> None:
-        """Opens a connection, unless one is being opened. One that fails is not tried again by itself."""
+        """Opens a connection, unless one is being opened. It does not retry a dial that fails."""
         if self.task is not None:
             return
         address, self.redirect_address = self.redirect_address, ""
@@ -109,7 +109,7 @@
         self.task = self.loop.create_task(self._dial(address))
 
     def close(self) -> None:
-        """Gives up what is being opened."""
+        """Cancels the dial in progress."""
         if self.task is not None:
             self.task.cancel()
 
--- a/pebblehinge/replicated_config/membership_requests.py
+++ b/pebblehinge/replicated_config/membership_requests.py
@@ -1,4 +1,4 @@
-"""What operators ask about the members of the group: who votes, another one, another leader."""
+"""Operators' requests about the group's members: to list, add or remove them, and to transfer leadership."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from pebblehinge.replicated_config.replies import OperatorReply, SendReply
 from pebblehinge.settings import Config
 
-RequestValues = Mapping[str, str | int]  # of an ASK frame
+RequestValues = Mapping[str, str | int]  # the values of an ASK frame
 
 
 class Member(Protocol):
-    """The member that is asked, the leader."""
+    """The member that handles the request, which is the leader."""
 
     config: Config
     node: Node
 
 
 class MembershipRequests:
-    """Changes take one member at a time: a new one learns first, and votes when it is added again."""
+    """Changes one member at a time: a new one starts as a learner, and becomes a voter when it is added again."""
 
     def __init__(self, member: Member) -> None:
-        """Requests to one member."""
+        """Creates the handlers of one member."""
         self.member = member
 
     def members(self, values: RequestValues, reply: SendReply) -> None:
-        """Lists members, adds or removes one."""
+        """Lists the members, or adds or removes one."""
         current = self.member.node.raft.membership
         action = str(values.get("do", "list"))
         if action == "list":
@@ -38,7 +38,7 @@
             return
         new_membership = self._changed_membership(current, action, str(values.get("name", "")))
         if new_membership == current:
-            reply(OperatorReply.success("it is so already"))
+            reply(OperatorReply.success("the membership is already as requested"))
             return
         try:
             self.member.node.raft.change_membership(new_membership)
@@ -49,13 +49,13 @@
         reply(OperatorReply.success(f"voters {' '.join(new_membership.voters)}; learners {learners}"))
 
     def transfer(self, values: RequestValues, reply: SendReply) -> None:
-        """Hands leadership over to another member."""
+        """Starts a transfer of leadership to another member."""
         try:
             self.member.node.raft.transfer_leadership(str(values["to"]))
         except RaftError as error:
             raise RequestError(str(error)) from None
         self.member.node.process_ready()
-        reply(OperatorReply.success("under way"))
+        reply(OperatorReply.success("the transfer has started"))
 
     def _changed_membership(self, current: Membership, action: str, name: str) -> Membership:
         if action == "add":
@@ -65,9 +65,9 @@
         raise RequestError(f"members {action!r}: expected list, add or remove")
 
     def _with_member(self, current: Membership, name: str) -> Membership:
-        configured = self.member.config.member
-        if name not in configured:
-            raise RequestError(f"{name!r} has no member block here: expected one of {', '.join(configured)}")
+        member_blocks = self.member.config.member
+        if name not in member_blocks:
+            raise RequestError(f"{name!r} has no member block here: expected one of {', '.join(member_blocks)}")
         if name in current.learners:
             return Membership(tuple(sorted({*current.voters, name})), _without(current.learners, name))
         return Membership(current.voters, tuple(sorted({*current.learners, name})))
--- a/pebblehinge/replicated_config/operator_client.py
+++ b/pebblehinge/replicated_config/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's way to the group: finds the leader, asks, and asks again if leadership changed meanwhile."""
+"""An operator's client of the group: finds the leader, sends a request, and retries it if leadership changes."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 from pebblehinge.replicated_config.size_limits import MAX_FRAME_BYTES
 from pebblehinge.wire import Kind, Session
 
-MAX_STREAMS = 64  # that the session announces
+MAX_STREAMS = 64  # announced by the session
 STALL_TIMEOUT_MS = 5_000.0
 RETRY_DELAY_S = 0.1
 NO_LEADER = "no leader is known"
-# Reasons after which the same request may succeed, by a word of theirs.
+# A request that failed with one of these texts in its reply may succeed when it is retried.
 TRANSIENT_REASONS = ("ask whether it was done", "leads no more", "wait for it")
 
 RequestValues = Mapping[str, str | int]
 
 
 class _OperatorConnection(Peer):
+    """An operator's connection to one member."""
+
     FRAMES = frozenset({Kind.TOLD})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -32,13 +34,13 @@
         self.tokens = itertools.count(1)
 
     def gone(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Fails the pending requests, as the connection has ended."""
         for future in self.pending_replies.values():
             if not future.done():
-                future.set_exception(ConnectionError("the instance closed the connection"))
+                future.set_exception(ConnectionError("the member closed the connection"))
 
     def on_told(self, token: int, ok: bool, text: str, leader: str) -> None:
-        """A reply has come."""
+        """Completes the request that a reply belongs to."""
         future = self.pending_replies.pop(token, None)
         if future is not None and not future.done():
             future.set_result(MemberReply(ok, text, leader))
@@ -54,7 +56,12 @@
 async def ask_member(
     loop: asyncio.AbstractEventLoop, address: str, verb: str, values: RequestValues, timeout_s: float = 3.0
 ) -> MemberReply:
-    """One member's reply. Raises OSError or TimeoutError."""
+    """Returns one member's reply to a request.
+
+    Raises:
+        OSError: If the member can't be reached, or closes the connection.
+        TimeoutError: If it does not reply within `timeout_s`.
+    """
     connection = _OperatorConnection(loop)
     async with asyncio.timeout(timeout_s):
         await dial(loop, connection, address)
@@ -67,12 +74,12 @@
 async def ask_group(
     loop: asyncio.AbstractEventLoop, addresses: list[str], verb: str, values: RequestValues, timeout_s: float = 10.0
 ) -> OperatorReply:
-    """The leader's reply, or the last reason for which there is none.
+    """Returns the leader's reply, or a failed reply with the last reason why there is none.
 
-    A proposal carries a session and serial, so that asking again applies it once.
+    A proposal carries a session and a serial, so that it is applied once even if it is retried.
     """
     deadline = loop.time() + timeout_s
-    last_reason = "no instance of the group can be reached"
+    last_reason = "no member of the group can be reached"
     address_cycle = itertools.cycle(addresses)
     address = next(address_cycle)
     while loop.time() < deadline:
--- a/pebblehinge/replicated_config/operator_requests.py
+++ b/pebblehinge/replicated_config/operator_requests.py
@@ -1,4 +1,4 @@
-"""What operators ask a member of the group: proposals, versions, members, status."""
+"""Operators' requests to a member of the group: proposals, versions, members, status."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from pebblehinge.settings import Config, SettingsError
 from pebblehinge.wire import Kind
 
-MAX_PENDING_REQUESTS = 64  # of operators, and one read for all renewals
+MAX_PENDING_REQUESTS = 64  # operators' requests, and the one read that all renewals share
 
 
 class Member(Protocol):
-    """The member that is asked."""
+    """The member that handles the requests."""
 
     loop: asyncio.AbstractEventLoop
     name: str
@@ -37,29 +37,29 @@
 
     @property
     def leases(self) -> Leases | None:
-        """None if this member does not lead."""
+        """Returns the leases, None if this member does not lead."""
 
     @property
     def pending_requests(self) -> int:
-        """Proposals and reads that wait."""
+        """Returns the number of pending proposals and reads."""
 
     def propose(
         self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
     ) -> bool:
-        """Appends a command to the log; False if it can't now."""
+        """Appends a command to the log; returns False if it can't now."""
 
     def reply_after_read(self, reply: SendReply, query: Callable[[], str]) -> None:
-        """Replies with what is agreed now."""
+        """Replies with the result of a query on the state that is agreed on now."""
 
     def leader_address(self) -> str:
-        """Another member's, "" if none is known."""
+        """Returns the address of a leader other than this member, "" if none is known."""
 
 
 class OperatorRequests:
-    """Answers each request once; by the leader alone where it is about what is agreed."""
+    """Answers each request once. A member that does not lead answers only status requests, and names the leader."""
 
     def __init__(self, member: Member) -> None:
-        """Requests to one member."""
+        """Creates the handlers of one member."""
         self.member = member
         self.proposal_queue = ProposalQueue(member)
         membership = MembershipRequests(member)
@@ -75,7 +75,7 @@
         }
 
     def on_request(self, connection: Peer, token: int, verb: str, values: RequestValues) -> None:
-        """An ASK frame has come."""
+        """Handles an ASK frame."""
 
         def reply(result: OperatorReply) -> None:
             connection.send(Kind.TOLD, token, result.ok, result.text, "")
--- a/pebblehinge/replicated_config/proposal_queue.py
+++ b/pebblehinge/replicated_config/proposal_queue.py
@@ -1,4 +1,4 @@
-"""Versions that operators propose while another one is pending: they wait in order, each for a while."""
+"""A queue of versions that operators propose while another one is pending: first in, first out, for a limited time."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from pebblehinge.replicated_config.state_machine import ConfigState
 
 MAX_QUEUED_PROPOSALS = 16  # each holds its text
-MAX_QUEUE_TIME_MS = 2_500.0  # of one of them, less than an operator's command waits for its answer
+MAX_QUEUE_TIME_MS = 2_500.0  # less than the time for which an operator's command waits for its reply
 
 
 class Member(Protocol):
-    """The member that takes proposals, a leader."""
+    """The member that accepts proposals, which is the leader."""
 
     loop: asyncio.AbstractEventLoop
     state: ConfigState
@@ -32,12 +32,12 @@
     def propose(
         self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
     ) -> bool:
-        """Appends a command to the log; False if it can't now."""
+        """Appends a command to the log; returns False if it can't now."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalId:
-    """A session's proposal is the same one when it comes again; one without a session is known by a count."""
+    """Identifies a proposal by session and serial, so that a retry is recognized; one without a session by a count."""
 
     session: str
     serial: int
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class QueuedProposal:
-    """One that was not proposed yet."""
+    """A proposal that was not appended to the log yet."""
 
     data: bytes
     reply: SendReply
@@ -57,23 +57,23 @@
 class ProposalQueue:
     """Proposes one version at a time, when none is pending.
 
-    The version that a proposal is based on decides as ever: it is compared when the proposal is applied.
+    The base version of a proposal is compared with the newest one when the proposal is applied, not in the queue.
     """
 
     def __init__(self, member: Member) -> None:
-        """An empty queue."""
+        """Creates an empty queue."""
         self.member = member
         self.queue: OrderedDict[ProposalId, QueuedProposal] = OrderedDict()
-        self.proposal_count = 0  # names those without a session
+        self.proposal_count = 0  # identifies proposals without a session
         self.proposal_in_flight = False
 
     def add(self, command: ProposeVersion, session: str, serial: int, reply: SendReply) -> None:
-        """One that comes again keeps its place; the newer request is answered."""
+        """Adds a proposal. A retry keeps its place in the queue, and only the newer request is answered."""
         self.proposal_count += 1
         key = ProposalId(session, serial) if session else ProposalId("", self.proposal_count)
-        queued = self.queue.get(key)
-        if queued is not None:
-            queued.reply = reply
+        queued_proposal = self.queue.get(key)
+        if queued_proposal is not None:
+            queued_proposal.reply = reply
             return
         if len(self.queue) >= MAX_QUEUED_PROPOSALS:
             reply(OperatorReply.failure(ProposalQueueFullError(len(self.queue), MAX_QUEUED_PROPOSALS)))
@@ -83,7 +83,7 @@
         self.propose_next()
 
     def propose_next(self) -> None:
-        """Proposes what may be proposed now; called whenever something was applied."""
+        """Proposes the next version if none is pending; called after each applied entry."""
         while self.queue and not self.proposal_in_flight and not self.member.state.pending:
             _, proposal = self.queue.popitem(last=False)
             proposal.timer.cancel()
@@ -98,7 +98,7 @@
                 proposal.reply(OperatorReply.failure(NoProposalsError()))
 
     def lose_leadership(self) -> None:
-        """This member leads no more: all that wait are told."""
+        """Fails all queued proposals, since this member no longer leads."""
         queue, self.queue = self.queue, OrderedDict()
         for proposal in queue.values():
             proposal.timer.cancel()
--- a/pebblehinge/replicated_config/replies.py
+++ b/pebblehinge/replicated_config/replies.py
@@ -1,4 +1,4 @@
-"""What a member answers to an operator, and how a client reads it."""
+"""Replies of a member to an operator, and as the client reads them."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 
 class OperatorReply(NamedTuple):
-    """Whether a request was done, and its result or the reason why not. Sent in a TOLD frame."""
+    """Whether a request succeeded, and its result or the reason why not. Sent in a TOLD frame."""
 
     ok: bool
     text: str
 
     @classmethod
     def success(cls, text: str) -> OperatorReply:
-        """The request was done, with this result."""
+        """Returns the reply to a request that succeeded with this result."""
         return cls(True, text)
 
     @classmethod
     def failure(cls, error: ReplicatedConfigError) -> OperatorReply:
-        """The request was not done."""
+        """Returns the reply to a request that failed."""
         return cls(False, str(error))
 
     @classmethod
     def from_error(cls, error: ReplicatedConfigError | None, text: str) -> OperatorReply:
-        """`text` if there was no error."""
+        """Returns the reply to a request that failed with `error`, or succeeded with `text` if there is none."""
         return cls.success(text) if error is None else cls.failure(error)
 
 
 class MemberReply(NamedTuple):
-    """One member's reply; `leader` is the address of the one to ask instead, "" if none is named."""
+    """One member's reply; `leader` is the address of the member to ask instead, "" if none is named."""
 
     ok: bool
     text: str
     leader: str
 
 
-SendReply = Callable[[OperatorReply], None]  # answers a request, once
+SendReply = Callable[[OperatorReply], None]  # sends the reply to one request, once
--- a/pebblehinge/replicated_config/server.py
+++ b/pebblehinge/replicated_config/server.py
@@ -1,4 +1,4 @@
-"""A member of the group on sockets: other members, gateways that renew their leases, and operators that ask."""
+"""A member of the group on sockets: it serves other members, gateways that renew their leases, and operators."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 from pebblehinge.store.disk import Disk
 from pebblehinge.store.errors import StorageError
 
-BACKLOG = 2048  # connections that wait to be accepted: all gateways come back after a leader's loss
+BACKLOG = 2048  # connections that wait to be accepted: all gateways reconnect after the loss of a leader
 
 
 class MemberServer:
-    """Everything of one member."""
+    """One member: its Raft node, its state machine and its connections."""
 
     def __init__(
         self,
@@ -50,16 +50,16 @@
         log: Logger,
         seed: int = 0,
     ) -> None:
-        """A member as it starts from its folder.
+        """Creates a member from what its disk holds.
 
         Args:
-            loop: runs timers and connections.
-            clock: milliseconds.
-            config: names the members, and how the group keeps time.
-            name: of this one among them.
-            disk: its folder; raises StorageError for one that can't be read.
-            log: hears why it stops.
-            seed: of its election timeouts, with its name.
+            loop: Runs timers and connections.
+            clock: Returns the time in milliseconds.
+            config: Names the members and the group's intervals.
+            name: The name of this member.
+            disk: Its folder; raises StorageError for one that can't be read.
+            log: Logs why the member stops.
+            seed: Seeds the election timeouts, together with the name.
         """
         self.loop = loop
         self.clock = clock
@@ -76,14 +76,14 @@
             self._apply, self._restore, lambda: self.state.dump(), self._on_read_done, self._on_storage_failed
         )
         self.node = Node(loop, raft, storage, self._peer_links(), callbacks, group.tick, group.compact)
-        self.connections: dict[MemberConnection, None] = {}  # in the order of their coming
+        self.connections: dict[MemberConnection, None] = {}  # in the order in which they were opened
         self.pending_proposals: dict[int, PendingProposal] = {}  # by index
         self.pending_reads: dict[int, Callable[[bool], None]] = {}  # by context
         self.read_contexts = itertools.count(1)
-        self.own_commands: dict[bytes, CommandInFlight] = {}  # commands of the leader itself, by their bytes
+        self.own_commands: dict[bytes, CommandInFlight] = {}  # the leader's own commands, by their stored form
         self.operator_requests = OperatorRequests(self)
         self.lease_granting = LeaseGranting(self)
-        self.failure = ""  # why it stopped by itself
+        self.failure = ""  # the storage error for which the member stopped
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.server: asyncio.Server | None = None
         self.tick_timer: asyncio.TimerHandle | None = None
@@ -99,14 +99,18 @@
         }
 
     async def start(self) -> None:
-        """Listens, and takes part. Raises OSError if it can't listen."""
+        """Starts to listen, and to take part in the group.
+
+        Raises:
+            OSError: If the member can't listen on its address.
+        """
         host, port = parse_address(self.config.member[self.name].listen)
         self.server = await self.loop.create_server(lambda: MemberConnection(self), host, port, backlog=BACKLOG)
         self.node.start()
         self._tick()
 
     def stop(self, reason: str = "") -> None:
-        """Stops for good. The reason is a signal's name and is not used: handlers of signals hand it in."""
+        """Stops for good. The reason, the name of a signal, is only passed by signal handlers and is not used."""
         self.node.stop()
         if self.server is not None:
             self.server.close()
@@ -154,9 +158,9 @@
     def propose(
         self, data: bytes, on_result: Callable[[CommandResult], None], session: str = "", serial: int = 0
     ) -> bool:
-        """Appends a command to the log, and calls back once its outcome is known or lost.
+        """Appends a command to the log, and calls back with its result, or with an error if that can't be known.
 
-        False if this member does not lead, hands over, or too much waits for its commit.
+        Returns False if this member does not lead, transfers leadership, or has too many uncommitted entries.
         """
         index = self.node.raft.propose(data, session, serial)
         if index is None:
@@ -171,7 +175,7 @@
         self.pending_proposals.clear()
 
     def propose_once(self, command: AnyCommand) -> None:
-        """Proposes a command of the leader's own, unless the same is in flight."""
+        """Proposes a command of the leader's own, unless the same one is in flight."""
         data = encode_command(command)
         if data in self.own_commands:
             return
@@ -182,27 +186,27 @@
 
     @property
     def commands_in_flight(self) -> list[AnyCommand]:
-        """The leader's own, not applied yet."""
+        """Returns the leader's own commands that are not applied yet."""
         return [in_flight.command for in_flight in self.own_commands.values()]
 
     def clear_commands_in_flight(self) -> None:
-        """Begins with none: they were of another term."""
+        """Drops the leader's own commands, which are of an earlier term."""
         self.own_commands.clear()
 
     # ---- reads
 
     @property
     def leases(self) -> Leases | None:
-        """None if this member does not lead."""
+        """Returns the leases, None if this member does not lead."""
         return self.lease_granting.leases
 
     @property
     def pending_requests(self) -> int:
-        """Proposals and reads that wait."""
+        """Returns the number of pending proposals and reads."""
         return len(self.pending_reads) + len(self.pending_proposals)
 
     def confirm_leadership(self, callback: Callable[[bool], None]) -> None:
-        """Calls back when a round of the majority that begins from now on is over; False if there was none."""
+        """Calls back after a quorum round that begins from now on, with False if there was none."""
         context = next(self.read_contexts)
         self.pending_reads[context] = callback
         if not self.node.raft.read_index(context):
@@ -215,9 +219,9 @@
             callback(confirmed)
 
     def reply_after_read(self, reply: SendReply, query: Callable[[], str]) -> None:
-        """Replies with what is agreed now, not with what this member believed when it led.
+        """Replies with a query's result on the state that is agreed on now, not on that of a deposed leader.
 
-        `query` may raise RequestError.
+        The query may raise RequestError.
         """
 
         def callback(confirmed: bool) -> None:
@@ -233,7 +237,7 @@
         self.confirm_leadership(callback)
 
     def leader_address(self) -> str:
-        """The address of the leader as far as it is another member and known, else ""."""
+        """Returns the address of a leader other than this member, "" if none is known."""
         leader = self.node.raft.leader_id
         block = self.config.member.get(leader or "")
         return block.listen if block is not None and leader != self.name else ""
--- a/pebblehinge/replicated_config/session_roles.py
+++ b/pebblehinge/replicated_config/session_roles.py
@@ -1,4 +1,4 @@
-"""Roles by which connections to a member of the group greet. The words are sent."""
+"""Roles that a connection to a member of the group announces in its greeting. The values are sent."""
 
 from __future__ import annotations
 
--- a/pebblehinge/replicated_config/size_limits.py
+++ b/pebblehinge/replicated_config/size_limits.py
@@ -1,4 +1,4 @@
-"""How large a version may be, and the frames that bring it."""
+"""Limits on the size of a version, and of the frames that carry it."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from pebblehinge.replicated_config.errors import VersionTooLargeError
 from pebblehinge.settings import Config
 
-# Bytes of a version's text; 1,024 gateways, 2,048 storage nodes, 2,000 volumes are 0.93 MB as they are proposed.
+# The text of a version with 1,024 gateways, 2,048 storage nodes and 2,000 volumes has 0.93 MB when it is proposed.
 MAX_TEXT_BYTES = 3 << 20
-MAX_FRAME_BYTES = 8 << 20  # a GRANT brings two texts and what is reserved, a diff may show all lines of two
+MAX_FRAME_BYTES = 8 << 20  # a GRANT carries two texts and the reservations; a diff may carry all lines of two texts
 
 
 def with_group_frame_limit(config: Config) -> Config:
-    """The settings under which members and gateways talk about versions: frames may have MAX_FRAME_BYTES at least.
+    """Returns the settings for connections to members of the group, whose frames may have at least MAX_FRAME_BYTES.
 
-    Clients and storage nodes keep the settings' limit: what one of them may make a gateway hold stays as stated.
+    Clients and storage nodes keep the configured limit, which bounds the memory that each can make a gateway hold.
     """
     limits = config.limits
     frame = max(limits.frame, MAX_FRAME_BYTES)
@@ -23,7 +23,11 @@
 
 
 def check_text_size(text: str) -> None:
-    """Raises VersionTooLargeError for a text that can't become a version."""
+    """Checks that a text is small enough to become a version.
+
+    Raises:
+        VersionTooLargeError: If it has more than MAX_TEXT_BYTES.
+    """
     size = len(text.encode())
     if size > MAX_TEXT_BYTES:
         raise VersionTooLargeError(size, MAX_TEXT_BYTES)
--- a/pebblehinge/replicated_config/snapshot.py
+++ b/pebblehinge/replicated_config/snapshot.py
@@ -1,4 +1,4 @@
-"""What a snapshot of the state machine holds. Structs are stored as msgpack arrays: the order of fields is fixed."""
+"""The snapshot of the state machine. Structs are stored as msgpack arrays: the order of their fields is fixed."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     text: str
     author: str
     note: str
-    rejection: str = ""  # why it was never activated; "" unless it was rejected
+    rejection: str = ""  # the reason, if the version was rejected; else ""
 
 
 class GatewayRecord(msgspec.Struct, array_like=True):
-    """What the group knows of one gateway: the newest version that it acknowledged."""
+    """The newest version that a gateway has acknowledged."""
 
     name: str
     version: int
@@ -33,7 +33,7 @@
 
 
 class ConfigSnapshot(msgspec.Struct, array_like=True):
-    """The whole state. `active` and `pending` are versions, 0 for none; `revision` counts changes."""
+    """The whole state. `active` and `pending` are version numbers, 0 for none; `revision` counts changes."""
 
     versions: list[Version]
     active: int
--- a/pebblehinge/replicated_config/state_machine.py
+++ b/pebblehinge/replicated_config/state_machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine: versions of the configuration, the active one, and what gateways have acknowledged.
 
-Everything here follows from the log alone, without clock or randomness, so every member holds the same. A proposal
-that is sent twice is applied once, by its session and serial.
+The state follows from the log alone, without clock or randomness, so every member holds the same. A proposal that is
+sent twice is applied once, by its session and serial.
 """
 
 from __future__ import annotations
@@ -38,15 +38,18 @@
 from pebblehinge.replicated_config.version_cache import parse_version
 from pebblehinge.settings import SettingsError
 
-MAX_SESSIONS = 1024  # remembered: the one least recently used goes first
-MAX_VERSIONS = 200  # kept with their text
+MAX_SESSIONS = 1024  # the least recently used one is dropped first
+MAX_VERSIONS = 200  # stored with their text
 
 
 class ConfigState:
-    """Versions count from 1. `active` is what gateways act on, `pending` what they prepare for; 0 for none."""
+    """The state, with version numbers from 1.
+
+    Gateways act on the `active` version and are transitional towards the `pending` one; 0 for none.
+    """
 
     def __init__(self) -> None:
-        """The state at the beginning of the log."""
+        """Creates the state at the beginning of the log."""
         self.versions: OrderedDict[int, Version] = OrderedDict()
         self.active = 0
         self.pending = 0
@@ -56,7 +59,7 @@
         self.revision = 0  # counts the changes that concern gateways
 
     def apply(self, entry: Entry) -> CommandResult:
-        """Applies a committed entry, once for each serial of a session; a repeated one has its first result."""
+        """Applies a committed entry, once for each serial of a session; a repeated one returns its first result."""
         if entry.kind != EntryKind.DATA:
             return CommandResult()
         if entry.session:
@@ -98,7 +101,7 @@
     # ---- commands
 
     def _propose(self, command: ProposeVersion) -> None:
-        """A new version, if none came since the proposer looked, and if it is valid."""
+        """Adds a pending version, if its base is the newest version, no other is pending, and its text is valid."""
         newest = self.newest
         if command.base != newest:
             raise StaleBaseError(command.base, newest)
@@ -115,10 +118,10 @@
         self._drop_old_versions()
 
     def _drop_old_versions(self) -> None:
-        """Keeps MAX_VERSIONS, or more if more are needed."""
+        """Drops the oldest versions beyond MAX_VERSIONS, except for those that are still needed."""
         while len(self.versions) > MAX_VERSIONS:
-            needed = self._needed_versions()
-            oldest = next((number for number in self.versions if number not in needed), None)
+            needed_versions = self._needed_versions()
+            oldest = next((number for number in self.versions if number not in needed_versions), None)
             if oldest is None:
                 return
             del self.versions[oldest]
@@ -132,7 +135,7 @@
             self.revision += 1
 
     def _acknowledge_many(self, command: AcknowledgeMany) -> None:
-        """Passes over versions that are not known any more, or were rejected meanwhile: their gateways went back."""
+        """Skips versions that are no longer stored or were rejected meanwhile: their gateways have rolled them back."""
         for gateway, version in command.versions.items():
             if version in self.versions and not self.versions[version].rejection:
                 self._acknowledge(gateway, version)
@@ -143,14 +146,18 @@
             raise NotPendingError(f"version {version} is not pending")
         self.versions[version].rejection = command.reason
         self.pending = 0
-        # Who acknowledged it was transitional towards it; what it acts on is the active one again.
+        # A gateway that acknowledged it was transitional towards it, and acts on the active version again.
         for record in self.gateways.values():
             if record.version == version:
                 record.version = min(record.version, self.active)
         self.revision += 1
 
     def _activate(self, command: Activate) -> None:
-        """A gateway that was heard of since the leader's revision is not in its computation: it computes anew."""
+        """Activates a version with its reservations, unless the state has changed since the leader computed them.
+
+        A gateway that acknowledged a version since the leader's revision is not in its computation, so that the leader
+        has to compute again.
+        """
         version = command.version
         if command.revision != self.revision:
             raise StaleRevisionError
@@ -174,11 +181,11 @@
 
     @property
     def newest(self) -> int:
-        """The newest version, whatever became of it; 0 for none."""
+        """Returns the newest version, also if it was rejected; 0 for none."""
         return max(self.versions, default=0)
 
     def text(self, number: int) -> str | None:
-        """A version's text; None if it is not kept."""
+        """Returns a version's text, None if it is not stored."""
         version = self.versions.get(number)
         return version.text if version is not None else None
 
@@ -188,7 +195,7 @@
     # ---- snapshots
 
     def dump(self) -> bytes:
-        """The bytes of a snapshot."""
+        """Returns the bytes of a snapshot."""
         snapshot = ConfigSnapshot(
             list(self.versions.values()),
             self.active,
@@ -202,7 +209,7 @@
 
     @classmethod
     def restore(cls, data: bytes) -> ConfigState:
-        """The state of a snapshot's bytes; of none, the state at the beginning."""
+        """Returns the state of a snapshot's bytes; of no bytes, the state at the beginning of the log."""
         state = cls()
         if data:
             snapshot = msgspec.msgpack.decode(data, type=ConfigSnapshot)
--- a/pebblehinge/replicated_config/status.py
+++ b/pebblehinge/replicated_config/status.py
@@ -1,4 +1,4 @@
-"""How a member stands, for operators: as lines, and as a JSON object. Each member tells of itself, leader or not."""
+"""A member's status for operators, as lines and as a JSON object. Each member reports on itself, leader or not."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Member(Protocol):
-    """The member that is asked."""
+    """The member that is reported on."""
 
     name: str
     clock: Callable[[], float]
@@ -22,11 +22,11 @@
 
     @property
     def leases(self) -> Leases | None:
-        """None if this member does not lead."""
+        """Returns the leases, None if this member does not lead."""
 
 
 class GatewayStatus(msgspec.Struct):
-    """A gateway in the JSON object; the order and names of fields are what clients read.
+    """A gateway in the JSON object; clients rely on the names and the order of the fields.
 
     `lag_ms` is the time since this member granted it a lease, None if it did not.
     """
@@ -37,7 +37,7 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """The JSON object; the order and names of fields are what clients read."""
+    """The JSON object; clients rely on the names and the order of the fields."""
 
     instance: str
     role: str
@@ -52,7 +52,7 @@
 
 
 def status_json(member: Member) -> str:
-    """The JSON object."""
+    """Returns the status as a JSON object."""
     raft, state = member.node.raft, member.state
     status = MemberStatus(
         instance=member.name,
@@ -79,7 +79,7 @@
 
 
 def status_text(member: Member) -> str:
-    """Lines for people."""
+    """Returns the status as lines of text."""
     raft, state = member.node.raft, member.state
     lines = [
         f"{member.name}: {raft.role.value}, term {raft.current_term}, leader {raft.leader_id or 'none'}",
@@ -90,7 +90,7 @@
     lines += [f"head {record.name}: version {record.version}" for _, record in sorted(state.gateways.items())]
     for volume, (rate, burst) in state.reservations.items():
         if rate or burst:
-            lines.append(f"set aside for {volume}: {rate:g}/s, {burst:g} at once")
+            lines.append(f"reserved for {volume}: {rate:g}/s, {burst:g} at once")
     if member.leases is not None:
-        lines += [f"waits: {reason}" for reason in member.leases.describe_lagging_gateways(member.clock(), state)]
+        lines += [f"waits: {line}" for line in member.leases.describe_lagging_gateways(member.clock(), state)]
     return "\n".join(lines)
--- a/pebblehinge/replicated_config/version_application.py
+++ b/pebblehinge/replicated_config/version_application.py
@@ -1,9 +1,9 @@
-"""What a gateway acts on, from what the group granted it and how long ago. No I/O, no clock.
+"""A gateway's effective configuration, from what the group granted and when. No I/O, no clock.
 
-application = VersionApplication(gateway, floor)  # or .restore(...): the last version, without a lease
-application.begin_renewal(now)                    # a renewal leaves; returns its token
-application.apply_grant(grant)                    # what the group answered
-application.effective_config(now)                 # what to act on now, and in which mode
+application = VersionApplication(gateway, floor)  # or .restore(...): the stored versions, without a lease
+application.begin_renewal(now)                    # returns the token of a renewal that is sent now
+application.apply_grant(grant)                    # applies the answer to a renewal
+application.effective_config(now)                 # returns the configuration to act on now, and its mode
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from pebblehinge.replicated_config.version_cache import parse_version, shared_text
 from pebblehinge.settings import Config, SettingsError
 
-MAX_RENEWALS_IN_FLIGHT = 16  # an answer to an older one counts for nothing
-MAX_UNUSED_VERSIONS = 2  # parsed ones that outlast a rollback
+MAX_RENEWALS_IN_FLIGHT = 16  # an answer to an older one is ignored
+MAX_UNUSED_VERSIONS = 2  # parsed versions that are kept after a rollback
 NO_LEASE_MS = -1.0
 
 
@@ -32,7 +32,7 @@
     """One gateway's versions and lease. Times are in milliseconds of its own clock."""
 
     def __init__(self, gateway: str, floor: float) -> None:
-        """Without any version; `floor` is the part of its allowance that it may send without a lease."""
+        """Starts without a version; `floor` is the fraction of its allowance that it may send without a lease."""
         self.gateway = gateway
         self.floor = floor
         self.active = 0
@@ -41,15 +41,17 @@
         self.configs: dict[int, Config] = {}
         self.reservations: Reservations = {}
         self.lease_expires_ms = NO_LEASE_MS
-        self.renewal_times: dict[int, float] = {}  # token -> when it left
+        self.renewal_times: dict[int, float] = {}  # token -> when the renewal was sent
         self.last_token = 0
         self.rejection: Rejection | None = None
 
     @classmethod
     def restore(cls, gateway: str, floor: float, data: bytes) -> VersionApplication:
-        """After a restart: the last versions, and no lease, since none knows how long this gateway was away.
+        """Returns the stored versions after a restart, without a lease: the length of the downtime is unknown.
 
-        Raises msgspec.DecodeError or SettingsError for bytes that `dump` did not return.
+        Raises:
+            msgspec.DecodeError: If the bytes are not the output of `dump`.
+            SettingsError: If the text of a version is not valid.
         """
         application = cls(gateway, floor)
         stored = msgspec.msgpack.decode(data, type=StoredVersions)
@@ -62,7 +64,7 @@
         return application
 
     def dump(self) -> bytes:
-        """The bytes to keep over restarts."""
+        """Returns the bytes to store across restarts."""
         active_text = self.texts.get(self.active, "")
         pending_text = self.texts.get(self.pending, "")
         stored = StoredVersions(self.active, active_text, self.reservations, self.pending, pending_text)
@@ -70,13 +72,13 @@
 
     @property
     def acknowledged_version(self) -> int:
-        """The newest version that this gateway has applied, or is transitional towards."""
+        """Returns the newest version that this gateway has applied, or is transitional towards."""
         return max(self.active, self.pending)
 
     # ---- renewals
 
     def begin_renewal(self, now: float) -> int:
-        """A renewal leaves now. Returns its token."""
+        """Records a renewal that is sent now. Returns its token."""
         self.last_token += 1
         self.renewal_times[self.last_token] = now
         for old in list(self.renewal_times)[:-MAX_RENEWALS_IN_FLIGHT]:
@@ -84,7 +86,7 @@
         return self.last_token
 
     def apply_grant(self, grant: Grant) -> bool:
-        """Takes an answer in; one with a version that can't be used changes nothing but `rejection`.
+        """Applies a grant; one with a version that can't be used changes nothing but `rejection`.
 
         Returns whether something changed that must be persisted before it is acknowledged.
         """
@@ -109,33 +111,33 @@
         if grant.pending in self.configs:
             self.pending = grant.pending
         elif grant.pending == 0 and self.pending > self.active:
-            self.pending = 0  # it was given up
-        # Only what this gateway really acts on earns it a lease.
+            self.pending = 0  # it was rejected
+        # A lease counts only for the version that this gateway acts on.
         if grant.active == self.active:
             self.lease_expires_ms = max(self.lease_expires_ms, sent_ms + grant.lease_ms)
 
     def _drop_old_versions(self, grant: Grant) -> None:
-        needed = (grant.active, grant.pending)
-        for old in [number for number in self.configs if number < self.active and number not in needed]:
+        needed_versions = (grant.active, grant.pending)
+        for old in [number for number in self.configs if number < self.active and number not in needed_versions]:
             del self.configs[old]
             del self.texts[old]
 
-    # ---- what was applied, and is not persisted yet
+    # ---- changes that are not persisted yet
 
     def checkpoint(self) -> Checkpoint:
-        """What `withhold` and `roll_back` go back to."""
+        """Returns the state that `withhold` and `roll_back` restore."""
         return Checkpoint(
             self.active, self.pending, self.reservations, self.lease_expires_ms, dict(self.configs), dict(self.texts)
         )
 
     def withhold(self, checkpoint: Checkpoint) -> Checkpoint:
-        """Goes back to a checkpoint until what came since is persisted. Returns what `commit` needs."""
+        """Restores a checkpoint until the later changes are persisted. Returns the state with these, for `commit`."""
         applied_state = self.checkpoint()
         self.roll_back(checkpoint)
         return applied_state
 
     def commit(self, applied_state: Checkpoint) -> None:
-        """What was withheld is persisted now. The lease that came with it counts from its asking, as ever."""
+        """Applies withheld changes, which are persisted now. Their lease still counts from the request for it."""
         lease_expires_ms = max(
             self.lease_expires_ms if self.active == applied_state.active else NO_LEASE_MS,
             applied_state.lease_expires_ms,
@@ -144,11 +146,11 @@
         self.lease_expires_ms = lease_expires_ms
 
     def roll_back(self, checkpoint: Checkpoint) -> None:
-        """Takes back an answer that could not be persisted.
+        """Takes back a grant that is not persisted.
 
-        It is not acted on and not acknowledged, since a restart would know nothing of it. The lease that it brought is
-        none either; the old one runs out, and the floor is left. What was parsed of the newest versions stays, for the
-        next time.
+        It is neither acted on nor acknowledged, since a restart would know nothing of it. Its lease does not count
+        either: the old lease expires, and the gateway is left with the floor. The newest versions stay parsed, for the
+        next grant.
         """
         configs, texts = self.configs, self.texts
         self._restore_checkpoint(checkpoint)
@@ -167,6 +169,7 @@
     # ---- versions
 
     def _accept_text(self, number: int, text: str) -> bool:
+        """Parses a version's text. Returns False, and records a rejection, if this gateway can't use the version."""
         try:
             self._parse(number, text)
         except SettingsError as error:
@@ -184,11 +187,11 @@
         self.texts[number] = shared_text(text)
 
     def effective_config(self, now: float) -> EffectiveConfig:
-        """What to act on now, and the mode."""
+        """Returns the configuration to act on now, and its mode."""
         if not self.active:
             return EffectiveConfig(None, Mode.NONE.value)
         if now >= self.lease_expires_ms:
-            # Whatever was reserved since, the group counts this gateway for the floor of what it acknowledged last.
+            # The reservations are ignored: the group reserves for this gateway the floor of what it acknowledged last.
             return EffectiveConfig(
                 config_without_lease(self._transitional_config(self.configs[self.active]), self.floor),
                 Mode.CUT_OFF.value,
--- a/pebblehinge/replicated_config/version_cache.py
+++ b/pebblehinge/replicated_config/version_cache.py
@@ -1,10 +1,10 @@
-"""A version's text, parsed once a process.
+"""A cache of parsed versions, so that a process parses each text once.
 
 A member parses each version for the operator, for the log and for its leases, and hundreds of simulated gateways in
-one process parse the same one. What is returned is shared: nobody alters it (`msgspec.structs.replace` makes another).
-The least recently used text goes first; whoever follows a group holds the active and the pending version anyway, so
-this adds two more of them. Errors are never cached, as they name who asked; nor is a text that may include files,
-since those may change.
+one process parse the same one. The parsed settings are shared and must not be altered (`msgspec.structs.replace` makes
+a copy). The least recently used text is dropped first. Members and gateways hold the active and the pending version
+anyway, so the cache adds two more texts. Errors are never cached, since they name the caller's source; nor is a
+text that may include files, since those may change.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedVersion:
-    """A text with its settings."""
+    """A version's text with its settings."""
 
     text: str
     config: Config
@@ -30,7 +30,11 @@
 
 
 def parse_version(text: str, name: str) -> Config:
-    """The checked settings of a text, not to be altered. Raises SettingsError with places in `name`."""
+    """Returns the checked settings of a text, which must not be altered.
+
+    Raises:
+        SettingsError: If the text is not valid; its places are in `name`.
+    """
     entry = _cache.get(text)
     if entry is not None:
         _cache.move_to_end(text)
@@ -44,6 +48,6 @@
 
 
 def shared_text(text: str) -> str:
-    """The cached string equal to a text, so that many gateways of a process keep one of it; else the text itself."""
+    """Returns the cached string that equals a text, so that a process holds it only once; else the text itself."""
     entry = _cache.get(text)
     return text if entry is None else entry.text
