--- a/tests/raw_frames.py
+++ b/tests/raw_frames.py
@@ -1,4 +1,4 @@
-"""Frames by hand, past the client library."""
+"""Helpers that exchange frames with a gateway without the client library."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def decode_frames(data: bytes) -> list[tuple[Kind, tuple]]:
-    frames = FrameDecoder(1 << 20)
-    frames.feed(data)
-    found = []
-    while (got := frames.next()) is not None:
-        found.append(got)
-    return found
+    decoder = FrameDecoder(1 << 20)
+    decoder.feed(data)
+    decoded = []
+    while (frame := decoder.next()) is not None:
+        decoded.append(frame)
+    return decoded
 
 
 async def read_remaining_frames(reader: asyncio.StreamReader) -> list[tuple[Kind, tuple]]:
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -1,4 +1,4 @@
-"""What a head's `GatewayCore` must keep, on drawn runs of its own: one answer each, and nothing left behind."""
+"""Property tests of `GatewayCore` on random runs: each request gets one answer and is removed after its end."""
 
 from __future__ import annotations
 
@@ -13,67 +13,67 @@
 
 
 class Origin:
-    """What a core knows of a connection."""
+    """A stand-in for the origin of a request."""
 
-    inside = False
+    is_internal = False
 
 
 class RecordingEffects:
-    """Stands where the sockets are: keeps what the core has done, and what the clients were told."""
+    """Effects without sockets, which record the attempts in flight and count the answers to each request."""
 
     def __init__(self) -> None:
         self.in_flight: list[Any] = []
         self.answer_counts: Counter[int] = Counter()
-        self.wake = float("inf")
+        self.wake_ms = float("inf")
         self.faults: list[str] = []
 
-    def send_attempt(self, pending: Any, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: Any, node: str, attempt: int, until_ms: float) -> None:
         if self.answer_counts[pending.id] or pending.attempt is not None:
-            self.faults.append(f"trip {attempt} of {pending.id}: answered, or out already")
+            self.faults.append(f"attempt {attempt} of {pending.id}: answered, or in flight already")
         pending.attempt = (pending, attempt, until_ms)
         self.in_flight.append(pending.attempt)
 
     def cancel_attempt(self, pending: Any) -> None:
         self.in_flight.remove(pending.attempt)
 
-    def answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(self, pending: Any, final: int, retry_after_ms: float, reason: str, data: bytes) -> None:
         self.answer_counts[pending.id] += 1
 
     def wake_at(self, at_ms: float) -> None:
-        self.wake = min(self.wake, at_ms)
+        self.wake_ms = min(self.wake_ms, at_ms)
 
     def call_discovery(self, call: Any) -> None:
-        self.faults.append("a list that is pushed was asked for")
+        self.faults.append("discovery was called although it pushes its lists")
 
 
-def run_core(seed: int, kind: type[GatewayCore]) -> tuple[list[str], GatewayCore, RecordingEffects]:
-    """One run of a head's core; what is wrong with it."""
-    rng, doing, now, left = random.Random(f"{seed}/core"), RecordingEffects(), 1000.0, set()
-    core = kind(CONFIG, CONFIG.head["h1"], now, doing)
+def run_core(seed: int, core_type: type[GatewayCore]) -> tuple[list[str], GatewayCore, RecordingEffects]:
+    """Plays one random run; returns the faults, the core and its effects."""
+    rng, effects, now, cancelled_ids = random.Random(f"{seed}/core"), RecordingEffects(), 1000.0, set()
+    core = core_type(CONFIG, CONFIG.head["h1"], now, effects)
     core.start(now)
-    truth = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
-    core.listed(now, ListKind.WHOLE, truth)
-    count, takens = 0, []
+    endpoints = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
+    core.listed(now, ListKind.WHOLE, endpoints)
+    count, accepted = 0, []
 
-    def pass_until(end: float) -> None:
+    def advance_to(end_ms: float) -> None:
         nonlocal now
         while True:
-            due = min(doing.in_flight, key=lambda row: row[2], default=None)
-            at = min(due[2] if due else end, doing.wake, end)
-            now = max(now, at)
-            if doing.wake <= now:
-                doing.wake = float("inf")
+            earliest = min(effects.in_flight, key=lambda attempt: attempt[2], default=None)
+            next_ms = min(earliest[2] if earliest else end_ms, effects.wake_ms, end_ms)
+            now = max(now, next_ms)
+            if effects.wake_ms <= now:
+                effects.wake_ms = float("inf")
                 core.woken(now)
-            elif due and due[2] <= now:
-                doing.in_flight.remove(due)
-                core.ended(now, due[0], due[1], Outcome.TIMED_OUT, 1.0)
+            elif earliest and earliest[2] <= now:
+                effects.in_flight.remove(earliest)
+                core.ended(now, earliest[0], earliest[1], Outcome.TIMED_OUT, 1.0)
             else:
                 return
 
     for _ in range(200):
-        pass_until(now + rng.expovariate(0.1))
-        what = rng.random()
-        if what < 0.5:
+        advance_to(now + rng.expovariate(0.1))
+        draw = rng.random()
+        if draw < 0.5:
             count += 1
             pending = core.take(
                 now,
@@ -94,50 +94,50 @@
                 10,
                 b"0123456789",
             )
-            takens += [pending] if pending is not None else []
-        elif what < 0.85 and doing.in_flight:
-            row = doing.in_flight.pop(rng.randrange(len(doing.in_flight)))
+            accepted += [pending] if pending is not None else []
+        elif draw < 0.85 and effects.in_flight:
+            attempt = effects.in_flight.pop(rng.randrange(len(effects.in_flight)))
             outcome = Outcome.SUCCEEDED if rng.random() < 0.4 else rng.choice(list(Outcome))
-            core.ended(now, row[0], row[1], outcome, rng.uniform(1.0, 100.0))
-        elif what < 0.93 and takens:
-            open_ = [t for t in takens if not t.answered]
-            pending = rng.choice(open_ or takens)
-            left |= {pending.id} if not pending.answered else set()
+            core.ended(now, attempt[0], attempt[1], outcome, rng.uniform(1.0, 100.0))
+        elif draw < 0.93 and accepted:
+            unanswered = [t for t in accepted if not t.answered]
+            pending = rng.choice(unanswered or accepted)
+            cancelled_ids |= {pending.id} if not pending.answered else set()
             core.left(now, pending)
-        elif what < 0.98:
+        elif draw < 0.98:
             i = rng.randrange(SHELFS)
-            standing = rng.choice((Standing.READY, *Standing))
+            state = rng.choice((Standing.READY, *Standing))
             started = rng.choice((0.0, 0.0, now, now - 900.0))
-            truth[i] = Entry(f"s{i}", standing, rng.choice((i, i, (i + 1) % SHELFS)), started)
-            kind_ = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
-            core.listed(now, kind_, [e for e in truth if e.standing is not Standing.GONE])
+            endpoints[i] = Entry(f"s{i}", state, rng.choice((i, i, (i + 1) % SHELFS)), started)
+            list_kind = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
+            core.listed(now, list_kind, [e for e in endpoints if e.standing is not Standing.GONE])
         else:
             core.adopt_config(now, CONFIG)
-    pass_until(now + 5000.0)
-    told = {i: doing.answer_counts[i] for i in range(1, count + 1)}
-    faults = doing.faults + [f"{i}: {n} answers" for i, n in told.items() if n != (i not in left)]
+    advance_to(now + 5000.0)
+    answer_counts = {i: effects.answer_counts[i] for i in range(1, count + 1)}
+    faults = effects.faults + [f"{i}: {n} answers" for i, n in answer_counts.items() if n != (i not in cancelled_ids)]
     if core.pending or core.open_count or core.payload_bytes:
         faults.append(
-            f"{len(core.pending)} kept, {core.open_count} open, {core.payload_bytes} bytes after all had ended"
+            f"{len(core.pending)} kept, {core.open_count} open, {core.payload_bytes} bytes after all requests had ended"
         )
-    return faults, core, doing
+    return faults, core, effects
 
 
-def test_the_core_answers_each_request_once_and_keeps_nothing_of_it() -> None:
-    met: Counter[str] = Counter()
+def test_core_answers_each_request_once_and_removes_it() -> None:
+    totals: Counter[str] = Counter()
     for seed in range(RUNS):
         faults, core, _ = run_core(seed, GatewayCore)
         assert not faults, f"seed {seed}: {faults}"
-        met.update(core.counts.by_label())
-        met.update({o.value: n for o, n in core.outcome_counts.items()})
-    assert min(met[k] for k in ("honoured", "pushed back", "terminated", "left", "refused")) > 100, met
-    assert min(met[o.value] for o in Outcome) > 50, met
+        totals.update(core.counts.by_label())
+        totals.update({o.value: n for o, n in core.outcome_counts.items()})
+    assert min(totals[k] for k in ("honoured", "pushed back", "terminated", "left", "refused")) > 100, totals
+    assert min(totals[o.value] for o in Outcome) > 50, totals
 
 
-def test_a_core_that_keeps_what_is_over_is_caught() -> None:
-    class Keeps(GatewayCore):
+def test_run_detects_a_core_that_keeps_finished_requests() -> None:
+    class KeepsFinishedRequests(GatewayCore):
         def _remove_if_finished(self, pending: Any) -> None:
             if pending.key % 7:
                 super()._remove_if_finished(pending)
 
-    assert "kept" in run_core(0, Keeps)[0][-1]
+    assert "kept" in run_core(0, KeepsFinishedRequests)[0][-1]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Bytes into the readers of HTTP/1.1: whole, one at a time, and cut anywhere, always with the same result."""
+"""Tests of the HTTP/1.1 parsers: however the bytes are split into pieces, the result is the same."""
 
 from __future__ import annotations
 
@@ -18,45 +18,46 @@
 from pebblehinge.http1.reader import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES
 
 
-def read(kind: type, data: bytes, cuts: list[int]) -> list[tuple]:
-    """What comes out of the bytes, cut at these places; an error ends it."""
-    reader, found = kind(), []
+def parse(parser_type: type, data: bytes, cuts: list[int]) -> list[tuple]:
+    """Returns the messages in bytes that are split at these offsets; an error is the last row."""
+    parser, messages = parser_type(), []
     try:
         for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
-            reader.feed(data[start:end])
-            while (m := reader.next()) is not None:
-                first = (m.method, m.target) if kind is RequestParser else (m.status,)
-                found.append((*first, m.headers, m.body, m.keep_alive))
+            parser.feed(data[start:end])
+            while (m := parser.next()) is not None:
+                start_line = (m.method, m.target) if parser_type is RequestParser else (m.status,)
+                messages.append((*start_line, m.headers, m.body, m.keep_alive))
     except HttpError as error:
-        found.append(("error", error.status))
-    return found
+        messages.append(("error", error.status))
+    return messages
 
 
-def all_ways(kind: type, data: bytes) -> list[tuple]:
-    whole = read(kind, data, [])
+def parse_in_many_splits(parser_type: type, data: bytes) -> list[tuple]:
+    """Returns the messages in the bytes after a check that splits into single bytes and random pieces agree."""
+    messages = parse(parser_type, data, [])
     rng = random.Random(7)
-    ways = [list(range(1, len(data)))] if len(data) < 3000 else []
-    ways += [sorted(rng.sample(range(1, len(data)), min(9, len(data) - 1))) for _ in range(20)]
-    for cuts in ways:
-        assert read(kind, data, cuts) == whole
-    return whole
+    splits = [list(range(1, len(data)))] if len(data) < 3000 else []
+    splits += [sorted(rng.sample(range(1, len(data)), min(9, len(data) - 1))) for _ in range(20)]
+    for cuts in splits:
+        assert parse(parser_type, data, cuts) == messages
+    return messages
 
 
-def test_requests_end_where_they_end_and_what_follows_is_kept() -> None:
+def test_pipelined_requests_are_separated_and_later_bytes_stay_buffered() -> None:
     data = (
         b"PUT /save/a?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\na\r\nb"
         b"PUT /save HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nc\r\n0\r\nX: y\r\n\r\n"
         b"\r\nGET /look HTTP/1.1\r\nhost: h\r\nConnection: close\r\n\r\n"
     )
-    got = all_ways(RequestParser, data)
-    assert [(m, t, body, keeps) for m, t, _, body, keeps in got] == [
+    requests = parse_in_many_splits(RequestParser, data)
+    assert [(method, target, body, keep_alive) for method, target, _, body, keep_alive in requests] == [
         (b"PUT", b"/save/a?x=1", b"a\r\nb", True),
         (b"PUT", b"/save", b"a\nc", True),
         (b"GET", b"/look", b"", False),
     ]
-    reader = RequestParser()
-    reader.feed(data)
-    assert reader.next() is not None and reader.buffer.startswith(b"PUT /save HTTP")
+    parser = RequestParser()
+    parser.feed(data)
+    assert parser.next() is not None and parser.buffer.startswith(b"PUT /save HTTP")
 
 
 PUT = b"PUT /save HTTP/1.1\r\nHost: h\r\n"
@@ -66,7 +67,7 @@
     ("data", "status"),
     [
         (b"\x00\x01\x02\x03", 400),
-        (b"GET / HTTP/1.1\nHost: h\n\nGET /b HTTP/1.1\n\n", 400),  # bare line ends
+        (b"GET / HTTP/1.1\nHost: h\n\nGET /b HTTP/1.1\n\n", 400),  # line feeds without carriage returns
         (b"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", 400),  # a folded header
         (b"GET / HTTP/1.1\r\nHost : h\r\n\r\n", 400),
         (PUT + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -96,35 +97,35 @@
         (b"\r\n" * MAX_HEAD_BYTES, 431),
     ],
 )
-def test_what_is_no_request_or_too_much_of_one_is_told_apart(data: bytes, status: int) -> None:
-    """Guards against lenient framing (a request hidden in another's body) and heads or bodies without end."""
-    assert all_ways(RequestParser, data)[-1] == ("error", status)
+def test_invalid_and_oversized_requests_get_their_status(data: bytes, status: int) -> None:
+    """Guards against lenient framing, which hides a request in the body of another, and against unlimited sizes."""
+    assert parse_in_many_splits(RequestParser, data)[-1] == ("error", status)
 
 
-def test_a_head_is_bounded_when_its_end_comes_in_the_same_piece() -> None:
-    """Its last piece was once not counted: a long head came through when cut in two."""
-    reader = RequestParser()
-    reader.feed(b"GET / HTTP/1.1\r\nA: ")
-    assert reader.next() is None
-    reader.feed(b"x" * MAX_HEAD_BYTES + b"\r\n\r\n")
+def test_head_limit_counts_the_piece_that_ends_the_head() -> None:
+    """Guards against a limit without that piece, which accepted an oversized head that came in two pieces."""
+    parser = RequestParser()
+    parser.feed(b"GET / HTTP/1.1\r\nA: ")
+    assert parser.next() is None
+    parser.feed(b"x" * MAX_HEAD_BYTES + b"\r\n\r\n")
     with pytest.raises(HttpError):
-        reader.next()
+        parser.next()
 
 
-def test_answers_in_front_are_passed_over_within_a_bound() -> None:
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+def test_informational_responses_are_skipped_up_to_the_limit() -> None:
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     hint = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"
-    assert [m[0] for m in all_ways(ResponseParser, hint * 8 + answer)] == [200]
-    assert all_ways(ResponseParser, hint * 9 + answer) == [("error", 502)]
+    assert [m[0] for m in parse_in_many_splits(ResponseParser, hint * 8 + response)] == [200]
+    assert parse_in_many_splits(ResponseParser, hint * 9 + response) == [("error", 502)]
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-    assert [m[2] for m in all_ways(ResponseParser, chunked)] == [b"ok"]
+    assert [m[2] for m in parse_in_many_splits(ResponseParser, chunked)] == [b"ok"]
 
 
-def test_what_comes_behind_an_answer_is_seen() -> None:
-    reader = ResponseParser()
-    reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\r\n")
-    answer = reader.next()
-    assert answer is not None and answer.body == b"ok" and reader.buffer == b"\r\n"
+def test_bytes_after_a_response_stay_buffered() -> None:
+    parser = ResponseParser()
+    parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\r\n")
+    response = parser.next()
+    assert response is not None and response.body == b"ok" and parser.buffer == b"\r\n"
 
 
 @pytest.mark.parametrize(
@@ -140,11 +141,11 @@
         b"HTTP/1.1 200 OK\r\nA: " + b"x" * MAX_HEAD_BYTES,
     ],
 )
-def test_spoilt_answers_can_not_be_read(data: bytes) -> None:
-    assert all_ways(ResponseParser, data)[-1][0] == "error"
+def test_invalid_and_oversized_responses_are_errors(data: bytes) -> None:
+    assert parse_in_many_splits(ResponseParser, data)[-1][0] == "error"
 
 
-def test_a_stream_hands_on_what_comes_without_end() -> None:
+def test_stream_passes_on_a_body_beyond_the_response_limit() -> None:
     pieces: list[bytes] = []
     stream = ResponseStream(pieces.append)
     stream.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -155,9 +156,9 @@
     assert sum(map(len, pieces)) == 40 * 0x8000 > MAX_RESPONSE_BODY_BYTES
 
 
-def test_own_messages_read_back_as_they_were_meant() -> None:
+def test_written_messages_parse_to_their_contents() -> None:
     request = write_request(b"PUT", b"/a?b", [(b"Host", b"h")], b"xyz") + b"X-Deadline-Ms: 5\r\n\r\nxyz"
-    (got,) = read(RequestParser, request, [])
-    assert got[:2] == (b"PUT", b"/a?b") and got[3] == b"xyz"
-    (got,) = read(ResponseParser, write_response(503, b"", False, b"Retry-After: 0.5\r\n"), [])
-    assert got[0] == 503 and (b"retry-after", b"0.5") in got[1] and got[3] is False
+    (message,) = parse(RequestParser, request, [])
+    assert message[:2] == (b"PUT", b"/a?b") and message[3] == b"xyz"
+    (message,) = parse(ResponseParser, write_response(503, b"", False, b"Retry-After: 0.5\r\n"), [])
+    assert message[0] == 503 and (b"retry-after", b"0.5") in message[1] and message[3] is False
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -1,4 +1,4 @@
-"""A framed connection: its table of handlers, and a dial given up as the connection stands, which raises nothing."""
+"""Tests of Peer: the table of handlers, and a dial that times out just as its connection is established."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from pebblehinge.wire import Kind, Session
 
 
-@pytest.mark.parametrize("runner", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_a_dial_given_up_in_the_turn_in_which_its_connection_stands_raises_nothing(runner: Any) -> None:
-    """The loop is held until the dial's time is over; the connection is there by then. On uvloop the dial closes it
-    without telling its protocol, whose greeting is still to be written."""
-    raised: list[dict[str, Any]] = []
-    greeted: list[bool] = []
+@pytest.mark.parametrize("make_loop", [asyncio.new_event_loop, uvloop.new_event_loop])
+def test_dial_that_times_out_just_as_it_connects_raises_nothing(make_loop: Any) -> None:
+    """The loop is blocked until the dial has timed out, by when the connection is established. uvloop then closes it
+    without notifying its protocol, which still has a greeting to write."""
+    loop_errors: list[dict[str, Any]] = []
+    connected: list[bool] = []
 
-    async def script() -> None:
+    async def run_dial() -> None:
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: raised.append(context))
+        loop.set_exception_handler(lambda _, context: loop_errors.append(context))
         server = await loop.create_server(asyncio.Protocol, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         peer = Peer(loop, Session("head", "x", 1 << 16, 64, dialed=True), 2000.0)
@@ -40,16 +40,16 @@
         with pytest.raises(TimeoutError):
             await task
         await asyncio.sleep(0.02)
-        greeted.append(peer.transport is not None)
+        connected.append(peer.transport is not None)
         server.close()
 
-    with asyncio.Runner(loop_factory=runner) as loops:
-        loops.run(script())
-    assert not raised, raised[0]
-    if runner is uvloop.new_event_loop:
-        assert greeted == [True]  # else nothing was shown
+    with asyncio.Runner(loop_factory=make_loop) as runner:
+        runner.run(run_dial())
+    assert not loop_errors, loop_errors[0]
+    if make_loop is uvloop.new_event_loop:
+        assert connected == [True]  # otherwise the case above did not occur
 
 
-def test_every_kind_of_frame_has_a_handler_of_its_own() -> None:
+def test_every_kind_of_frame_has_its_own_handler() -> None:
     assert list(HANDLERS) == list(Kind)
     assert len(set(HANDLERS.values())) == len(Kind)
