--- a/pebblehinge/http1/parsers.py
+++ b/pebblehinge/http1/parsers.py
@@ -104,11 +104,11 @@
         status = self.parser.get_status_code()
         if not 100 <= status <= 599:
             self.error = HttpError(502, f"invalid status code {status}")
-        bodyless = status < MIN_FINAL_STATUS or status in BODYLESS_STATUSES
-        framed = self._read_framing(bodyless)
-        if self.error is None and bodyless:
+        is_bodyless = status < MIN_FINAL_STATUS or status in BODYLESS_STATUSES
+        has_length = self._read_framing(is_bodyless)
+        if self.error is None and is_bodyless:
             self.length = 0
-        elif self.error is None and not framed:
+        elif self.error is None and not has_length:
             # Such a body ends when the connection closes, so a truncated body would look complete.
             self.error = HttpError(502, "the response does not state the length of its body")
 
--- a/pebblehinge/http1/reader.py
+++ b/pebblehinge/http1/reader.py
@@ -165,7 +165,7 @@
                     413, f"a body of more than {MAX_CHUNKED_SIZE_RATIO * self.max_body_bytes} bytes with its framing"
                 )
 
-    def _read_framing(self, bodyless: bool) -> bool:
+    def _read_framing(self, forbid_transfer_coding: bool) -> bool:
         """Reads how the length of the body is stated; returns whether it is stated at all.
 
         A length that is stated twice is an error (RFC 9112, 6.3), as it can hide a request in the body of another.
@@ -178,7 +178,7 @@
             self.error = HttpError(400, "the body's length is told twice")
         elif transfer_codings:
             self.chunked = transfer_codings[0].strip().lower() == b"chunked"
-            if not self.chunked or bodyless:
+            if not self.chunked or forbid_transfer_coding:
                 self.error = HttpError(400, "a transfer coding that is not taken here")
         elif content_lengths:
             self._read_length(content_lengths[0])
--- a/pebblehinge/wait_accounting/accounting.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -19,8 +19,8 @@
 from pebblehinge.wait_accounting.causes import GATEWAY, OTHERS, OWN_WORK, RETRIES, CauseKind, WaitCause
 
 MAX_PAIRS = 12_288  # slightly more than 5 causes of 2,000 volumes; takes 1.5 MB
-MERGE_DIVISOR = 4  # one in 4 pairs is merged when there are too many
-TYPICAL_TIME_STEP = 0.02  # twice the fraction by which one attempt changes the typical duration
+MERGE_DIVISOR = 4  # one in this many pairs is merged when the limit is reached
+TYPICAL_TIME_STEP = 0.02  # one attempt changes the typical duration by half of this fraction
 MAX_REPORTED_CAUSES = 8
 MERGED_VOLUME = "others"  # the volume name of waiting time that was merged over several volumes
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class NodeWaits:
+class NodeState:
     """The state of one storage node at a clock time.
 
     Attributes:
@@ -92,7 +92,7 @@
 
     def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
         self.max_pairs = max_pairs
-        self.nodes: dict[str, NodeWaits] = {}
+        self.nodes: dict[str, NodeState] = {}
         self.tracked_requests: dict[int, TrackedRequest] = {}
         self.typical_ms = 0.0
         self.waits: dict[tuple[str, WaitCause], float] = {}
@@ -102,8 +102,8 @@
 
     def enqueue(self, now: float, key: int, volume: str, node: str, units: float) -> None:
         """Records that a request is queued for a node from now on."""
-        waits = self._advance(now, node)
-        waits.queued_by_volume[volume] = waits.queued_by_volume.get(volume, 0) + 1
+        state = self._advance(now, node)
+        state.queued_by_volume[volume] = state.queued_by_volume.get(volume, 0) + 1
         if key not in self.tracked_requests:
             self.request_counts[volume] = self.request_counts.get(volume, 0) + 1
         self.tracked_requests[key] = TrackedRequest(node, volume, units)
@@ -111,42 +111,42 @@
     def start_attempt(self, now: float, key: int, is_first: bool) -> None:
         """Records that an attempt of a queued request is sent to its node."""
         node, volume, units = self.tracked_requests[key]
-        waits = self._advance(now, node)
-        _dequeue(waits, volume)
-        waits.in_flight[key] = TrackedAttempt(volume, units, now, is_first)
+        state = self._advance(now, node)
+        _dequeue(state, volume)
+        state.in_flight[key] = TrackedAttempt(volume, units, now, is_first)
 
     def end_attempt(self, now: float, key: int) -> None:
         """Records that the attempt in flight has ended, and charges its time."""
         node, volume, _ = self.tracked_requests[key]
         attempt = self._advance(now, node).in_flight.pop(key)
-        duration = now - attempt.sent_ms
+        duration_ms = now - attempt.sent_ms
         size_factor = (1.0 + attempt.units) / 2.0
-        others = sum(attempt.shared_ms.values())
-        own = duration - others
-        typical = self.typical_ms * size_factor if self.typical_ms else own
+        others_ms = sum(attempt.shared_ms.values())
+        own_share_ms = duration_ms - others_ms
+        expected_ms = self.typical_ms * size_factor if self.typical_ms else own_share_ms
         # Up to the typical duration, serving several attempts at once delays none of them: that time is own work.
-        charged = max(own, min(duration, typical))
-        for other, ms in attempt.shared_ms.items():
-            self._add(volume, WaitCause.volume(other), ms * (duration - charged) / others if others else 0.0)
-        excess = max(0.0, charged - typical)
-        excess_fraction = excess / duration if duration > 0 else 0.0
+        charged_ms = max(own_share_ms, min(duration_ms, expected_ms))
+        for name, ms in attempt.shared_ms.items():
+            self._add(volume, WaitCause.volume(name), ms * (duration_ms - charged_ms) / others_ms if others_ms else 0.0)
+        excess_ms = max(0.0, charged_ms - expected_ms)
+        excess_fraction = excess_ms / duration_ms if duration_ms > 0 else 0.0
         for waiter, ms in attempt.caused_delay_ms.items():
             self._add(waiter, WaitCause.volume(volume), ms * (1.0 - excess_fraction))
             self._add(waiter, WaitCause.node(node), ms * excess_fraction)
-        self._add(volume, OWN_WORK if attempt.is_first else RETRIES, charged - excess)
-        self._add(volume, WaitCause.node(node), excess)
-        self._update_typical_time(own / size_factor)
+        self._add(volume, OWN_WORK if attempt.is_first else RETRIES, charged_ms - excess_ms)
+        self._add(volume, WaitCause.node(node), excess_ms)
+        self._update_typical_time(own_share_ms / size_factor)
 
     def end_request(self, now: float, key: int) -> None:
         """Records the end of a request that is queued or in flight; ignores a request that isn't tracked."""
         request = self.tracked_requests.get(key)
         if request is None:
             return
-        waits = self._advance(now, request.node)
-        if key in waits.in_flight:
+        state = self._advance(now, request.node)
+        if key in state.in_flight:
             self.end_attempt(now, key)
         else:
-            _dequeue(waits, request.volume)
+            _dequeue(state, request.volume)
         del self.tracked_requests[key]
 
     def forget(self, key: int) -> None:
@@ -167,43 +167,43 @@
             return
         self.typical_ms += TYPICAL_TIME_STEP * self.typical_ms * (0.5 if unit_ms > self.typical_ms else -0.5)
 
-    def _advance(self, now: float, node: str) -> NodeWaits:
+    def _advance(self, now: float, node: str) -> NodeState:
         """Charges the time since the last call at a node, and returns the state of the node."""
-        waits = self.nodes.setdefault(node, NodeWaits(as_of_ms=now))
-        elapsed_ms = now - waits.as_of_ms
-        waits.as_of_ms = now
+        state = self.nodes.setdefault(node, NodeState(as_of_ms=now))
+        elapsed_ms = now - state.as_of_ms
+        state.as_of_ms = now
         if elapsed_ms > 0:
-            self._charge_in_flight(waits, elapsed_ms)
-            self._charge_queued(waits, elapsed_ms)
-        return waits
+            self._charge_in_flight(state, elapsed_ms)
+            self._charge_queued(state, elapsed_ms)
+        return state
 
-    def _charge_in_flight(self, waits: NodeWaits, elapsed_ms: float) -> None:
+    def _charge_in_flight(self, state: NodeState, elapsed_ms: float) -> None:
         """Divides the elapsed time equally among the attempts in flight."""
-        count = len(waits.in_flight)
-        for attempt in waits.in_flight.values() if count > 1 else ():
-            for other in waits.in_flight.values():
+        count = len(state.in_flight)
+        for attempt in state.in_flight.values() if count > 1 else ():
+            for other in state.in_flight.values():
                 if other is not attempt:
                     attempt.shared_ms[other.volume] = attempt.shared_ms.get(other.volume, 0.0) + elapsed_ms / count
 
-    def _charge_queued(self, waits: NodeWaits, elapsed_ms: float) -> None:
+    def _charge_queued(self, state: NodeState, elapsed_ms: float) -> None:
         """Charges the elapsed time of each queued request to the attempts in flight equally, or to the gateway."""
-        for volume, count in waits.queued_by_volume.items():
+        for volume, count in state.queued_by_volume.items():
             ms = elapsed_ms * count
-            if not waits.in_flight:
+            if not state.in_flight:
                 self._add(volume, GATEWAY, ms)
                 continue
-            for attempt in waits.in_flight.values():
-                attempt.caused_delay_ms[volume] = attempt.caused_delay_ms.get(volume, 0.0) + ms / len(waits.in_flight)
+            for attempt in state.in_flight.values():
+                attempt.caused_delay_ms[volume] = attempt.caused_delay_ms.get(volume, 0.0) + ms / len(state.in_flight)
 
     def _add(self, volume: str, cause: WaitCause, ms: float) -> None:
         if ms <= 0:
             return
         pair = (volume, cause)
         if pair not in self.waits and len(self.waits) >= self.max_pairs:
-            self._merge_least()
+            self._merge_smallest_pairs()
         self.waits[pair] = self.waits.get(pair, 0.0) + ms
 
-    def _merge_least(self) -> None:
+    def _merge_smallest_pairs(self) -> None:
         """Merges each of the smallest pairs into OTHERS of its volume, and a pair of OTHERS into MERGED_VOLUME."""
         by_size = sorted(self.waits, key=lambda pair: (self.waits[pair], pair[0], pair[1].label))
         for volume, cause in by_size[: max(1, self.max_pairs // MERGE_DIVISOR)]:
@@ -234,8 +234,8 @@
         return lines
 
 
-def _dequeue(waits: NodeWaits, volume: str) -> None:
+def _dequeue(state: NodeState, volume: str) -> None:
     """Removes one request of a volume from the queue of a node."""
-    waits.queued_by_volume[volume] -= 1
-    if not waits.queued_by_volume[volume]:
-        del waits.queued_by_volume[volume]
+    state.queued_by_volume[volume] -= 1
+    if not state.queued_by_volume[volume]:
+        del state.queued_by_volume[volume]
