--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -161,7 +161,7 @@
         config, block, name, log = STRUCK, STRUCK.head["h1"], "h1", Quiet()
 
         class core:  # noqa: N801
-            class module:  # noqa: N801
+            class scheduler:  # noqa: N801
                 @staticmethod
                 def remembered(now: float) -> dict[str, Any]:
                     return {"shelfs": {}, "lives": {}, "every": [0.0] * 4, "thinks": {}, "limits": {}, "further": []}
