--- a/pebblehinge/core/effects.py
+++ b/pebblehinge/core/effects.py
@@ -24,7 +24,7 @@
         """Sends the final answer to the client; `retry_after_ms` is the least delay of a retry, 0 for none."""
 
     def wake_at(self, at_ms: float) -> None:
-        """Calls `RequestTable.woken` at this clock time, in milliseconds."""
+        """Calls `RequestTable.on_wake_up` at this clock time, in milliseconds."""
 
     def call_discovery(self, call: ListCall) -> None:
         """Calls discovery, which keeps the endpoint list."""
--- a/pebblehinge/core/request_table.py
+++ b/pebblehinge/core/request_table.py
@@ -36,7 +36,7 @@
         outcome_counts: Counts of attempts by outcome.
         reason_counts: Counts of requests that were not served, by the scheduler's reason.
         retry_count: Number of attempts beyond the first of their request.
-        wake_up_count: Number of calls of `woken`.
+        wake_up_count: Number of calls of `on_wake_up`.
         now: Clock time of the last call, in milliseconds.
     """
 
@@ -104,7 +104,7 @@
             track_queued(self.wait_accounting, now, pending, self.scheduler.shelfs.names[pending.handle.shelf])
         self._apply(changes, now)
 
-    def left(self, now: float, pending: PendingRequest) -> None:
+    def on_client_disconnect(self, now: float, pending: PendingRequest) -> None:
         """Ends a request whose client is gone or has cancelled it: it gets no answer and no further attempt."""
         if pending.answered:
             return
@@ -119,7 +119,7 @@
 
     # ---- events of storage nodes, of discovery and of the clock
 
-    def ended(
+    def on_attempt_end(
         self, now: float, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes = b""
     ) -> None:
         """Takes the outcome of an attempt; each attempt that was sent and not cancelled must report exactly one."""
@@ -138,22 +138,22 @@
         self._apply(changes, now)
         self._remove_if_finished(pending)
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+    def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         """Passes an endpoint list, or changes to it, to the scheduler."""
         self._apply(self.scheduler.listed(now, kind, entries), now)
         if self.wait_accounting is not None:
             self.wait_accounting.retain_nodes(self.scheduler.shelfs.index)
 
-    def woken(self, now: float) -> None:
+    def on_wake_up(self, now: float) -> None:
         """Wakes the scheduler at a time that it requested by `Effects.wake_at`."""
         self.wake_up_count += 1
         self._apply(self.scheduler.woken(now), now)
 
-    def adopt(self, now: float, settings: Settings) -> None:
+    def configure(self, now: float, settings: Settings) -> None:
         """Replaces the settings, also for the pending requests, none of which is dropped."""
         self._apply(self.scheduler.adopt(now, settings), now)
 
-    def leaves(self, now: float, end_ms: float) -> None:
+    def begin_shutdown(self, now: float, end_ms: float) -> None:
         """Begins the shutdown; the scheduler answers all pending requests by clock time `end_ms`."""
         self._apply(self.scheduler.leaves(now, end_ms), now)
 
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -146,7 +146,7 @@
     def adopt_config(self, now: float, config: Config) -> None:
         """Puts new settings in force, for what is admitted from now on and for all that is queued."""
         self.config = config
-        self.adopt(now, config.module_settings(self.block))
+        self.configure(now, config.module_settings(self.block))
 
     def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Captures a request that is over, by its final answer or (None) since its client left."""
--- a/pebblehinge/gateway/client_connection.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -118,7 +118,7 @@
         """The client has left a request. An answer that crossed the frame on its way stands."""
         pending = self.open_requests.pop(id_, None)
         if pending is not None:
-            self.context.core.left(self.context.now, pending)
+            self.context.core.on_client_disconnect(self.context.now, pending)
 
     def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
         """Sends the final answer to a request that the request table had."""
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -130,13 +130,13 @@
         self.wake_timer = None
         self._wake_ms = math.inf
         self.now = self.clock()
-        self.core.woken(self.now)
+        self.core.on_wake_up(self.now)
 
     def _on_outcome(
         self, now: float, pending: FramedRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes
     ) -> None:
         self.now = now
-        self.core.ended(now, pending, attempt, outcome, took_ms, data)
+        self.core.on_attempt_end(now, pending, attempt, outcome, took_ms, data)
 
     def _on_list(self, now: float, kind: ListKind, entries: list[Entry], addresses: dict[str, str]) -> None:
         self.now = now
@@ -144,7 +144,7 @@
             self._link_to(node, address)
         self.note(now, "listed", kind=kind.value, entries=[(e.shelf, e.standing.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
-        self.core.listed(now, kind, entries)
+        self.core.apply_endpoint_list(now, kind, entries)
         for node in [name for name in self.links if name not in self.core.scheduler.shelfs.index]:
             self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
 
--- a/pebblehinge/gateway/internal_client.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -97,7 +97,7 @@
             self.waiting.pop(id_, None)
             if pending is not None and not pending.answered:
                 context.now = context.clock()
-                context.core.left(context.now, pending)
+                context.core.on_client_disconnect(context.now, pending)
             raise
 
     def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -110,7 +110,7 @@
         now = self.clock()
         for pending in list(conn.open_requests.values()):
             if pending is not None:
-                self.core.left(now, pending)
+                self.core.on_client_disconnect(now, pending)
         conn.open_requests.clear()
         self.stop_if_done()
 
--- a/pebblehinge/service/client_connection.py
+++ b/pebblehinge/service/client_connection.py
@@ -214,7 +214,7 @@
         self.parser.buffer = b""
         self.release_request()
         if pending is not None:
-            self.registry.context.core.left(self.registry.context.clock(), pending)
+            self.registry.context.core.on_client_disconnect(self.registry.context.clock(), pending)
 
     def eof_received(self) -> None:
         """Treat the end of the client's sending as its leaving.
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -128,7 +128,7 @@
         self.pools.idle_ms = config.idle_ms
         self.pools.connect_ms = config.connect_ms
         if config.settings != old.settings:
-            self.core.adopt(self.clock(), config.settings)
+            self.core.configure(self.clock(), config.settings)
         self.watch.move(config.discovery)
         if config.listen != old.listen:
             self.log("listen address changes at the next start")
@@ -172,7 +172,7 @@
     def _wake(self) -> None:
         self.timer = None
         self.wake_ms = float("inf")
-        self.core.woken(self.clock())
+        self.core.on_wake_up(self.clock())
 
     # ---- storage nodes, discovery and timers
 
@@ -182,7 +182,7 @@
 
     def end_attempt(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
         """Pass the outcome of an attempt to the core."""
-        self.core.ended(self.clock(), pending, attempt, outcome, took_ms, data)
+        self.core.on_attempt_end(self.clock(), pending, attempt, outcome, took_ms, data)
 
     def _receive_update(self, update: NodeListUpdate) -> None:
         self.discovered = True
@@ -191,7 +191,7 @@
     def _apply_list(self, update: NodeListUpdate) -> None:
         ready = {entry.shelf: entry.standing is Standing.READY for entry in update.entries}
         self.pools.apply_list(ready, update.addresses, update.kind is ListKind.WHOLE)
-        self.core.listed(self.clock(), update.kind, update.entries)
+        self.core.apply_endpoint_list(self.clock(), update.kind, update.entries)
 
     def _check(self) -> None:
         self.loop.call_later(CHECK_S, self._check)
--- a/pebblehinge/service/service_shutdown.py
+++ b/pebblehinge/service/service_shutdown.py
@@ -74,7 +74,7 @@
     def answer_by(self, end_ms: float) -> None:
         """Have all requests answered by a time."""
         self.context.registry.draining = True
-        self.context.core.leaves(self.context.clock(), end_ms)
+        self.context.core.begin_shutdown(self.context.clock(), end_ms)
 
     def accept_waiting(self) -> bool:
         """Accept what waits in the listen queue; return whether anything did."""
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -120,7 +120,7 @@
         self.registry, self.shutdown, self.done = ConnectionRegistry(self), Shutdown(self), False  # type: ignore[arg-type]
         self.core = RequestTable(self.config.settings, seed, self.now, self)  # type: ignore[arg-type]
         told = NodeListUpdate(listing(1, entry("s0", 1, 0), entry("s1", 1, 1)))
-        self.core.listed(self.now, ListKind.WHOLE, told.entries)
+        self.core.apply_endpoint_list(self.now, ListKind.WHOLE, told.entries)
 
     def clock(self) -> float:
         return self.now
@@ -138,7 +138,10 @@
             self.never += 1
             self.at(
                 self.now,
-                lambda: pending.attempt is token and self.core.ended(self.now, pending, attempt, Outcome.NOT_SENT, 0.0),
+                lambda: (
+                    pending.attempt is token
+                    and self.core.on_attempt_end(self.now, pending, attempt, Outcome.NOT_SENT, 0.0)
+                ),
             )
             return
         assert not pending.origin.sock.gone(), "a trip began for a client that had gone"  # type: ignore[attr-defined]
@@ -148,7 +151,7 @@
         def ends() -> None:
             if pending.attempt is token:
                 self.risky.add(pending.id) if outcome not in NEVER_RAN else None
-                self.core.ended(self.now, pending, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
+                self.core.on_attempt_end(self.now, pending, attempt, outcome, 50.0, b"x" * self.rng.choice((2, 60_000)))
 
         self.at(when, ends)
 
@@ -162,12 +165,12 @@
         self.registry.answer(pending, final, stay_ms, data)
 
     def wake_at(self, at_ms: float) -> None:
-        self.at(at_ms, lambda: self.core.woken(self.now))
+        self.at(at_ms, lambda: self.core.on_wake_up(self.now))
 
     # the end
     def answer_by(self, end_ms: float) -> None:
         self.registry.draining = True
-        self.core.leaves(self.now, end_ms)
+        self.core.begin_shutdown(self.now, end_ms)
 
     def accept_waiting(self) -> bool:
         came, self.queue = self.queue, []
@@ -228,7 +231,7 @@
         for _ in range(25):
             self.at(1000.0 + self.rng.uniform(0.0, 2400.0), self.come)
         for _ in range(2):
-            self.at(1000.0 + self.rng.uniform(0.0, 6000.0), lambda: self.core.adopt(self.now, read_settings(SLOW)))
+            self.at(1000.0 + self.rng.uniform(0.0, 6000.0), lambda: self.core.configure(self.now, read_settings(SLOW)))
         self.at(1000.0 + self.rng.uniform(1000.0, 2000.0), self.leave)
         self.at(1000.0 + self.rng.uniform(1000.0, 5000.0), self.leave)
         looked = self.now
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -159,7 +159,7 @@
     """Seen: one request with a time that is no number made every later call for its shelf fail."""
     doing = RecordingEffects()
     core = GatewayCore(CONFIG, CONFIG.head["h1"], 1000.0, doing)
-    core.listed(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
+    core.apply_endpoint_list(1000.0, ListKind.WHOLE, [Entry("s0", Standing.READY, 0, 0.0)])
 
     def one(id_: int, left_ms: float) -> Any:
         return core.take(
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -52,7 +52,7 @@
     core = core_type(CONFIG, CONFIG.head["h1"], now, effects)
     core.start(now)
     endpoints = [Entry(f"s{i}", Standing.READY, i, 0.0) for i in range(SHELFS)]
-    core.listed(now, ListKind.WHOLE, endpoints)
+    core.apply_endpoint_list(now, ListKind.WHOLE, endpoints)
     count, accepted = 0, []
 
     def advance_to(end_ms: float) -> None:
@@ -63,10 +63,10 @@
             now = max(now, next_ms)
             if effects.wake_ms <= now:
                 effects.wake_ms = float("inf")
-                core.woken(now)
+                core.on_wake_up(now)
             elif earliest and earliest[2] <= now:
                 effects.in_flight.remove(earliest)
-                core.ended(now, earliest[0], earliest[1], Outcome.TIMED_OUT, 1.0)
+                core.on_attempt_end(now, earliest[0], earliest[1], Outcome.TIMED_OUT, 1.0)
             else:
                 return
 
@@ -98,19 +98,19 @@
         elif draw < 0.85 and effects.in_flight:
             attempt = effects.in_flight.pop(rng.randrange(len(effects.in_flight)))
             outcome = Outcome.SUCCEEDED if rng.random() < 0.4 else rng.choice(list(Outcome))
-            core.ended(now, attempt[0], attempt[1], outcome, rng.uniform(1.0, 100.0))
+            core.on_attempt_end(now, attempt[0], attempt[1], outcome, rng.uniform(1.0, 100.0))
         elif draw < 0.93 and accepted:
             unanswered = [t for t in accepted if not t.answered]
             pending = rng.choice(unanswered or accepted)
             cancelled_ids |= {pending.id} if not pending.answered else set()
-            core.left(now, pending)
+            core.on_client_disconnect(now, pending)
         elif draw < 0.98:
             i = rng.randrange(SHELFS)
             state = rng.choice((Standing.READY, *Standing))
             started = rng.choice((0.0, 0.0, now, now - 900.0))
             endpoints[i] = Entry(f"s{i}", state, rng.choice((i, i, (i + 1) % SHELFS)), started)
             list_kind = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
-            core.listed(now, list_kind, [e for e in endpoints if e.standing is not Standing.GONE])
+            core.apply_endpoint_list(now, list_kind, [e for e in endpoints if e.standing is not Standing.GONE])
         else:
             core.adopt_config(now, CONFIG)
     advance_to(now + 5000.0)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -58,7 +58,7 @@
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask("save", 0, b"abc"))
         rig.head.pools.connect_ms = 5000.0
-        rig.head.core.leaves(rig.head.clock(), rig.head.clock() + 20.0)
+        rig.head.core.begin_shutdown(rig.head.clock(), rig.head.clock() + 20.0)
         answer = await client.answer()
         assert answer.status == 502  # the module does not know that its attempt only waits
         await nothing_is_sent(rig, gate)
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rules_can_break.py
@@ -131,23 +131,23 @@
 
 
 class IgnoresDrains(GatewayCore):
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+    def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
         entries = [Entry(e.shelf, Standing.READY, e.slot, e.started_ms) for e in entries]
-        super().listed(now, kind, entries)
+        super().apply_endpoint_list(now, kind, entries)
 
 
 class IgnoresCold(GatewayCore):
     """Knows of no start, neither from the list nor from broken connections, and holds nothing back."""
 
-    def listed(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
-        super().listed(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
+    def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[Entry]) -> None:
+        super().apply_endpoint_list(now, kind, [Entry(e.shelf, e.standing, e.slot, 0.0) for e in entries])
 
-    def ended(
+    def on_attempt_end(
         self, now: float, pending: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
     ) -> None:
         if outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST):
             outcome = Outcome.OVERLOADED
-        super().ended(now, pending, attempt, outcome, took_ms, data)
+        super().on_attempt_end(now, pending, attempt, outcome, took_ms, data)
 
 
 def altered(**changes: Any) -> Any:
