--- a/pebblehinge/raft/__init__.py
+++ b/pebblehinge/raft/__init__.py
@@ -1,11 +1,11 @@
-"""Raft among a few members, after Ongaro and Ousterhout's paper and Ongaro's thesis, whose terms it uses.
+"""The Raft consensus algorithm for a small group, in the terms of Ongaro and Ousterhout's paper and Ongaro's thesis.
 
-`core` has no I/O and no clock: ticks, messages and reports of the driver go in; messages, entries to store and
-committed entries come out. It is made of `election`, `leader` (with `replication` and `read_index`) and `follower`,
-which act on the `state` that they share. `entries` and `log` are the replicated log, `messages` what members send
-each other and `codec` how that looks on the wire, `storage` keeps what must last on disk in the format of
-`records`, `identity` says whose folder that is. `node` drives a core on asyncio, over the links of `transport`.
-`model` explores every order of events of a small group.
+`core` is the algorithm without I/O or a clock: its driver passes in ticks, messages and reports of finished work, and
+gets back messages to send, entries to persist and committed entries to apply. The core consists of `election`, `leader`
+(with `replication` and `read_index`) and `follower`, which share the member's `state`. `entries` and `log` are the
+replicated log, `messages` the messages between members and `codec` their wire format. `storage` persists a member's
+state in the file format of `records`, and `identity` records which member a storage folder belongs to. `node` drives a
+core on asyncio, over the connections of `transport`. `model` checks safety in every order of events of a small group.
 """
 
 from pebblehinge.raft.core import Raft
--- a/pebblehinge/raft/codec.py
+++ b/pebblehinge/raft/codec.py
@@ -1,6 +1,6 @@
-"""Messages on the wire: one msgpack array for all kinds, with defaults in the places that a kind leaves out.
+"""The wire format of messages: one msgpack array layout for all kinds, with defaults for the fields a kind leaves out.
 
-The table of words (`WIRE_KINDS`) and the order of `_Frame` are the format: they may not change.
+The strings in `WIRE_KINDS` and the order of the fields of `_Frame` are the format and must not change.
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 
 
 class _Frame(msgspec.Struct, array_like=True, frozen=True):
-    """The layout of every kind. `hint` is a flag, a total size or an index, by kind."""
+    """The array layout shared by all kinds of messages.
+
+    `hint` holds `leadership_transfer`, `conflict_index` or `total_bytes`, depending on the kind.
+    """
 
     kind: str
     source: str
@@ -61,17 +64,21 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Returns the encoded message."""
     return _encode_frame(_to_frame(message))
 
 
 def decode_message(data: bytes) -> Message:
-    """The message in these bytes. Raises msgspec.DecodeError if they are not a message."""
+    """Returns the decoded message.
+
+    Raises:
+        msgspec.DecodeError: The bytes are not a valid message.
+    """
     frame = _decode_frame(data)
-    read = _READERS.get(frame.kind)
-    if read is None:
-        raise msgspec.DecodeError(f"unknown kind of message {frame.kind!r}")
-    return read(frame)
+    decode = _DECODERS.get(frame.kind)
+    if decode is None:
+        raise msgspec.DecodeError(f"unknown message kind {frame.kind!r}")
+    return decode(frame)
 
 
 def _to_frame(message: Message) -> _Frame:
@@ -128,23 +135,23 @@
     return _Frame(kind, source, to, term)
 
 
-def _read_request_vote(frame: _Frame) -> Message:
+def _decode_request_vote(frame: _Frame) -> Message:
     return RequestVote(frame.source, frame.to, frame.term, frame.index, frame.log_term, bool(frame.hint))
 
 
-def _read_pre_vote(frame: _Frame) -> Message:
+def _decode_pre_vote(frame: _Frame) -> Message:
     return PreVote(frame.source, frame.to, frame.term, frame.index, frame.log_term, bool(frame.hint))
 
 
-def _read_request_vote_response(frame: _Frame) -> Message:
+def _decode_request_vote_response(frame: _Frame) -> Message:
     return RequestVoteResponse(frame.source, frame.to, frame.term, frame.ok)
 
 
-def _read_pre_vote_response(frame: _Frame) -> Message:
+def _decode_pre_vote_response(frame: _Frame) -> Message:
     return PreVoteResponse(frame.source, frame.to, frame.term, frame.ok)
 
 
-def _read_append_entries(frame: _Frame) -> Message:
+def _decode_append_entries(frame: _Frame) -> Message:
     return AppendEntries(
         frame.source,
         frame.to,
@@ -157,7 +164,7 @@
     )
 
 
-def _read_append_entries_response(frame: _Frame) -> Message:
+def _decode_append_entries_response(frame: _Frame) -> Message:
     return AppendEntriesResponse(
         frame.source,
         frame.to,
@@ -170,9 +177,9 @@
     )
 
 
-def _read_install_snapshot(frame: _Frame) -> Message:
+def _decode_install_snapshot(frame: _Frame) -> Message:
     if frame.membership is None:
-        raise msgspec.DecodeError("a snapshot without its membership")
+        raise msgspec.DecodeError("snapshot message has no membership")
     return InstallSnapshot(
         frame.source,
         frame.to,
@@ -187,22 +194,22 @@
     )
 
 
-def _read_install_snapshot_response(frame: _Frame) -> Message:
+def _decode_install_snapshot_response(frame: _Frame) -> Message:
     return InstallSnapshotResponse(frame.source, frame.to, frame.term, frame.index, frame.ok, frame.offset)
 
 
-def _read_timeout_now(frame: _Frame) -> Message:
+def _decode_timeout_now(frame: _Frame) -> Message:
     return TimeoutNow(frame.source, frame.to, frame.term)
 
 
-_READERS: dict[str, Callable[[_Frame], Message]] = {
-    WIRE_KINDS[RequestVote]: _read_request_vote,
-    WIRE_KINDS[RequestVoteResponse]: _read_request_vote_response,
-    WIRE_KINDS[PreVote]: _read_pre_vote,
-    WIRE_KINDS[PreVoteResponse]: _read_pre_vote_response,
-    WIRE_KINDS[AppendEntries]: _read_append_entries,
-    WIRE_KINDS[AppendEntriesResponse]: _read_append_entries_response,
-    WIRE_KINDS[InstallSnapshot]: _read_install_snapshot,
-    WIRE_KINDS[InstallSnapshotResponse]: _read_install_snapshot_response,
-    WIRE_KINDS[TimeoutNow]: _read_timeout_now,
+_DECODERS: dict[str, Callable[[_Frame], Message]] = {
+    WIRE_KINDS[RequestVote]: _decode_request_vote,
+    WIRE_KINDS[RequestVoteResponse]: _decode_request_vote_response,
+    WIRE_KINDS[PreVote]: _decode_pre_vote,
+    WIRE_KINDS[PreVoteResponse]: _decode_pre_vote_response,
+    WIRE_KINDS[AppendEntries]: _decode_append_entries,
+    WIRE_KINDS[AppendEntriesResponse]: _decode_append_entries_response,
+    WIRE_KINDS[InstallSnapshot]: _decode_install_snapshot,
+    WIRE_KINDS[InstallSnapshotResponse]: _decode_install_snapshot_response,
+    WIRE_KINDS[TimeoutNow]: _decode_timeout_now,
 }
--- a/pebblehinge/raft/core.py
+++ b/pebblehinge/raft/core.py
@@ -1,10 +1,9 @@
-"""One member of a Raft group as a state machine without I/O, clock or randomness of its own.
+"""One member of a Raft group, as a deterministic state machine without I/O, clock or randomness of its own.
 
-`tick` (time passes), `step` (a message has come), the requests (`propose`, `change_membership`,
-`transfer_leadership`, `read_index`) and the reports of the driver (`persisted`, `applied`, `compact`) change the
-state; after each, `ready` says what to store, to send and to apply. A driver keeps one order: store, fsync, then
-`persisted`; `messages_after_persist` promise something and go out only when all that was to be stored is; other
-messages may go at once.
+`tick`, `step`, the requests (`propose`, `change_membership`, `transfer_leadership`, `read_index`) and the driver's
+reports (`mark_persisted`, `mark_applied`, `compact`) change the state; after each of them, `ready` returns what to
+persist, send and apply. The driver must write and fsync the data before it calls `mark_persisted` and before it sends
+`messages_after_persist`, which depend on that data. It may send the other messages immediately.
 """
 
 from __future__ import annotations
@@ -32,12 +31,12 @@
 from pebblehinge.raft.ready import Ready
 from pebblehinge.raft.state import Role, ServerState
 
-DEFAULT_ELECTION_TIMEOUT = 10  # ticks
-DEFAULT_HEARTBEAT_INTERVAL = 2  # ticks
+DEFAULT_ELECTION_TIMEOUT_TICKS = 10
+DEFAULT_HEARTBEAT_INTERVAL_TICKS = 2
 
 
 class Raft:
-    """One member: its state, and the parts that act on it by role."""
+    """One member: its state, and the components that act on it by role."""
 
     def __init__(
         self,
@@ -46,19 +45,19 @@
         entries: list[Entry],
         hard_state: HardState,
         rng: random.Random,
-        election_timeout: int = DEFAULT_ELECTION_TIMEOUT,
-        heartbeat_interval: int = DEFAULT_HEARTBEAT_INTERVAL,
+        election_timeout: int = DEFAULT_ELECTION_TIMEOUT_TICKS,
+        heartbeat_interval: int = DEFAULT_HEARTBEAT_INTERVAL_TICKS,
     ) -> None:
-        """A member as it starts from what it has stored.
+        """Starts the member as a follower, from its persisted state.
 
         Args:
-            name: of the member, as the membership names it.
-            snapshot: the newest that is stored, or `initial_snapshot` of the group.
-            entries: those after it, without gaps; raises LogError otherwise.
-            hard_state: term and vote that are stored.
-            rng: draws the election timeouts.
-            election_timeout: the shortest, in ticks; each is drawn from there to twice that.
-            heartbeat_interval: ticks between the heartbeats of a leader.
+            name: The member's name, as in the membership.
+            snapshot: The latest persisted snapshot, or `initial_snapshot` of the group.
+            entries: The persisted entries after the snapshot; a gap raises LogError.
+            hard_state: The persisted term and vote.
+            rng: The source of the randomized election timeouts.
+            election_timeout: The minimum election timeout in ticks; each timeout is less than twice this.
+            heartbeat_interval: The ticks between a leader's heartbeats.
         """
         self.state = ServerState(name, snapshot, entries, hard_state, rng, election_timeout, heartbeat_interval)
         self.leader = Leader(self.state)
@@ -68,7 +67,7 @@
     # ---- time and messages
 
     def tick(self) -> None:
-        """One unit of time has passed."""
+        """Advances the member's time by one tick."""
         state = self.state
         state.ticks_elapsed += 1
         state.ticks_since_leader += 1
@@ -78,18 +77,18 @@
             self.election.start_pre_vote()
 
     def step(self, message: Message) -> None:
-        """A message has come. One that is of no use any more, or not for this member, changes nothing."""
+        """Handles a message; ignores one that is obsolete or addressed to another member."""
         if message.to != self.state.name:
             return
         if message.term < self.state.current_term:
-            self._answer_old_term(message)
+            self._reject_stale_term(message)
             return
         if message.term > self.state.current_term:
-            if self._would_disturb_leader(message):
+            if self._would_disrupt_leader(message):
                 return
-            if self._enters_term(message):
-                leads = isinstance(message, AppendEntries | InstallSnapshot)
-                self.leader.step_down(message.term, message.source if leads else None)
+            if self._must_adopt_term(message):
+                from_leader = isinstance(message, AppendEntries | InstallSnapshot)
+                self.leader.step_down(message.term, message.source if from_leader else None)
         self._dispatch(message)
 
     def _dispatch(self, message: Message) -> None:
@@ -113,19 +112,19 @@
             case TimeoutNow():
                 self.election.on_timeout_now(message)
 
-    def _would_disturb_leader(self, message: Message) -> bool:
-        """A member that was cut off must not unseat a leader that others hear (thesis, 4.2.3)."""
+    def _would_disrupt_leader(self, message: Message) -> bool:
+        """Returns whether a vote request, e.g. of a partitioned member, would unseat a live leader (thesis, 4.2.3)."""
         return isinstance(message, VoteRequest) and not message.leadership_transfer and self.state.has_live_leader
 
     @staticmethod
-    def _enters_term(message: Message) -> bool:
-        """Whether a message's newer term is one that its sender is in; that of a pre-vote is only asked about."""
+    def _must_adopt_term(message: Message) -> bool:
+        """Returns whether the sender is in the message's newer term; a pre-vote only proposes its term."""
         if isinstance(message, PreVoteResponse):
             return not message.granted
         return not isinstance(message, PreVote)
 
-    def _answer_old_term(self, message: Message) -> None:
-        """Tells a leader or pre-candidate of an old term of the new one; that also frees one that was removed."""
+    def _reject_stale_term(self, message: Message) -> None:
+        """Sends the current term to an outdated leader or pre-candidate, even a removed one, so that it adopts it."""
         state = self.state
         if isinstance(message, AppendEntries | InstallSnapshot):
             state.send(
@@ -139,53 +138,60 @@
     def propose(self, data: bytes, session: str = "", serial: int = 0) -> int | None:
         """Appends a command to the log.
 
-        Returns its index, or None if this member does not lead, hands over, or too many entries wait for their commit.
-        It is committed only if an entry of the same index *and term* is applied.
+        Returns:
+            The entry's index, or None if this member is not the leader, is transferring leadership, or has too many
+            uncommitted entries. The command is committed only if an entry with this index *and this term* is applied.
         """
         return self.leader.propose(data, session, serial)
 
     def change_membership(self, membership: Membership) -> None:
-        """Proposes another membership: one voter more or less at a time, a new one as a learner first.
+        """Proposes a membership that adds or removes at most one voter; a new voter must be a learner first.
 
-        Only after this term has committed an entry, or two leaders could change by one each and not meet (the published
-        correction to single-server changes). Raises NotLeaderError or MembershipChangeError.
+        The current term must have committed an entry: otherwise two leaders could each change one voter and use
+        majorities that do not overlap (the published correction to single-server changes).
+
+        Raises:
+            NotLeaderError: This member is not the leader.
+            MembershipChangeError: The leader rejects the change.
         """
         self.leader.change_membership(membership)
 
-    def transfer_leadership(self, to: str) -> None:
-        """Hands leadership over to another voter, which may still fail. Raises NotLeaderError, LeadershipTransferError.
+    def transfer_leadership(self, transferee: str) -> None:
+        """Starts a leadership transfer, which may fail; proposals are rejected meanwhile, for one election timeout.
 
-        Proposals are not taken meanwhile, for an election timeout at most.
+        Raises:
+            NotLeaderError: This member is not the leader.
+            LeadershipTransferError: The transferee is not another voter.
         """
-        self.leader.transfer_leadership(to)
+        self.leader.transfer_leadership(transferee)
 
     def read_index(self, context: int) -> bool:
-        """Asks for an index at which a read is linearizable; it comes in `Ready.read_states` with this context.
+        """Requests a read index, which is returned in `Ready.read_states` with this context.
 
-        False if this member does not lead, or too many reads wait.
+        Returns whether it was accepted: this member is the leader, and not too many reads are pending.
         """
         return self.leader.read_index(context)
 
     # ---- the driver's reports
 
     def ready(self) -> Ready:
-        """What is to be done since the last call."""
+        """Returns the work that has become due since the last call."""
         return self.state.take_ready()
 
     def mark_persisted(self, index: int) -> None:
-        """Entries up to an index are on disk."""
+        """Records that the entries up to an index are on disk."""
         state = self.state
         state.persisted_index = max(state.persisted_index, min(index, state.log.last_index))
         self.leader.on_persisted()
 
     def mark_applied(self, index: int) -> None:
-        """Entries up to an index are applied to the state machine."""
+        """Records that the entries up to an index are applied to the state machine."""
         self.state.last_applied = max(self.state.last_applied, index)
 
     def compact(self, data: bytes, index: int) -> Snapshot | None:
-        """Replaces the log up to an applied index by the state machine's state there.
+        """Replaces the log up to an applied index by a snapshot with the state machine's state at that index.
 
-        Returns the snapshot, for the caller to store; None if that index is not applied, or compacted already.
+        Returns the snapshot, which the caller must persist, or None if the index is not applied or already compacted.
         """
         log = self.state.log
         term = log.term_at(index)
@@ -195,49 +201,49 @@
         log.compact(snapshot)
         return snapshot
 
-    # ---- what others may read
+    # ---- accessors
 
     @property
     def name(self) -> str:
-        """This member's name."""
+        """Returns this member's name."""
         return self.state.name
 
     @property
     def role(self) -> Role:
-        """The part that it plays now."""
+        """Returns the current role."""
         return self.state.role
 
     @property
     def current_term(self) -> int:
-        """The newest term that it has seen."""
+        """Returns the latest term that this member has seen."""
         return self.state.current_term
 
     @property
     def leader_id(self) -> str | None:
-        """Whom it follows, or itself; None if it knows of no leader."""
+        """Returns the name of the current term's leader, None if unknown."""
         return self.state.leader_id
 
     @property
     def membership(self) -> Membership:
-        """The newest membership in its log, committed or not."""
+        """Returns the latest membership in the log, committed or not."""
         return self.state.membership
 
     @property
     def log(self) -> Log:
-        """Its log."""
+        """Returns the log."""
         return self.state.log
 
     @property
     def commit_index(self) -> int:
-        """The highest index that it knows to be committed."""
+        """Returns the highest index that is known to be committed."""
         return self.state.commit_index
 
     @property
     def last_applied(self) -> int:
-        """The highest index that is applied to the state machine."""
+        """Returns the highest index that is applied to the state machine."""
         return self.state.last_applied
 
     @property
     def term_start_index(self) -> int:
-        """Index of the no-op that began its newest term as a leader: all that was agreed before comes before it."""
+        """Returns the index of the no-op of its latest term as leader; every earlier commit has a lower index."""
         return self.state.term_start_index
--- a/pebblehinge/raft/entries.py
+++ b/pebblehinge/raft/entries.py
@@ -1,4 +1,7 @@
-"""What a replicated log is made of. All structs are stored and sent as msgpack arrays: the order of fields is fixed."""
+"""The entries of the replicated log, and the other values that members persist.
+
+All structs are stored and sent as msgpack arrays, so the order of their fields is part of the format.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,9 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry means; the numbers are stored and sent."""
+    """The kind of an entry's data; the values are stored and sent."""
 
-    NOOP = 0  # appended by each new leader, so that it can commit what was there before it
+    NOOP = 0  # no data: appended by each new leader, which can commit entries of earlier terms only with one of its own
     DATA = 1  # a command of the state machine
     MEMBERSHIP = 2  # a msgpack-encoded `Membership`
 
@@ -18,8 +21,14 @@
 class Entry(msgspec.Struct, array_like=True, frozen=True):
     """One log entry.
 
-    `kind` is an `EntryKind`, typed as int so that an entry of a kind unknown here is carried rather than refused.
-    `session` and `serial` identify a proposal, so that one that is sent twice is applied once; "" for none.
+    Attributes:
+        term: The term in which the leader appended the entry.
+        index: The entry's position in the log.
+        kind: An `EntryKind`, typed as int so that entries of a kind unknown to this version are replicated as well.
+        data: The content, by kind.
+        session: With `serial`, identifies a proposal so that a retry is applied only once; "" if it needs no
+            deduplication.
+        serial: The number of the proposal within its session.
     """
 
     term: int
@@ -31,22 +40,22 @@
 
 
 class Membership(msgspec.Struct, array_like=True, frozen=True):
-    """Who votes, and who only learns. Changed by one member at a time (thesis, 4.1)."""
+    """The voters and learners of a group. Each change adds or removes at most one voter (thesis, 4.1)."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
     def all_members(self) -> tuple[str, ...]:
-        """Names of voters, then of learners."""
+        """Returns the names of the voters, followed by those of the learners."""
         return self.voters + self.learners
 
     def quorum(self) -> int:
-        """Number of voters that make a majority."""
+        """Returns the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state machine's state up to and including `index`, with the term of that entry and the membership there."""
+    """The state machine's state after the entry at `index`, with that entry's term and the membership at that point."""
 
     term: int
     index: int
@@ -55,12 +64,12 @@
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What must be on disk before any promise is made (paper, figure 2: persistent state beside the log)."""
+    """The persistent state besides the log (paper, figure 2); on disk before any message that depends on it is sent."""
 
     current_term: int = 0
     voted_for: str | None = None
 
 
 def initial_snapshot(names: list[str]) -> Snapshot:
-    """The empty snapshot at index 0 that a new group with these voters begins from."""
+    """Returns the empty snapshot at index 0 from which a new group with these voters starts."""
     return Snapshot(0, 0, Membership(tuple(sorted(names))), b"")
--- a/pebblehinge/raft/errors.py
+++ b/pebblehinge/raft/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the Raft package; all derive from `RaftError`."""
+"""The exceptions of the Raft package, all derived from `RaftError`."""
 
 from __future__ import annotations
 
@@ -6,40 +6,39 @@
 
 
 class RaftError(Exception):
-    """Base class of the package's exceptions."""
+    """The base class of the package's exceptions."""
 
 
 class LogError(RaftError):
-    """A log that contradicts itself: a member stops rather than go on with it."""
+    """The log's entries have a gap; the member stops instead of continuing with an inconsistent log."""
 
 
 class NotLeaderError(RaftError):
-    """The request is for the leader, and this member is not the leader."""
+    """Only the leader can handle the request, and this member is not the leader."""
 
     def __init__(self) -> None:
-        """The message is the same for every request."""
         super().__init__("not the leader")
 
 
 class MembershipChangeError(RaftError):
-    """The leader rejected a membership change; the message says why."""
+    """The leader rejected a membership change; the message states the reason."""
 
 
 class LeadershipTransferError(RaftError):
-    """The leader rejected a leadership transfer; the message says why."""
+    """The leader rejected a leadership transfer; the message states the reason."""
 
 
 class StorageDamagedError(RaftError, StorageError):
-    """Stored data that may have been promised to other members can't be read back."""
+    """Stored data is damaged, although the member may have acknowledged it to other members."""
 
 
 class StorageFailedError(RaftError, StorageError):
-    """A write or fsync failed: what is on disk is unknown, and the storage accepts nothing more."""
+    """A write or fsync failed: the state on disk is unknown, and the storage rejects all further writes."""
 
 
 class IdentityError(RaftError, StorageError):
-    """A folder that is not, or not surely, the folder of this member."""
+    """The storage folder does not belong to this member, or its owner can't be determined."""
 
 
 class SafetyViolationError(RaftError):
-    """Exploration found a state in which a safety property does not hold; the message names property and events."""
+    """The exploration reached a state that violates a safety property; the message names it and lists the events."""
--- a/pebblehinge/raft/follower.py
+++ b/pebblehinge/raft/follower.py
@@ -1,4 +1,4 @@
-"""What a follower does with entries and snapshots of its leader (paper, 5.3 and 7)."""
+"""The follower's handling of the leader's entries and snapshots (paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot that arrives in pieces: what it covers, and the bytes so far."""
+    """A snapshot that is received in chunks: its last index and term, and the bytes received so far."""
 
     index: int
     term: int
@@ -20,37 +20,39 @@
 
 
 class Follower:
-    """Owns the snapshot that is being received. `leader` is what this member stops being when it hears of another."""
+    """Handles AppendEntries and InstallSnapshot, and holds the snapshot that is being received.
+
+    `leader` steps down when this member learns of the term's leader.
+    """
 
     def __init__(self, state: ServerState, leader: Leader) -> None:
-        """Nothing is being received."""
         self.state = state
         self.leader = leader
-        self.incoming: IncomingSnapshot | None = None
+        self.incoming_snapshot: IncomingSnapshot | None = None
 
     # ---- entries
 
     def on_append_entries(self, request: AppendEntries) -> None:
-        """Takes entries that follow what the logs share, drops its own that conflict, and commits with the leader."""
+        """Appends entries if the logs match before them, replacing conflicting ones, and advances the commit index."""
         state = self.state
-        self._note_leader(request.source)
+        self._record_leader_contact(request.source)
         if request.prev_log_index < state.commit_index:
-            # What is committed is settled: the leader is told where to go on.
-            self._accept(request, match_index=state.commit_index)
+            # Committed entries never change: the response tells the leader to continue after the commit index.
+            self._send_success(request, match_index=state.commit_index)
             return
         if state.log.term_at(request.prev_log_index) != request.prev_log_term:
-            self._reject(request)
+            self._send_conflict(request)
             return
         match_index = request.prev_log_index + len(request.entries)
         for entry in request.entries:
-            self._append(entry)
+            self._append_entry(entry)
         if state.pending.truncate_from is not None or any(e.kind == EntryKind.MEMBERSHIP for e in request.entries):
             state.refresh_membership()
         state.commit_index = max(state.commit_index, min(request.leader_commit, match_index))
-        self._accept(request, match_index)
+        self._send_success(request, match_index)
 
-    def _append(self, entry: Entry) -> None:
-        """Appends an entry unless it is there already; one of another term is dropped first, with all after it."""
+    def _append_entry(self, entry: Entry) -> None:
+        """Appends an entry unless the log holds it; first removes a conflicting entry and all entries after it."""
         log = self.state.log
         if entry.index <= log.last_index:
             if log.term_at(entry.index) == entry.term:
@@ -66,7 +68,7 @@
         state.pending.entries = [entry for entry in state.pending.entries if entry.index < index]
         state.persisted_index = min(state.persisted_index, index - 1)
 
-    def _accept(self, request: AppendEntries, match_index: int) -> None:
+    def _send_success(self, request: AppendEntries, match_index: int) -> None:
         state = self.state
         response = AppendEntriesResponse(
             state.name,
@@ -78,14 +80,14 @@
         )
         state.send_after_persist(response)
 
-    def _reject(self, request: AppendEntries) -> None:
+    def _send_conflict(self, request: AppendEntries) -> None:
         state = self.state
         index = request.prev_log_index
         conflict_index = state.log.last_index + 1
         conflict_term = 0
         if index <= state.log.last_index:
             conflict_term = state.log.term_at(index) or 0
-            conflict_index = state.log.first_index_of_run(conflict_term, index) if conflict_term else index
+            conflict_index = state.log.first_index_of_term_run(conflict_term, index) if conflict_term else index
         response = AppendEntriesResponse(
             state.name,
             request.source,
@@ -100,14 +102,14 @@
     # ---- snapshots
 
     def on_install_snapshot(self, request: InstallSnapshot) -> None:
-        """Collects the pieces of a snapshot, and installs it once it has all."""
+        """Collects the chunks of a snapshot, and installs it once all have arrived."""
         state = self.state
-        self._note_leader(request.source)
+        self._record_leader_contact(request.source)
         if request.last_included_index <= state.commit_index:
-            self.incoming = None
-            self._confirm_installed(request)
+            self.incoming_snapshot = None
+            self._send_installed(request)
             return
-        data = self._collect(request)
+        data = self._append_chunk(request)
         if len(data) < request.total_bytes:
             state.send(
                 InstallSnapshotResponse(
@@ -115,19 +117,19 @@
                 )
             )
             return
-        self.incoming = None
+        self.incoming_snapshot = None
         self._install(
             Snapshot(request.last_included_term, request.last_included_index, request.membership, bytes(data))
         )
-        self._confirm_installed(request)
-
-    def _collect(self, request: InstallSnapshot) -> bytearray:
-        """Adds a piece if it is the next one; returns what there is of the snapshot."""
-        incoming = self.incoming
-        covers = (request.last_included_index, request.last_included_term)
-        if request.offset == 0 or incoming is None or (incoming.index, incoming.term) != covers:
-            incoming = IncomingSnapshot(*covers)
-            self.incoming = incoming
+        self._send_installed(request)
+
+    def _append_chunk(self, request: InstallSnapshot) -> bytearray:
+        """Appends a chunk if it is the next one; returns the bytes of the snapshot received so far."""
+        incoming = self.incoming_snapshot
+        last_included = (request.last_included_index, request.last_included_term)
+        if request.offset == 0 or incoming is None or (incoming.index, incoming.term) != last_included:
+            incoming = IncomingSnapshot(*last_included)
+            self.incoming_snapshot = incoming
         if request.offset == len(incoming.data):
             incoming.data += request.data
         return incoming.data
@@ -144,7 +146,7 @@
         state.pending.snapshot = snapshot
         state.pending.snapshot_to_restore = snapshot
 
-    def _confirm_installed(self, request: InstallSnapshot) -> None:
+    def _send_installed(self, request: InstallSnapshot) -> None:
         state = self.state
         response = InstallSnapshotResponse(
             state.name, request.source, state.current_term, request.last_included_index, installed=True
@@ -153,8 +155,8 @@
 
     # ---- helpers
 
-    def _note_leader(self, leader_id: str) -> None:
-        """The leader of this term was heard from."""
+    def _record_leader_contact(self, leader_id: str) -> None:
+        """Records contact with the leader of the current term, and becomes its follower."""
         if self.state.role is not Role.FOLLOWER:
             self.leader.step_down(self.state.current_term, leader_id)
         self.state.leader_id = leader_id
--- a/pebblehinge/raft/leader.py
+++ b/pebblehinge/raft/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does: proposals, commits, membership changes, leadership transfer (paper, 5.3 and 5.4.2)."""
+"""The leader's duties: proposals, commits, membership changes and leadership transfer (paper, 5.3 and 5.4.2)."""
 
 from __future__ import annotations
 
@@ -12,28 +12,35 @@
 from pebblehinge.raft.replication import Replicator
 from pebblehinge.raft.state import Role, ServerState
 
-MAX_UNCOMMITTED_ENTRIES = 1024  # beyond that, proposals are not taken
-MAX_NEW_VOTER_LAG = MAX_INFLIGHT_APPENDS  # entries that a learner may lack when it becomes a voter
+MAX_UNCOMMITTED_ENTRIES = 1024  # proposals beyond this are rejected
+MAX_NEW_VOTER_LAG_ENTRIES = MAX_INFLIGHT_APPENDS  # lag of a learner's match index when it becomes a voter
 
 
 class Leader:
-    """Owns replication, reads and a transfer under way. It stands idle while this member does not lead."""
+    """The leader's replication, reads and leadership transfer; inactive while this member is not the leader.
+
+    Attributes:
+        state: The member's shared state.
+        replicator: Sends entries and snapshots to the other members.
+        reads: The pending read index requests.
+        transferee: The target of the current leadership transfer, during which proposals are rejected.
+        transfer_ticks: The ticks since the leadership transfer started.
+    """
 
     def __init__(self, state: ServerState) -> None:
-        """Idle until `assume_leadership`."""
         self.state = state
         self.replicator = Replicator(state)
         self.reads = ReadIndex(state, self.replicator)
-        self.transferee: str | None = None  # whom leadership is being handed to: proposals wait meanwhile
+        self.transferee: str | None = None
         self.transfer_ticks = 0
 
     @property
     def is_leading(self) -> bool:
-        """Whether this member leads."""
+        """Returns whether this member is the leader."""
         return self.state.role is Role.LEADER
 
-    def assume_leadership(self) -> None:
-        """An election is won: the term begins with a no-op, since entries of old terms commit only with it."""
+    def become_leader(self) -> None:
+        """Becomes leader and appends a no-op, since entries of earlier terms commit only with one of the new term."""
         state = self.state
         state.role = Role.LEADER
         state.leader_id = state.name
@@ -45,7 +52,7 @@
         self._append(EntryKind.NOOP, b"")
 
     def step_down(self, term: int, leader_id: str | None) -> None:
-        """Becomes a follower, whatever the role was; a leader's reads are lost."""
+        """Becomes a follower from any role; a leader's pending reads fail."""
         was_leading = self.is_leading
         self.state.become_follower(term, leader_id)
         if was_leading:
@@ -53,7 +60,7 @@
             self.transferee = None
 
     def tick(self) -> None:
-        """One tick of a leader: heartbeats, the check of the quorum, a transfer under way."""
+        """Advances the leader by one tick: sends heartbeats, checks the quorum, continues a leadership transfer."""
         state = self.state
         self.replicator.tick()
         if state.ticks_elapsed % state.heartbeat_interval == 0:
@@ -61,7 +68,7 @@
         if state.ticks_elapsed >= state.election_timeout:
             state.ticks_elapsed = 0
             if not self.replicator.check_quorum():
-                self.step_down(state.current_term, None)  # a leader that hears no majority may be an old one
+                self.step_down(state.current_term, None)  # without a majority, another leader may have been elected
                 return
         if self.transferee is not None:
             self._tick_transfer()
@@ -69,7 +76,7 @@
     # ---- requests
 
     def propose(self, data: bytes, session: str, serial: int) -> int | None:
-        """Appends a command; see `Raft.propose`."""
+        """Appends a command to the log; see `Raft.propose`."""
         if not self.is_leading or self.transferee is not None:
             return None
         if self.state.log.last_index - self.state.commit_index >= MAX_UNCOMMITTED_ENTRIES:
@@ -81,56 +88,56 @@
         if not self.is_leading:
             raise NotLeaderError
         if self.state.membership_index > self.state.commit_index:
-            raise MembershipChangeError("another change is under way")
+            raise MembershipChangeError("another membership change is in progress")
         if self.state.commit_index < self.state.term_start_index:
-            raise MembershipChangeError("this term has committed nothing yet")
-        self._check_voters(membership)
+            raise MembershipChangeError("the leader has not committed an entry of its term yet")
+        self._check_voter_changes(membership)
         self._append(EntryKind.MEMBERSHIP, msgspec.msgpack.encode(membership))
 
-    def transfer_leadership(self, to: str) -> None:
-        """Begins to hand over; see `Raft.transfer_leadership`."""
+    def transfer_leadership(self, transferee: str) -> None:
+        """Starts a leadership transfer; see `Raft.transfer_leadership`."""
         if not self.is_leading:
             raise NotLeaderError
-        if to not in self.state.membership.voters or to == self.state.name:
-            raise LeadershipTransferError(f"{to} is no other voter")
-        self.transferee = to
+        if transferee not in self.state.membership.voters or transferee == self.state.name:
+            raise LeadershipTransferError(f"{transferee} is no other voter")
+        self.transferee = transferee
         self.transfer_ticks = 0
         self._send_timeout_now()
 
     def read_index(self, context: int) -> bool:
-        """Takes a read; see `Raft.read_index`."""
+        """Requests a read index; see `Raft.read_index`."""
         return self.is_leading and self.reads.add(context)
 
     # ---- events
 
     def on_persisted(self) -> None:
-        """More of this member's own log is on disk: a leader counts itself only now."""
+        """Advances the commit index after more of the leader's own entries reached the disk, since only those count."""
         if self.is_leading:
             self._advance_commit_index()
 
     def on_append_entries_response(self, response: AppendEntriesResponse) -> None:
-        """A follower has taken entries, or its log conflicts."""
+        """Handles a follower's success or conflict: advances its progress, or probes for the match index."""
         if not self.is_leading or response.source not in self.replicator.progress:
             return
         progress = self.replicator.progress[response.source]
-        progress.note_response()
+        progress.record_response()
         progress.inflight_appends = max(0, progress.inflight_appends - 1)
         self.reads.on_response(response.source, response.read_round)
         if response.success:
-            self._on_success(response)
+            self._on_append_success(response)
         else:
             self.replicator.on_conflict(response)
         self._send_timeout_now()
 
     def on_install_snapshot_response(self, response: InstallSnapshotResponse) -> None:
-        """A follower has taken a piece of a snapshot."""
+        """Handles a follower's response to a snapshot chunk."""
         if self.is_leading and response.source in self.replicator.progress:
             self.replicator.on_snapshot_response(response)
 
     # ---- helpers
 
     def _append(self, kind: EntryKind, data: bytes, session: str = "", serial: int = 0) -> int:
-        """Appends an entry of this term and replicates it; returns its index."""
+        """Appends an entry of the current term and replicates it; returns its index."""
         state = self.state
         entry = Entry(state.current_term, state.log.last_index + 1, kind, data, session, serial)
         state.log.append(entry)
@@ -141,7 +148,7 @@
         self.replicator.broadcast()
         return entry.index
 
-    def _on_success(self, response: AppendEntriesResponse) -> None:
+    def _on_append_success(self, response: AppendEntriesResponse) -> None:
         progress = self.replicator.progress[response.source]
         if response.index > progress.match_index:
             progress.match_index = response.index
@@ -152,7 +159,7 @@
         self.replicator.replicate(response.source)
 
     def _advance_commit_index(self) -> None:
-        """Commits what a majority has persisted, and only through an entry of this term (paper, 5.4.2)."""
+        """Commits the entries that a majority has persisted, if the last is of the current term (paper, 5.4.2)."""
         state = self.state
         index = self.replicator.majority_match_index()
         if index <= state.commit_index or state.log.term_at(index) != state.current_term:
@@ -161,13 +168,13 @@
         self.reads.begin_round()
         self.replicator.broadcast_heartbeat()
         if state.membership_index <= state.commit_index and not state.is_voter:
-            self.step_down(state.current_term, None)  # it was removed: the others go on
+            self.step_down(state.current_term, None)  # this member was removed; the other voters elect a leader
 
-    def _check_voters(self, new: Membership) -> None:
-        """Raises MembershipChangeError unless one voter at most changes, and one that joins has caught up."""
+    def _check_voter_changes(self, new: Membership) -> None:
+        """Raises MembershipChangeError unless at most one voter changes, and a new voter is an up-to-date learner."""
         old = self.state.membership
         if not new.voters or set(new.voters) & set(new.learners):
-            raise MembershipChangeError("no sound membership")
+            raise MembershipChangeError("the membership has no voters, or a voter is a learner as well")
         if len(set(old.voters) ^ set(new.voters)) > 1:
             raise MembershipChangeError("more than one voter would change")
         for name in new.voters:
@@ -176,20 +183,20 @@
 
     def _check_new_voter(self, name: str) -> None:
         if name not in self.state.membership.learners:
-            raise MembershipChangeError(f"{name} must learn first")
+            raise MembershipChangeError(f"{name} must be a learner first")
         progress = self.replicator.progress.get(name)
-        if progress is None or progress.match_index + MAX_NEW_VOTER_LAG < self.state.log.last_index:
-            raise MembershipChangeError(f"{name} has not caught up")
+        if progress is None or progress.match_index + MAX_NEW_VOTER_LAG_ENTRIES < self.state.log.last_index:
+            raise MembershipChangeError(f"{name} has not caught up with the log")
 
     def _tick_transfer(self) -> None:
         self.transfer_ticks += 1
         if self.transfer_ticks > self.state.election_timeout:
-            self.transferee = None  # it did not come to it: proposals go on here
+            self.transferee = None  # the transfer failed; this leader accepts proposals again
         else:
             self._send_timeout_now()
 
     def _send_timeout_now(self) -> None:
-        """Asks the transferee to campaign as soon as it has the whole log."""
+        """Requests an election from the transferee once its log is complete."""
         state = self.state
         if self.transferee is None:
             return
--- a/pebblehinge/raft/log.py
+++ b/pebblehinge/raft/log.py
@@ -1,6 +1,6 @@
-"""The replicated log in the memory of one member: a snapshot, and the entries after it.
+"""One member's in-memory copy of the replicated log: the latest snapshot and the entries after it.
 
-Indexes count from 1 over the group's whole life; `snapshot_index` is 0 until the first snapshot.
+Indexes start at 1 and never restart; `snapshot_index` is 0 until the first snapshot.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from pebblehinge.raft.entries import Entry, EntryKind, Membership, Snapshot
 from pebblehinge.raft.errors import LogError
 
-ENTRY_OVERHEAD_BYTES = 32  # of an entry beside its data, as `Log.slice` counts
+ENTRY_OVERHEAD_BYTES = 32  # counted by `Log.slice` for each entry in addition to its data
 UNLIMITED_BYTES = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedMembership:
-    """A membership, and the index of the entry (or snapshot) that states it."""
+    """A membership, and the index of the entry or snapshot that contains it."""
 
     membership: Membership
     index: int
 
 
 class Log:
-    """Entries after `snapshot`, without gaps."""
+    """A snapshot, and the entries after it without gaps."""
 
     def __init__(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         """Raises LogError if the entries do not follow the snapshot without gaps."""
@@ -34,20 +34,20 @@
         self.entries = list(entries)
         for expected, entry in enumerate(self.entries, snapshot.index + 1):
             if entry.index != expected:
-                raise LogError(f"entry {entry.index} stands where {expected} should")
+                raise LogError(f"entry {entry.index} found where entry {expected} should be")
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the snapshot if there is none."""
+        """Returns the index of the last entry, or of the snapshot if there are no entries."""
         return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or of the snapshot if there is none."""
+        """Returns the term of the last entry, or of the snapshot if there are no entries."""
         return self.term_at(self.last_index) or 0
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at an index; None if it is compacted away, or not there yet."""
+        """Returns the term of the entry at an index, None if it is compacted or beyond the end of the log."""
         if index == self.snapshot_index:
             return self.snapshot.term
         if self.snapshot_index < index <= self.last_index:
@@ -55,29 +55,29 @@
         return None
 
     def slice(self, low: int, high: int, max_bytes: int = UNLIMITED_BYTES) -> list[Entry]:
-        """Entries from `low` to `high`, both included: at most `max_bytes` of them, but always one if there is one."""
-        found: list[Entry] = []
+        """Returns the entries from `low` to `high` inclusive, of at most `max_bytes` but at least one if any exists."""
+        selected: list[Entry] = []
         size = 0
         for index in range(max(low, self.snapshot_index + 1), min(high, self.last_index) + 1):
             entry = self.entries[index - self.snapshot_index - 1]
             size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size > max_bytes:
+            if selected and size > max_bytes:
                 break
-            found.append(entry)
-        return found
+            selected.append(entry)
+        return selected
 
     def append(self, entry: Entry) -> None:
-        """Adds the next entry. Raises LogError if its index does not follow the last."""
+        """Appends the next entry. Raises LogError if its index does not follow the last one."""
         if entry.index != self.last_index + 1:
-            raise LogError(f"entry {entry.index} is to follow {self.last_index}")
+            raise LogError(f"entry {entry.index} can't follow entry {self.last_index}")
         self.entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drops the entry at an index and all after it."""
+        """Removes the entry at an index and all entries after it."""
         del self.entries[max(0, index - self.snapshot_index - 1) :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drops what a snapshot covers; one that this log does not agree with takes the place of the whole log."""
+        """Removes the entries that a snapshot covers, or all entries if the log does not match the snapshot."""
         remaining = [entry for entry in self.entries if entry.index > snapshot.index]
         if self.term_at(snapshot.index) != snapshot.term:
             remaining = []
@@ -85,14 +85,14 @@
         self.snapshot_index = snapshot.index
         self.entries = remaining
 
-    def first_index_of_run(self, term: int, index: int) -> int:
-        """First index of the run of entries of one term that ends at `index`: what a conflict backs off to."""
+    def first_index_of_term_run(self, term: int, index: int) -> int:
+        """Returns the first index of the run of entries of `term` that ends at `index`, for use as a conflict index."""
         while index > self.snapshot_index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def last_index_of_term(self, term: int) -> int | None:
-        """Last index of a term; None if the log has no entry of it."""
+        """Returns the last index of a term, None if the log has no entry of it."""
         for entry in reversed(self.entries):
             if entry.term == term:
                 return entry.index
@@ -101,7 +101,7 @@
         return self.snapshot.index if self.snapshot.term == term else None
 
     def newest_membership(self, up_to: int | None = None) -> LoggedMembership:
-        """The newest membership in the log up to an index, committed or not (thesis, 4.1)."""
+        """Returns the latest membership in the log up to an index, committed or not (thesis, 4.1)."""
         for entry in reversed(self.entries):
             if entry.kind == EntryKind.MEMBERSHIP and (up_to is None or entry.index <= up_to):
                 return LoggedMembership(msgspec.msgpack.decode(entry.data, type=Membership), entry.index)
--- a/pebblehinge/raft/messages.py
+++ b/pebblehinge/raft/messages.py
@@ -1,6 +1,7 @@
-"""What members send each other, named as in the paper and in Ongaro's thesis. `codec` says how they look on the wire.
+"""The messages between members, named as in the paper and in Ongaro's thesis. `codec` defines their wire format.
 
-A message may be lost, repeated or overtaken; `term` is the sender's, but for the term that a PreVote asks for.
+A message may be lost, duplicated or reordered. `term` is the sender's current term, except in a PreVote and in a
+granted PreVoteResponse, where it is the term that the pre-candidate would enter.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Base of all messages: sender, receiver, term."""
+    """The base class of all messages: the sender, the receiver and the term."""
 
     source: str
     to: str
@@ -19,9 +20,13 @@
 
 
 class VoteRequest(Message, frozen=True):
-    """Base of RequestVote and PreVote: the end of the candidate's log.
+    """The base class of RequestVote and PreVote.
 
-    `leadership_transfer`: the leader asked for this election, so that it may unseat a leader that others still hear.
+    Attributes:
+        last_log_index: The index of the candidate's last log entry.
+        last_log_term: The term of the candidate's last log entry.
+        leadership_transfer: Whether the leader itself requested this election by TimeoutNow; members then grant their
+            vote even while they have a live leader.
     """
 
     last_log_index: int
@@ -30,29 +35,29 @@
 
 
 class RequestVote(VoteRequest, frozen=True):
-    """A candidate asks for a vote in `term` (paper, 5.2)."""
+    """A candidate's request for a vote in `term` (paper, 5.2)."""
 
 
 class RequestVoteResponse(Message, frozen=True):
-    """Whether the vote is granted."""
+    """The response to a RequestVote: whether the vote is granted."""
 
     granted: bool = False
 
 
 class PreVote(VoteRequest, frozen=True):
-    """Asks whether a vote in `term`, which nobody has entered yet, would be granted (thesis, 9.6)."""
+    """A pre-candidate's inquiry whether a vote in `term`, which it has not entered, would be granted (thesis, 9.6)."""
 
 
 class PreVoteResponse(Message, frozen=True):
-    """Whether it would; `term` is the term asked for if so, and the sender's own if not."""
+    """The response to a PreVote: `term` is the requested term if the pre-vote is granted, else the sender's own."""
 
     granted: bool = False
 
 
 class AppendEntries(Message, frozen=True):
-    """Entries after `prev_log_index`, or none: a heartbeat (paper, 5.3).
+    """The leader's entries after `prev_log_index`, or none in a heartbeat (paper, 5.3).
 
-    `read_round` is the number of the leader's newest round for reads; the response names it back.
+    `read_round` is the number of the leader's latest read index round; the response returns it.
     """
 
     prev_log_index: int
@@ -63,11 +68,16 @@
 
 
 class AppendEntriesResponse(Message, frozen=True):
-    """How far the follower's log is known to match the leader's, or where to try next.
-
-    `index` is the match index after a success. After a conflict it is the rejected `prev_log_index`, and
-    `conflict_index` is where to go on: the first index of the conflicting term's run (`conflict_term`), or the end of a
-    log that is too short (`conflict_term` 0). In answer to a leader of an old term, it is the last index.
+    """The response to an AppendEntries: the match index, or the index from which the leader should retry.
+
+    Attributes:
+        success: Whether the follower's log matched at `prev_log_index` and holds the entries now.
+        index: After a success, the match index; after a conflict, the rejected `prev_log_index`; in a response to a
+            leader of an old term, the last index of the log.
+        conflict_index: After a conflict, the first index of the run of entries with `conflict_term`, or the index after
+            the last entry if the log is too short.
+        conflict_term: After a conflict, the term of the entry at `prev_log_index`; 0 if the log is too short.
+        read_round: The read index round of the AppendEntries.
     """
 
     success: bool = False
@@ -78,7 +88,7 @@
 
 
 class InstallSnapshot(Message, frozen=True):
-    """One piece of a snapshot of `total_bytes` (paper, 7)."""
+    """A chunk of a snapshot that has `total_bytes` in all (paper, 7); `offset` is the chunk's position in bytes."""
 
     last_included_index: int
     last_included_term: int
@@ -90,7 +100,7 @@
 
 
 class InstallSnapshotResponse(Message, frozen=True):
-    """`installed`, or the `offset` of the piece that is wanted next."""
+    """The response to an InstallSnapshot: `installed`, or the `offset` in bytes of the chunk that is expected next."""
 
     last_included_index: int
     installed: bool = False
@@ -98,4 +108,4 @@
 
 
 class TimeoutNow(Message, frozen=True):
-    """The leader asks the receiver to start an election at once (leadership transfer; thesis, 3.10)."""
+    """The leader's request that the receiver start an election immediately (leadership transfer; thesis, 3.10)."""
--- a/pebblehinge/raft/model.py
+++ b/pebblehinge/raft/model.py
@@ -1,8 +1,9 @@
-"""Exhaustive exploration of the core: every order of events of a small group, within bounds.
+"""An explicit-state model checker for the core: explores every order of events of a small group, within bounds.
 
-Events: a message in transit arrives (one that never arrives is lost), a member's election timeout passes, a leader
-sends a heartbeat, a client proposes, a member crashes and starts again from what it stored. States that were seen
-are not explored again; members are exchangeable, so of states that differ by names alone one is explored.
+The events are: a message in transit is delivered (one that is never delivered is lost), a member's election timeout
+expires, a leader sends heartbeats, a client proposes, and a member crashes and restarts from its persisted state. A
+state that was seen before is not explored again. Members are symmetric, so only one of the states that differ in
+nothing but the members' names is explored.
 """
 
 from __future__ import annotations
@@ -20,12 +21,22 @@
 from pebblehinge.raft.model_state import GroupState
 from pebblehinge.raft.state import Role
 
-PROGRESS_STATES = 10_000  # after each so many, a line of progress
+STATES_PER_REPORT = 10_000  # new states between two progress reports
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What is explored: so many terms, proposals, crashes and heartbeats on a path, and so many states at most."""
+    """The bounds of an exploration.
+
+    Attributes:
+        members: The number of members of the group.
+        terms: The highest term that an election timeout may start.
+        proposals: The maximum number of proposals on a path.
+        crashes: The maximum number of crashes on a path.
+        heartbeats: The maximum number of heartbeat events on a path.
+        max_states: The maximum number of distinct states.
+        max_in_transit: The maximum number of messages in transit; beyond it the oldest ones are lost.
+    """
 
     members: int = 3
     terms: int = 2
@@ -33,12 +44,12 @@
     crashes: int = 1
     heartbeats: int = 1
     max_states: int = 20_000
-    max_in_transit: int = 6  # messages at once: beyond that the oldest is lost
+    max_in_transit: int = 6
 
 
 @dataclass(frozen=True, slots=True)
-class Exploration:
-    """What an exploration has seen; `complete` if that is all within the bounds."""
+class ExplorationResult:
+    """The number of states and transitions of an exploration; `complete` if the bounds allow no others."""
 
     states: int
     transitions: int
@@ -47,132 +58,140 @@
 
 @dataclass(frozen=True, slots=True)
 class _Event:
-    """Something that may happen in a state; `happen` changes the state."""
+    """An event that is possible in a state; `apply` changes a state as the event does."""
 
     name: str
-    happen: Callable[[GroupState], None]
+    apply: Callable[[GroupState], None]
+
+
+def explore(bounds: Bounds, report: Callable[[str], None] = lambda line: None) -> ExplorationResult:
+    """Explores the states breadth first.
 
+    Args:
+        bounds: The bounds of the exploration.
+        report: Receives a line of progress after every `STATES_PER_REPORT` new states.
 
-def explore(bounds: Bounds, report: Callable[[str], None] = lambda line: None) -> Exploration:
-    """Explores breadth first; `report` hears a line of progress now and then.
+    Returns:
+        The number of states and transitions.
 
-    Raises SafetyViolationError with the property that does not hold and the events that led there.
+    Raises:
+        SafetyViolationError: A safety property does not hold; the message lists the events that led there.
     """
-    start = _initial_state(bounds)
-    seen = {start.canonical_key()}
-    unexplored: deque[tuple[bytes, tuple[str, ...]]] = deque([(_pickled(start), ())])
+    initial_state = _initial_state(bounds)
+    seen_keys = {initial_state.canonical_key()}
+    unexplored: deque[tuple[bytes, tuple[str, ...]]] = deque([(_serialize(initial_state), ())])
     transitions = 0
     while unexplored:
-        pickled, path = unexplored.popleft()
-        for event in _events(_unpickled(pickled), bounds):
+        serialized, path = unexplored.popleft()
+        for event in _possible_events(_deserialize(serialized), bounds):
             transitions += 1
-            state = _unpickled(pickled)
-            _happen(event, state, path)
+            state = _deserialize(serialized)
+            _apply_event(event, state, path)
             key = state.canonical_key()
-            if key in seen:
+            if key in seen_keys:
                 continue
-            if len(seen) >= bounds.max_states:
-                return Exploration(len(seen), transitions, complete=False)
-            seen.add(key)
-            unexplored.append((_pickled(state), (*path, event.name)))
-            if len(seen) % PROGRESS_STATES == 0:
-                report(f"{len(seen)} states, {len(unexplored)} to go on from")
-    return Exploration(len(seen), transitions, complete=True)
+            if len(seen_keys) >= bounds.max_states:
+                return ExplorationResult(len(seen_keys), transitions, complete=False)
+            seen_keys.add(key)
+            unexplored.append((_serialize(state), (*path, event.name)))
+            if len(seen_keys) % STATES_PER_REPORT == 0:
+                report(f"{len(seen_keys)} states, {len(unexplored)} to expand")
+    return ExplorationResult(len(seen_keys), transitions, complete=True)
 
 
-def _happen(event: _Event, state: GroupState, path: tuple[str, ...]) -> None:
+def _apply_event(event: _Event, state: GroupState, path: tuple[str, ...]) -> None:
     try:
-        event.happen(state)
-        state.check()
+        event.apply(state)
+        state.check_safety()
     except SafetyViolationError as error:
         raise SafetyViolationError(f"{error}, after: {'; '.join((*path, event.name))}") from None
 
 
 def _initial_state(bounds: Bounds) -> GroupState:
-    names = [chr(ord("a") + member) for member in range(bounds.members)]
-    rafts = [_start(name, names, [], HardState()) for name in names]
+    names = [chr(ord("a") + member_index) for member_index in range(bounds.members)]
+    rafts = [_start_member(name, names, [], HardState()) for name in names]
     return GroupState(rafts, (), {}, {}, bounds.proposals, bounds.crashes, bounds.heartbeats)
 
 
-def _start(name: str, names: list[str], entries: list[Entry], hard_state: HardState) -> Raft:
+def _start_member(name: str, names: list[str], entries: list[Entry], hard_state: HardState) -> Raft:
     return Raft(name, initial_snapshot(names), entries, hard_state, random.Random(0))
 
 
-def _pickled(state: GroupState) -> bytes:
+def _serialize(state: GroupState) -> bytes:
     return pickle.dumps(state, pickle.HIGHEST_PROTOCOL)
 
 
-def _unpickled(pickled: bytes) -> GroupState:
-    state: GroupState = pickle.loads(pickled)
+def _deserialize(serialized: bytes) -> GroupState:
+    state: GroupState = pickle.loads(serialized)
     return state
 
 
 # ---- events
 
 
-def _events(state: GroupState, bounds: Bounds) -> list[_Event]:
-    """All that may happen in a state."""
-    found = [_arrival(position, message, bounds) for position, message in enumerate(state.in_transit)]
-    for member, raft in enumerate(state.rafts):
-        leads = raft.role is Role.LEADER
-        if not leads and raft.current_term < bounds.terms:
-            found.append(_campaign(member, raft.name, bounds))
-        if leads and state.heartbeats:
-            found.append(_heartbeat(member, raft.name, bounds))
-        if leads and state.proposals:
-            found.append(_proposal(member, raft.name, bounds))
-        if state.crashes:
-            found.append(_crash(member, raft.name))
-    return found
-
-
-def _arrival(position: int, message: Message, bounds: Bounds) -> _Event:
-    def happen(state: GroupState) -> None:
+def _possible_events(state: GroupState, bounds: Bounds) -> list[_Event]:
+    """Returns the events that are possible in a state."""
+    events = [_delivery(position, message, bounds) for position, message in enumerate(state.in_transit)]
+    for member_index, raft in enumerate(state.rafts):
+        is_leader = raft.role is Role.LEADER
+        if not is_leader and raft.current_term < bounds.terms:
+            events.append(_election_timeout(member_index, raft.name, bounds))
+        if is_leader and state.remaining_heartbeats:
+            events.append(_heartbeat(member_index, raft.name, bounds))
+        if is_leader and state.remaining_proposals:
+            events.append(_proposal(member_index, raft.name, bounds))
+        if state.remaining_crashes:
+            events.append(_crash(member_index, raft.name))
+    return events
+
+
+def _delivery(position: int, message: Message, bounds: Bounds) -> _Event:
+    def apply(state: GroupState) -> None:
         state.in_transit = state.in_transit[:position] + state.in_transit[position + 1 :]
-        member = next(member for member, raft in enumerate(state.rafts) if raft.name == message.to)
-        state.rafts[member].step(message)
-        state.process_ready(member, bounds.max_in_transit)
+        member_index = next(member_index for member_index, raft in enumerate(state.rafts) if raft.name == message.to)
+        state.rafts[member_index].step(message)
+        state.process_ready(member_index, bounds.max_in_transit)
 
-    return _Event(f"{type(message).__name__} {message.source}>{message.to}", happen)
+    return _Event(f"{type(message).__name__} {message.source}>{message.to}", apply)
 
 
-def _campaign(member: int, name: str, bounds: Bounds) -> _Event:
-    def happen(state: GroupState) -> None:
-        raft = state.rafts[member]
-        raft.state.ticks_since_leader = raft.state.election_timeout  # it has heard of nobody for that long
+def _election_timeout(member_index: int, name: str, bounds: Bounds) -> _Event:
+    def apply(state: GroupState) -> None:
+        raft = state.rafts[member_index]
+        raft.state.ticks_since_leader = raft.state.election_timeout  # it has not heard from a leader for that long
         raft.state.ticks_elapsed = raft.state.randomized_timeout
         raft.tick()
-        state.process_ready(member, bounds.max_in_transit)
+        state.process_ready(member_index, bounds.max_in_transit)
 
-    return _Event(f"{name} campaigns", happen)
+    return _Event(f"{name} campaigns", apply)
 
 
-def _heartbeat(member: int, name: str, bounds: Bounds) -> _Event:
-    def happen(state: GroupState) -> None:
-        state.heartbeats -= 1
-        raft = state.rafts[member]
+def _heartbeat(member_index: int, name: str, bounds: Bounds) -> _Event:
+    def apply(state: GroupState) -> None:
+        state.remaining_heartbeats -= 1
+        raft = state.rafts[member_index]
         raft.state.ticks_elapsed = raft.state.heartbeat_interval - 1
         raft.tick()
-        state.process_ready(member, bounds.max_in_transit)
+        state.process_ready(member_index, bounds.max_in_transit)
 
-    return _Event(f"{name} sends heartbeats", happen)
+    return _Event(f"{name} sends heartbeats", apply)
 
 
-def _proposal(member: int, name: str, bounds: Bounds) -> _Event:
-    def happen(state: GroupState) -> None:
-        state.proposals -= 1
-        state.rafts[member].propose(b"p%d" % state.proposals)
-        state.process_ready(member, bounds.max_in_transit)
+def _proposal(member_index: int, name: str, bounds: Bounds) -> _Event:
+    def apply(state: GroupState) -> None:
+        state.remaining_proposals -= 1
+        state.rafts[member_index].propose(b"p%d" % state.remaining_proposals)
+        state.process_ready(member_index, bounds.max_in_transit)
 
-    return _Event(f"{name} takes a proposal", happen)
+    return _Event(f"{name} receives a proposal", apply)
 
 
-def _crash(member: int, name: str) -> _Event:
-    def happen(state: GroupState) -> None:
-        state.crashes -= 1
-        raft = state.rafts[member]
-        # What was stored stays: all of the log, term and vote; its role and what it counted are gone.
+def _crash(member_index: int, name: str) -> _Event:
+    def apply(state: GroupState) -> None:
+        state.remaining_crashes -= 1
+        raft = state.rafts[member_index]
+        # The log, the term and the vote are persistent; the volatile state is lost.
         names = [other.name for other in state.rafts]
-        state.rafts[member] = _start(name, names, raft.log.entries, raft.state.hard_state)
+        state.rafts[member_index] = _start_member(name, names, raft.log.entries, raft.state.hard_state)
 
-    return _Event(f"{name} crashes", happen)
+    return _Event(f"{name} crashes", apply)
--- a/pebblehinge/raft/node.py
+++ b/pebblehinge/raft/node.py
@@ -1,4 +1,4 @@
-"""Drives one core on asyncio: ticks, storage, links to the other members, the state machine."""
+"""The asyncio driver of a Raft core: its ticks, storage, links to the other members and state machine."""
 
 from __future__ import annotations
 
@@ -19,17 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeCallbacks:
-    """What a node calls: the state machine, whoever asked for a read, and whoever stops the program."""
+    """The functions through which a node reaches the state machine and its owner.
 
-    apply: Callable[[Entry], None]  # a committed entry, each once, in order
-    restore: Callable[[bytes], None]  # the state machine starts anew from a snapshot's bytes
-    snapshot: Callable[[], bytes]  # the state machine's state, as of the last entry that was applied
-    read_done: Callable[[int, bool], None]  # a read's context, and whether it may be served now
-    storage_failed: Callable[[StorageError], None]  # once: the node has stopped
+    Attributes:
+        apply: Applies a committed entry; called once per entry, in order.
+        restore: Replaces the state machine's state by that of a snapshot.
+        take_snapshot: Returns the state machine's state after the last applied entry.
+        on_read_done: Receives a read's context and whether the read may be served now.
+        on_storage_failed: Receives the error, once, after the node has stopped.
+    """
+
+    apply: Callable[[Entry], None]
+    restore: Callable[[bytes], None]
+    take_snapshot: Callable[[], bytes]
+    on_read_done: Callable[[int, bool], None]
+    on_storage_failed: Callable[[StorageError], None]
 
 
 class Node:
-    """One member: the core, its storage, its links by member's name."""
+    """One member: a core with its storage, and its links to the other members by name."""
 
     def __init__(
         self,
@@ -39,79 +47,79 @@
         links: Mapping[str, PeerLink],
         callbacks: NodeCallbacks,
         tick_ms: float,
-        compact_after: int,
+        snapshot_interval_entries: int,
     ) -> None:
-        """A snapshot is taken whenever `compact_after` entries have been applied since the last."""
+        """Sets up the node, which takes a snapshot after every `snapshot_interval_entries` applied entries."""
         self.loop = loop
         self.raft = raft
         self.storage = storage
         self.links = links
         self.callbacks = callbacks
         self.tick_s = tick_ms / 1000.0
-        self.compact_after = compact_after
-        self.waiting_reads: list[ReadState] = []  # until their index is applied
-        self.timer: asyncio.TimerHandle | None = None
+        self.snapshot_interval_entries = snapshot_interval_entries
+        self.waiting_reads: list[ReadState] = []  # reads whose read index is not applied yet
+        self.tick_timer: asyncio.TimerHandle | None = None
         self.is_running = True
-        self.processing = False
+        self.is_processing = False
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member runs, and believes that it leads."""
+        """Returns whether this member is running and, to its knowledge, the leader."""
         return self.is_running and self.raft.role is Role.LEADER
 
     def start(self) -> None:
-        """Time begins to pass for the core."""
-        self.timer = self.loop.call_later(self.tick_s, self._tick)
+        """Starts the core's ticks."""
+        self.tick_timer = self.loop.call_later(self.tick_s, self._tick)
 
     def stop(self) -> None:
-        """Stops for good: nothing is sent, stored or applied any more."""
+        """Stops permanently: nothing is sent, stored or applied afterwards."""
         self.is_running = False
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         for link in self.links.values():
             link.close()
 
     def receive(self, data: bytes) -> None:
-        """Takes a message from another member. Raises msgspec.DecodeError if these bytes are not one."""
+        """Handles an encoded message from another member. Raises msgspec.DecodeError if it is invalid."""
         if self.is_running:
             self.raft.step(decode_message(data))
             self.process_ready()
 
     def process_ready(self) -> None:
-        """Does what the core asks for, until it asks for nothing more. Called after each request to the core."""
-        if self.processing:
+        """Carries out the core's work until none is left; to be called after each request to the core."""
+        if self.is_processing:
             return
-        self.processing = True
+        self.is_processing = True
         try:
             while self.is_running and (ready := self.raft.ready()):
-                self._process(ready)
+                self._handle_ready(ready)
         except StorageError as error:
-            # What is on disk is not known: to go on would be to promise what may be lost.
+            # The state on disk is unknown, so the member could acknowledge data that is lost later.
             self.stop()
-            self.callbacks.storage_failed(error)
+            self.callbacks.on_storage_failed(error)
         finally:
-            self.processing = False
+            self.is_processing = False
 
     def _tick(self) -> None:
         if self.is_running:
-            self.timer = self.loop.call_later(self.tick_s, self._tick)
+            self.tick_timer = self.loop.call_later(self.tick_s, self._tick)
             self.raft.tick()
             self.process_ready()
 
-    def _process(self, ready: Ready) -> None:
-        """Persists, then promises, then applies."""
+    def _handle_ready(self, ready: Ready) -> None:
+        """Persists the new state, then sends the messages that depend on it, then applies committed entries."""
         self._send(ready.messages)
         if ready.must_persist:
             self.storage.store(ready.hard_state, ready.truncate_from, ready.entries, ready.snapshot)
             self.raft.mark_persisted(self.raft.log.last_index)
         self._send(ready.messages_after_persist)
         if ready.snapshot_to_restore is not None:
-            self._restore(ready.snapshot_to_restore)
+            self._restore_snapshot(ready.snapshot_to_restore)
         for entry in ready.committed_entries:
             self.callbacks.apply(entry)
             self.raft.mark_applied(entry.index)
         self._finish_reads(ready.read_states)
-        if self.raft.last_applied - self.raft.log.snapshot_index >= self.compact_after:
+        if self.raft.last_applied - self.raft.log.snapshot_index >= self.snapshot_interval_entries:
             self._compact()
 
     def _send(self, messages: Iterable[Message]) -> None:
@@ -120,23 +128,23 @@
             if link is not None:
                 link.send(message)
 
-    def _restore(self, snapshot: Snapshot) -> None:
+    def _restore_snapshot(self, snapshot: Snapshot) -> None:
         self.callbacks.restore(snapshot.data)
         self.raft.mark_applied(snapshot.index)
 
     def _finish_reads(self, read_states: Iterable[ReadState]) -> None:
-        """Tells of reads that failed, and of those whose index is applied by now."""
+        """Reports the reads that failed, and those whose read index is applied."""
         for read in read_states:
             if read.index is None:
-                self.callbacks.read_done(read.context, False)
+                self.callbacks.on_read_done(read.context, False)
             else:
                 self.waiting_reads.append(read)
-        done = [read for read in self.waiting_reads if read.is_reached(self.raft.last_applied)]
-        self.waiting_reads = [read for read in self.waiting_reads if not read.is_reached(self.raft.last_applied)]
-        for read in done:
-            self.callbacks.read_done(read.context, True)
+        servable = [read for read in self.waiting_reads if read.is_servable(self.raft.last_applied)]
+        self.waiting_reads = [read for read in self.waiting_reads if not read.is_servable(self.raft.last_applied)]
+        for read in servable:
+            self.callbacks.on_read_done(read.context, True)
 
     def _compact(self) -> None:
-        snapshot = self.raft.compact(self.callbacks.snapshot(), self.raft.last_applied)
+        snapshot = self.raft.compact(self.callbacks.take_snapshot(), self.raft.last_applied)
         if snapshot is not None:
             self.storage.store(snapshot=snapshot)
--- a/pebblehinge/raft/progress.py
+++ b/pebblehinge/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other member."""
+"""The leader's view of one other member."""
 
 from __future__ import annotations
 
@@ -6,51 +6,62 @@
 
 from pebblehinge.raft.entries import Snapshot
 
-MAX_INFLIGHT_APPENDS = 16  # messages with entries to one follower that are not answered yet
+MAX_INFLIGHT_APPENDS = 16  # unacknowledged AppendEntries with entries per follower
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far a follower's log is known to match, and what is under way to it."""
+    """The replication state of one follower or learner.
+
+    Attributes:
+        next_index: The index of the next entry to send.
+        match_index: The highest index up to which the member's log is known to match the leader's.
+        inflight_appends: The number of unacknowledged AppendEntries with entries.
+        is_probing: Whether the match index is unknown, so that only one AppendEntries is sent at a time.
+        recently_active: Whether the member responded since the last quorum check.
+        ticks_since_response: The ticks since the member's last response.
+        snapshot: The snapshot that is being sent, if any.
+        snapshot_offset: The position in bytes of the snapshot chunk that is being sent.
+    """
 
     next_index: int
     match_index: int = 0
-    inflight_appends: int = 0  # messages with entries that are not answered yet
-    is_probing: bool = True  # one message at a time, until it is known where the logs match
-    recently_active: bool = True  # heard from since the last check of the quorum
+    inflight_appends: int = 0
+    is_probing: bool = True
+    recently_active: bool = True
     ticks_since_response: int = 0
-    snapshot: Snapshot | None = None  # being sent
-    snapshot_offset: int = 0  # of the piece that is being sent
+    snapshot: Snapshot | None = None
+    snapshot_offset: int = 0
 
     @property
     def is_window_full(self) -> bool:
-        """Whether no more entries may be sent before an answer."""
+        """Returns whether no more entries may be sent before the next response."""
         return self.inflight_appends >= (1 if self.is_probing else MAX_INFLIGHT_APPENDS)
 
-    def note_response(self) -> None:
-        """The follower was heard from."""
+    def record_response(self) -> None:
+        """Records that the follower has responded."""
         self.recently_active = True
         self.ticks_since_response = 0
 
     def replicate_from_match(self) -> None:
-        """The logs are known to match at `match_index`: entries after it go in a pipeline."""
+        """Starts pipelined replication after `match_index`, where the logs are known to match."""
         self.is_probing = False
         self.inflight_appends = 0
         self.next_index = self.match_index + 1
 
     def probe_from(self, next_index: int) -> None:
-        """It is not known where the logs match: one message at a time, from an index on."""
+        """Starts probing for the match index, from `next_index` on, with one message at a time."""
         self.is_probing = True
         self.inflight_appends = 0
         self.next_index = next_index
 
     def start_snapshot(self, snapshot: Snapshot) -> None:
-        """What the follower lacks is compacted away: a snapshot goes instead."""
+        """Starts sending a snapshot, because the entries that the follower needs are compacted."""
         self.snapshot = snapshot
         self.snapshot_offset = 0
 
     def finish_snapshot(self, snapshot: Snapshot) -> None:
-        """The follower has installed a snapshot."""
+        """Records that the follower has installed the snapshot, and continues with the entries after it."""
         self.snapshot = None
         self.match_index = max(self.match_index, snapshot.index)
         self.replicate_from_match()
--- a/pebblehinge/raft/records.py
+++ b/pebblehinge/raft/records.py
@@ -1,7 +1,7 @@
-"""The format of what a member stores: records of log segments, and sealed files that are replaced as a whole.
+"""The file formats of a member: log segments, which consist of records, and checksummed files, replaced as a whole.
 
-A record is `length u32 | XXH32 u32 | kind u8 | msgpack`; length and checksum are of the kind's byte with the
-msgpack after it. A sealed file is `XXH32 u32 | msgpack`. All numbers are big-endian.
+A record is `length u32 | XXH32 u32 | kind u8 | msgpack`; the length and the checksum cover the kind byte and the
+msgpack. A checksummed file is `XXH32 u32 | msgpack`. All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 
 RECORD_HEADER = struct.Struct(">IIB")
 CHECKSUM_HEADER = struct.Struct(">I")
-KIND_BYTES = 1  # of the header, counted in a record's length
+KIND_BYTES = 1  # the part of the header that a record's length includes
 MAX_RECORD_BYTES = 64 << 20
 
 _Value = TypeVar("_Value")
 
 
 class RecordKind(IntEnum):
-    """What a record holds; the numbers are stored."""
+    """The kind of a record's content; the values are stored."""
 
     ENTRY = 1  # an `Entry`
-    TRUNCATION = 2  # an index
+    TRUNCATION = 2  # the index of a `Truncation`
 
 
 @dataclass(frozen=True, slots=True)
 class Truncation:
-    """Entries from `index` on, as far as they were stored before, are no longer in the log."""
+    """A record that removes all earlier stored entries from `index` on from the log."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """The records of a segment, and the length of the file up to its torn tail, if it has one."""
+    """The records of a segment, and the length of its file in bytes without a torn tail."""
 
     records: list[Entry | Truncation]
     valid_bytes: int
 
 
 def encode_record(record: Entry | Truncation) -> bytes:
-    """The bytes of a record."""
+    """Returns the encoded record."""
     if isinstance(record, Truncation):
         kind, payload = RecordKind.TRUNCATION, msgspec.msgpack.encode(record.index)
     else:
@@ -58,10 +58,18 @@
 
 
 def decode_segment(data: bytes, name: str, newest: bool) -> Segment:
-    """The records of a segment's file.
+    """Decodes a segment's file.
 
-    A tail that a power cut has torn was never promised: in the newest segment, decoding ends before it. Raises
-    StorageDamagedError for any other damage, since what is damaged may have been promised.
+    In the newest segment, decoding stops before a tail that was torn by a power failure: the member has not
+    acknowledged it, since its fsync did not finish. Other damaged records may have been acknowledged.
+
+    Args:
+        data: The content of the file.
+        name: The name of the file, for error messages.
+        newest: Whether this is the newest segment.
+
+    Raises:
+        StorageDamagedError: A record is damaged, and it is not a torn tail of the newest segment.
     """
     records: list[Entry | Truncation] = []
     start = 0
@@ -71,8 +79,8 @@
             if newest and _is_torn_tail(data, start):
                 break
             raise StorageDamagedError(
-                f"{name}: the record at byte {start} is damaged, with {len(data) - start} bytes from there on; it may "
-                "have been promised, so this instance does not start. Remove it from the group and add it anew"
+                f"{name}: the record at byte {start} is damaged, {len(data) - start} bytes before the end; it may have "
+                "been acknowledged, so this member does not start. Remove it from the group and add a new member"
             )
         records.append(_decode_record(data[start:end]))
         start = end
@@ -80,21 +88,30 @@
 
 
 def encode_checksummed(value: object) -> bytes:
-    """The bytes of a file that holds one value."""
+    """Returns the content of a checksummed file with one value."""
     body = msgspec.msgpack.encode(value)
     return CHECKSUM_HEADER.pack(xxhash.xxh32_intdigest(body)) + body
 
 
-def decode_checksummed(data: bytes, kind: type[_Value], name: str) -> _Value:
-    """The value of a sealed file. Raises StorageDamagedError if the checksum does not match."""
+def decode_checksummed(data: bytes, value_type: type[_Value], name: str) -> _Value:
+    """Returns the value of a checksummed file.
+
+    Args:
+        data: The content of the file.
+        value_type: The type of the value.
+        name: The name of the file, for error messages.
+
+    Raises:
+        StorageDamagedError: The checksum does not match.
+    """
     body = data[CHECKSUM_HEADER.size :]
     if len(data) < CHECKSUM_HEADER.size or xxhash.xxh32_intdigest(body) != CHECKSUM_HEADER.unpack_from(data)[0]:
-        raise StorageDamagedError(f"{name} is damaged: this instance can't know what it has promised")
-    return msgspec.msgpack.decode(body, type=kind)
+        raise StorageDamagedError(f"{name} is damaged: this member can't know what it has acknowledged")
+    return msgspec.msgpack.decode(body, type=value_type)
 
 
-def _claimed_end(data: bytes, start: int) -> int | None:
-    """Where the record at `start` ends by its length; None if not even its header is whole."""
+def _declared_end(data: bytes, start: int) -> int | None:
+    """Returns the end of the record at `start` according to its length field, None if its header is incomplete."""
     if start + RECORD_HEADER.size > len(data):
         return None
     length: int = RECORD_HEADER.unpack_from(data, start)[0]
@@ -102,8 +119,8 @@
 
 
 def _record_end(data: bytes, start: int) -> int | None:
-    """Where the record at `start` ends; None if it is not sound."""
-    end = _claimed_end(data, start)
+    """Returns the end of the record at `start`, None if the record is incomplete or damaged."""
+    end = _declared_end(data, start)
     if end is None or end > len(data):
         return None
     length, checksum, _ = RECORD_HEADER.unpack_from(data, start)
@@ -114,8 +131,8 @@
 
 
 def _is_torn_tail(data: bytes, start: int) -> bool:
-    """Whether a power cut may have left this: the record runs to the file's end or beyond, or the rest is zeros."""
-    end = _claimed_end(data, start)
+    """Returns whether the invalid record at `start` may be a torn write: it reaches the file's end, or all is zeros."""
+    end = _declared_end(data, start)
     return end is None or end >= len(data) or not any(data[start:])
 
 
--- a/pebblehinge/raft/replication.py
+++ b/pebblehinge/raft/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings the logs of the others up to its own (paper, 5.3 and 7)."""
+"""The leader's replication of its log and snapshot to the other members (paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -6,25 +6,24 @@
 from pebblehinge.raft.progress import Progress
 from pebblehinge.raft.state import ServerState
 
-MAX_APPEND_BYTES = 256 << 10  # of entries in one message; one entry always goes
-SNAPSHOT_CHUNK_BYTES = 64 << 10  # of a snapshot in one message
+MAX_APPEND_BYTES = 256 << 10  # entries per AppendEntries; a single larger entry is still sent
+SNAPSHOT_CHUNK_BYTES = 64 << 10  # snapshot data per InstallSnapshot
 
 
 class Replicator:
-    """Owns the progress of each other member; its values mean something while this member leads."""
+    """The progress of each other member, valid only while this member is the leader; empty until `reset`."""
 
     def __init__(self, state: ServerState) -> None:
-        """Knows of nobody until `reset`."""
         self.state = state
         self.progress: dict[str, Progress] = {}
 
     def reset(self) -> None:
-        """A new leader knows nothing of the others: it probes from its last entry on."""
+        """Forgets the members' progress, as a new leader must, and probes from the end of its own log."""
         self.progress = {}
         self.sync_membership()
 
     def sync_membership(self) -> None:
-        """Follows the newest membership: progress of those who joined, and of nobody who left."""
+        """Adds progress for members that joined, and removes it for members that left."""
         members = self.state.membership.all_members()
         for name in members:
             if name != self.state.name and name not in self.progress:
@@ -33,12 +32,12 @@
             del self.progress[name]
 
     def tick(self) -> None:
-        """One tick has passed."""
+        """Counts a tick since each member's last response."""
         for progress in self.progress.values():
             progress.ticks_since_response += 1
 
     def check_quorum(self) -> bool:
-        """Whether a majority was heard from since the last check; if so, the next check begins."""
+        """Returns whether a majority responded since the last successful check; if so, starts the next period."""
         voters = self.state.membership.voters
         active = sum(progress.recently_active for name, progress in self.progress.items() if name in voters)
         if active + self.state.is_voter < self.state.membership.quorum():
@@ -48,30 +47,30 @@
         return True
 
     def majority_match_index(self) -> int:
-        """The highest index that a majority of voters has persisted; 0 if too few are known."""
-        indexes: list[int] = []
+        """Returns the highest index that a majority of voters has persisted, 0 if too few have a known progress."""
+        match_indexes: list[int] = []
         for name in self.state.membership.voters:
             if name == self.state.name:
-                indexes.append(self.state.persisted_index)
+                match_indexes.append(self.state.persisted_index)
             elif name in self.progress:
-                indexes.append(self.progress[name].match_index)
+                match_indexes.append(self.progress[name].match_index)
         quorum = self.state.membership.quorum()
-        if len(indexes) < quorum:
+        if len(match_indexes) < quorum:
             return 0
-        return sorted(indexes, reverse=True)[quorum - 1]
+        return sorted(match_indexes, reverse=True)[quorum - 1]
 
     # ---- sending
 
     def broadcast(self) -> None:
-        """Sends everyone what they lack, as far as their windows have room."""
+        """Sends each member the entries it lacks, within its window."""
         for name in self.progress:
             self.replicate(name)
 
     def broadcast_heartbeat(self) -> None:
-        """Sends everyone at least an empty AppendEntries; whoever was silent for long is probed anew."""
+        """Sends each member at least an empty AppendEntries; restarts probing of members that do not respond."""
         for name, progress in self.progress.items():
             if progress.ticks_since_response >= self.state.election_timeout and not progress.is_probing:
-                # What was on its way to it may be lost: find out where it stands.
+                # The messages in flight may be lost, so the member's match index must be probed again.
                 progress.is_probing = True
                 progress.next_index = progress.match_index + 1
             if progress.ticks_since_response >= self.state.heartbeat_interval * 2:
@@ -79,7 +78,7 @@
             self.replicate(name, heartbeat=True)
 
     def replicate(self, name: str, heartbeat: bool = False) -> None:
-        """Sends a member what it lacks, as far as its window has room; with `heartbeat`, at least one message."""
+        """Sends a member the entries it lacks, within its window; with `heartbeat`, at least one message."""
         progress = self.progress[name]
         if progress.snapshot is not None:
             if heartbeat:
@@ -89,7 +88,7 @@
             heartbeat = False
 
     def _send_append(self, name: str, progress: Progress, heartbeat: bool) -> bool:
-        """Sends one message, with no entries only as a heartbeat. Returns whether entries went, so more may follow."""
+        """Sends one message, an empty one only if `heartbeat`; returns whether it had entries and more may follow."""
         state = self.state
         prev_log_index = progress.next_index - 1
         prev_log_term = state.log.term_at(prev_log_index)
@@ -144,10 +143,10 @@
     # ---- responses
 
     def on_conflict(self, response: AppendEntriesResponse) -> None:
-        """The logs do not match there: backs off by whole terms (paper, 5.3), never below what is known to match."""
+        """Backs up the next index by whole terms (paper, 5.3), never below the match index."""
         progress = self.progress[response.source]
         if response.index <= progress.match_index and not progress.is_probing:
-            return  # overtaken by a success
+            return  # an outdated response, since a later success was received first
         log = self.state.log
         next_index = response.conflict_index
         if response.conflict_term:
@@ -158,9 +157,9 @@
         self.replicate(response.source)
 
     def on_snapshot_response(self, response: InstallSnapshotResponse) -> None:
-        """A piece has arrived: the next goes, or entries do once the snapshot is installed."""
+        """Sends the next chunk, or the entries after the snapshot once it is installed."""
         progress = self.progress[response.source]
-        progress.note_response()
+        progress.record_response()
         snapshot = progress.snapshot
         if snapshot is None or response.last_included_index != snapshot.index:
             return
--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -26,10 +26,10 @@
     world.until(lambda: leader.raft.commit_index >= leader.raft.term_start_index)
     world.add("d", ["a", "b", "c"])
     now = leader.raft.membership
-    rejected(leader.raft, with_voter(now, "d"), "d must learn first")
+    rejected(leader.raft, with_voter(now, "d"), "d must be a learner first")
     rejected(leader.raft, Membership(("a", "b", "c", "d", "e")), "more than one voter would change")
     leader.raft.change_membership(with_learner(now, "d"))
-    rejected(leader.raft, with_learner(now, "x"), "another change is under way")
+    rejected(leader.raft, with_learner(now, "x"), "another membership change is in progress")
     leader.process_ready()
     world.until(lambda: world.instances["d"].raft.membership.learners == ("d",))
     world.until(lambda: accepted(leader.raft, with_voter(leader.raft.membership, "d")))
@@ -74,7 +74,7 @@
     """The published flaw of one-at-a-time changes: two leaders that change by one each need not meet."""
     raft = Raft("a", initial_snapshot(["a", "b", "c", "d"]), [Entry(1, 1, 1)], HardState(1, "a"), random.Random(1))
     elect(raft)
-    rejected(raft, Membership(("a", "b", "c")), "this term has committed nothing yet")
+    rejected(raft, Membership(("a", "b", "c")), "the leader has not committed an entry of its term yet")
     raft.mark_persisted(2)
     for name in "bc":
         raft.step(AppendEntriesResponse(name, "a", raft.current_term, success=True, index=2))
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -58,10 +58,10 @@
     storage = Storage(disk)
     storage.store(None, None, entries(1, 2), None)
     disk.fail = how
-    with pytest.raises(StorageFailedError, match="this instance has stopped"):
+    with pytest.raises(StorageFailedError, match="this member has stopped"):
         storage.store(None, None, entries(3, 3), None)
     disk.fail = ""  # a later success says nothing of what was lost before
-    with pytest.raises(StorageFailedError, match="this instance has stopped"):
+    with pytest.raises(StorageFailedError, match="this member has stopped"):
         storage.store(None, None, entries(4, 4), None)
 
 
