--- a/pebblehinge/capture/__init__.py
+++ b/pebblehinge/capture/__init__.py
@@ -1,6 +1,6 @@
-"""Captures: the requests that a gateway has finished, without their data, in a compressed and checksummed file.
+"""Captures: files of the requests that a gateway has finished, without their data, compressed and checksummed.
 
-`format` has the layout of the file and its types, `writer` and `reader` pack and unpack it.
+`format` defines the layout of the file and its types, `writer` writes captures and `reader` reads them.
 """
 
 from pebblehinge.capture.errors import CaptureError
--- a/pebblehinge/capture/errors.py
+++ b/pebblehinge/capture/errors.py
@@ -1,5 +1,5 @@
-"""The exception of captures."""
+"""Exception of the captures."""
 
 
 class CaptureError(Exception):
-    """A capture can't be read at all. The message is one line for the operator."""
+    """A capture is unreadable from its start. The message is one line for the operator."""
--- a/pebblehinge/capture/reader.py
+++ b/pebblehinge/capture/reader.py
@@ -1,6 +1,6 @@
-"""Reads captures up to the first block that is cut off or damaged.
+"""Reader of captures, up to the first block that is cut off or damaged.
 
-What comes after a damaged block is left out as well, since a hole among the requests would look like a gap in the load.
+The blocks after a damaged one are ignored as well, since missing requests in between would look like a gap in the load.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 
 
 class _BlockError(Exception):
-    """A block ends the reading; the message says why, for `Capture.incomplete_reason`."""
+    """A block is unreadable, which ends the reading; the message becomes `Capture.incomplete_reason`."""
 
 
 @dataclass(slots=True)
 class Capture:
-    """What one file held.
+    """The readable content of one capture file.
 
     Attributes:
-        gateway: The name of the gateway that wrote it.
-        wall_ms: Its start by the wall clock, in milliseconds since 1970.
-        clock_ms: Its start by the gateway's monotonic clock, in milliseconds.
-        requests: The requests in the order in which they were finished.
-        incomplete_reason: Why the reading ended before the file's end; None if it didn't.
+        gateway: Name of the gateway that wrote the capture.
+        wall_ms: Start of the capture by the wall clock, in milliseconds since 1970.
+        clock_ms: Start of the capture by the gateway's monotonic clock, in milliseconds.
+        requests: The requests in the order in which they finished.
+        incomplete_reason: Why the reading ended before the end of the file; None if all of it was read.
     """
 
     gateway: str
@@ -56,30 +56,30 @@
 
     Args:
         data: The content of the file.
-        name: What to call it in errors.
+        name: The capture's name for error messages.
 
     Raises:
-        CaptureError: Not even its heading can be read.
+        CaptureError: The capture's header is unreadable.
     """
     _check_file_start(data, name)
     capture: Capture | None = None
-    incomplete: str | None = None
+    incomplete_reason: str | None = None
     try:
-        for at, packed in _read_blocks(data):
+        for offset, compressed in _read_blocks(data):
             try:
-                value = zlib.decompress(packed)
+                value = zlib.decompress(compressed)
                 if capture is None:
                     header = _decode_header(value)
                     capture = Capture(header.gateway, header.wall_ms, header.clock_ms)
                 else:
                     capture.requests += _decode_requests(value)
             except (zlib.error, msgspec.DecodeError) as error:
-                raise _BlockError(f"the block at byte {at} can't be read ({error})") from None
+                raise _BlockError(f"the block at byte {offset} can't be read ({error})") from None
     except _BlockError as error:
-        incomplete = str(error)
+        incomplete_reason = str(error)
     if capture is None:
-        raise CaptureError(f"{name} holds no heading: {incomplete or 'it is empty'}")
-    capture.incomplete_reason = incomplete
+        raise CaptureError(f"{name} has no header: {incomplete_reason or 'it is empty'}")
+    capture.incomplete_reason = incomplete_reason
     return capture
 
 
@@ -87,7 +87,7 @@
     """Reads a capture from a file.
 
     Raises:
-        CaptureError: The file, or its heading, can't be read.
+        CaptureError: The file, or its header, can't be read.
     """
     try:
         data = Path(path).read_bytes()
@@ -101,22 +101,26 @@
         raise CaptureError(f"{name} is no capture: it does not begin with {MAGIC.decode()}")
     version = FILE_START.unpack_from(data)[1]
     if version != VERSION:
-        raise CaptureError(f"{name} is a capture of version {version}: version {VERSION} is read here")
+        raise CaptureError(f"{name} is a capture of version {version}: version {VERSION} is supported")
 
 
 def _read_blocks(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yields the position and the packed bytes of each block; raises _BlockError at one that is cut or damaged."""
-    at = FILE_START.size
-    while at < len(data):
-        if at + BLOCK_START.size > len(data):
+    """Yields the offset and the compressed bytes of each block.
+
+    Raises:
+        _BlockError: A block is cut off or damaged.
+    """
+    offset = FILE_START.size
+    while offset < len(data):
+        if offset + BLOCK_START.size > len(data):
             raise _BlockError("it was cut off in the middle of a block")
-        length, checksum = BLOCK_START.unpack_from(data, at)
-        start = at + BLOCK_START.size
-        packed = data[start : start + length]
-        complete = len(packed) == length
-        if length > MAX_BLOCK_BYTES or (complete and xxhash.xxh32_intdigest(packed) != checksum):
-            raise _BlockError(f"the block at byte {at} is damaged")
-        if not complete:
+        length, checksum = BLOCK_START.unpack_from(data, offset)
+        start = offset + BLOCK_START.size
+        compressed = data[start : start + length]
+        is_complete = len(compressed) == length
+        if length > MAX_BLOCK_BYTES or (is_complete and xxhash.xxh32_intdigest(compressed) != checksum):
+            raise _BlockError(f"the block at byte {offset} is damaged")
+        if not is_complete:
             raise _BlockError("it was cut off in the middle of a block")
-        yield at, packed
-        at = start + length
+        yield offset, compressed
+        offset = start + length
--- a/pebblehinge/capture/writer.py
+++ b/pebblehinge/capture/writer.py
@@ -1,4 +1,4 @@
-"""Writes captures block by block."""
+"""Writer of captures."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class CaptureWriter:
-    """Packs finished requests into blocks. A failure of the sink ends the capture, but not the gateway.
+    """Writes finished requests to a sink in blocks. A failure of the sink ends the capture, but not the gateway.
 
     Args:
-        sink: Takes bytes in order; raises OSError if it can't.
-        gateway: The gateway's name.
-        wall_ms: The present by the wall clock, in milliseconds since 1970.
-        clock_ms: The present by the gateway's monotonic clock, in milliseconds.
+        sink: Writes the next bytes of the file; raises OSError on failure.
+        gateway: Name of the gateway.
+        wall_ms: Present time of the wall clock, in milliseconds since 1970.
+        clock_ms: Present time of the gateway's monotonic clock, in milliseconds.
         on_failure: Called once with the error of the sink.
     """
 
@@ -49,9 +49,9 @@
         """Adds a finished request.
 
         Args:
-            arrived_ms: When it arrived, by the gateway's monotonic clock.
-            *values: The further fields of `CapturedRequest` in their order; a plain tuple, since this is called for
-                every request of the gateway.
+            arrived_ms: Arrival time by the gateway's monotonic clock, in milliseconds.
+            *values: The other fields of `CapturedRequest` in order. They are stored as a plain tuple because this runs
+                for every request of the gateway.
         """
         if not self.is_open:
             return
@@ -60,7 +60,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Writes what has been added since the last block."""
+        """Writes the requests added since the last block as a new block."""
         if self.rows and self.is_open:
             rows = self.rows
             self.rows = []
@@ -77,13 +77,13 @@
 
 
 def pack_block(value: Any) -> bytes:
-    """A block of the file that holds one msgpack value."""
-    packed = zlib.compress(_encode(value), COMPRESSION_LEVEL)
-    return BLOCK_START.pack(len(packed), xxhash.xxh32_intdigest(packed)) + packed
+    """Encodes a value as a block of the file."""
+    compressed = zlib.compress(_encode(value), COMPRESSION_LEVEL)
+    return BLOCK_START.pack(len(compressed), xxhash.xxh32_intdigest(compressed)) + compressed
 
 
 def open_sink(path: str | Path) -> Callable[[bytes], None]:
-    """A sink that writes to a new file, or to an existing one from its start.
+    """Returns a sink that writes to a file, which is created or truncated.
 
     Raises:
         OSError: The file can't be opened.
--- a/pebblehinge/event_log/__init__.py
+++ b/pebblehinge/event_log/__init__.py
@@ -1,7 +1,7 @@
-"""Event logs: what a process writes about the messages that cross its sockets, one JSON object a line.
+"""Event logs: a process's record of the messages that cross its sockets, one JSON object per line.
 
 Every line begins with a time (`t`) and the name of an event (`e`). Times are milliseconds of the machine's monotonic
-clock, which all processes of a machine share; in virtual time they are milliseconds of the virtual clock.
+clock, which all processes of a machine share, or of the virtual clock in virtual time.
 `docs/records.md` lists the events and their fields.
 """
 
--- a/pebblehinge/event_log/errors.py
+++ b/pebblehinge/event_log/errors.py
@@ -1,5 +1,5 @@
-"""The exception of event logs."""
+"""Exception of the event logs."""
 
 
 class EventLogError(Exception):
-    """A file of events can't be written or read, or is damaged. The message is one line for the operator."""
+    """An event log can't be written or read, or is damaged. The message is one line for the operator."""
--- a/pebblehinge/event_log/reader.py
+++ b/pebblehinge/event_log/reader.py
@@ -1,4 +1,4 @@
-"""Reads a file of events, also one whose writer was killed."""
+"""Reader of event logs, including those whose writer was killed."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from pebblehinge.event_log.errors import EventLogError
 
 LINE_START = b'{"t":'
-"""How the writer begins every line."""
+"""The first bytes of every line that `EventLog` writes."""
 
 _decode = msgspec.json.Decoder().decode
 
 
 def read_events(path: str | Path) -> Iterator[dict[str, Any]]:
-    """Yields the events of one file in their order.
+    """Yields the events of one file in order.
 
-    A last line that a kill cut off is left out. Where a restarted process appended to such a line, the fragment is
-    left out and what follows it is read.
+    A last line that a kill cut off is skipped. Where a restarted process appended to such a line, the fragment is
+    skipped and the event after it is read.
 
     Raises:
         EventLogError: The file can't be read, or is damaged in another way.
@@ -31,14 +31,14 @@
                 event = _parse_line(line)
                 if event is not None:
                     yield event
-                elif line.endswith(b"\n"):  # only the last line of a file can lack it
+                elif line.endswith(b"\n"):  # a line without a newline is the last one, cut off
                     raise EventLogError(f"records: {path}:{number} is damaged")
     except OSError as error:
         raise EventLogError(f"records: {path} can't be read ({error.strerror})") from None
 
 
 def _parse_line(line: bytes) -> Any:
-    """The event that a line holds, or None if it is cut off or damaged."""
+    """Returns the event of a line, or None if the line is cut off or damaged."""
     try:
         return _decode(line)
     except msgspec.DecodeError:
--- a/pebblehinge/event_log/writer.py
+++ b/pebblehinge/event_log/writer.py
@@ -1,4 +1,7 @@
-"""Writes events to a file in whole lines, once per iteration of the event loop, so that a kill loses at most one."""
+"""Writer of event logs.
+
+Whole lines are written once per iteration of the event loop, so that a kill loses at most one iteration's events.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,17 @@
 from pebblehinge.event_log.errors import EventLogError
 
 MAX_BUFFERED_LINES = 1 << 16
-"""Once an iteration of the loop has buffered so many lines, they are written at once."""
+"""Buffered lines at which a log is written immediately instead of at the end of the loop's iteration."""
 
 FILE_MODE = 0o644
 CLOSED = -1
-"""The file descriptor of a log that is closed or has failed."""
+"""Value of `EventLog.fd` after the log was closed or has failed."""
 
 _encode = msgspec.json.Encoder().encode
 
 
 class NullEventLog:
-    """Discards all events. Takes the place of an `EventLog` where none is wanted."""
+    """An event log that discards all events."""
 
     enabled = False
 
@@ -34,14 +37,14 @@
 
 
 class EventLog:
-    """Appends the events of one process to `NAME.jsonl` in a folder.
+    """Event log of one process, which appends its events to `NAME.jsonl` in a folder.
 
     Args:
         folder: An existing folder.
         name: The file's name without its suffix.
-        call_soon: Runs a function later in the same iteration of the event loop, as `loop.call_soon` does.
-        on_failure: Called once with the error when a write fails; later events are then discarded. Without it the
-            error is raised.
+        call_soon: Schedules a function to run after the callbacks that are ready now, as `loop.call_soon` does.
+        on_failure: Called once with the error when a write fails; later events are then discarded. Without this
+            callback the error is raised.
 
     Raises:
         EventLogError: The file can't be opened.
@@ -67,12 +70,12 @@
             raise self._write_error(error) from None
 
     def note(self, time_ms: float, event: str, /, **values: Any) -> None:
-        """Buffers an event; it is written at the end of the current iteration of the loop.
+        """Buffers an event; it is written after the callbacks of the event loop that are ready now.
 
         Args:
-            time_ms: When it happened, in milliseconds; stored to a microsecond as `t`.
-            event: Its name, stored as `e`.
-            **values: Further fields, of types that JSON can hold.
+            time_ms: Time of the event in milliseconds; stored to a microsecond as `t`.
+            event: Name of the event, stored as `e`.
+            **values: Further fields, of types that JSON can represent.
 
         Raises:
             EventLogError: The buffer was full, the write failed, and there is no `on_failure`.
@@ -102,14 +105,18 @@
             self._fail(self._write_error(error))
 
     def close(self) -> None:
-        """Writes the buffered events and closes the file; raises as `flush` does."""
+        """Writes the buffered events and closes the file.
+
+        Raises:
+            EventLogError: The write failed, and there is no `on_failure`.
+        """
         self.flush()
         if self.fd != CLOSED:
             os.close(self.fd)
             self.fd = CLOSED
 
     def _fail(self, error: EventLogError) -> None:
-        """Closes the file, so that the failure is reported once rather than once a line."""
+        """Closes the file, so that the failure is reported once rather than for every later event."""
         os.close(self.fd)
         self.fd = CLOSED
         if self.on_failure is None:
--- a/pebblehinge/store/committer.py
+++ b/pebblehinge/store/committer.py
@@ -1,4 +1,7 @@
-"""Group commit: one fsync serves all records that wait; those that arrive meanwhile go with the next."""
+"""Group commit of journal records.
+
+One fsync makes all pending records durable; records that arrive during an fsync join the next batch.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,16 @@
 from pebblehinge.store.records import Barrier, Completion, Record, Write
 
 MAX_BATCH_BYTES = 4 << 20
-RECORD_OVERHEAD_BYTES = 100  # estimate of what a record takes beside its data
+RECORD_OVERHEAD_BYTES = 100  # estimated size of a record without its data
 
 
 class PendingRecord(NamedTuple):
-    """A record that isn't appended yet; `on_result` gets True once it is durable, False if that can't be known."""
+    """A record that is not yet appended.
+
+    Attributes:
+        record: The record.
+        on_result: Called with True once the record is durable, or with False if its durability can't be known.
+    """
 
     record: Record
     on_result: Callable[[bool], None]
@@ -23,20 +31,25 @@
 class Committer:
     """Appends records to a journal in batches.
 
-    After one failure nothing is written any more: what a failed fsync left on the disk is unknown, and a later success
-    would not mean that it is there.
+    After the first failure nothing more is written: what a failed fsync left on the disk is unknown, and a later
+    success would not prove that the data is there.
 
     Attributes:
-        waiting: The records of the next batches.
-        relocating: Numbers of live records that are being written to a newer segment.
-        running: Whether `run` is under way.
-        failure: The first failure, None as long as there was none.
-        batches: Batches that were made durable.
-        records: Records in these.
+        pending: Records of the batches to come.
+        pending_relocations: Numbers of live records that are queued for relocation to the current segment.
+        is_running: Whether `run` is in progress.
+        failure: The first failure, or None.
+        batch_count: Number of batches made durable.
+        record_count: Number of records in these batches.
     """
 
     def __init__(self, journal: Journal, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
-        """`write_batch` appends and syncs a batch; it raises OSError or StorageError if it can't."""
+        """Creates a committer.
+
+        Args:
+            journal: The journal to append to.
+            write_batch: Appends and syncs a batch; raises OSError or StorageError on failure.
+        """
         self.journal = journal
         self.write_batch = write_batch
         self.pending: list[PendingRecord] = []
@@ -47,18 +60,18 @@
         self.record_count = 0
 
     def add(self, record: Record, on_result: Callable[[bool], None]) -> None:
-        """Takes a record for the next batch; `run` has to be called."""
+        """Queues a record for the next batch; the caller then has to start `run`."""
         self.pending.append(PendingRecord(record, on_result))
 
     def relocate(self, record: Write | Barrier) -> None:
-        """Takes a live record once more, so that its old segment can be removed."""
+        """Queues a live record to be appended again, so that its old segment can be removed."""
         number = record.number
         if number not in self.pending_relocations:
             self.pending_relocations[number] = None
-            self.add(record, lambda durable: self.pending_relocations.pop(number, None))
+            self.add(record, lambda is_durable: self.pending_relocations.pop(number, None))
 
     async def run(self) -> None:
-        """Commits until nothing waits. Returns at once if it is running already."""
+        """Commits batches until no record is pending. Returns immediately if another call is in progress."""
         if self.is_running:
             return
         self.is_running = True
@@ -73,13 +86,13 @@
         if not batch:
             return
         if self.failure is None:
-            await self._write([row.record for row in batch])
-        durable = self.failure is None
+            await self._write([pending.record for pending in batch])
+        is_durable = self.failure is None
         for _, on_result in batch:
-            on_result(durable)
+            on_result(is_durable)
 
     def _next_batch(self) -> list[PendingRecord]:
-        """Takes the records of a batch off the waiting ones."""
+        """Removes the records of the next batch from the pending ones and returns them."""
         size = 0
         count = 0
         for record, _ in self.pending:
@@ -92,13 +105,13 @@
         return batch
 
     def _drop_obsolete(self, batch: list[PendingRecord]) -> list[PendingRecord]:
-        """Drops records that were to be relocated and are done by now: written again they would live for ever."""
+        """Drops relocations of records that are no longer live: appended again they would stay live for ever."""
         if not self.pending_relocations:
             return batch
-        obsolete = [row for row in batch if self._is_obsolete(row.record)]
-        for row in obsolete:
-            batch.remove(row)
-            row.on_result(True)
+        obsolete = [pending for pending in batch if self._is_obsolete(pending.record)]
+        for pending in obsolete:
+            batch.remove(pending)
+            pending.on_result(True)
         return batch
 
     def _is_obsolete(self, record: Record) -> bool:
@@ -111,9 +124,9 @@
         try:
             await self.write_batch(batch)
         except (OSError, StorageError) as error:
-            why = getattr(error, "strerror", None) or error
+            reason = getattr(error, "strerror", None) or error
             self.failure = JournalFailedError(
-                f"the journal failed ({why}): this head buffers no more until it is started again"
+                f"the journal failed ({reason}): this head buffers no more until it is started again"
             )
         else:
             self.journal.mark_committed(batch)
--- a/pebblehinge/store/inspection.py
+++ b/pebblehinge/store/inspection.py
@@ -1,4 +1,4 @@
-"""A look at a journal's folder that changes nothing, for the commands that inspect and export a journal."""
+"""Read-only inspection of a journal's folder, for the commands that inspect and export a journal."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Inspection:
-    """What a folder holds, sound or not.
+    """The readable content of a journal's folder, damaged or not.
 
     Attributes:
         segments: Number of segment files.
-        bytes: Their size.
         fenced: Whether another process has taken the journal over.
+        bytes: Total size of the segment files.
         damage: One line for each damaged place.
-        writes: Writes that are not done, by number.
-        done: How many of the writes found are done.
-        barriers: How many barriers were found.
+        writes: Writes without a completion record, by number.
+        done: How many of the writes found have a completion record.
+        barriers: Number of barriers found.
     """
 
     segments: int
@@ -35,44 +35,44 @@
 
 
 def inspect_journal(disk: Disk) -> Inspection:
-    """Reads all that can be read of a folder, past damage too."""
+    """Reads all readable records of a folder, including those after damaged places."""
     names = segment_names(disk.names())
-    found = Inspection(len(names), disk.exists(FENCE_FILE))
+    inspection = Inspection(len(names), disk.exists(FENCE_FILE))
     writes: dict[int, Write] = {}
-    done: dict[int, None] = {}
+    completed_numbers: dict[int, None] = {}
     for name in names:
         data = disk.read(name)
-        found.bytes += len(data)
-        for record in _read_records(name, data, name == names[-1], found.damage):
+        inspection.bytes += len(data)
+        for record in _read_records(name, data, name == names[-1], inspection.damage):
             if isinstance(record, Completion):
-                done.update(dict.fromkeys(record.numbers))
+                completed_numbers.update(dict.fromkeys(record.numbers))
             elif isinstance(record, Write):
                 writes[record.number] = record
             else:
-                found.barriers += 1
-    found.writes = [writes[number] for number in sorted(writes) if number not in done]
-    found.done = sum(number in done for number in writes)
-    return found
+                inspection.barriers += 1
+    inspection.writes = [writes[number] for number in sorted(writes) if number not in completed_numbers]
+    inspection.done = sum(number in completed_numbers for number in writes)
+    return inspection
 
 
-def _read_records(name: str, data: bytes, last: bool, damage: list[str]) -> list[Record]:
-    """The records of a segment that can be read; what is damaged is added to `damage`."""
+def _read_records(name: str, data: bytes, is_newest: bool, damage: list[str]) -> list[Record]:
+    """Returns the readable records of a segment and appends a line to `damage` for each damaged place."""
     try:
-        contents = read_segment(name, data, last)
+        contents = read_segment(name, data, is_newest)
     except JournalDamagedError as error:
         damage.append(str(error))
         return _valid_records(data)
     if contents.valid_bytes < len(data):
-        cut = len(data) - contents.valid_bytes
-        damage.append(f"{name}: {cut} bytes at its end are cut off (never promised)")
+        torn_bytes = len(data) - contents.valid_bytes
+        damage.append(f"{name}: {torn_bytes} bytes at its end are a torn tail (never promised)")
     return [record for batch in contents.batches for record in batch]
 
 
 def _valid_records(data: bytes) -> list[Record]:
-    """The records of all sound batches, wherever they are."""
-    found: list[Record] = []
-    at = find_batch(data, 0)
-    while at is not None:
-        found += decode_batch(data, at) or []
-        at = find_batch(data, at + batch_size(data, at))
-    return found
+    """Returns the records of all valid batches of a damaged segment."""
+    records: list[Record] = []
+    offset = find_batch(data, 0)
+    while offset is not None:
+        records += decode_batch(data, offset) or []
+        offset = find_batch(data, offset + batch_size(data, offset))
+    return records
--- a/pebblehinge/store/memory.py
+++ b/pebblehinge/store/memory.py
@@ -1,10 +1,11 @@
-"""The snapshot of a gateway's learned state: one file, written whole or not at all.
+"""The snapshot of a gateway's learned scheduler state: one file, written atomically.
 
-    memory    `magic 8 | version u16 | XXH64 u64 | msgpack`
+    memory    magic 8 bytes | version u16 | XXH64 of the body u64 | body, one msgpack value
 
-It is used only by the gateway that wrote it, and only if it is sound. How much it still counts is decided by the
-scheduler, which is told its age. The age comes from the machine's own clock since it started, where the machine is
-still up; else from the wall clock, which may have been set: a negative age is none, and the file is left alone.
+Integers are big-endian. A snapshot is used only by the gateway that wrote it, and only if its checksum is right. The
+scheduler gets its age and decides how much weight it still has. The age is measured by the time since the machine
+started, if the machine has not restarted since; otherwise by the wall clock, which may have been set. A snapshot with a
+negative age is rejected.
 """
 
 from __future__ import annotations
@@ -26,21 +27,21 @@
 VERSION = 1
 HEADER = struct.Struct(">8sHQ")
 SNAPSHOT_FILE = "memory"
-MAX_AGE_MS = 3_600_000.0  # beyond an hour nothing of it is worth reading
+MAX_AGE_MS = 3_600_000.0  # after an hour the learned state says nothing useful any more
 MAX_BYTES = 16 << 20
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """The learned state with what says whose it is and when it was taken; stored as an array in this order.
+    """The learned state, with its gateway and the time at which it was taken; stored as an array in this order.
 
     Attributes:
         gateway: Name of the gateway.
-        settings_hash: The mark of its settings.
-        wall_ms: Wall clock time.
-        uptime_ms: Time since the machine started.
+        settings_hash: What `hash_settings` returned for the gateway's settings.
+        wall_ms: Wall clock time in milliseconds.
+        uptime_ms: Time since the machine started, in milliseconds.
         boot_id: Identifies that start of the machine, "" if unknown.
-        complete: Whether nothing was sent to storage nodes after it was taken.
-        state: What `Scheduler.remembered` returned.
+        complete: Whether nothing was sent to storage nodes after the snapshot was taken.
+        state: The learned state that the scheduler exported.
     """
 
     gateway: str
@@ -53,9 +54,9 @@
 
 
 class StoredState(msgspec.Struct):
-    """The keys and types that a snapshot's state must have; the scheduler gives and takes it as a dictionary.
+    """The keys and types that a snapshot's state must have; the scheduler exports and imports it as a dictionary.
 
-    The names are stored, so they stay as they are.
+    The field names are the stored keys, so they must not be renamed.
     """
 
     shelfs: dict[str, tuple[float, float, float, float, float, float]]
@@ -63,18 +64,18 @@
     thinks: dict[str, dict[int, float]]
     limits: dict[str, tuple[float, float]]
     further: list[float]
-    lives: dict[str, tuple[int, float]] = {}  # slot and age of each node's process; not in files of older versions
+    lives: dict[str, tuple[int, float]] = {}  # slot and age of each storage node's process; older files lack it
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredSnapshot:
-    """A snapshot that may be used.
+    """A snapshot that this gateway may use.
 
     Attributes:
-        state: For `Scheduler.recall`.
-        age_ms: How old it is.
-        complete: Whether nothing was sent after it, so that units of limits can be counted on.
-        summary: Age and reservations in a few words for the log.
+        state: The learned state for the scheduler to import.
+        age_ms: The snapshot's age in milliseconds.
+        complete: Whether nothing was sent after it was taken, so that the units left of each limit are reliable.
+        summary: Its age and the restrictions on its use, as a short text for the log.
     """
 
     state: dict[str, Any]
@@ -84,30 +85,34 @@
 
 
 def hash_settings(settings: Settings) -> str:
-    """A hash that tells versions of the settings apart, as far as the scheduler is handed them."""
+    """Returns a hash of the settings that the scheduler receives; it changes with every change of them."""
     return xxhash.xxh3_64_hexdigest(canonical_text(settings).encode())
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """The bytes of the file."""
+    """Returns the content of the snapshot's file."""
     body = msgspec.msgpack.encode(snapshot)
     return HEADER.pack(MAGIC, VERSION, xxhash.xxh64_intdigest(body)) + body
 
 
 def save(disk: Disk, snapshot: Snapshot) -> None:
-    """Writes the file."""
+    """Writes the snapshot's file."""
     disk.replace(SNAPSHOT_FILE, encode(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
-    """Reads the bytes of a file; raises SnapshotRejectedError, which says why, if they are no sound snapshot."""
+    """Decodes the content of a file.
+
+    Raises:
+        SnapshotRejectedError: The content is no valid snapshot; the message names the reason.
+    """
     if len(data) < HEADER.size or len(data) > MAX_BYTES:
         raise SnapshotRejectedError(f"it has {len(data)} bytes")
     magic, version, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise SnapshotRejectedError("it is no memory of this program")
+        raise SnapshotRejectedError("it is not a memory file of this program")
     if version != VERSION:
-        raise SnapshotRejectedError(f"it has format {version}, and {VERSION} is known here")
+        raise SnapshotRejectedError(f"it has format {version}, but {VERSION} is the supported format")
     body = data[HEADER.size :]
     if xxhash.xxh64_intdigest(body) != digest:
         raise SnapshotRejectedError("it is damaged")
@@ -115,9 +120,9 @@
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
         state = msgspec.convert(snapshot.state, StoredState, strict=False, str_keys=False)
     except msgspec.MsgspecError as error:
-        raise SnapshotRejectedError(f"it holds what is not known here: {error}") from None
-    if not all(math.isfinite(figure) for row in state.shelfs.values() for figure in row[:3]):
-        raise SnapshotRejectedError("it holds figures that are none")
+        raise SnapshotRejectedError(f"its content does not have the expected fields: {error}") from None
+    if not all(math.isfinite(value) for row in state.shelfs.values() for value in row[:3]):
+        raise SnapshotRejectedError("it holds numbers that are not finite")
     snapshot.state = {name: getattr(state, name) for name in StoredState.__struct_fields__}
     return snapshot
 
@@ -125,18 +130,18 @@
 def restore(
     data: bytes, gateway: str, settings_hash: str, wall_ms: float, uptime_ms: float, boot_id: str
 ) -> RestoredSnapshot:
-    """Reads the bytes of a file for use now.
+    """Decodes the content of a file and checks that this gateway may use it now.
 
     Args:
-        data: The bytes.
+        data: The content of the file.
         gateway: Name of this gateway.
-        settings_hash: The mark of its settings.
-        wall_ms: Wall clock time.
-        uptime_ms: Time since the machine started.
+        settings_hash: What `hash_settings` returns for its present settings.
+        wall_ms: Wall clock time in milliseconds.
+        uptime_ms: Time since the machine started, in milliseconds.
         boot_id: Identifies that start of the machine, "" if unknown.
 
     Raises:
-        SnapshotRejectedError: It must not be used; the message says why.
+        SnapshotRejectedError: The snapshot must not be used; the message names the reason.
     """
     snapshot = decode(data)
     if snapshot.gateway != gateway:
@@ -144,18 +149,19 @@
     same_boot = snapshot.boot_id == boot_id and bool(boot_id)
     age_ms = uptime_ms - snapshot.uptime_ms if same_boot else wall_ms - snapshot.wall_ms
     if age_ms < 0:
-        raise SnapshotRejectedError(f"it is from {-age_ms / 1000:.0f} s ahead: a clock was set")
+        raise SnapshotRejectedError(f"it is from {-age_ms / 1000:.0f} s in the future: a clock was set")
     if age_ms > MAX_AGE_MS:
         raise SnapshotRejectedError(f"it is {age_ms / 60_000:.0f} minutes old")
     complete = snapshot.complete
     state = dict(snapshot.state)
     summary = f"{age_ms / 1000:.1f} s old"
     if not same_boot:
-        # Units are counted by a clock that can be trusted or not at all.
+        # The units left of a limit follow from the age, so they are dropped where the age may be wrong.
         complete = False
         summary += ", by the wall clock"
     if snapshot.settings_hash != settings_hash:
-        # Latencies and thinktimes are the fleet's; what a limit has left and what a unit earns are the settings'.
+        # Latencies and think times depend on the fleet alone. The units left of a limit and the value of a unit
+        # depend on the settings.
         complete = False
         summary += ", from other settings"
         state["every"] = (*state["every"][:3], 0.0)
--- a/pebblehinge/store/records.py
+++ b/pebblehinge/store/records.py
@@ -1,4 +1,4 @@
-"""Records of a gateway's journal. Each is stored as an array of its tag and its values, in this order."""
+"""Record types of a gateway's journal. Each record is stored as an array of its tag and its fields, in this order."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
     """One confirmed write.
 
     Attributes:
-        number: Its place among all records of the journal's whole life, over all volumes.
+        number: Sequence number among the writes and barriers of all volumes, unique for the life of the journal.
         volume: Name of the volume.
         extent: Name of the extent within the volume.
         slot: Slot of placement.
-        offset: Where the bytes begin, in bytes from the start of the extent.
-        data: The bytes.
-        label: The idempotency key.
-        profile: Name of its request class.
-        units: Size in units of work.
+        offset: Offset of the data within the extent, in bytes.
+        data: The bytes to write.
+        idempotency_key: The client's idempotency key, or the request's trace id where the client sent none.
+        request_class: Name of the request class.
+        units: Cost of the request, in units.
     """
 
     number: int
@@ -32,14 +32,23 @@
 
 
 class Barrier(msgspec.Struct, array_like=True, tag="b", frozen=True):
-    """What was written to a volume before is written back before what is written to it after."""
+    """An ordering point of a volume: earlier writes are written back before later ones.
+
+    Attributes:
+        number: Sequence number, shared with the writes.
+        volume: Name of the volume.
+    """
 
     number: int
     volume: str
 
 
 class Completion(msgspec.Struct, array_like=True, tag="d", frozen=True):
-    """The writes of these numbers are on their storage nodes."""
+    """States that writes have been written back to their storage nodes.
+
+    Attributes:
+        numbers: Sequence numbers of these writes.
+    """
 
     numbers: list[int]
 
--- a/pebblehinge/store/segment.py
+++ b/pebblehinge/store/segment.py
@@ -1,11 +1,13 @@
-"""Format of a journal's segment files: bytes to records and back.
+"""Encoding and decoding of a journal's segment files.
 
-    journal-NUMBER.seg   `header`, then batches
+    journal-NUMBER.seg   a header, then batches
 
-A header is `magic 8 | version u16 | segment u32 | number u64`, the highest record number given out before it; a batch
-is `mark 4 | length u32 | XXH64 u64 | body`, big-endian; the body is one msgpack array of records. A batch is written
-and synced before the next is begun. So a damaged batch with nothing after it was never confirmed and is cut; one with a
-sound batch after it had been, and the journal is refused with the place.
+    header   magic 8 bytes | version u16 | segment u32 | highest record number assigned before it u64
+    batch    magic 4 bytes | body length u32 | XXH64 of the body u64 | body, one msgpack array of records
+
+Integers are big-endian. A batch is written and synced before the next one is begun. So a damaged batch with nothing
+after it was never confirmed: it is a torn tail and is cut off. A damaged batch followed by a valid one was confirmed,
+and reading the segment fails with the place of the damage.
 """
 
 from __future__ import annotations
@@ -33,7 +35,14 @@
 
 
 class SegmentHeader(NamedTuple):
-    """The values of a segment's header."""
+    """The values of a segment's header.
+
+    Attributes:
+        magic: Identifies the file format.
+        version: Version of the file format.
+        segment: Number of the segment.
+        last_number: The highest record number assigned before the segment was created.
+    """
 
     magic: bytes
     version: int
@@ -43,112 +52,121 @@
 
 @dataclass(slots=True, frozen=True)
 class SegmentContents:
-    """The batches of a segment, and how many bytes of its file are sound."""
+    """The content of a segment.
+
+    Attributes:
+        batches: The records, by batch.
+        valid_bytes: Bytes of the file before its torn tail.
+    """
 
     batches: list[list[Record]]
     valid_bytes: int
 
 
 def segment_name(number: int) -> str:
-    """The file name of a segment."""
+    """Returns the file name of a segment."""
     return f"{NAME_PREFIX}{number:08d}{NAME_SUFFIX}"
 
 
 def segment_number(name: str) -> int:
-    """The number in the file name of a segment."""
+    """Returns the number in the file name of a segment."""
     return int(name[len(NAME_PREFIX) : -len(NAME_SUFFIX)])
 
 
 def segment_names(names: list[str]) -> list[str]:
-    """Those of a folder's file names that are segments, the oldest first."""
+    """Returns the segments among the file names of a folder, the oldest first."""
     return sorted(n for n in names if n.startswith(NAME_PREFIX) and n.endswith(NAME_SUFFIX))
 
 
 def encode_header(segment: int, last_number: int) -> bytes:
-    """The header of a new segment."""
+    """Encodes the header of a new segment."""
     return HEADER.pack(MAGIC, VERSION, segment, last_number)
 
 
 def decode_header(data: bytes) -> SegmentHeader:
-    """The header at the start of these bytes, which are long enough for one."""
+    """Decodes the header at the start of these bytes, which must be long enough for one."""
     return SegmentHeader(*HEADER.unpack_from(data))
 
 
 def encode_batch(records: list[Record]) -> bytes:
-    """One batch of these records."""
+    """Encodes records as one batch."""
     body = _encode_records(records)
     return BATCH_HEADER.pack(BATCH_MAGIC, len(body), xxhash.xxh64_intdigest(body)) + body
 
 
-def batch_size(data: bytes, at: int) -> int:
-    """Bytes of the sound batch at an offset."""
-    length: int = BATCH_HEADER.unpack_from(data, at)[1]
+def batch_size(data: bytes, offset: int) -> int:
+    """Returns the size in bytes of the valid batch at an offset."""
+    length: int = BATCH_HEADER.unpack_from(data, offset)[1]
     return BATCH_HEADER.size + length
 
 
-def read_segment(name: str, data: bytes, last: bool) -> SegmentContents:
+def read_segment(name: str, data: bytes, is_newest: bool) -> SegmentContents:
     """Reads a segment file.
 
     Args:
-        name: Its name, for messages.
-        data: Its bytes.
-        last: Whether it is the newest segment, whose end may be cut off or torn.
+        name: The file's name, for messages.
+        data: The file's content.
+        is_newest: Whether it is the newest segment, which may be cut off or have a torn tail.
 
     Raises:
-        JournalDamagedError: It is damaged where batches may have been confirmed, or of an unknown format; the message
-            has the place and what is sound before it.
+        JournalDamagedError: The segment is damaged where batches may have been confirmed, or its format is unknown;
+            the message names the place and what is valid before it.
     """
-    if not _is_header_valid(name, data, last):
+    if not _is_header_valid(name, data, is_newest):
         return SegmentContents([], 0)
-    at = HEADER.size
+    offset = HEADER.size
     batches: list[list[Record]] = []
-    while at < len(data):
-        records = decode_batch(data, at)
+    while offset < len(data):
+        records = decode_batch(data, offset)
         if records is None:
-            following = find_batch(data, at + 1)
-            if last and following is None:
+            next_valid = find_batch(data, offset + 1)
+            if is_newest and next_valid is None:
                 break
-            raise JournalDamagedError(_damage_message(name, at, following, len(batches)))
+            raise JournalDamagedError(_damage_message(name, offset, next_valid, len(batches)))
         batches.append(records)
-        at += batch_size(data, at)
-    return SegmentContents(batches, at)
+        offset += batch_size(data, offset)
+    return SegmentContents(batches, offset)
+
 
+def _is_header_valid(name: str, data: bytes, is_newest: bool) -> bool:
+    """Returns False for a newest segment that a crash cut off or tore during its creation.
 
-def _is_header_valid(name: str, data: bytes, last: bool) -> bool:
-    """False for a newest segment that was cut off or torn while it was made; raises for every other fault."""
+    Raises:
+        JournalDamagedError: The header is invalid in any other way.
+    """
     if len(data) < HEADER.size:
-        if last:
+        if is_newest:
             return False
         raise JournalDamagedError(
-            f"{name}: its header is cut off though later segments are there; nothing of it can be read"
+            f"{name}: its header is cut off although later segments exist; none of it can be read"
         )
     header = decode_header(data)
     if header.magic != MAGIC:
-        if last and find_batch(data, 0) is None:
-            return False  # its first sector was not written before the power went, and nothing after it was confirmed
-        raise JournalDamagedError(f"{name}: no journal of this program")
+        if is_newest and find_batch(data, 0) is None:
+            return False  # a power cut lost the first sector, and no batch after it was confirmed
+        raise JournalDamagedError(f"{name}: not a journal of this program")
     if header.version > VERSION:
         raise JournalDamagedError(
-            f"{name}: written by a newer version ({header.version}); this one reads up to {VERSION}"
+            f"{name}: written by a newer version ({header.version}); this program reads up to version {VERSION}"
         )
     return True
 
 
-def _damage_message(name: str, at: int, following: int | None, sound: int) -> str:
-    where = "later segments are there" if following is None else f"a sound one follows at byte {following}"
+def _damage_message(name: str, offset: int, next_valid: int | None, valid_batches: int) -> str:
+    evidence = "later segments exist" if next_valid is None else f"a valid batch follows at byte {next_valid}"
     return (
-        f"{name}: the batch at byte {at} is damaged and had been promised ({where}); the {sound} "
-        "batches before it are sound. `pebblehinge store export` writes out what can be read"
+        f"{name}: the batch at byte {offset} is damaged but was promised ({evidence}); the {valid_batches} "
+        "batches before it are valid. `pebblehinge store export` writes out the readable writes"
     )
 
 
-def decode_batch(data: bytes, at: int) -> list[Record] | None:
-    """The records of the batch at an offset, None if there is no sound one."""
-    if at + BATCH_HEADER.size > len(data):
+def decode_batch(data: bytes, offset: int) -> list[Record] | None:
+    """Returns the records of the batch at an offset, or None if there is no valid batch there."""
+    if offset + BATCH_HEADER.size > len(data):
         return None
-    mark, length, digest = BATCH_HEADER.unpack_from(data, at)
-    body = data[at + BATCH_HEADER.size : at + BATCH_HEADER.size + length]
-    if mark != BATCH_MAGIC or length > MAX_BODY_BYTES or len(body) != length or xxhash.xxh64_intdigest(body) != digest:
+    magic, length, digest = BATCH_HEADER.unpack_from(data, offset)
+    body = data[offset + BATCH_HEADER.size : offset + BATCH_HEADER.size + length]
+    if magic != BATCH_MAGIC or length > MAX_BODY_BYTES or len(body) != length or xxhash.xxh64_intdigest(body) != digest:
         return None
     try:
         return _decode_records(body)
@@ -156,10 +174,10 @@
         return None
 
 
-def find_batch(data: bytes, at: int) -> int | None:
-    """The offset of the first sound batch from an offset on, None if there is none."""
-    while (at := data.find(BATCH_MAGIC, at)) >= 0:
-        if decode_batch(data, at) is not None:
-            return at
-        at += 1
+def find_batch(data: bytes, offset: int) -> int | None:
+    """Returns the offset of the first valid batch at or after an offset, or None if there is none."""
+    while (offset := data.find(BATCH_MAGIC, offset)) >= 0:
+        if decode_batch(data, offset) is not None:
+            return offset
+        offset += 1
     return None
--- a/pebblehinge/store/settings_mark.py
+++ b/pebblehinge/store/settings_mark.py
@@ -1,8 +1,8 @@
-"""The text of a gateway's settings whose hash its memory file keeps.
+"""The canonical text of a gateway's settings, whose hash is stored in the snapshot of its learned state.
 
-The words are stored ones: they stay as they are whatever the code calls its types, fields and members, or a gateway
-would take its own memory for one of other settings. Values are taken by place, so a new value belongs at the end of its
-type and of its row here.
+The names in this text belong to the stored format. They stay the same whatever the code calls its types, fields and
+enum members; otherwise a gateway would treat its own snapshot as one taken under other settings. Values are matched to
+names by position, so a new field belongs at the end of its type and of its tuple of names here.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from pebblehinge.interface import Settings
 
-# The stored words of RequestClass, QuotaPlan and the rest of Settings, field by field.
+# Stored names of the fields of RequestClass, of QuotaPlan and of the remaining Settings, in the order of the fields.
 REQUEST_CLASS_FIELDS = (
     "name",
     "importance",
@@ -46,7 +46,7 @@
     "budget_free",
     "budget_window_ms",
 )
-# Values of Idempotency and DeduplicationScope: the stored words of these members.
+# Stored names of the members of Idempotency and DeduplicationScope, by the members' values.
 ENUM_MEMBERS = {
     "redoable": "Repeat.REDOABLE",
     "labelled": "Repeat.LABELLED",
@@ -58,22 +58,22 @@
 
 
 def canonical_text(settings: Settings) -> str:
-    """The settings that a scheduler is handed, in the words of memory files."""
+    """Returns the settings that a scheduler receives as a text with the stored names."""
     request_classes, quota_plans, *rest = _field_values(settings)
     profiles = _tuple_text(
-        [_object_text("Profile", REQUEST_CLASS_FIELDS, _field_values(each)) for each in request_classes]
+        [_object_text("Profile", REQUEST_CLASS_FIELDS, _field_values(row)) for row in request_classes]
     )
-    plans = _tuple_text([_object_text("Plan", QUOTA_PLAN_FIELDS, _field_values(each)) for each in quota_plans])
+    plans = _tuple_text([_object_text("Plan", QUOTA_PLAN_FIELDS, _field_values(row)) for row in quota_plans])
     return f"Settings(profiles={profiles}, plans={plans}, {_fields_text(SETTINGS_FIELDS, rest)})"
 
 
 def _field_values(row: Any) -> list[Any]:
-    """The values of a dataclass, field by field."""
+    """Returns the values of a dataclass in the order of its fields."""
     return [getattr(row, field.name) for field in dataclasses.fields(row)]
 
 
-def _object_text(word: str, names: Sequence[str], values: Sequence[Any]) -> str:
-    return f"{word}({_fields_text(names, values)})"
+def _object_text(type_name: str, names: Sequence[str], values: Sequence[Any]) -> str:
+    return f"{type_name}({_fields_text(names, values)})"
 
 
 def _fields_text(names: Sequence[str], values: Sequence[Any]) -> str:
--- a/tests/captured_rows.py
+++ b/tests/captured_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a capture made up for tests, on the fleet of the shipped day `quiet`."""
+"""Helpers that make captured requests for tests, on the fleet of the shipped scenario `quiet`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 VOLUMES = list(CONFIG.volume)
 
 
-def captured_request(t: float, **more: Any) -> CapturedRequest:
-    usual: dict[str, Any] = dict(
-        time_ms=t,
+def captured_request(time_ms: float, **overrides: Any) -> CapturedRequest:
+    """Returns a captured request with default values for the fields that are not given."""
+    defaults: dict[str, Any] = dict(
+        time_ms=time_ms,
         volume="premium-1",
         quota_plan="premium",
         request_class="doc-read",
-        extent=f"e{t}",
+        extent=f"e{time_ms}",
         slot=0,
         units=2.0,
         write=False,
@@ -33,19 +34,26 @@
         last_attempt_ms=28.0,
         attempts=1,
     )
-    return CapturedRequest(**{**usual, **more})
+    return CapturedRequest(**{**defaults, **overrides})
 
 
-def captured_requests(count: int, seconds: float = 10.0, **more: Any) -> list[tuple[float, str, CapturedRequest]]:
+def captured_requests(
+    count: int, duration_s: float = 10.0, **overrides: Any
+) -> list[tuple[float, str, CapturedRequest]]:
+    """Returns requests at random times over a duration, in order, each with its time in ms and its gateway `h1`."""
     rng = np.random.default_rng(1)
-    times = np.sort(rng.uniform(0, seconds * 1000.0, count))
+    times = np.sort(rng.uniform(0, duration_s * 1000.0, count))
     return [
         (
-            float(t),
+            float(time_ms),
             "h1",
             captured_request(
-                float(t), slot=i % 8, volume=VOLUMES[i % 20], quota_plan=VOLUMES[i % 20].partition("-")[0], **more
+                float(time_ms),
+                slot=i % 8,
+                volume=VOLUMES[i % 20],
+                quota_plan=VOLUMES[i % 20].partition("-")[0],
+                **overrides,
             ),
         )
-        for i, t in enumerate(times)
+        for i, time_ms in enumerate(times)
     ]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The journal, what is dirty, commits: bytes on a disk that fails as told."""
+"""Tests of the journal, dirty writes, write-back policy and group commit, on a simulated disk with injected faults."""
 
 from __future__ import annotations
 
@@ -22,56 +22,56 @@
 from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, WriteRejection, next_step
 
 
-def test_what_was_synced_is_read_back_without_what_is_done() -> None:
+def test_recovery_returns_synced_records_without_completed_writes() -> None:
     disk, journal = new_journal()
     commit_records(journal, disk, make_write(1), make_write(2), Barrier(3, "v"), make_write(4))
     commit_records(journal, disk, Completion([1, 4]))
-    again = Journal(disk)
-    again.recover()
-    assert list(again.writes) == [2] and list(again.barriers) == [3] and again.last_number == 4
+    recovered = Journal(disk)
+    recovered.recover()
+    assert list(recovered.writes) == [2] and list(recovered.barriers) == [3] and recovered.last_number == 4
 
 
-def test_a_tail_that_was_cut_off_anywhere_is_cut_and_what_is_before_stands() -> None:
+def test_torn_tail_of_any_length_is_cut_off_and_earlier_batches_stay() -> None:
     disk, journal = new_journal()
     commit_records(journal, disk, make_write(1))
     commit_records(journal, disk, make_write(2))
-    whole = bytes(disk.files[segment_name(1)])
-    first = len(whole) - (len(whole) - HEADER.size) // 2
-    for kept in range(len(whole)):
-        contents = read_segment("j", whole[:kept], True)
-        assert len(contents.batches) == (kept >= first) and contents.valid_bytes <= kept
-    torn = bytes(HEADER.size + 9) + whole[HEADER.size + 9 : first]
-    assert read_segment("j", torn, True) == SegmentContents(
+    segment = bytes(disk.files[segment_name(1)])
+    first_batch_end = len(segment) - (len(segment) - HEADER.size) // 2
+    for length in range(len(segment)):
+        contents = read_segment("j", segment[:length], True)
+        assert len(contents.batches) == (length >= first_batch_end) and contents.valid_bytes <= length
+    lost_header = bytes(HEADER.size + 9) + segment[HEADER.size + 9 : first_batch_end]
+    assert read_segment("j", lost_header, True) == SegmentContents(
         [], 0
-    )  # the first sector of a new file never came to the disk
-    holes = bytearray(whole)
-    holes[first + 8 : first + 20] = bytes(12)  # the last batch, torn in its middle
-    assert len(read_segment("j", bytes(holes), True).batches) == 1
+    )  # the first sector of a new file was never written to the disk
+    torn_batch = bytearray(segment)
+    torn_batch[first_batch_end + 8 : first_batch_end + 20] = bytes(12)  # a hole in the middle of the last batch
+    assert len(read_segment("j", bytes(torn_batch), True).batches) == 1
 
 
-def test_damage_in_what_was_promised_is_refused_with_its_place() -> None:
+def test_damage_to_confirmed_batch_fails_recovery_and_names_its_offset() -> None:
     disk, journal = new_journal()
     for n in range(1, 4):
         commit_records(journal, disk, make_write(n))
     name = segment_name(1)
-    whole = bytes(disk.files[name])
-    for at in range(HEADER.size, HEADER.size + 45, 7):
-        hurt = bytearray(whole)
-        hurt[at] ^= 16
-        disk.files[name] = hurt
-        with pytest.raises(StorageError, match=r"the batch at byte 22 is damaged and had been promised \(a sound one"):
+    segment = bytes(disk.files[name])
+    for offset in range(HEADER.size, HEADER.size + 45, 7):
+        damaged = bytearray(segment)
+        damaged[offset] ^= 16
+        disk.files[name] = damaged
+        with pytest.raises(StorageError, match=r"the batch at byte 22 is damaged but was promised \(a valid batch"):
             Journal(disk).recover()
-    found = inspect_journal(disk)
-    assert len(found.writes) == 2 and "promised" in found.damage[0]  # the others can still be exported
-    newer = bytearray(whole)
+    inspection = inspect_journal(disk)
+    assert len(inspection.writes) == 2 and "promised" in inspection.damage[0]  # the others can still be exported
+    newer = bytearray(segment)
     newer[9] = 9
     disk.files[name] = newer
     with pytest.raises(StorageError, match="newer version"):
         Journal(disk).recover()
 
 
-def test_numbers_are_never_given_twice_though_segments_go() -> None:
-    """What an earlier life noted as done must not end a write of this one."""
+def test_record_numbers_are_never_reused_after_segments_are_removed() -> None:
+    """Guards against a completion of an earlier incarnation that completes a later write of the same number."""
     disk, journal = new_journal()
     numbers = [journal.next_number() for _ in range(3)]
     commit_records(journal, disk, *(make_write(n) for n in numbers))
@@ -86,7 +86,7 @@
         assert n in journal.writes
 
 
-def test_space_is_reclaimed_and_live_records_of_old_segments_move_on() -> None:
+def test_reclaim_removes_segments_whose_live_records_were_relocated() -> None:
     disk = FaultyDisk(random.Random(1))
     journal = Journal(disk, 3000)
     journal.recover()
@@ -95,17 +95,17 @@
     assert len(disk.files) > 4
     commit_records(journal, disk, Completion([n for n in range(1, 60) if n not in (3, 30)]))
     journal.reclaim()
-    moved = journal.records_to_relocate()
-    assert [r.number for r in moved] == [3, 30]
-    commit_records(journal, disk, *moved)
+    relocated = journal.records_to_relocate()
+    assert [r.number for r in relocated] == [3, 30]
+    commit_records(journal, disk, *relocated)
     journal.reclaim()
     assert len(disk.files) <= 2
-    again = Journal(disk)
-    again.recover()
-    assert list(again.writes) == [3, 30]
+    recovered = Journal(disk)
+    recovered.recover()
+    assert list(recovered.writes) == [3, 30]
 
 
-def test_a_fenced_folder_and_one_in_use_are_refused(tmp_path: Any) -> None:
+def test_locked_folder_and_fenced_journal_are_rejected(tmp_path: Any) -> None:
     disk = RealDisk(tmp_path)
     disk.acquire_lock()
     with pytest.raises(StorageError, match="in use by another process"):
@@ -120,29 +120,29 @@
 
 @settings(deadline=None)
 @given(WRITES, st.integers(0, 30), st.integers(1, 20), st.integers(0, 12))
-def test_reads_show_the_newest_bytes(rows: list[tuple[int, bytes]], offset: int, length: int, landed: int) -> None:
-    """Against a plain model: the extent as it would be were every write through."""
-    dirty, shelf, model = DirtyWrites(), bytearray(), bytearray()
+def test_reads_return_newest_bytes(rows: list[tuple[int, bytes]], offset: int, length: int, written_back: int) -> None:
+    """Compares reads over dirty writes with a model of the extent to which every write was applied directly."""
+    dirty, node, model = DirtyWrites(), bytearray(), bytearray()
 
-    def apply(to: bytearray, at: int, data: bytes) -> None:
-        if len(to) < at:
-            to += bytes(at - len(to))
-        to[at : at + len(data)] = data
+    def apply(extent: bytearray, at: int, data: bytes) -> None:
+        if len(extent) < at:
+            extent += bytes(at - len(extent))
+        extent[at : at + len(data)] = data
 
     for n, (at, data) in enumerate(rows):
         dirty.add(0.0, make_write(n, offset=at, data=data))
         apply(model, at, data)
-    for _ in range(min(landed, len(rows))):
-        first = next(dirty.ready_writes())
-        dirty.remove(first)
-        apply(shelf, first.offset, first.data)
-    wanted = bytes(model[offset : offset + length])
-    assert dirty.overlay("v", "x", offset, length, bytes(shelf[offset : offset + length])) == wanted
+    for _ in range(min(written_back, len(rows))):
+        write = next(dirty.ready_writes())
+        dirty.remove(write)
+        apply(node, write.offset, write.data)
+    expected = bytes(model[offset : offset + length])
+    assert dirty.overlay("v", "x", offset, length, bytes(node[offset : offset + length])) == expected
     covered = dirty.read_covered("v", "x", offset, length)
-    assert covered is None or covered == wanted
+    assert covered is None or covered == expected
 
 
-def test_order_within_an_extent_and_across_a_barrier() -> None:
+def test_write_back_keeps_order_within_extent_and_across_barrier() -> None:
     dirty = DirtyWrites()
     for n, extent in ((1, "a"), (2, "a"), (3, "b")):
         dirty.add(0.0, make_write(n, extent))
@@ -161,20 +161,22 @@
     )
 
 
-def test_when_writes_go_and_when_no_more_are_taken() -> None:
+def test_policy_delays_write_back_backs_off_and_rejects_writes_at_its_limits() -> None:
     policy, dirty = WritebackPolicy(100, 1000.0, 50.0, 8), DirtyWrites()
     dirty.add(0.0, make_write(1, "a", slot=0))
-    assert policy.due_writes(10.0, dirty) == [] and policy.next_wake_ms(10.0, dirty) == 50.0  # it waits for others
+    assert policy.due_writes(10.0, dirty) == [] and policy.next_wake_ms(10.0, dirty) == 50.0  # the delay of 50 ms
     assert [w.number for w in policy.due_writes(50.0, dirty)] == [1]
     policy.flush("v", 1)
-    assert [w.number for w in policy.due_writes(10.0, dirty)] == [1]  # asked for
+    assert [w.number for w in policy.due_writes(10.0, dirty)] == [1]  # a flush ends the delay
     dirty.in_flight[1] = None
     assert policy.due_writes(60.0, dirty) == []
     del dirty.in_flight[1]
     policy.record_failure(60.0, make_write(1, "a"), 300.0)
-    assert policy.due_writes(200.0, dirty) == [] and policy.next_wake_ms(200.0, dirty) == 360.0  # its shelf is away
+    assert (
+        policy.due_writes(200.0, dirty) == [] and policy.next_wake_ms(200.0, dirty) == 360.0
+    )  # backoff of its storage node
     dirty.add(0.0, make_write(2, "b", slot=1))
-    assert [w.number for w in policy.due_writes(200.0, dirty)] == [2]  # the others' go on
+    assert [w.number for w in policy.due_writes(200.0, dirty)] == [2]  # writes to the other storage node continue
     assert policy.check_write(200.0, dirty, 90, None) is None
     assert "bytes wait" in policy.check_write(200.0, dirty, 95, None).reason
     assert "has waited" in policy.check_write(1500.0, dirty, 1, None).reason
@@ -182,7 +184,7 @@
     assert policy.check_write(200.0, dirty, 1, failure) == WriteRejection("the journal failed", 0.0)
 
 
-def test_after_a_restart_few_go_at_first_and_each_is_looked_for() -> None:
+def test_write_back_after_restart_begins_with_small_window_and_reads_back_first() -> None:
     policy, dirty = WritebackPolicy(1 << 20, 1e9, 50.0, 16), DirtyWrites()
     for n in range(40):
         dirty.add(0.0, make_write(n, f"x{n}", slot=n % 4), maybe_applied=True)
@@ -190,40 +192,45 @@
     for n in range(30):
         policy.record_success(make_write(n, f"x{n}", slot=n % 4))
     assert 6 <= len(policy.due_writes(40.0, dirty)) <= 16
-    one = make_write(1)
-    assert [next_step(one, False, None), next_step(one, True, None)] == [WritebackStep.WRITE, WritebackStep.READ_BACK]
-    steps = [next_step(one, True, b"data"), next_step(one, True, b"else")]
+    write = make_write(1)
+    assert [next_step(write, False, None), next_step(write, True, None)] == [
+        WritebackStep.WRITE,
+        WritebackStep.READ_BACK,
+    ]
+    steps = [next_step(write, True, b"data"), next_step(write, True, b"else")]
     assert steps == [WritebackStep.DONE, WritebackStep.WRITE]
 
 
-def commits(lasts: Any, records: list[Any]) -> tuple[Committer, list[bool]]:
+def run_committer(write_batch: Any, records: list[Any]) -> tuple[Committer, list[bool]]:
+    """Commits records to a new journal; returns the committer and the results that it reported."""
     _, journal = new_journal()
-    committer, told = Committer(journal, lasts), []
+    committer, results = Committer(journal, write_batch), []
     for record in records:
-        committer.add(record, told.append)
+        committer.add(record, results.append)
     asyncio.run(committer.run())
-    return committer, told
+    return committer, results
 
 
-def test_one_sync_serves_all_who_wait() -> None:
+def test_one_sync_commits_all_pending_records() -> None:
     synced: list[Batch] = []
 
-    async def lasts(batch: Batch) -> None:
+    async def write_batch(batch: Batch) -> None:
         synced.append(batch)
 
-    committer, told = commits(lasts, [make_write(n) for n in range(1, 101)])
-    assert told == [True] * 100 and len(synced) == 1 and committer.record_count == 100
+    committer, results = run_committer(write_batch, [make_write(n) for n in range(1, 101)])
+    assert results == [True] * 100 and len(synced) == 1 and committer.record_count == 100
 
 
-def test_a_sync_that_fails_once_is_never_taken_for_one_that_worked() -> None:
-    tries = []
+def test_committer_writes_nothing_after_failed_sync() -> None:
+    """Guards against a retried fsync that succeeds although the data of the failed one is lost."""
+    batches = []
 
-    async def lasts(batch: Batch) -> None:
-        tries.append(batch)
+    async def write_batch(batch: Batch) -> None:
+        batches.append(batch)
         raise OSError(5, "Input/output error")
 
-    committer, told = commits(lasts, [make_write(1), make_write(2)])
-    assert told == [False, False] and "Input/output error" in str(committer.failure)
-    committer.add(make_write(3), told.append)
+    committer, results = run_committer(write_batch, [make_write(1), make_write(2)])
+    assert results == [False, False] and "Input/output error" in str(committer.failure)
+    committer.add(make_write(3), results.append)
     asyncio.run(committer.run())
-    assert told == [False] * 3 and len(tries) == 1  # it was not tried again
+    assert results == [False] * 3 and len(batches) == 1  # no second attempt
