--- a/pebblehinge/platform_settings.py
+++ b/pebblehinge/platform_settings.py
@@ -1,6 +1,6 @@
 """Reads the platform's settings object, which the simulator and a gateway's configuration file share.
 
-Names and units of the object are the platform's; `read_settings` is the table of theirs and the code's.
+The object's names and units are the platform's; `read_settings` maps them to the names and units of the code.
 """
 
 from __future__ import annotations
@@ -24,63 +24,63 @@
 
 
 class PlatformSettingsError(Exception):
-    """The object is not as it should be; the text names the place and what was expected."""
+    """The settings object is invalid; the text names the place and what was expected."""
 
 
 class SettingsReader:
-    """Takes values out of one object of the settings; errors name the value by its place.
+    """Reads values from one object of the settings; errors name a value by its place.
 
     Args:
-        raw: the object, as decoded.
-        place: its place within the whole, empty for the whole itself.
-        whole: what the whole is called in errors.
+        raw: The decoded object.
+        place: Its place within the document, empty for the document itself.
+        document: What errors call the document.
 
     Raises:
         PlatformSettingsError: `raw` is no object. The methods raise it for a value that is missing or of another type.
     """
 
-    def __init__(self, raw: Any, place: str, whole: str = "settings") -> None:
+    def __init__(self, raw: Any, place: str, document: str = "settings") -> None:
         if not isinstance(raw, dict):
-            raise PlatformSettingsError(f"{whole}: {place or 'the whole'} is no object: expected named values")
+            raise PlatformSettingsError(f"{document}: {place or 'the whole'} is no object: expected named values")
         self.raw: dict[str, Any] = raw
         self.place = place
-        self.document = whole
+        self.document = document
 
     def get(self, key: str, kind: type[T], default: T | None = None, scale: float = 1.0) -> T:
         """Returns the value of a key.
 
         Args:
-            key: its name in this object.
-            kind: the type it has to have.
-            default: returned as it is where the key is missing; None where it may not be.
-            scale: what a float is multiplied by.
+            key: Its name in this object.
+            kind: The type that it must have.
+            default: Returned without scaling if the key is missing; None if the key is required.
+            scale: Factor by which a float is multiplied.
         """
-        where = self._place_of(key)
+        place = self._place_of(key)
         if key not in self.raw:
             if default is not None:
                 return default
-            raise PlatformSettingsError(f"{self.document}: {where} is missing: expected {kind.__name__}")
+            raise PlatformSettingsError(f"{self.document}: {place} is missing: expected {kind.__name__}")
         try:
             value: Any = msgspec.convert(self.raw[key], kind)
         except msgspec.ValidationError as error:
-            raise PlatformSettingsError(f"{self.document}: {where}: {error}") from None
+            raise PlatformSettingsError(f"{self.document}: {place}: {error}") from None
         converted: T = value * scale if kind is float else value
         return converted
 
-    def choice(self, key: str, words: dict[str, T], default: str | None = None) -> T:
-        """Returns what the table has for the word under a key, or for the default where the key is missing."""
+    def choice(self, key: str, choices: dict[str, T], default: str | None = None) -> T:
+        """Returns what `choices` has for the word under a key, or for the default if the key is missing."""
         value = self.get(key, str, default)
-        if value not in words:
-            expected = ", ".join(words)
+        if value not in choices:
+            expected = ", ".join(choices)
             raise PlatformSettingsError(f"{self.document}: {self.place}.{key} is {value!r}: expected one of {expected}")
-        return words[value]
+        return choices[value]
 
     def child(self, key: str) -> SettingsReader:
-        """Returns a reader of the object under a key."""
+        """Returns a reader for the object under a key."""
         return SettingsReader(self.get(key, dict), self._place_of(key), self.document)
 
     def rows(self, key: str) -> list[SettingsReader]:
-        """Returns readers of the objects in the list under a key."""
+        """Returns readers for the objects in the list under a key."""
         rows = self.get(key, list)
         return [SettingsReader(row, f"{key}[{i}]", self.document) for i, row in enumerate(rows)]
 
@@ -119,32 +119,33 @@
     """Reads the scheduler's settings.
 
     Args:
-        raw: the platform's object, as decoded.
+        raw: The platform's object, as decoded.
 
     Raises:
-        PlatformSettingsError: a value is missing or not as it should be.
+        PlatformSettingsError: A value is missing or invalid.
     """
-    env = SettingsReader(raw, "")
-    caps = env.child("ceilings")
-    rules = env.child("rules")
-    info = env.child("family_info")
-    habits = SettingsReader(env.get("client_habits", dict, {}), "client_habits")
+    root = SettingsReader(raw, "")
+    ceilings = root.child("ceilings")
+    rules = root.child("rules")
+    family_info = root.child("family_info")
+    client_habits = SettingsReader(root.get("client_habits", dict, {}), "client_habits")
     has_budget = "repeat_ratio" in rules.raw or "min_extra" in rules.raw
-    request_classes = tuple(_read_request_class(row) for row in env.rows("classes"))
-    quota_plans = tuple(_read_quota_plan(row) for row in env.rows("service_levels"))
+    request_classes = tuple(_read_request_class(row) for row in root.rows("classes"))
+    quota_plans = tuple(_read_quota_plan(row) for row in root.rows("service_levels"))
     return Settings(
         request_classes=request_classes,
         quota_plans=quota_plans,
-        mean_units=info.get("mean_units", float),
-        max_units=info.get("most_units", float),
-        share_value=info.get("within_share", float),
-        excess_value=info.get("idle_worth", float),
-        must_request_watch=env.choice("membership_mode", {"push": False, "ask": True}),
-        clients_mark_retries=habits.get("marks_retry", bool, False),
-        cancellation_allowed=caps.get("cancel", bool),
-        max_retry_after_ms=caps.get("max_retry_after_s", float, 0.0, scale=MS_PER_S) * caps.get("retry_after", bool),
-        max_attempts=caps.get("try_limit", int),
-        clock_resolution_ms=env.get("step_s", float, scale=MS_PER_S),
+        mean_units=family_info.get("mean_units", float),
+        max_units=family_info.get("most_units", float),
+        share_value=family_info.get("within_share", float),
+        excess_value=family_info.get("idle_worth", float),
+        must_request_watch=root.choice("membership_mode", {"push": False, "ask": True}),
+        clients_mark_retries=client_habits.get("marks_retry", bool, False),
+        cancellation_allowed=ceilings.get("cancel", bool),
+        max_retry_after_ms=ceilings.get("max_retry_after_s", float, 0.0, scale=MS_PER_S)
+        * ceilings.get("retry_after", bool),
+        max_attempts=ceilings.get("try_limit", int),
+        clock_resolution_ms=root.get("step_s", float, scale=MS_PER_S),
         slow_start_initial_share=rules.get("cold_share", float),
         slow_start_duration_ms=rules.get("warm_after_s", float, scale=MS_PER_S),
         slow_start_failure_multiple=rules.get("fall_multiple", float),
--- a/pebblehinge/scheduler_state/__init__.py
+++ b/pebblehinge/scheduler_state/__init__.py
@@ -1,7 +1,7 @@
-"""State that the scheduler's decisions read and write, with no decision of its own.
+"""State that the scheduler's decisions read and write. No decisions are made here.
 
-The settings in force, the calls on a request's handle, the changes and wake-ups of a call, the node table, the queues
-by key, the token buckets, the LRU cache and the snapshot that one incarnation leaves to the next.
+It holds the settings in force, the calls on a request's handle, the changes and wake-ups of a call, the node table, the
+queues by key, the token buckets, the LRU cache, and the snapshot that one incarnation leaves to the next.
 """
 
 from pebblehinge.scheduler_state.change_set import ChangeSet
--- a/pebblehinge/scheduler_state/key_queues.py
+++ b/pebblehinge/scheduler_state/key_queues.py
@@ -8,7 +8,7 @@
 
 
 class KeyQueues(Generic[T]):
-    """One FIFO queue a key. A queue that empties is forgotten."""
+    """Holds one FIFO queue per key. A queue that becomes empty is removed."""
 
     def __init__(self) -> None:
         self.queues: dict[str, list[T]] = {}
@@ -18,18 +18,18 @@
         self.queues.setdefault(key, []).append(item)
 
     def first(self, key: str) -> T:
-        """Returns the first item of a key's queue.
+        """Returns the first item in the queue of a key.
 
         Raises:
-            KeyError: nothing is queued for the key.
+            KeyError: Nothing is queued for the key.
         """
         return self.queues[key][0]
 
     def remove(self, key: str, item: T) -> T | None:
-        """Removes an item, if it is there; returns the first of those left, None if there are none."""
-        row = self.queues.get(key, [])
-        if item in row:
-            row.remove(item)
-        if not row:
+        """Removes an item, if it is queued, and returns the item that is then first, None if the queue is empty."""
+        queue = self.queues.get(key, [])
+        if item in queue:
+            queue.remove(item)
+        if not queue:
             self.queues.pop(key, None)
-        return row[0] if row else None
+        return queue[0] if queue else None
--- a/pebblehinge/scheduler_state/lru_cache.py
+++ b/pebblehinge/scheduler_state/lru_cache.py
@@ -9,16 +9,19 @@
 
 
 class LruCache(OrderedDict[str, T]):
-    """Holds at most `most` rows; only `use` counts as a use, a plain look-up does not."""
+    """Holds at most `max_rows` rows. Only `get_or_insert` counts as a use; a plain look-up does not."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_rows: int) -> None:
         super().__init__()
-        self.max_rows = most
+        self.max_rows = max_rows
 
-    def get_or_insert(self, key: str, new: T) -> T:
-        """Returns the row of a key, or stores the new one; it is the last used now, and the oldest may be dropped."""
-        found = self.pop(key, None) or new
-        self[key] = found
+    def get_or_insert(self, key: str, default: T) -> T:
+        """Returns the row of a key, after storing the default if there is none.
+
+        The row becomes the most recently used one. If the table is full, the least recently used row is dropped.
+        """
+        row = self.pop(key, None) or default
+        self[key] = row
         if len(self) > self.max_rows:
             self.popitem(last=False)
-        return found
+        return row
--- a/pebblehinge/scheduler_state/settings_view.py
+++ b/pebblehinge/scheduler_state/settings_view.py
@@ -6,7 +6,10 @@
 
 
 class SettingsView:
-    """The settings in force, with look-ups by name and sums. A scheduler's parts share one, so all change at once."""
+    """Holds the settings in force, with look-ups by name and sums.
+
+    All parts of a scheduler share one view, so that new settings apply to all of them at once.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.replace(settings)
--- a/pebblehinge/scheduler_state/snapshot.py
+++ b/pebblehinge/scheduler_state/snapshot.py
@@ -1,6 +1,7 @@
-"""What a scheduler has learned, packed for a later incarnation. Times are ages, since no clock needs to last.
+"""What a scheduler has learned, packed for a later incarnation.
 
-The keys of the packed form are those of the stored file and of the wire; the names here are others.
+Times are packed as ages, since the two incarnations need not share a clock. The keys of the packed form are those of
+the stored file and of the wire, and differ from the names here.
 """
 
 from __future__ import annotations
@@ -13,37 +14,66 @@
 
 
 class NodeSnapshot(NamedTuple):
-    """What an earlier incarnation knew of a node; times in ms on the present clock."""
+    """What an earlier incarnation knew of a node.
+
+    Attributes:
+        random_latency_ms: Moving average over random accesses, 0 if unknown.
+        sequential_latency_ms: The same over sequential accesses.
+        mean_latency_ms: Moving average per request of mean size.
+        mean_updated_ms: When that average was last updated, on the present clock.
+        unrounded_limit: The concurrency limit before rounding.
+        slow_start_since_ms: Start of the slow start on the present clock, None outside one.
+        process: Slot and start of the node's process, None if they were not packed.
+        freshness: How much of it still counts, 0 to 1.
+    """
 
     random_latency_ms: float
     sequential_latency_ms: float
     mean_latency_ms: float
     mean_updated_ms: float
     unrounded_limit: float
-    slow_start_since_ms: float | None  # since when
-    process: tuple[int, float] | None  # its process's slot and start, where that was packed
-    freshness: float  # how much of it still counts, 0 to 1
+    slow_start_since_ms: float | None
+    process: tuple[int, float] | None
+    freshness: float
 
     @classmethod
-    def unpack(cls, row: list[float], life: tuple[int, float] | None, then: float, left: float) -> NodeSnapshot:
-        """Unpacks a node's row.
+    def unpack(
+        cls, row: list[float], process: tuple[int, float] | None, packed_ms: float, freshness: float
+    ) -> NodeSnapshot:
+        """Returns what a node's row tells.
 
         Args:
-            row: the node's figures as `pack` wrote them; ages are before `then`, under 0 is none.
-            life: slot of its process and age of its start; None in snapshots of older versions.
-            then: when it was packed, ms on the present clock.
-            left: how much of it still counts, 0 to 1.
+            row: The node's figures as `pack_snapshot` wrote them; ages are before `packed_ms`, negative for none.
+            process: Slot of its process and age of its start; None in snapshots of older versions.
+            packed_ms: When it was packed, in milliseconds on the present clock.
+            freshness: How much of it still counts, 0 to 1.
         """
         random_ms, sequential_ms, mean_ms, mean_age_ms, unrounded_limit, slow_start_age_ms = row
-        if life is not None:
-            slot, start_age_ms = life
-            life = None if slot < 0 else (slot, then - start_age_ms if start_age_ms >= 0 else 0.0)
-        slow_start_ms = then - slow_start_age_ms if slow_start_age_ms >= 0 else None
-        return cls(random_ms, sequential_ms, mean_ms, then - mean_age_ms, unrounded_limit, slow_start_ms, life, left)
+        if process is not None:
+            slot, start_age_ms = process
+            process = None if slot < 0 else (slot, packed_ms - start_age_ms if start_age_ms >= 0 else 0.0)
+        since_ms = packed_ms - slow_start_age_ms if slow_start_age_ms >= 0 else None
+        return cls(
+            random_ms,
+            sequential_ms,
+            mean_ms,
+            packed_ms - mean_age_ms,
+            unrounded_limit,
+            since_ms,
+            process,
+            freshness,
+        )
 
 
 class FleetStatistics(NamedTuple):
-    """What a scheduler knows of all nodes and requests together."""
+    """What a scheduler knows of all nodes and requests together.
+
+    Attributes:
+        mean_ms: Mean latency over all nodes.
+        mean_updated_ms: When that mean was last updated.
+        low_quartile_ms: Lower quartile of the latencies of all nodes.
+        mean_value_per_unit: Moving average over requests.
+    """
 
     mean_ms: float
     mean_updated_ms: float
@@ -51,8 +81,8 @@
     mean_value_per_unit: float
 
 
-def _age_or_none(now: float, since: float | None) -> float:
-    return -1.0 if since is None else now - since
+def _age_or_minus_1(now: float, since_ms: float | None) -> float:
+    return -1.0 if since_ms is None else now - since_ms
 
 
 def pack_snapshot(
@@ -60,30 +90,30 @@
     nodes: NodeTable[Any],
     fleet: FleetStatistics,
     think_times: dict[str, dict[int, float]],
-    limits: dict[str, TokenBuckets],
-    retries: deque[float],
+    volume_buckets: dict[str, TokenBuckets],
+    retry_times_ms: deque[float],
 ) -> dict[str, Any]:
-    """Packs what is to be known to a later incarnation, as plain values.
+    """Packs what a later incarnation needs to know, as plain values.
 
     Args:
-        now: clock, ms.
-        nodes: the node table.
-        fleet: figures over all nodes.
-        think_times: by extent, the counts by bucket.
-        limits: token buckets by volume.
-        retries: when the retries that the retry budget still counts were sent, ms.
+        now: Current time in milliseconds.
+        nodes: The node table.
+        fleet: Statistics over all nodes.
+        think_times: Counts of think times by bucket, for each extent.
+        volume_buckets: Token buckets by volume.
+        retry_times_ms: When the retries that the retry budget still counts were sent.
 
     Returns:
-        The stored form: nodes' figures and processes, the fleet's, think times, limits and retries.
+        The stored form: figures and processes of nodes, statistics of the fleet, think times, limits and retries.
     """
-    known = {
+    node_figures = {
         name: [
             nodes.random_latency_ms[index],
             nodes.sequential_latency_ms[index],
             nodes.mean_latency_ms[index],
             now - nodes.mean_updated_ms[index],
             nodes.unrounded_limit[index],
-            _age_or_none(now, nodes.slow_start_since_ms[index]),
+            _age_or_minus_1(now, nodes.slow_start_since_ms[index]),
         ]
         for index, name in enumerate(nodes.names)
         if nodes.mean_latency_ms[index] or nodes.slow_start_since_ms[index] is not None
@@ -91,13 +121,15 @@
     processes = {
         name: [nodes.slots[index], now - nodes.started_ms[index] if nodes.started_ms[index] else -1.0]
         for name, index in nodes.index.items()
-        if name in known
+        if name in node_figures
     }
     return {
-        "shelfs": known,
+        "shelfs": node_figures,
         "lives": processes,
         "every": [fleet.mean_ms, now - fleet.mean_updated_ms, fleet.low_quartile_ms, fleet.mean_value_per_unit],
         "thinks": think_times,
-        "limits": {volume: [buckets.limit_tokens, now - buckets.filled_until_ms] for volume, buckets in limits.items()},
-        "further": [now - sent_ms for sent_ms in retries],
+        "limits": {
+            volume: [buckets.limit_tokens, now - buckets.filled_until_ms] for volume, buckets in volume_buckets.items()
+        },
+        "further": [now - sent_ms for sent_ms in retry_times_ms],
     }
--- a/pebblehinge/wirehost/__init__.py
+++ b/pebblehinge/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler on the simulator's wire: `python -m pebblehinge.wirehost` serves it on standard input and output."""
+"""The scheduler on the simulator's wire protocol: `python -m pebblehinge.wirehost` serves it on stdin and stdout."""
--- a/pebblehinge/wirehost/__main__.py
+++ b/pebblehinge/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the gateways of one process on the simulator's wire, from standard input to standard output."""
+"""Serves the gateways of one process on the simulator's wire protocol, from standard input to standard output."""
 
 import sys
 
--- a/pebblehinge/wirehost/codec.py
+++ b/pebblehinge/wirehost/codec.py
@@ -1,6 +1,6 @@
-"""Reads and writes the lines of the simulator's wire. No decisions are taken here.
+"""Reads and writes the lines of the simulator's wire protocol. No decisions are made here.
 
-A line is the name of a message and its fields, separated by single spaces; the last field takes the rest of the line.
+A line holds the name of a message and its fields, separated by single spaces; the last field is the rest of the line.
 """
 
 from __future__ import annotations
@@ -32,28 +32,28 @@
     "failed": ListKind.FAILED,
 }
 MS_PER_S = 1000.0
-RETRY_BIT = 2  # of an ARRIVAL's options
+RETRY_OPTION_BIT = 2  # of an ARRIVAL's options: the client marked the request as a retry
 DISCOVERY_CALL_LINES = {DiscoveryCall.WATCH: "LISTEN 1"}
 
 
 class WireError(Exception):
-    """A line that is not what the wire allows; the text says what was expected."""
+    """A line that the wire protocol does not allow; the text says what was expected."""
 
 
 class Message(Enum):
     """The messages that the simulator sends; the values are their names on the wire."""
 
-    BATCH = "BATCH"  # begins a batch, at a time
-    FOR = "FOR"  # the following lines are for this instance
+    BATCH = "BATCH"  # begins a batch and sets the clock
+    FOR = "FOR"  # names the instance that the following lines are for
     HELLO = "HELLO"  # starts an instance
     DESTROY = "DESTROY"  # ends an instance
     MANIFEST = "MANIFEST"  # begins an endpoint list
-    ROW = "ROW"  # a line of it
-    SYNC = "SYNC"  # an instance gets an endpoint list
+    ROW = "ROW"  # one line of an endpoint list
+    SYNC = "SYNC"  # gives an endpoint list to an instance
     ARRIVAL = "ARRIVAL"  # a client's request
-    HEADERS = "HEADERS"  # an attempt's answer has begun
+    HEADERS = "HEADERS"  # an attempt's response has started
     VERDICT = "VERDICT"  # an attempt's outcome
-    HANGUP = "HANGUP"  # a client is gone
+    HANGUP = "HANGUP"  # a client has disconnected
     TICK_DUE = "TICK_DUE"  # a timer has fired
     ECHO = "ECHO"  # the outcome of a health check
     FROM_PEER = "FROM_PEER"  # gossip
@@ -65,8 +65,8 @@
     """How a field is read.
 
     Attributes:
-        reader: gives the value of a field's text; ValueError or KeyError where the text is not allowed.
-        expected: what is allowed, for error messages.
+        reader: Returns the value of a field's text; raises ValueError or KeyError if the text is not allowed.
+        expected: What is allowed, for error messages.
     """
 
     reader: Callable[[str], Any]
@@ -97,7 +97,7 @@
 
 
 def _or_absent(reader: Callable[[str], Any], absent: Any) -> Callable[[str], Any]:
-    """Returns a reader that takes "-" for a value that is absent."""
+    """Returns a reader that reads "-" as the value `absent`."""
 
     def read(text: str) -> Any:
         return absent if text == "-" else reader(text)
@@ -111,7 +111,7 @@
 
 INTEGER = FieldType(int, "a whole number")
 INTEGER_OR_0 = FieldType(_or_absent(int, 0), "a whole number or -")
-SECONDS = FieldType(_milliseconds, "a time in seconds")  # read as milliseconds
+SECONDS = FieldType(_milliseconds, "a time in seconds")  # converted to milliseconds
 SECONDS_OR_0 = FieldType(_or_absent(_milliseconds, 0.0), "a time in seconds or -")
 NUMBER = FieldType(_finite, "a number")
 NUMBER_OR_0 = FieldType(_or_absent(_finite, 0.0), "a number or -")
@@ -120,7 +120,7 @@
 NAME_OR_NONE = FieldType(_or_absent(_name, None), "a name or -")
 TEXT = FieldType(str, "text")
 
-# For each message its fields in order: what each is called on the wire, and its type.
+# The fields of each message in order: their names on the wire and their types.
 MESSAGES: dict[Message, tuple[tuple[str, FieldType], ...]] = {
     Message.BATCH: (("clock", SECONDS),),
     Message.FOR: (("head", NAME),),
@@ -179,45 +179,45 @@
     """Reads one line.
 
     Returns:
-        Its message and the values of its fields, in order.
+        Its message, and the values of its fields in order.
 
     Raises:
-        WireError: the message is unknown, or a field is missing or not as it should be.
+        WireError: The message is unknown, or a field is missing or invalid.
     """
-    word, _, rest = line.partition(" ")
-    message = MESSAGES_BY_NAME.get(word)
+    name, _, rest = line.partition(" ")
+    message = MESSAGES_BY_NAME.get(name)
     if message is None:
-        raise WireError(f"unknown message {word!r}: expected one of {', '.join(MESSAGES_BY_NAME)}")
+        raise WireError(f"unknown message {name!r}: expected one of {', '.join(MESSAGES_BY_NAME)}")
     fields = MESSAGES[message]
     parts = rest.split(" ", len(fields) - 1) if fields and rest else []
     if len(parts) != len(fields) or (not fields and rest):
-        wanted = " ".join(field for field, _ in fields) or "no values"
-        raise WireError(f"{word} holds {len(parts)} values: expected {len(fields)} ({wanted})")
+        expected = " ".join(field for field, _ in fields) or "no values"
+        raise WireError(f"{name} holds {len(parts)} values: expected {len(fields)} ({expected})")
     values = []
-    for (field, kind), part in zip(fields, parts, strict=True):
+    for (field, field_type), part in zip(fields, parts, strict=True):
         try:
-            values.append(kind.reader(part))
+            values.append(field_type.reader(part))
         except (ValueError, KeyError):
-            raise WireError(f"{word}: {field} is {part[:60]!r}: expected {kind.expected}") from None
+            raise WireError(f"{name}: {field} is {part[:60]!r}: expected {field_type.expected}") from None
     return message, values
 
 
 def read_entry(values: list[Any]) -> EndpointEntry:
-    """Returns the line of an endpoint list that a ROW's values state."""
-    _, node, started_ms, standing, slot, _, _ = values
-    return EndpointEntry(node, standing, slot, started_ms)
+    """Returns the entry of an endpoint list that a ROW's values hold."""
+    _, node_name, started_ms, state, slot, _, _ = values
+    return EndpointEntry(node_name, state, slot, started_ms)
 
 
-def seconds(ms: float) -> str:
-    """Returns a time in ms as the wire has it: seconds, to the microsecond."""
+def format_seconds(ms: float) -> str:
+    """Returns a time in milliseconds as text on the wire: seconds, to the microsecond."""
     return f"{ms / MS_PER_S:.6f}"
 
 
-def write_answer(request_id: int, final: FinalAnswerKind, stay_away_ms: float) -> str:
-    """Returns the line of a final answer; a Retry-After of 0 ms is none."""
-    if final is FinalAnswerKind.FAILED:
+def write_answer(request_id: int, kind: FinalAnswerKind, retry_after_ms: float) -> str:
+    """Returns the line of a final answer; a Retry-After of 0 ms means none."""
+    if kind is FinalAnswerKind.FAILED:
         return f"REPORT_FAILURE {request_id}"
-    retry_after = seconds(stay_away_ms) if stay_away_ms > 0 else "-"
+    retry_after = format_seconds(retry_after_ms) if retry_after_ms > 0 else "-"
     return f"NOT_NOW {request_id} {retry_after}"
 
 
@@ -225,10 +225,10 @@
     """Reads the settings of an instance.
 
     Args:
-        text: the JSON object that HELLO holds.
+        text: The JSON object that HELLO holds.
 
     Raises:
-        WireError: it is no JSON, or a value is not as it should be.
+        WireError: It is not JSON, or a value is missing or invalid.
     """
     try:
         return platform_settings.read_settings(msgspec.json.decode(text))
--- a/pebblehinge/wirehost/loop.py
+++ b/pebblehinge/wirehost/loop.py
@@ -1,4 +1,4 @@
-"""The loop of the adapter: turns batches of lines into calls on schedulers, and what these change into lines."""
+"""The adapter's main loop: turns batches of lines into scheduler calls, and what these change into lines."""
 
 from __future__ import annotations
 
@@ -13,13 +13,20 @@
 
 
 class Instance:
-    """One gateway of this process: its scheduler, and the requests that may still get events."""
+    """One gateway of this process.
+
+    Attributes:
+        scheduler: Its scheduler.
+        requests: The requests that may still get events, by their number on the wire.
+        timer_due_ms: When the earliest timer that is set is due, None without one.
+        timer_cookie: The number of the last timer.
+    """
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self.requests: dict[int, Request] = {}
-        self.timer_due_ms: float | None = None  # the earliest timer that is set
-        self.timer_cookie = 0  # its cookie
+        self.timer_due_ms: float | None = None
+        self.timer_cookie = 0
 
     def handle_event(
         self, message: Message, values: list[Any], now: float, lists: dict[int, list[EndpointEntry]]
@@ -27,43 +34,43 @@
         """Passes a message to the scheduler.
 
         Args:
-            message: any but those that the process handles itself.
-            values: its fields, as `codec.read_line` gives them.
-            now: clock, ms.
-            lists: the endpoint lists of the wire, by number.
+            message: Any message that the process does not handle itself.
+            values: Its fields, as `codec.read_line` returns them.
+            now: Current time in milliseconds.
+            lists: The endpoint lists of the wire, by number.
 
         Returns:
             What it changed; None if the scheduler was not called.
 
         Raises:
-            WireError: the message names something that is not there.
+            WireError: The message names something unknown.
         """
         if message is Message.ARRIVAL:
             return self._submit(values, now)
         if message is Message.SYNC:
             return self._apply_endpoint_list(values, now, lists)
         if message is Message.TICK_DUE:
-            if values[0] == self.timer_cookie:  # any other was replaced by an earlier one
+            if values[0] == self.timer_cookie:  # any other timer was replaced by an earlier one
                 self.timer_due_ms = None
             return self.scheduler.on_wake_up(now)
         if message in (Message.VERDICT, Message.HEADERS, Message.HANGUP):
             return self._handle_request_event(message, values, now)
-        return None  # the scheduler sends no health checks and has no peers
+        return None  # the scheduler sends no health checks and exchanges no gossip
 
     def _submit(self, values: list[Any], now: float) -> Changes:
         scheduler = self.scheduler
-        tid, extent, request_class, quota_plan, options, set_size, slot, units, volume, deadline_ms = values
-        for field, name, known in (
+        request_id, extent, request_class, quota_plan, options, set_size, slot, units, volume, deadline_ms = values
+        for field, name, known_names in (
             ("tier_class", request_class, list(scheduler.settings.request_classes)),
             ("tier", quota_plan, list(scheduler.settings.quota_plans)),
         ):
-            if name not in known:
-                raise WireError(f"ARRIVAL: {field} is {name!r}: expected one of {', '.join(known)}")
-        repeat = bool(options & codec.RETRY_BIT) if scheduler.settings.current.clients_mark_retries else None
+            if name not in known_names:
+                raise WireError(f"ARRIVAL: {field} is {name!r}: expected one of {', '.join(known_names)}")
+        is_retry = bool(options & codec.RETRY_OPTION_BIT) if scheduler.settings.current.clients_mark_retries else None
         request, changes = scheduler.submit(
-            now, tid, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, repeat
+            now, request_id, extent, request_class, quota_plan, volume, set_size, slot, units, deadline_ms, is_retry
         )
-        self.requests[tid] = request
+        self.requests[request_id] = request
         return changes
 
     def _apply_endpoint_list(self, values: list[Any], now: float, lists: dict[int, list[EndpointEntry]]) -> Changes:
@@ -77,10 +84,10 @@
     def _handle_request_event(self, message: Message, values: list[Any], now: float) -> Changes | None:
         request = self.requests.get(values[0])
         if request is None:
-            return None  # over already, and nothing of it is in flight
+            return None  # it is closed, and no attempt of it is in flight
         if message is Message.VERDICT:
-            _, attempt, _, outcome, over, _, _, took_ms, _ = values
-            changes = request.on_attempt_end(now, attempt, outcome, over, took_ms)
+            _, attempt, _, outcome, answered, _, _, took_ms, _ = values
+            changes = request.on_attempt_end(now, attempt, outcome, answered, took_ms)
         elif message is Message.HEADERS:
             changes = request.on_response_start(now)
         else:
@@ -91,45 +98,58 @@
         return changes
 
     def format_changes(self, changes: Changes, now: float) -> list[str]:
-        """Returns the lines that say what a call changed, and forgets the requests that are over."""
+        """Returns the lines that tell what a call changed, and drops closed requests with no attempt in flight."""
         lines = []
         for request in changes.handles:
             attempts, cancellations, answer = request.drain()
-            lines += [f"SUBMIT_TO {request.id} {sent.node_name} {codec.seconds(sent.deadline_ms)}" for sent in attempts]
-            lines += [f"ABORT_ATTEMPT {request.id} {attempt}" for attempt in cancellations]
+            lines += [
+                f"SUBMIT_TO {request.id} {attempt.node_name} {codec.format_seconds(attempt.deadline_ms)}"
+                for attempt in attempts
+            ]
+            lines += [f"ABORT_ATTEMPT {request.id} {number}" for number in cancellations]
             if answer is not None:
                 lines.append(codec.write_answer(request.id, answer.kind, answer.retry_after_ms))
             if request.closed and not request.attempt_in_flight:
                 self.requests.pop(request.id, None)
         lines += [codec.DISCOVERY_CALL_LINES[call] for call in changes.discovery_calls]
-        wake = changes.wake_ms
-        if wake is not None and (self.timer_due_ms is None or wake < self.timer_due_ms):
-            self.timer_due_ms = max(wake, now)
+        wake_ms = changes.wake_ms
+        if wake_ms is not None and (self.timer_due_ms is None or wake_ms < self.timer_due_ms):
+            self.timer_due_ms = max(wake_ms, now)
             self.timer_cookie += 1
-            lines.append(f"TIMER {codec.seconds(self.timer_due_ms - now)} {self.timer_cookie}")
+            lines.append(f"TIMER {codec.format_seconds(self.timer_due_ms - now)} {self.timer_cookie}")
         return lines
 
 
 class Process:
-    """All gateways of this process. They share nothing but the numbered endpoint lists of the wire."""
+    """All gateways of this process. They share nothing but the numbered endpoint lists of the wire.
+
+    Attributes:
+        instances: The gateways by name.
+        lists: The endpoint lists by number.
+        clock: Time of the current batch, in milliseconds.
+        current_instance: The instance that the lines are addressed to.
+        reply: The lines of the current batch's answer so far.
+        reply_source: The instance that the last lines of the reply come from.
+        partial_list: The endpoint list that is being read, and its expected length.
+    """
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
         self.lists: dict[int, list[EndpointEntry]] = {}
         self.clock = 0.0
-        self.current_instance: str | None = None  # the instance that the lines are addressed to
+        self.current_instance: str | None = None
         self.reply: list[str] = []
-        self.reply_source: str | None = None  # the instance that the reply's lines come from
-        self.partial_list: tuple[list[EndpointEntry], int] | None = None  # the list that is being read, and its length
+        self.reply_source: str | None = None
+        self.partial_list: tuple[list[EndpointEntry], int] | None = None
 
     def process_line(self, text: str) -> bool:
-        """Takes one line, without its end; `reply` then holds the lines of the batch's answer so far.
+        """Processes one line, without its line end, and appends to `reply` what the instances answer.
 
         Returns:
-            Whether it closes the batch.
+            Whether it ends the batch.
 
         Raises:
-            WireError: the line is not what the wire allows at this place.
+            WireError: The wire protocol does not allow the line here.
         """
         message, values = codec.read_line(text)
         if self.partial_list is not None:
@@ -152,11 +172,13 @@
 
     def _read_row(self, message: Message, values: list[Any]) -> None:
         assert self.partial_list is not None
-        entries, wanted = self.partial_list
+        entries, expected_length = self.partial_list
         if message is not Message.ROW:
-            raise WireError(f"{message.value} after {len(entries)} entries of a list: expected {wanted} ROW lines")
+            raise WireError(
+                f"{message.value} after {len(entries)} entries of a list: expected {expected_length} ROW lines"
+            )
         entries.append(codec.read_entry(values))
-        if len(entries) == wanted:
+        if len(entries) == expected_length:
             self.partial_list = None
 
     def _handle_event(self, message: Message, values: list[Any]) -> None:
@@ -189,21 +211,21 @@
         self.reply += lines
 
 
-def _answer(sink: BinaryIO, lines: list[str]) -> None:
+def _write_reply(sink: BinaryIO, lines: list[str]) -> None:
     sink.write(("\n".join([*lines, "READY"]) + "\n").encode())
     sink.flush()
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answers batches until the input ends. A line that is not understood ends it with one message.
+    """Answers batches until the input ends. An invalid line ends the process with one error message.
 
     Args:
-        source: lines of the simulator.
-        sink: gets the answer of each batch.
-        errors: gets the message.
+        source: Lines of the simulator.
+        sink: Receives the answer to each batch.
+        errors: Receives the error message.
 
     Returns:
-        The process's exit status.
+        The exit status of the process.
     """
     process = Process()
     for number, raw in enumerate(source, 1):
@@ -216,7 +238,7 @@
             print(f"pebblehinge: {message}", file=errors)
             if process.current_instance is not None:
                 process.reply += [f"SOURCE {process.current_instance}", f"FAULT {message}"]
-            _answer(sink, process.reply)
+            _write_reply(sink, process.reply)
             return EXIT_WIRE_ERROR
-        _answer(sink, process.reply)
+        _write_reply(sink, process.reply)
     return 0
