--- a/pebblehinge/decide/__init__.py
+++ b/pebblehinge/decide/__init__.py
@@ -1,4 +1,15 @@
-"""All scheduling decisions. How they are called stands in interface.py; the way of a request in dispatch.py."""
+"""All scheduling decisions. `interface.py` says how they are called, and `dispatch.py` shows the path of a request.
+
+Comments refer to the platform's seven rules by number:
+
+1. Each request gets its final answer by its deadline.
+2. No request runs twice unless that is harmless (idempotency).
+3. Nothing is sent to a storage node that is draining or gone.
+4. A storage node in a slow start gets no more load than it can handle.
+5. No volume exceeds its rate limit.
+6. Requests of an ordered class run one at a time per extent, in order of arrival.
+7. Retries stay within the retry budget.
+"""
 
 from pebblehinge.decide.dispatch import NEVER_RAN_OUTCOMES
 from pebblehinge.decide.node_health import MAX_CONCURRENCY
--- a/pebblehinge/decide/load_shedding.py
+++ b/pebblehinge/decide/load_shedding.py
@@ -1,4 +1,4 @@
-"""Which requests are given up, and with what answer."""
+"""Decides which requests are given up, and with what final answer."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from pebblehinge.decide.request import EPSILON, ExtentState, Request
 from pebblehinge.interface import DeduplicationScope, FinalAnswer, FinalAnswerKind, Idempotency
 
-IDLE_LATENCY_QUARTILES = 1.7  # latency of an idle node, in lower quartiles of the latencies of all nodes
-VALUE_EXPONENT = 2.0  # exponent: how much more room to spare is asked of what earns less than usual
+IDLE_LATENCY_QUARTILES = 1.7  # latency of an idle node, as a multiple of the lower quartile over all nodes
+VALUE_EXPONENT = 2.0  # how steeply the time to spare that a request needs grows as its value falls
 
 
 class LoadShedder:
     """Gives up queued requests that can't be answered in time, and closes requests.
 
     Args:
-        limits: when a request may be sent.
-        extents: what is known of extents.
+        limits: Tell when a request may be sent.
+        extents: What is known of extents.
     """
 
     def __init__(self, limits: Limits, extents: dict[str, ExtentState]) -> None:
@@ -32,54 +32,56 @@
     def shed(self, node: int, now: float) -> None:
         """Sheds load at a node.
 
-        Each queued request is placed at the time its turn should end; where one would miss its due time, the one
-        among it and those before it that earns least for the work is given up. One that can no longer be in time by
-        itself counts with its late value, due when the client leaves. Many gateways share a node and each queues
-        little to choose from: what earns less than usual here needs more room to spare, what earns more needs less.
-        Harm: some are given up that the node could have served.
+        For each queued request the expected end of its turn is computed. If it would miss its due time, the request
+        with the least value per unit among it and those before it is given up. A request that would be late even
+        without the others counts with its late value instead, and is due when its client leaves. Many gateways share a
+        node, and each has few queued requests to choose from, so a request of less than the usual value needs more time
+        to spare, and one of more value needs less. Trade-off: some requests are given up that the node could have
+        served.
         """
-        shelfs = self.nodes
-        queued = shelfs.queues[node]
-        mean_ms = shelfs.mean_latency(node, now)
-        concurrency_limit = shelfs.concurrency_limit[node]
+        nodes = self.nodes
+        queued = nodes.queues[node]
+        mean_ms = nodes.mean_latency(node, now)
+        concurrency_limit = nodes.concurrency_limit[node]
         if not queued:
             return
-        idle_ms = min(mean_ms, IDLE_LATENCY_QUARTILES * shelfs.low_quartile_ms)
-        is_down = shelfs.is_down(node, now)
-        room = concurrency_limit - len(shelfs.in_flight[node])
+        idle_ms = min(mean_ms, IDLE_LATENCY_QUARTILES * nodes.low_quartile_ms)
+        is_down = nodes.is_down(node, now)
+        free_places = concurrency_limit - len(nodes.in_flight[node])
         position = 0
-        least: list[tuple[float, float, int, Request]] = []  # a heap of those up to position, once one must go
-        if is_down and now < shelfs.next_probe_ms[node]:
+        # Heap of the requests up to `position`, the least valuable first; built once one of them has to be given up.
+        least_valuable: list[tuple[float, float, int, Request]] = []
+        if is_down and now < nodes.next_probe_ms[node]:
             self._give_up_all(node)
             return
         while position < len(queued):
             request = queued[position]
-            ready_ms = self.limits.earliest_send_ms(request, now)
-            value = self.valuation.mean_value_per_unit / max(request.value_per_unit, EPSILON)
-            needs_ms = request.relative_duration * (idle_ms + (mean_ms - idle_ms) * value**VALUE_EXPONENT)
-            if ready_ms > now and ready_ms + needs_ms > request.due_ms:  # at whatever cost to others
+            earliest_ms = self.limits.earliest_send_ms(request, now)
+            inverse_value = self.valuation.mean_value_per_unit / max(request.value_per_unit, EPSILON)
+            required_ms = request.relative_duration * (idle_ms + (mean_ms - idle_ms) * inverse_value**VALUE_EXPONENT)
+            if earliest_ms > now and earliest_ms + required_ms > request.due_ms:  # late even without the others
                 self.give_up(request, "too late by " + request.delay_reason)
                 continue
-            if now + needs_ms >= request.due_ms and request.due_ms < request.deadline_ms:
-                # Late value takes only capacity that nobody else wants.
-                self._lower_to_late_value(request, room <= 0 or self._is_narrowed(node))
+            if now + required_ms >= request.due_ms and request.due_ms < request.deadline_ms:
+                # A late answer may only use capacity that no other request needs.
+                self._lower_to_late_value(request, free_places <= 0 or self._is_limited(node))
                 continue
-            if least:
-                heapq.heappush(least, (request.value_per_unit, -request.due_ms, -request.seq, request))
+            if least_valuable:
+                heapq.heappush(least_valuable, (request.value_per_unit, -request.due_ms, -request.seq, request))
             while request.is_queued and (
                 (is_down and position)
                 or now >= request.deadline_ms
-                or now + needs_ms + mean_ms * max(0, position + 1 - room) / concurrency_limit > request.due_ms
+                or now + required_ms + mean_ms * max(0, position + 1 - free_places) / concurrency_limit > request.due_ms
             ):
-                if not least:
-                    least = [(r.value_per_unit, -r.due_ms, -r.seq, r) for r in queued[: position + 1]]
-                    heapq.heapify(least)
-                victim = heapq.heappop(least)[-1]
-                expired = now >= victim.deadline_ms
-                self.give_up(victim, "its time is up" if expired else "others earn more there")
+                if not least_valuable:
+                    least_valuable = [(r.value_per_unit, -r.due_ms, -r.seq, r) for r in queued[: position + 1]]
+                    heapq.heapify(least_valuable)
+                victim = heapq.heappop(least_valuable)[-1]
+                is_expired = now >= victim.deadline_ms
+                self.give_up(victim, "its time is up" if is_expired else "others earn more there")
                 position -= victim is not request
             position += request.is_queued
-        if queued:  # rule 1: whichever node a request has been queued at, the next end is asked for there
+        if queued:  # rule 1: requests a wake-up for the next due time or deadline at this node
             self.change_set.request_wake_up(
                 min(r.deadline_ms if r.due_ms >= r.deadline_ms else r.due_ms for r in queued), node
             )
@@ -88,12 +90,12 @@
         for request in list(self.nodes.queues[node]):
             self.give_up(request, "its shelf is down")
 
-    def _is_narrowed(self, node: int) -> bool:
-        """Whether a node with attempts in flight gets fewer at once than a healthy one."""
+    def _is_limited(self, node: int) -> bool:
+        """Returns whether a node has attempts in flight and gets fewer at once than a healthy one."""
         return self.nodes.concurrency_limit[node] < MAX_CONCURRENCY and bool(self.nodes.in_flight[node])
 
     def _lower_to_late_value(self, request: Request, give_up: bool) -> None:
-        """Queues a request that will be late anew by its late value, or gives it up."""
+        """Requeues a request that will be late, with its late value, or gives it up."""
         if give_up:
             self.give_up(request, "its shelf is too slow for it")
             return
@@ -103,30 +105,30 @@
         request.value_per_unit *= request.request_class.late_value_share
         insort(queued, request)
 
-    def give_up(self, request: Request, why: str) -> None:
-        """Gives the final answer at once: rejected where the client's retry is harmless, else failed.
+    def give_up(self, request: Request, reason: str) -> None:
+        """Gives the final answer at once: rejected if a retry by the client is harmless, failed otherwise.
 
-        A rejection comes with a Retry-After that is drawn, so that clients don't come back in step.
+        The Retry-After of a rejection is drawn at random, so that clients do not come back all at once.
         """
-        repeat = request.request_class.idempotency
-        group = request.request_class.deduplication_scope
-        harmless = (
+        idempotency = request.request_class.idempotency
+        scope = request.request_class.deduplication_scope
+        is_retry_harmless = (
             (request.may_have_run_since_ms is None and not request.attempt_in_flight)
-            or repeat is Idempotency.IDEMPOTENT
-            or (repeat is Idempotency.IDEMPOTENT_WITH_KEY and group is DeduplicationScope.ALL)
+            or idempotency is Idempotency.IDEMPOTENT
+            or (idempotency is Idempotency.IDEMPOTENT_WITH_KEY and scope is DeduplicationScope.ALL)
         )
-        stay_away_ms = self.nodes.settings.current.max_retry_after_ms * self.nodes.rng.uniform(0.5, 1.0)
+        retry_after_ms = self.nodes.settings.current.max_retry_after_ms * self.nodes.rng.uniform(0.5, 1.0)
         request.answer = (
-            FinalAnswer(FinalAnswerKind.REJECTED, stay_away_ms, why)
-            if harmless
-            else FinalAnswer(FinalAnswerKind.FAILED, reason=why)
+            FinalAnswer(FinalAnswerKind.REJECTED, retry_after_ms, reason)
+            if is_retry_harmless
+            else FinalAnswer(FinalAnswerKind.FAILED, reason=reason)
         )
         self.valuation.refund(request)
         self.change_set.add_handle(request)
         self.close(request)
 
     def close(self, request: Request) -> None:
-        """Nothing more is owed to the client: takes the request out of its queue and of its extent's count."""
+        """Closes a request to whose client nothing more is owed: removes it from its queue and its extent's count."""
         if request.is_queued:
             self.nodes.queues[request.node].remove(request)
             request.is_queued = False
--- a/pebblehinge/decide/valuation.py
+++ b/pebblehinge/decide/valuation.py
@@ -1,4 +1,4 @@
-"""What a request is worth, by what its volume is due, and what its volume's limit has left."""
+"""The value of requests by the quota of their volume, and what is left of each volume's rate limit."""
 
 from __future__ import annotations
 
@@ -8,31 +8,38 @@
 from pebblehinge.decide.request import EPSILON, MAX_CACHE_ENTRIES, Request
 from pebblehinge.scheduler_state import SettingsView, TokenBuckets
 
-SHARE_RATE_MULTIPLE = 3.0  # a volume's share beyond its reserve, by weight, as a multiple of the plans' usual rates
-MAIN_GATEWAY_PARTS = 3.0  # what a volume's main gateway gets of it, in even parts
-MIN_IDLE_BEFORE_EVICTION_MS = 60_000.0  # a volume that has been at rest for so long may be forgotten
+# Rate of a volume's share beyond its reserved rate, by weight, as a multiple of the plans' usual rates.
+SHARE_RATE_MULTIPLE = 3.0
+MAIN_GATEWAY_PARTS = 3.0  # how many of `set_size` equal parts of a volume's rates its main gateway gets
+MIN_IDLE_BEFORE_EVICTION_MS = 60_000.0  # the buckets of a volume that was idle for longer may be dropped
 
 
 class Valuation:
-    """Values requests; keeps each volume's token buckets.
+    """Sets the value of requests, and keeps the token buckets of each volume.
 
     Args:
-        settings: the settings in force.
-        now: clock, ms.
+        settings: The settings in force.
+        now: Current time in milliseconds.
+
+    Attributes:
+        limits_known_since_ms: Time since when the limit of a volume without buckets has filled for certain.
+        buckets: Token buckets by volume, the least recently used first.
+        mean_value_per_unit: Moving average over requests.
     """
 
     def __init__(self, settings: SettingsView, now: float) -> None:
         self.settings = settings
-        self.limits_known_since_ms = now  # since when the limit of a volume that is not in buckets has surely filled
-        self.buckets: OrderedDict[str, TokenBuckets] = OrderedDict()  # by volume, the least recently used first
-        self.mean_value_per_unit = 0.0  # moving average over requests
+        self.limits_known_since_ms = now
+        self.buckets: OrderedDict[str, TokenBuckets] = OrderedDict()
+        self.mean_value_per_unit = 0.0
 
     def refill(self, request: Request, now: float) -> TokenBuckets:
         """Returns the token buckets of a request's volume, filled up to now (ms).
 
-        The limit's bucket starts empty with the gateway and not with the volume: a restarted gateway can't know what
-        it spent, so it counts on what has surely filled; nor can it of a volume that was forgotten, before the last
-        that was; nor of a plan, before it was adopted.
+        The limit's bucket of a new volume counts as empty at the start of the gateway, not of the volume: a restarted
+        gateway can't know what it spent, and relies only on what has filled since. It can't know either what a volume
+        spent whose buckets were dropped, so the bucket counts as empty at the last use of the volume dropped last, and
+        when the quota plans last changed.
         """
         plan = request.quota_plan
         set_size = request.set_size
@@ -48,49 +55,55 @@
                     self.limits_known_since_ms, self.buckets.popitem(last=False)[1].filled_until_ms
                 )
         self.buckets[request.volume] = buckets
-        passed_s = (now - buckets.filled_until_ms) / 1000.0
+        elapsed_s = (now - buckets.filled_until_ms) / 1000.0
         buckets.filled_until_ms = now
-        most = (plan.limit_burst + plan.limit_slack) / set_size
-        buckets.limit_tokens = min(most, buckets.limit_tokens + passed_s * plan.limit_rate / set_size)
-        # No gateway knows what comes through the others, and any may be the volume's main one for a while.
-        part = min(1.0, MAIN_GATEWAY_PARTS / set_size)
-        most = part * plan.reserved_rate + settings.max_units
-        buckets.reserve_tokens = min(most, buckets.reserve_tokens + passed_s * part * plan.reserved_rate)
+        max_tokens = (plan.limit_burst + plan.limit_slack) / set_size
+        buckets.limit_tokens = min(max_tokens, buckets.limit_tokens + elapsed_s * plan.limit_rate / set_size)
+        # No gateway knows what the others receive, and any may be the main gateway of the volume for a while.
+        gateway_share = min(1.0, MAIN_GATEWAY_PARTS / set_size)
+        max_tokens = gateway_share * plan.reserved_rate + settings.max_units
+        buckets.reserve_tokens = min(
+            max_tokens, buckets.reserve_tokens + elapsed_s * gateway_share * plan.reserved_rate
+        )
         rate = (
             SHARE_RATE_MULTIPLE
             * (self.settings.total_rate / max(EPSILON, self.settings.total_share_weight))
             * plan.share_weight
-            * part
+            * gateway_share
         )
-        buckets.share_tokens = min(rate + settings.max_units, buckets.share_tokens + passed_s * rate)
+        buckets.share_tokens = min(rate + settings.max_units, buckets.share_tokens + elapsed_s * rate)
         return buckets
 
     def set_value(self, request: Request, now: float) -> None:
-        """Sets what a unit of a request is worth: inside the reserve in full, then by the share, then the rest."""
+        """Sets a request's value per unit: full within the reserved rate, then by the share, then by the excess."""
         buckets = self.refill(request, now)
         settings = self.settings.current
         units = request.units
         plan = request.quota_plan
-        full = min(units, max(0.0, buckets.reserve_tokens)) if plan.reserved_rate else 0.0
-        part = min(units - full, max(0.0, buckets.share_tokens))
-        buckets.reserve_tokens -= full
-        buckets.share_tokens -= part
-        request.charged_units = (full, part)
-        value = full + settings.share_value * part + settings.excess_value * (units - full - part)
+        reserved_units = min(units, max(0.0, buckets.reserve_tokens)) if plan.reserved_rate else 0.0
+        share_units = min(units - reserved_units, max(0.0, buckets.share_tokens))
+        buckets.reserve_tokens -= reserved_units
+        buckets.share_tokens -= share_units
+        request.charged_units = (reserved_units, share_units)
+        value = (
+            reserved_units
+            + settings.share_value * share_units
+            + settings.excess_value * (units - reserved_units - share_units)
+        )
         request.value_per_unit = request.request_class.priority_weight * plan.value_factor * value / max(units, EPSILON)
         step = max(MIN_FLEET_SAMPLE_WEIGHT, 1 / request.seq)
         self.mean_value_per_unit += step * (request.value_per_unit - self.mean_value_per_unit)
 
     def refund(self, request: Request) -> None:
-        """Returns the tokens of a request that was given up unsent, to others of its volume."""
+        """Gives the tokens of a request that was given up before it was sent back to its volume."""
         buckets = self.buckets.get(request.volume)
         if buckets is not None and not request.attempt_count:
-            full, part = request.charged_units
-            buckets.reserve_tokens += full
-            buckets.share_tokens += part
+            reserved_units, share_units = request.charged_units
+            buckets.reserve_tokens += reserved_units
+            buckets.share_tokens += share_units
 
     def before_settings_change(self, now: float, quota_plans_changed: bool) -> None:
-        """New settings are about to be in force: what filled since the last look is not counted by their rates."""
+        """Marks all buckets as filled up to now, so that the rates of new settings do not apply to the past."""
         self.limits_known_since_ms = now if quota_plans_changed else self.limits_known_since_ms
         for buckets in self.buckets.values():
             buckets.filled_until_ms = now
--- a/pebblehinge/scheduler_state/node_table.py
+++ b/pebblehinge/scheduler_state/node_table.py
@@ -29,16 +29,14 @@
         self.in_flight: list[list[R]] = self.add_column()  # requests, oldest attempt first
         self.unrounded_limit: list[float] = self.add_column()
         self.concurrency_limit: list[int] = self.add_column()  # attempts at once: unrounded_limit, rounded
-        self.reservations: list[list[tuple[str, float]]] = (
-            self.add_column()
-        )  # extent that capacity is kept for, until when
+        self.reservations: list[list[tuple[str, float]]] = self.add_column()  # of capacity: extent, until when
         self.last_extent: list[str | None] = self.add_column()  # extent of the last attempt sent
         self.random_latency_ms: list[float] = self.add_column()  # moving average, 0 if unknown
         self.sequential_latency_ms: list[float] = self.add_column()  # moving average, 0 if unknown
         self.mean_latency_ms: list[float] = self.add_column()  # moving average, per request of mean size
         self.mean_updated_ms: list[float] = self.add_column()
-        self.last_answer_ms: list[float] = self.add_column()  # or of the first attempt after none was in flight
-        self.consecutive_losses: list[int] = self.add_column()  # timed out or broken since then
+        self.last_answer_ms: list[float] = self.add_column()  # or the first attempt after none was in flight
+        self.consecutive_losses: list[int] = self.add_column()  # attempts timed out or broken since last_answer_ms
         self.unreachable: list[bool] = self.add_column()
         self.next_probe_ms: list[float] = self.add_column()
 
--- a/pebblehinge/scheduler_state/settings_view.py
+++ b/pebblehinge/scheduler_state/settings_view.py
@@ -21,4 +21,4 @@
         self.quota_plans = {row.name: row for row in settings.quota_plans}
         self.total_rate = sum(row.rate for row in settings.quota_plans)  # units a second
         self.total_share_weight = sum(row.share_weight for row in settings.quota_plans)
-        self.shortest_latency_objective_ms = min(row.latency_objective_ms for row in settings.request_classes)
+        self.shortest_objective_ms = min(row.latency_objective_ms for row in settings.request_classes)
