--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -163,7 +163,7 @@
         class core:  # noqa: N801
             class module:  # noqa: N801
                 @staticmethod
-                def remembered(now: float) -> dict[str, Any]:
+                def snapshot(now: float) -> dict[str, Any]:
                     return {"shelfs": {}, "lives": {}, "every": [0.0] * 4, "thinks": {}, "limits": {}, "further": []}
 
         @staticmethod
