--- a/pebblehinge/wait_accounting/accounting.py
+++ b/pebblehinge/wait_accounting/accounting.py
@@ -224,7 +224,7 @@
         count = self.request_counts.get(volume, 0)
         shares = self.shares(volume)
         if not shares:
-            return [f"volume {volume}: no access of it has ended here yet"]
+            return [f"volume {volume}: nothing of it has ended here yet"]
         divisor = max(1, count)
         lines = [f"volume {volume}: {count} accesses, {sum(s.duration_ms for s in shares) / divisor:.0f} ms each"]
         for share in shares[:MAX_REPORTED_CAUSES]:
--- a/pebblehinge/wait_accounting/causes.py
+++ b/pebblehinge/wait_accounting/causes.py
@@ -62,6 +62,6 @@
 _DESCRIPTIONS = {
     CauseKind.OWN_WORK: "its own work at its shelfs, as long as such work usually takes",
     CauseKind.RETRIES: "its own further trips",
-    CauseKind.GATEWAY: "queued at this head with nothing in flight: its plan's limit, a slow start, or a reserved slot",
+    CauseKind.GATEWAY: "held here with nothing out: its plan's limit, a cold shelf, or a slot that was kept",
     CauseKind.OTHERS: "waiting behind others",
 }
