--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -24,7 +24,7 @@
 
 from config_document import document  # noqa: E402
 from config_group import Group  # noqa: E402
-from raft_world import World  # noqa: E402
+from raft_cluster import World  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
--- a/tests/raft_client.py
+++ b/tests/raft_client.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from raft_instance import PendingRead
+from raft_member import PendingRead
 
 from pebblehinge.lab.histories import Operation
 
 if TYPE_CHECKING:
-    from raft_world import World
+    from raft_cluster import World
 
 
 RETRY_AFTER = 25  # ticks
--- a/tests/raft_world.py
+++ b/tests/raft_cluster.py
@@ -8,7 +8,7 @@
 import random
 
 from raft_client import Client
-from raft_instance import Instance
+from raft_member import Instance
 
 from pebblehinge.raft import Entry, Membership, Message, Raft, Role
 from pebblehinge.raft.errors import MembershipChangeError, NotLeaderError
--- a/tests/raft_instance.py
+++ b/tests/raft_member.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from raft_client import Client
-    from raft_world import World
+    from raft_cluster import World
 
 
 @dataclass(frozen=True)
--- a/tests/raft_scripts.py
+++ b/tests/raft_scripts.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable, Sequence
 
-from raft_world import FIVE, World, accepted, with_learner, with_voter
+from raft_cluster import FIVE, World, accepted, with_learner, with_voter
 
 from pebblehinge.lab.histories import order, register
 from pebblehinge.raft import Membership
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -5,8 +5,8 @@
 import random
 
 import pytest
+from raft_cluster import FIVE, World, elect
 from raft_scripts import play_seed
-from raft_world import FIVE, World, elect
 
 from pebblehinge.raft import Entry, HardState, Raft, Role, initial_snapshot
 from pebblehinge.raft.messages import AppendEntries, AppendEntriesResponse, RequestVote, RequestVoteResponse
--- a/tests/test_raft_broken.py
+++ b/tests/test_raft_broken.py
@@ -5,9 +5,9 @@
 import random
 
 import pytest
-from raft_instance import Instance
+from raft_cluster import elect
+from raft_member import Instance
 from raft_scripts import draw_script, play_script, play_seed, shrink_script
-from raft_world import elect
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, Role, initial_snapshot
 from pebblehinge.raft.election import Election
@@ -74,9 +74,9 @@
 @pytest.mark.parametrize("how", ["vote not stored", "own reads"])
 def test_a_broken_instance_is_caught_by_the_runs(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if how == "vote not stored":
-        monkeypatch.setattr("raft_instance.Storage", Forgets)
+        monkeypatch.setattr("raft_member.Storage", Forgets)
     else:
-        monkeypatch.setattr("raft_instance.Raft", OwnReads)
+        monkeypatch.setattr("raft_member.Raft", OwnReads)
     with pytest.raises((AssertionError, LogError, StorageError)):
         for seed in range(480, 880):
             play_seed(seed)
@@ -105,7 +105,7 @@
     seed = 43
     whole = draw_script(seed)
     play_script(whole, seed)  # sound as it is
-    monkeypatch.setattr("raft_world.Instance", TwiceApplied)
+    monkeypatch.setattr("raft_cluster.Instance", TwiceApplied)
 
     def fails(script: list[str]) -> bool:
         try:
--- a/tests/test_raft_members.py
+++ b/tests/test_raft_members.py
@@ -6,8 +6,8 @@
 import re
 
 import pytest
+from raft_cluster import FIVE, World, accepted, elect, with_learner, with_voter
 from raft_scripts import draw_script, play_script
-from raft_world import FIVE, World, accepted, elect, with_learner, with_voter
 
 from pebblehinge.raft import Entry, HardState, Membership, Raft, initial_snapshot
 from pebblehinge.raft.errors import LeadershipTransferError, MembershipChangeError, NotLeaderError
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from raft_world import FIVE, World
+from raft_cluster import FIVE, World
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.raft import Entry, HardState, Log, Membership, Snapshot, initial_snapshot
--- a/tests/test_read_rounds.py
+++ b/tests/test_read_rounds.py
@@ -5,8 +5,8 @@
 import random
 
 import pytest
+from raft_cluster import FIVE, World, elect
 from raft_scripts import draw_script, play_script
-from raft_world import FIVE, World, elect
 
 from pebblehinge.raft import HardState, Raft, Role, initial_snapshot
 from pebblehinge.raft.messages import AppendEntries, AppendEntriesResponse
@@ -155,7 +155,7 @@
 
 
 def test_runs_notice_a_read_that_joins_the_round_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("raft_instance.Raft", JoinsTheRound)
+    monkeypatch.setattr("raft_member.Raft", JoinsTheRound)
     with pytest.raises(AssertionError, match="what had reached"):
         for seed in range(10):
             play_script(dense(seed), seed)
