--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -1,6 +1,7 @@
-"""Five processes, killed at random moments while versions are proposed: `python benchmarks/group_kills.py [ROUNDS]`.
+"""Kills member processes at random while versions are proposed: `python benchmarks/group_kills.py [ROUNDS]`.
 
-Every version that the group said yes to must stand once, in order, in every instance in the end.
+The group has five members. In the end, its history, which keeps the latest versions, must hold each accepted version
+once and in order, and all members must be at the same commit index and version.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 async def main(loop: Any, rounds: int) -> int:
     rng = random.Random(7)
     host = f"127.249.{rng.randrange(250)}.{rng.randrange(1, 250)}"
-    said_yes: list[str] = []
+    accepted_notes: list[str] = []  # one per version, in the order of the replies
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         path = folder / "group.conf"
@@ -35,10 +36,10 @@
         path.write_text(text)
         config = loads(text)
         addresses = [b.listen for b in config.member.values()]
-        up: dict[str, Any] = {}
+        processes: dict[str, Any] = {}  # the running members
 
         async def start(member: str) -> None:
-            more = [] if (folder / member).exists() else ["--begin"]
+            first_start_flags = [] if (folder / member).exists() else ["--begin"]
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -49,16 +50,16 @@
                 member,
                 "--store",
                 str(folder / member),
-                *more,
+                *first_start_flags,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.DEVNULL,
             )
-            up[member] = process
-            assert (await process.stdout.readline()) == b"ready\n", f"{member} did not start again"
+            processes[member] = process
+            assert (await process.stdout.readline()) == b"ready\n", f"{member} did not start"
 
         async def kill(member: str) -> None:
-            up[member].kill()
-            await up.pop(member).wait()
+            processes[member].kill()
+            await processes.pop(member).wait()
 
         async def propose(number: int) -> None:
             ok, history = await ask_group(loop, addresses, "history", {}, 6.0)
@@ -74,16 +75,16 @@
                 6.0,
             )
             if ok:
-                said_yes.append(note)
+                accepted_notes.append(note)
 
         await asyncio.gather(*(start(m) for m in config.member))
         for number in range(rounds):
-            asked = loop.create_task(propose(number))
+            proposal = loop.create_task(propose(number))
             await asyncio.sleep(rng.uniform(0.0, 0.15))
-            for member in rng.sample(sorted(up), rng.choice([1, 1, 2])):
-                if len(up) > 2:
+            for member in rng.sample(sorted(processes), rng.choice([1, 1, 2])):
+                if len(processes) > 2:
                     await kill(member)
-            await asyncio.gather(asked, *(start(m) for m in config.member if m not in up))
+            await asyncio.gather(proposal, *(start(m) for m in config.member if m not in processes))
         ok, history = await ask_group(loop, addresses, "history", {}, 20.0)
         notes = [line.split()[2] for line in history.splitlines()]
         commits = set()
@@ -93,17 +94,17 @@
             if len(commits) == 1:
                 break
             await asyncio.sleep(0.1)
-        for member in list(up):
+        for member in list(processes):
             await kill(member)
-    kept = [n for n in notes if n in set(said_yes)]
-    missing = [n for n in said_yes[-len(notes) :] if n not in notes]
-    in_order = kept == said_yes[-len(kept) :] and len(notes) == len(set(notes))
-    sound = ok and len(commits) == 1 and in_order and not missing
+    remaining_notes = [n for n in notes if n in set(accepted_notes)]
+    missing_notes = [n for n in accepted_notes[-len(notes) :] if n not in notes]
+    in_order = remaining_notes == accepted_notes[-len(remaining_notes) :] and len(notes) == len(set(notes))
+    is_sound = ok and len(commits) == 1 and in_order and not missing_notes
     print(
-        f"{rounds} rounds, {len(said_yes)} versions said yes to, {len(notes)} kept in the end, all instances at "
-        f"{sorted(commits)}: {'sound' if sound else 'BROKEN'}"
+        f"{rounds} rounds, {len(accepted_notes)} versions accepted, {len(notes)} in the final history, all members at "
+        f"{sorted(commits)}: {'sound' if is_sound else 'BROKEN'}"
     )
-    return 0 if sound else 1
+    return 0 if is_sound else 1
 
 
 if __name__ == "__main__":
