--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -1,10 +1,10 @@
 """Scene `pools`: connections and descriptors for all pairs of head and shelf, reckoned from the pools' rules.
 
 In service (service/node_connection.py, connection_pools.py) an attempt takes the connection that was used last, or
-dials; one that idles for IDLE_FRACTION of the shelf's own limit is closed, and at the cap the one that idled longest
-is. Framed (gateway/node_link.py) there is one connection a shelf that all attempts share and that stays. Arrivals of a
-pair are taken as Poisson. For the k-th connection of a pair the arrivals that find exactly k-1 attempts out reach it;
-`in flight` is Poisson, too (M/G/infinity)."""
+dials; one that idles for IDLE_CLOSE_FRACTION of the shelf's own limit is closed, and at the cap the one that idled
+longest is. Framed (gateway/node_link.py) there is one connection a shelf that all attempts share and that stays.
+Arrivals of a pair are taken as Poisson. For the k-th connection of a pair the arrivals that find exactly k-1 attempts
+out reach it; `in flight` is Poisson, too (M/G/infinity)."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from decisions_fleet import HEADS, REQUESTS_S, SHELFS
 
-from pebblehinge.service.connection_pools import IDLE_FRACTION
-from pebblehinge.service.server import OWN_SOCKETS, SHELF_FRACTION
+from pebblehinge.service.connection_pools import IDLE_CLOSE_FRACTION
+from pebblehinge.service.server import NODE_SOCKET_FRACTION, RESERVED_SOCKETS
 
 IDLE_S = (5.0, 30.0)  # after which a shelf may close an idle connection: short, and that of the settings in tests
 ATTEMPT_S = 0.015
@@ -56,9 +56,9 @@
         rows = [pair(rate, kept_s, ATTEMPT_S) for rate in rates]
         return sum(held for held, _ in rows), sum(dials for _, dials in rows)
 
-    kept_s = IDLE_FRACTION * idle_s
+    kept_s = IDLE_CLOSE_FRACTION * idle_s
     held, dials = of(kept_s)
-    most = int(sockets * SHELF_FRACTION) if sockets else math.inf
+    most = int(sockets * NODE_SOCKET_FRACTION) if sockets else math.inf
     if held > most:
         low, high = 0.0, kept_s
         for _ in range(20):
@@ -73,7 +73,7 @@
         "fleet_dials_s": round(dials * heads),
         "dials_an_access": round(dials / per_head, 4),
         "kept_s": round(kept_s, 2),
-        "head_descriptors": round(held) + CLIENTS // HEADS + OWN_SOCKETS,
+        "head_descriptors": round(held) + CLIENTS // HEADS + RESERVED_SOCKETS,
     }
 
 
--- a/pebblehinge/service/__main__.py
+++ b/pebblehinge/service/__main__.py
@@ -3,10 +3,10 @@
 import os
 import sys
 
-from pebblehinge.service import early
+from pebblehinge.service import early_signals
 
 if __name__ == "__main__":  # before the imports below, which take a while
-    early.hold()
+    early_signals.record_signals()
 
 import uvloop
 
--- a/pebblehinge/service/client_connection.py
+++ b/pebblehinge/service/client_connection.py
@@ -18,8 +18,8 @@
 from pebblehinge.service.context import Registry
 from pebblehinge.service.socket_state import is_peer_closed, is_readable
 
-AHEAD_LIMIT = 2 * MAX_REQUEST_BODY_BYTES  # bytes of requests sent ahead; clients send one request at a time
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_PIPELINED_BYTES = 2 * MAX_REQUEST_BODY_BYTES  # bytes of requests sent ahead; clients send one request at a time
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LIVE_TARGET = b"/health/live"
 READY_TARGET = b"/health/ready"
 
@@ -30,14 +30,14 @@
     Attributes:
         pending: The request that is open.
         keep_alive: The client lets the connection go on behind the last request.
-        since_ms: When it came into its group, or when writing was paused.
-        overflowed: More was sent ahead than is kept; what comes now is read and dropped.
+        timeout_start_ms: When it came into its group, or when writing was paused.
+        input_overflowed: More was sent ahead than is kept; what comes now is read and dropped.
         read_scheduled: `read_requests` is due once the loop has read more.
         write_paused: The client reads too slowly.
         closing: Our side has ended, or the client has gone.
         group: The registry's group that it is in.
-        counted: It counts among the registry's connections.
-        answer_until_ms: Until when the client of the last request waits for its answer.
+        is_counted: It counts among the registry's connections.
+        answer_deadline_ms: Until when the client of the last request waits for its answer.
     """
 
     __slots__ = (
@@ -47,14 +47,14 @@
         "parser",
         "pending",
         "keep_alive",
-        "since_ms",
-        "overflowed",
+        "timeout_start_ms",
+        "input_overflowed",
         "read_scheduled",
         "write_paused",
-        "closing",
+        "output_ended",
         "group",
-        "counted",
-        "answer_until_ms",
+        "is_counted",
+        "answer_deadline_ms",
     )
 
     def __init__(self, registry: Registry[ClientConnection], sock: socket.socket) -> None:
@@ -64,13 +64,13 @@
         self.parser = RequestParser()
         self.pending: ClientRequest | None = None
         self.keep_alive = True
-        self.counted = True
+        self.is_counted = True
         self.read_scheduled = False
-        self.overflowed = False
+        self.input_overflowed = False
         self.write_paused = False
-        self.closing = False
-        self.since_ms = 0.0
-        self.answer_until_ms = 0.0
+        self.output_ended = False
+        self.timeout_start_ms = 0.0
+        self.answer_deadline_ms = 0.0
         self.group: dict[ClientConnection, None] | None = None
 
     # ---- reading
@@ -78,18 +78,20 @@
     def connection_made(self, transport: Any) -> None:
         """Wait for the first request."""
         self.transport = transport
-        self.registry.move(self, self.registry.incomplete)
+        self.registry.move_to_group(self, self.registry.incomplete_group)
 
     def data_received(self, data: bytes) -> None:
         """Read on, unless a request is open."""
-        if self.closing or self.overflowed:  # read and dropped: a close over unread bytes would lose the last answer
+        if (
+            self.output_ended or self.input_overflowed
+        ):  # read and dropped: a close over unread bytes would lose the last answer
             return
         self.parser.feed(data)
         if self.pending is None:
             self.read_requests()
-        if not self.closing and len(self.parser.buffer) > AHEAD_LIMIT:
-            self.overflowed = True
-            self.parser.buffer = self.parser.buffer[:AHEAD_LIMIT]
+        if not self.output_ended and len(self.parser.buffer) > MAX_PIPELINED_BYTES:
+            self.input_overflowed = True
+            self.parser.buffer = self.parser.buffer[:MAX_PIPELINED_BYTES]
             if self.pending is None:
                 self.read_requests()
 
@@ -98,48 +100,52 @@
 
         If more is unread on the socket, that is read first: it may be the client's end, or much more than is kept.
         """
-        if self.pending is None and not (self.closing or self.write_paused or self.overflowed) and self.has_unread():
+        if (
+            self.pending is None
+            and not (self.output_ended or self.write_paused or self.input_overflowed)
+            and self.has_unread_data()
+        ):
             if not self.read_scheduled:
                 self.read_scheduled = True
-                self.registry.context.loop.call_soon(self._read_scheduled)
+                self.registry.context.loop.call_soon(self._run_scheduled_read)
             return
-        while self.pending is None and not self.closing and not self.write_paused:
+        while self.pending is None and not self.output_ended and not self.write_paused:
             try:
                 request = self.parser.next()
                 if request is None:
-                    self._check_incomplete()
+                    self._handle_incomplete_request()
                     break
-                self._handle(request)
+                self._handle_request(request)
             except HttpError as error:
                 self.reject(error.status, str(error))
-        if not self.closing and self.pending is None:
-            group = self.registry.incomplete if self.parser.has_partial_message else self.registry.idle
+        if not self.output_ended and self.pending is None:
+            group = self.registry.incomplete_group if self.parser.has_partial_message else self.registry.idle_group
             if self.group is not group:
-                self.registry.move(self, group)
+                self.registry.move_to_group(self, group)
 
-    def _read_scheduled(self) -> None:
+    def _run_scheduled_read(self) -> None:
         self.read_scheduled = False
         self.read_requests()
 
-    def _check_incomplete(self) -> None:
+    def _handle_incomplete_request(self) -> None:
         """No request is complete: let a client that asks for it go on, and refuse one that sent too much."""
-        if self.overflowed:
-            raise HttpError(413, f"more than {AHEAD_LIMIT} bytes were sent ahead")
+        if self.input_overflowed:
+            raise HttpError(413, f"more than {MAX_PIPELINED_BYTES} bytes were sent ahead")
         if self.parser.expects_continue:
             self.parser.expects_continue = False
-            self.transport.write(CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
 
-    def _handle(self, request: HttpRequest) -> None:
+    def _handle_request(self, request: HttpRequest) -> None:
         registry = self.registry
         if request.version not in ("1.0", "1.1"):
             raise HttpError(400, "not HTTP/1.1")
         self.keep_alive = request.keep_alive
         if request.method == b"GET" and request.target in (READY_TARGET, LIVE_TARGET):
-            healthy = request.target == LIVE_TARGET or registry.context.ready()
+            healthy = request.target == LIVE_TARGET or registry.context.is_ready()
             self.respond(200 if healthy else 503)
             return
         parsed = read_request(request, registry.context.config)
-        if parsed.id in registry.ids:
+        if parsed.id in registry.open_request_ids:
             raise HttpError(400, "X-Request-Id: open already")
         registry.admit(self, parsed, request.body)
 
@@ -149,23 +155,23 @@
         """Write the final answer of the open request; what was sent ahead is handled in a turn of its own."""
         self.release_request()
         self.respond(status, body, extra_headers)
-        if not self.closing:
-            self.registry.move(self, self.registry.idle)
-            if self.parser.buffer or self.overflowed:
+        if not self.output_ended:
+            self.registry.move_to_group(self, self.registry.idle_group)
+            if self.parser.buffer or self.input_overflowed:
                 self.registry.context.loop.call_soon(self.read_requests)
 
     def release_request(self) -> None:
         """Have no request open any more."""
         if self.pending is not None:
-            self.registry.ids.discard(self.pending.id)
+            self.registry.open_request_ids.discard(self.pending.id)
             self.pending = None
 
     def respond(self, status: int, body: bytes = b"", extra_headers: bytes = b"") -> None:
         """Write a complete response; one that ends the connection says so."""
-        if self.closing:
+        if self.output_ended:
             return
         # While the gateway shuts down, a request sent behind this one is still owed an answer.
-        last = self.registry.close_after_response and not self.parser.buffer and not self.has_unread()
+        last = self.registry.close_after_response and not self.parser.buffer and not self.has_unread_data()
         keep_alive = self.keep_alive and not last
         self.transport.write(write_response(status, body, keep_alive, extra_headers))
         if not keep_alive:
@@ -174,32 +180,32 @@
     def reject(self, status: int, text: str) -> None:
         """Answer a request that is not of the protocol's form, and read no further one."""
         self.keep_alive = False
-        self.registry.protocol_errors += 1
+        self.registry.protocol_error_count += 1
         self.respond(status, text.encode("latin-1", "replace") + b"\n")
 
     def pause_writing(self) -> None:
         """Handle no further request until the client has read."""
         self.write_paused = True
-        self.since_ms = self.registry.context.clock()
+        self.timeout_start_ms = self.registry.context.clock()
 
     def resume_writing(self) -> None:
         """Handle what was sent meanwhile."""
         self.write_paused = False
-        if self.pending is None and not self.closing:
+        if self.pending is None and not self.output_ended:
             self.registry.context.loop.call_soon(self.read_requests)
 
     # ---- the end
 
     def close(self) -> None:
-        """End our side once what was written has gone; the client's is read until it ends too, or for CLOSE_MS."""
-        if not self.closing:
-            self.closing = True
+        """End our side once what was written has gone; the client's is read until its end, or for CLOSE_TIMEOUT_MS."""
+        if not self.output_ended:
+            self.output_ended = True
             self.parser.buffer = b""
-            self.registry.move(self, self.registry.closing)
+            self.registry.move_to_group(self, self.registry.closing_group)
             if not self.transport.is_closing():
                 self.transport.write_eof()
 
-    def has_unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Return whether anything is unread on the socket, which the loop may not have seen yet."""
         return not self.transport.is_closing() and is_readable(self.sock.fileno())
 
@@ -207,10 +213,10 @@
         """Return whether the client has closed, seen by the loop or not: nothing more is begun for it then."""
         return self.transport.is_closing() or is_peer_closed(self.sock)
 
-    def abandon(self) -> None:
+    def on_client_disconnect(self) -> None:
         """Drop what is open, as the client has gone; may be called repeatedly."""
         pending = self.pending
-        self.closing = True
+        self.output_ended = True
         self.parser.buffer = b""
         self.release_request()
         if pending is not None:
@@ -221,14 +227,14 @@
 
         `connection_lost` would be too late: it waits for what was written and is not read.
         """
-        if not self.closing:
-            self.registry.move(self, self.registry.closing)
-        self.abandon()
+        if not self.output_ended:
+            self.registry.move_to_group(self, self.registry.closing_group)
+        self.on_client_disconnect()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the connection."""
         if self.group is not None:
             self.group.pop(self, None)
             self.group = None
-        self.registry.uncount(self)
-        self.abandon()
+        self.registry.stop_counting(self)
+        self.on_client_disconnect()
--- a/pebblehinge/service/client_request.py
+++ b/pebblehinge/service/client_request.py
@@ -10,18 +10,23 @@
 from pebblehinge.http1 import HttpError, HttpRequest, write_request
 from pebblehinge.service.config import ServiceConfig
 
-ID = re.compile(rb"[0-9A-Za-z_-]{1,64}")
-HEX16 = re.compile(rb"[0-9A-Fa-f]{16}")
-INTEGER = re.compile(rb"[0-9]{1,9}")
-UNITS = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,6})?")
-SHARD = re.compile(rb"-1|[0-9]{1,6}")
-IO_FIELDS = ((b"volume", HEX16), (b"units", UNITS), (b"shard", SHARD), (b"hosts", INTEGER))
-BLOCK = b"block="
+ID_PATTERN = re.compile(rb"[0-9A-Za-z_-]{1,64}")
+HEX16_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+UNITS_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,6})?")
+SHARD_PATTERN = re.compile(rb"-1|[0-9]{1,6}")
+IO_FIELDS = (
+    (b"volume", HEX16_PATTERN),
+    (b"units", UNITS_PATTERN),
+    (b"shard", SHARD_PATTERN),
+    (b"hosts", INTEGER_PATTERN),
+)
+BLOCK_PREFIX = b"block="
 SINGLE_HEADERS = frozenset(
     (b"host", b"x-request-id", b"x-class", b"x-plan", b"cookie", b"x-deadline-ms", b"x-io", b"x-retry")
 )
 # Headers that belong to one connection, or that the gateway writes itself; all others are forwarded.
-HOP_BY_HOP_HEADERS = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -103,37 +108,37 @@
         HttpError: What is wrong, with the status to answer.
     """
     headers = _read_headers(request)
-    request_id = _require(headers, b"x-request-id", ID).decode()
-    _require(headers, b"host")
-    request_class = _require(headers, b"x-class").decode("latin-1")
+    request_id = _required_header(headers, b"x-request-id", ID_PATTERN).decode()
+    _required_header(headers, b"host")
+    request_class = _required_header(headers, b"x-class").decode("latin-1")
     _check_operation(request, request_class, config)
-    quota_plan = _require(headers, b"x-plan").decode("latin-1")
-    if not any(known.name == quota_plan for known in config.settings.quota_plans):
+    quota_plan = _required_header(headers, b"x-plan").decode("latin-1")
+    if not any(plan.name == quota_plan for plan in config.settings.quota_plans):
         raise HttpError(400, "X-Plan: not known here")
-    extent = _read_extent(_require(headers, b"cookie"))
-    max_wait_ms = float(_require(headers, b"x-deadline-ms", INTEGER))
-    retry = headers.get(b"x-retry", b"0")
-    if retry not in (b"0", b"1"):
+    extent = _read_extent(_required_header(headers, b"cookie"))
+    max_wait_ms = float(_required_header(headers, b"x-deadline-ms", INTEGER_PATTERN))
+    retry_value = headers.get(b"x-retry", b"0")
+    if retry_value not in (b"0", b"1"):
         raise HttpError(400, "X-Retry: not in its form")
-    io = _read_io(_require(headers, b"x-io"))
-    units = float(io[b"units"])
-    slot = int(io[b"shard"])
-    set_size = int(io[b"hosts"])
+    io_fields = _read_io_fields(_required_header(headers, b"x-io"))
+    units = float(io_fields[b"units"])
+    slot = int(io_fields[b"shard"])
+    set_size = int(io_fields[b"hosts"])
     if not 0 < units <= config.settings.max_units or set_size < 1:
         raise HttpError(400, "X-IO: units or hosts beyond what there is")
-    if config.shards and slot >= config.shards:
+    if config.slot_count and slot >= config.slot_count:
         raise HttpError(400, "X-IO: no such shard")
     return ParsedRequest(
         request_id,
         request_class,
         quota_plan,
         extent,
-        io[b"volume"].decode(),
+        io_fields[b"volume"].decode(),
         units,
         slot,
         set_size,
         max_wait_ms,
-        retry == b"1",
+        retry_value == b"1",
         _forwarded_head(request),
     )
 
@@ -148,54 +153,54 @@
     return headers
 
 
-def _require(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes] | None = None) -> bytes:
+def _required_header(headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes] | None = None) -> bytes:
     """Return a header's value, which has to be there and of a form."""
     value = headers.get(name)
-    if value is None or (form is not None and form.fullmatch(value) is None):
+    if value is None or (pattern is not None and pattern.fullmatch(value) is None):
         raise HttpError(400, f"{CANONICAL_NAMES.get(name, name).decode()}: missing, or not in its form")
     return value
 
 
 def _check_operation(request: HttpRequest, request_class: str, config: ServiceConfig) -> None:
     """Check method, path and body against the class."""
-    writes = config.writes.get(request_class)
-    if writes is None:
+    is_write = config.is_write_by_class.get(request_class)
+    if is_write is None:
         raise HttpError(400, "X-Class: not known here")
     target = request.target
     if not target.startswith(b"/") or target.partition(b"?")[0].split(b"/")[1] != request_class.encode("latin-1"):
         raise HttpError(400, "the path does not begin with the class")
-    if request.method != (b"PUT" if writes else b"GET"):
+    if request.method != (b"PUT" if is_write else b"GET"):
         raise HttpError(405, "a read is a GET, a write is a PUT")
-    if request.body and not writes:
+    if request.body and not is_write:
         raise HttpError(400, "a read has no body")
 
 
 def _read_extent(cookie: bytes) -> str:
-    blocks = [part.strip()[len(BLOCK) :] for part in cookie.split(b";") if part.strip().startswith(BLOCK)]
-    if len(blocks) != 1 or HEX16.fullmatch(blocks[0]) is None:
+    blocks = [part.strip()[len(BLOCK_PREFIX) :] for part in cookie.split(b";") if part.strip().startswith(BLOCK_PREFIX)]
+    if len(blocks) != 1 or HEX16_PATTERN.fullmatch(blocks[0]) is None:
         raise HttpError(400, "Cookie: expected one block of 16 hex digits")
     return blocks[0].decode()
 
 
-def _read_io(value: bytes) -> dict[bytes, bytes]:
+def _read_io_fields(value: bytes) -> dict[bytes, bytes]:
     parts = [part.strip().partition(b"=") for part in value.split(b",")]
     fields = {name: field for name, _, field in parts}
     if len(fields) != len(parts):
         raise HttpError(400, "X-IO: a value is told twice")
-    for name, form in IO_FIELDS:
-        if form.fullmatch(fields.get(name, b"")) is None:
+    for name, pattern in IO_FIELDS:
+        if pattern.fullmatch(fields.get(name, b"")) is None:
             raise HttpError(400, f"X-IO: {name.decode()} is missing, or not in its form")
     return fields
 
 
 def _forwarded_head(request: HttpRequest) -> bytes:
     """Return the head of the attempts: the client's headers but for those of its connection (RFC 9110, 7.6.1)."""
-    listed = {
+    connection_options = {
         name.strip().lower() for value in request.header_values(b"connection") for name in value.split(b",")
     } - CANONICAL_NAMES.keys()  # what the protocol itself needs is forwarded even so
     headers = [
         (CANONICAL_NAMES.get(name, name), value)
         for name, value in request.headers
-        if name not in HOP_BY_HOP_HEADERS and name not in listed
+        if name not in UNFORWARDED_HEADERS and name not in connection_options
     ]
     return write_request(request.method, request.target, headers, request.body)
--- a/pebblehinge/service/config.py
+++ b/pebblehinge/service/config.py
@@ -12,12 +12,12 @@
 from pebblehinge.interface import Settings
 from pebblehinge.platform_settings import PlatformSettingsError, SettingsReader, read_settings
 
-FILE_LIMIT = 8 * 1024 * 1024  # bytes
-FEWEST_SOCKETS = 64
+MAX_FILE_BYTES = 8 * 1024 * 1024  # bytes
+MIN_SOCKETS = 64
 PORTS = range(1, 65536)
-ADDRESS = re.compile(r"([0-9A-Za-z.-]{1,253}):([0-9]{1,5})")
-DOCUMENT = "configuration"  # its name in errors
-DEFAULT_MAX_OPEN = 1_000_000
+ADDRESS_PATTERN = re.compile(r"([0-9A-Za-z.-]{1,253}):([0-9]{1,5})")
+DOCUMENT_NAME = "configuration"  # its name in errors
+DEFAULT_MAX_OPEN_REQUESTS = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,25 +41,25 @@
     """
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
     seed: int
-    sockets: int
-    known: dict[str, Any] | None
+    max_sockets: int
+    initial_node_list: dict[str, Any] | None
     settings: Settings
-    writes: dict[str, bool]
-    shards: int
-    idle_ms: float
-    connect_ms: float
-    max_open: int
+    is_write_by_class: dict[str, bool]
+    slot_count: int
+    idle_timeout_ms: float
+    connect_timeout_ms: float
+    max_open_requests: int
     longest_wait_ms: float
 
 
 def parse_address(text: str, where: str) -> tuple[str, int]:
     """Return host and port of `host:port`; raises PlatformSettingsError that names the place `where`."""
-    match = ADDRESS.fullmatch(text)
+    match = ADDRESS_PATTERN.fullmatch(text)
     if match is None or int(match[2]) not in PORTS:
-        raise PlatformSettingsError(f"{DOCUMENT}: {where} is {text[:60]!r}: expected host:port")
+        raise PlatformSettingsError(f"{DOCUMENT_NAME}: {where} is {text[:60]!r}: expected host:port")
     return match[1], int(match[2])
 
 
@@ -72,40 +72,43 @@
     try:
         raw = msgspec.json.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise PlatformSettingsError(f"{DOCUMENT}: {error}: expected a JSON object") from None
-    top = SettingsReader(raw, "", DOCUMENT)
-    seed = _parse_seed(top.get("seed", str))
-    sockets = top.child("limits").get("sockets", int)
-    if sockets < FEWEST_SOCKETS:
-        raise PlatformSettingsError(f"{DOCUMENT}: limits.sockets is {sockets}: expected at least {FEWEST_SOCKETS}")
-    platform_settings = top.get("settings", dict)
+        raise PlatformSettingsError(f"{DOCUMENT_NAME}: {error}: expected a JSON object") from None
+    document = SettingsReader(raw, "", DOCUMENT_NAME)
+    seed = _parse_seed(document.get("seed", str))
+    max_sockets = document.child("limits").get("sockets", int)
+    if max_sockets < MIN_SOCKETS:
+        raise PlatformSettingsError(
+            f"{DOCUMENT_NAME}: limits.sockets is {max_sockets}: expected at least {MIN_SOCKETS}"
+        )
+    platform_settings = document.get("settings", dict)
     settings = read_settings(platform_settings)
     if not settings.request_classes or not settings.quota_plans:
         raise PlatformSettingsError("settings: classes and service_levels: expected at least one of each")
-    environment = SettingsReader(platform_settings, "")
-    ceilings = environment.child("ceilings")
-    family = environment.child("family_info")
-    writes = family.get("writes", list[bool])
+    settings_reader = SettingsReader(platform_settings, "")
+    ceilings = settings_reader.child("ceilings")
+    family_info = settings_reader.child("family_info")
+    writes = family_info.get("writes", list[bool])
     if len(writes) != len(settings.request_classes):
         raise PlatformSettingsError(f"settings: family_info.writes holds {len(writes)}: expected one for each class")
-    known = raw.get("known")
-    if known is not None and not isinstance(known, dict):
-        raise PlatformSettingsError(f"{DOCUMENT}: known is no object: expected a list in discovery's form")
+    initial_node_list = raw.get("known")
+    if initial_node_list is not None and not isinstance(initial_node_list, dict):
+        raise PlatformSettingsError(f"{DOCUMENT_NAME}: known is no object: expected a list in discovery's form")
     return ServiceConfig(
-        name=top.get("name", str),
-        listen=parse_address(top.get("listen", str), "listen"),
-        discovery=parse_address(top.get("discovery", str), "discovery"),
+        name=document.get("name", str),
+        listen_address=parse_address(document.get("listen", str), "listen"),
+        discovery_address=parse_address(document.get("discovery", str), "discovery"),
         seed=seed,
-        sockets=sockets,
-        known=known,
+        max_sockets=max_sockets,
+        initial_node_list=initial_node_list,
         settings=settings,
-        writes={
-            request_class.name: write for request_class, write in zip(settings.request_classes, writes, strict=True)
+        is_write_by_class={
+            request_class.name: is_write
+            for request_class, is_write in zip(settings.request_classes, writes, strict=True)
         },
-        shards=family.get("shards", int, 0),
-        idle_ms=ceilings.get("conn_idle_s", float, scale=1000.0),
-        connect_ms=ceilings.get("connect_timeout_s", float, scale=1000.0),
-        max_open=ceilings.get("max_open", int, DEFAULT_MAX_OPEN),
+        slot_count=family_info.get("shards", int, 0),
+        idle_timeout_ms=ceilings.get("conn_idle_s", float, scale=1000.0),
+        connect_timeout_ms=ceilings.get("connect_timeout_s", float, scale=1000.0),
+        max_open_requests=ceilings.get("max_open", int, DEFAULT_MAX_OPEN_REQUESTS),
         longest_wait_ms=max(request_class.max_wait_ms for request_class in settings.request_classes),
     )
 
@@ -114,7 +117,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise PlatformSettingsError(f"{DOCUMENT}: seed is {text[:60]!r}: expected hex digits") from None
+        raise PlatformSettingsError(f"{DOCUMENT_NAME}: seed is {text[:60]!r}: expected hex digits") from None
 
 
 def load_config(path: str) -> ServiceConfig:
@@ -124,9 +127,9 @@
         PlatformSettingsError: The file can't be read, is too large, or is wrong.
     """
     try:
-        if os.path.getsize(path) > FILE_LIMIT:
-            raise PlatformSettingsError(f"{DOCUMENT}: {path}: more than {FILE_LIMIT} bytes")
+        if os.path.getsize(path) > MAX_FILE_BYTES:
+            raise PlatformSettingsError(f"{DOCUMENT_NAME}: {path}: more than {MAX_FILE_BYTES} bytes")
         with open(path, "rb") as file:
-            return read_config(file.read(FILE_LIMIT))
+            return read_config(file.read(MAX_FILE_BYTES))
     except OSError as error:
-        raise PlatformSettingsError(f"{DOCUMENT}: {path}: {error.strerror}") from None
+        raise PlatformSettingsError(f"{DOCUMENT_NAME}: {path}: {error.strerror}") from None
--- a/pebblehinge/service/context.py
+++ b/pebblehinge/service/context.py
@@ -37,10 +37,10 @@
     core: RequestTable
 
     @property
-    def late_ms(self) -> float:
+    def lateness_ms(self) -> float:
         """For how long what is read now may have been unread."""
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the gateway is ready for requests."""
 
 
@@ -48,20 +48,20 @@
     """What a connection needs of the registry that it belongs to; see `ConnectionRegistry`."""
 
     context: ServiceContext
-    incomplete: dict[Connection, None]
-    idle: dict[Connection, None]
-    closing: dict[Connection, None]
-    ids: set[str]
-    protocol_errors: int
+    incomplete_group: dict[Connection, None]
+    idle_group: dict[Connection, None]
+    closing_group: dict[Connection, None]
+    open_request_ids: set[str]
+    protocol_error_count: int
     close_after_response: bool
 
-    def move(self, conn: Connection, group: dict[Connection, None]) -> None:
+    def move_to_group(self, conn: Connection, group: dict[Connection, None]) -> None:
         """Put a connection last into a group, out of the one that it was in."""
 
     def admit(self, conn: Connection, parsed: ParsedRequest, body: bytes) -> None:
         """Take a request, or reject it if too many are open."""
 
-    def uncount(self, conn: Connection) -> None:
+    def stop_counting(self, conn: Connection) -> None:
         """Count a connection no more."""
 
 
@@ -76,8 +76,10 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
 
-    def end_attempt(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def end_attempt(
+        self, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes
+    ) -> None:
         """Pass on the outcome of an attempt."""
 
-    def is_wanted(self, pending: PendingRequest) -> bool:
+    def can_start_attempt(self, pending: PendingRequest) -> bool:
         """Return whether an attempt may still be begun for a request."""
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -1,8 +1,9 @@
 """The watch of discovery's node list: a connection that is made anew when it ends, fails or falls silent.
 
 A change counts as notified 6 s after discovery had it and could be reached, whatever failed before. So every wait is
-short: the longest way from there to a list is a connection that discovery never answered on (SILENT_S), the longest
-backoff and a connection that never came up (CONNECT_S), and together they are well under 6 s (`longest_s`).
+short: the longest way from there to a list is a connection that discovery never answered on (SILENCE_RECONNECT_S), the
+longest backoff and a connection that never came up (CONNECT_TIMEOUT_S), and together they are well under 6 s
+(`max_list_delay_s`).
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from pebblehinge.service.departures import Departures
 from pebblehinge.service.node_list import JsonObjectStream, NodeListUpdate
 
-SILENT_S = 2.5  # an empty line arrives every 2 s: after this without one, a further connection is opened ...
-ABANDON_S = 5.0  # ... and after this the silent one is closed
-CONNECT_S = 1.0
-BACKOFF_S = (0.05, 0.5)  # between attempts to connect: the first, doubled each time, and the longest
-JITTER = (0.5, 1.5)  # each backoff is multiplied by a factor drawn from this range
-LOG_S = 5.0  # between log lines of faults
+SILENCE_RECONNECT_S = 2.5  # an empty line arrives every 2 s: after this without one, a further connection is opened ...
+SILENCE_CLOSE_S = 5.0  # ... and after this the silent one is closed
+CONNECT_TIMEOUT_S = 1.0
+BACKOFF_RANGE_S = (0.05, 0.5)  # between attempts to connect: the first, doubled each time, and the longest
+JITTER_RANGE = (0.5, 1.5)  # each backoff is multiplied by a factor drawn from this range
+FAULT_LOG_INTERVAL_S = 5.0  # between log lines of faults
 STREAM_TARGET = b"/registry/instances?stream=1"
 
 
-def longest_s() -> float:
+def max_list_delay_s() -> float:
     """Return the longest time from discovery's being reachable to a list, in seconds.
 
     On a connection made just before nothing ever comes, the next never comes up, and there is a backoff before each.
     """
-    return SILENT_S + CONNECT_S + 2 * BACKOFF_S[1] * JITTER[1]
+    return SILENCE_RECONNECT_S + CONNECT_TIMEOUT_S + 2 * BACKOFF_RANGE_S[1] * JITTER_RANGE[1]
 
 
 class _WatchConnection(asyncio.Protocol):
@@ -44,34 +45,34 @@
         self.watch = watch
         self.address = address
         self.transport: Any = None
-        self.received_s = watch.loop.time()  # when bytes came last
-        self.pieces: list[bytes] = []
-        self.objects = JsonObjectStream()
-        self.stream = ResponseStream(self.pieces.append)
+        self.last_received_s = watch.loop.time()  # when bytes came last
+        self.body_pieces: list[bytes] = []
+        self.object_stream = JsonObjectStream()
+        self.response_stream = ResponseStream(self.body_pieces.append)
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.received_s = self.watch.loop.time()
+        self.last_received_s = self.watch.loop.time()
         self.watch.add_connection(self)  # before anything can be read: a first list would be lost otherwise
         target = STREAM_TARGET
-        if self.watch.version is not None:
-            target += b"&index=%d" % self.watch.version
+        if self.watch.resume_version is not None:
+            target += b"&index=%d" % self.watch.resume_version
         host = f"{self.address[0]}:{self.address[1]}".encode()
         transport.write(write_request(b"GET", target, [(b"Host", host)], b"") + b"\r\n")
 
     def data_received(self, data: bytes) -> None:
-        self.received_s = self.watch.loop.time()
+        self.last_received_s = self.watch.loop.time()
         if self.transport.is_closing():
             return
         try:
-            self.stream.feed(data)
-            ended = self.stream.next() is not None
-            if self.stream.status not in (0, 200):
-                raise HttpError(502, f"discovery answers {self.stream.status}")
-            raw = b"".join(self.pieces)
-            self.pieces.clear()
-            for value in self.objects.feed(raw):
-                self.watch.receive(self, value)
+            self.response_stream.feed(data)
+            ended = self.response_stream.next() is not None
+            if self.response_stream.status not in (0, 200):
+                raise HttpError(502, f"discovery answers {self.response_stream.status}")
+            raw = b"".join(self.body_pieces)
+            self.body_pieces.clear()
+            for value in self.object_stream.feed(raw):
+                self.watch.receive_object(self, value)
             if ended:
                 self.transport.abort()
         except (HttpError, PlatformSettingsError, msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -108,35 +109,35 @@
         self.rng = rng
         self.on_update = on_update
         self.log = log
-        self.version: int | None = None
-        self.newest = -1
+        self.resume_version: int | None = None
+        self.newest_version = -1
         self.departures = Departures()
         self.connections: list[_WatchConnection] = []
-        self.connecting: asyncio.Task[None] | None = None
-        self.stopped = False
-        self.backoff_s = BACKOFF_S[0]
-        self.logged_s = -LOG_S
+        self.connect_task: asyncio.Task[None] | None = None
+        self.is_stopped = False
+        self.backoff_s = BACKOFF_RANGE_S[0]
+        self.last_fault_log_s = -FAULT_LOG_INTERVAL_S
 
     def start(self) -> None:
         """Connect."""
         self._connect_after(0.0)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Connect to another address, if it is another."""
         if address == self.address:
             return
         self.address = address
-        self.backoff_s = BACKOFF_S[0]
-        if self.connecting is not None:
-            self.connecting.cancel()
-            self.connecting = None
+        self.backoff_s = BACKOFF_RANGE_S[0]
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
         self._connect_after(0.0)
 
     def stop(self) -> None:
         """Close all connections for good."""
-        self.stopped = True
-        if self.connecting is not None:
-            self.connecting.cancel()
+        self.is_stopped = True
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         for connection in self.connections:
             connection.transport.abort()
 
@@ -144,39 +145,39 @@
         """Open a further connection beside a silent one, and close that one later; called now and then."""
         now = self.loop.time()
         for connection in list(self.connections):
-            silent_s = now - connection.received_s
-            if silent_s > ABANDON_S:
+            silent_s = now - connection.last_received_s
+            if silent_s > SILENCE_CLOSE_S:
                 connection.transport.abort()
-            elif silent_s > SILENT_S and connection is self.connections[-1]:
+            elif silent_s > SILENCE_RECONNECT_S and connection is self.connections[-1]:
                 self._connect_after(0.0)
 
     # ---- called by connections
 
-    def receive(self, connection: _WatchConnection, value: Any) -> None:
+    def receive_object(self, connection: _WatchConnection, value: Any) -> None:
         """Take an object from a connection; raises if it is no update or the list goes back."""
         update = NodeListUpdate(value)
         if connection not in self.connections:
             return
-        if update.version < self.newest:
+        if update.version < self.newest_version:
             if connection is not self.connections[-1]:
                 return  # the newer connection has delivered more
-            if self.version is not None:  # the complete list is asked for, and then counts
-                self.version = None
-                raise HttpError(502, f"the list goes back from version {self.newest} to {update.version}")
+            if self.resume_version is not None:  # the complete list is asked for, and then counts
+                self.resume_version = None
+                raise HttpError(502, f"the list goes back from version {self.newest_version} to {update.version}")
         self.departures.apply(update)
-        self.backoff_s = BACKOFF_S[0]
+        self.backoff_s = BACKOFF_RANGE_S[0]
         for older in self.connections[: self.connections.index(connection)]:
             older.transport.abort()
-        if update.faults:
-            self.log_fault(f"{len(update.faults)} invalid entries in the node list", update.faults[0])
-        self.version = update.version
-        self.newest = update.version
+        if update.entry_errors:
+            self.log_fault(f"{len(update.entry_errors)} invalid entries in the node list", update.entry_errors[0])
+        self.resume_version = update.version
+        self.newest_version = update.version
         self.on_update(update)
 
     def log_fault(self, event: str, error: object) -> None:
-        """Log a fault, at most one each LOG_S."""
-        if self.loop.time() - self.logged_s >= LOG_S:
-            self.logged_s = self.loop.time()
+        """Log a fault, at most one each FAULT_LOG_INTERVAL_S."""
+        if self.loop.time() - self.last_fault_log_s >= FAULT_LOG_INTERVAL_S:
+            self.last_fault_log_s = self.loop.time()
             self.log(event, error=str(error)[:200])
 
     def add_connection(self, connection: _WatchConnection) -> None:
@@ -186,38 +187,38 @@
     def remove_connection(self, connection: _WatchConnection) -> None:
         """Forget a connection that has ended; the newest is made anew."""
         if connection in self.connections:
-            newest = connection is self.connections[-1]
+            was_newest = connection is self.connections[-1]
             self.connections.remove(connection)
-            if newest:
+            if was_newest:
                 self._connect_after(self._next_backoff())
 
     # ---- connecting
 
     def _next_backoff(self) -> float:
-        backoff_s = self.backoff_s * self.rng.uniform(*JITTER)
-        self.backoff_s = min(BACKOFF_S[1], self.backoff_s * 2)
+        backoff_s = self.backoff_s * self.rng.uniform(*JITTER_RANGE)
+        self.backoff_s = min(BACKOFF_RANGE_S[1], self.backoff_s * 2)
         return backoff_s
 
     def _connect_after(self, delay_s: float) -> None:
-        if not self.stopped and self.connecting is None:
-            self.connecting = self.loop.create_task(self._connect(delay_s))
+        if not self.is_stopped and self.connect_task is None:
+            self.connect_task = self.loop.create_task(self._connect(delay_s))
 
     async def _connect(self, delay_s: float) -> None:
         while True:
             await asyncio.sleep(delay_s)
-            connection = await self._dial()
+            connection = await self._open_connection()
             if connection is not None:
                 break
             delay_s = self._next_backoff()
-        self.connecting = None
+        self.connect_task = None
         if connection not in self.connections:  # it has ended already
             self._connect_after(self._next_backoff())
 
-    async def _dial(self) -> _WatchConnection | None:
+    async def _open_connection(self) -> _WatchConnection | None:
         """Return a connection to the present address, or None if it does not come up in time."""
         address = self.address
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(lambda: _WatchConnection(self, address), *address)
         except OSError:  # a time-out is one of these
             return None
--- a/pebblehinge/service/early.py
+++ b/pebblehinge/service/early_signals.py
@@ -6,11 +6,11 @@
 
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-received: list[int] = []
-"""Numbers of the signals since `hold`, in the order of their arrival."""
+received_signals: list[int] = []
+"""Numbers of the signals since `record_signals`, in the order of their arrival."""
 
 
-def hold() -> None:
+def record_signals() -> None:
     """Record the signals instead of acting on them: by default SIGHUP ends a process that still imports libraries."""
     for number in HANDLED_SIGNALS:
-        signal.signal(number, lambda number, frame: received.append(number))
+        signal.signal(number, lambda number, frame: received_signals.append(number))
--- a/pebblehinge/service/listener.py
+++ b/pebblehinge/service/listener.py
@@ -12,9 +12,9 @@
 from pebblehinge.service.context import Log
 from pebblehinge.service.socket_state import is_readable
 
-ACCEPTS_PER_TURN = 16
+MAX_ACCEPTS_PER_ITERATION = 16
 BACKLOG = 1024
-RETRY_S = 0.02  # until accepting is tried again
+ACCEPT_RETRY_INTERVAL_S = 0.02  # until accepting is tried again
 
 
 class ListenerContext(Protocol):
@@ -49,8 +49,8 @@
         self.loop = context.loop
         self.max_connections = 0
         self.socket: socket.socket | None = None
-        self.paused = False
-        self.accepting: set[asyncio.Task[None]] = set()
+        self.accept_paused = False
+        self.accept_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def is_open(self) -> bool:
@@ -59,20 +59,20 @@
 
     def open(self, address: tuple[str, int]) -> None:
         """Listen on an address; raises OSError if that is not possible."""
-        listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setblocking(False)
-        listening.bind(address)
-        listening.listen(BACKLOG)
-        self.socket = listening
-        self.loop.add_reader(listening.fileno(), self._accept)
-
-    def accept_waiting(self) -> bool:
+        listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.setblocking(False)
+        listening_socket.bind(address)
+        listening_socket.listen(BACKLOG)
+        self.socket = listening_socket
+        self.loop.add_reader(listening_socket.fileno(), self._accept)
+
+    def accept_queued_connections(self) -> bool:
         """Accept what waits in the queue; return whether anything did."""
-        waiting = self.socket is not None and is_readable(self.socket.fileno())
-        if waiting:
+        has_queued = self.socket is not None and is_readable(self.socket.fileno())
+        if has_queued:
             self._accept()
-        return waiting
+        return has_queued
 
     def close(self) -> None:
         """Listen no more."""
@@ -83,10 +83,12 @@
 
     def _accept(self) -> None:
         registry = self.context.registry
-        for accepted in range(ACCEPTS_PER_TURN):
-            if self.socket is None or (accepted and registry.count >= self.max_connections):
+        for accept_count in range(MAX_ACCEPTS_PER_ITERATION):
+            if self.socket is None or (accept_count and registry.connection_count >= self.max_connections):
                 return
-            if registry.count >= self.max_connections and not registry.reclaim_one(self.context.clock()):
+            if registry.connection_count >= self.max_connections and not registry.reclaim_connection(
+                self.context.clock()
+            ):
                 self._pause()  # nothing is closed unanswered: clients wait in the queue until there is capacity
                 return
             try:
@@ -97,32 +99,32 @@
                 self.context.log("accept failed", error=error)
                 self._pause()
                 return
-            self._begin(sock)
+            self._set_up_connection(sock)
 
-    def _begin(self, sock: socket.socket) -> None:
+    def _set_up_connection(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.context.registry.count += 1
-        task = self.loop.create_task(self._connect(sock))
-        self.accepting.add(task)
-        task.add_done_callback(self.accepting.discard)
+        self.context.registry.connection_count += 1
+        task = self.loop.create_task(self._create_connection(sock))
+        self.accept_tasks.add(task)
+        task.add_done_callback(self.accept_tasks.discard)
 
-    async def _connect(self, sock: socket.socket) -> None:
+    async def _create_connection(self, sock: socket.socket) -> None:
         conn = ClientConnection(self.context.registry, sock)
         try:
             await self.loop.connect_accepted_socket(lambda: conn, sock)
         except OSError:
-            self.context.registry.uncount(conn)
+            self.context.registry.stop_counting(conn)
             sock.close()
 
     def _pause(self) -> None:
-        """Accept no more for RETRY_S."""
-        if not self.paused and self.socket is not None:
-            self.paused = True
+        """Accept no more for ACCEPT_RETRY_INTERVAL_S."""
+        if not self.accept_paused and self.socket is not None:
+            self.accept_paused = True
             self.loop.remove_reader(self.socket.fileno())
-            self.loop.call_later(RETRY_S, self._resume)
+            self.loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume)
 
     def _resume(self) -> None:
-        self.paused = False
+        self.accept_paused = False
         if self.socket is not None:
             self.loop.add_reader(self.socket.fileno(), self._accept)
--- a/pebblehinge/service/node_list.py
+++ b/pebblehinge/service/node_list.py
@@ -12,8 +12,8 @@
 from pebblehinge.platform_settings import ENDPOINT_STATES, PlatformSettingsError, SettingsReader
 from pebblehinge.service.config import parse_address
 
-OBJECT_LIMIT = 4 * 1024 * 1024  # bytes of one object
-STRUCTURAL = re.compile(rb'[{}\[\]"\\]')  # all bytes that decide where a value ends
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # bytes of one object
+STRUCTURAL_BYTES = re.compile(rb'[{}\[\]"\\]')  # all bytes that decide where a value ends
 
 
 class NodeListUpdate:
@@ -30,7 +30,7 @@
         PlatformSettingsError: The object as a whole is not of the expected form.
     """
 
-    __slots__ = ("version", "kind", "entries", "addresses", "faults")
+    __slots__ = ("version", "kind", "entries", "addresses", "entry_errors")
 
     def __init__(self, raw: Any) -> None:
         reader = SettingsReader(raw, "", "list")
@@ -38,19 +38,19 @@
         self.kind = ListKind.WHOLE if reader.get("full", bool, False) else ListKind.CHANGES
         self.entries: list[EndpointEntry] = []
         self.addresses: dict[str, tuple[str, int]] = {}
-        self.faults: list[str] = []
+        self.entry_errors: list[str] = []
         for row in reader.rows("servers"):
             try:
                 self._read_entry(row)
             except PlatformSettingsError as error:
-                self.faults.append(str(error))
+                self.entry_errors.append(str(error))
 
     def _read_entry(self, row: SettingsReader) -> None:
         name = row.get("id", str)
-        cell = row.get("cell", int)
-        standing = row.choice("state", ENDPOINT_STATES)
+        slot = row.get("cell", int)
+        state = row.choice("state", ENDPOINT_STATES)
         address = parse_address(row.get("addr", str), f"{row.place}.addr")
-        self.entries.append(EndpointEntry(name, standing, cell, row.get("started_ms", float, 0.0)))
+        self.entries.append(EndpointEntry(name, state, slot, row.get("started_ms", float, 0.0)))
         self.addresses[name] = address
 
 
@@ -60,17 +60,17 @@
     An object mostly takes one line; one that is indented takes several, and ends where its brackets do.
     """
 
-    __slots__ = ("rest", "parts", "size", "depth", "quoted")
+    __slots__ = ("partial_line", "object_lines", "object_bytes", "bracket_depth", "in_string")
 
     def __init__(self) -> None:
-        self.rest = b""  # of a line that is incomplete
+        self.partial_line = b""  # of a line that is incomplete
         self._reset()
 
     def _reset(self) -> None:
-        self.parts: list[bytes] = []  # lines of an object that is incomplete
-        self.size = 0  # bytes of them
-        self.depth = 0  # brackets that are open
-        self.quoted = False  # within a string
+        self.object_lines: list[bytes] = []  # lines of an object that is incomplete
+        self.object_bytes = 0  # bytes of them
+        self.bracket_depth = 0  # brackets that are open
+        self.in_string = False  # within a string
 
     def feed(self, data: bytes) -> list[Any]:
         """Return the objects that are complete by now, decoded.
@@ -79,29 +79,29 @@
             HttpError: An object is too long.
             msgspec.DecodeError: An object is no JSON.
         """
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         values = [value for line in lines if (value := self._read_line(line)) is not None]
-        if self.size + len(self.rest) > OBJECT_LIMIT:
-            raise HttpError(502, f"a list of more than {OBJECT_LIMIT} bytes")
+        if self.object_bytes + len(self.partial_line) > MAX_OBJECT_BYTES:
+            raise HttpError(502, f"a list of more than {MAX_OBJECT_BYTES} bytes")
         return values
 
     def _read_line(self, line: bytes) -> Any:
         """Return the object that ends with this line, or None."""
         if not line.strip():  # a heartbeat between objects, white space within one
             return None
-        self.parts.append(line)
-        self.size += len(line)
+        self.object_lines.append(line)
+        self.object_bytes += len(line)
         self._scan(line)
-        if self.depth > 0 or self.quoted:
+        if self.bracket_depth > 0 or self.in_string:
             return None
-        text = b"\n".join(self.parts)
+        text = b"\n".join(self.object_lines)
         self._reset()
         return msgspec.json.decode(text)
 
     def _scan(self, line: bytes) -> None:
         """Follow brackets and quotes through a line."""
         escaped = -1  # position behind a backslash
-        for match in STRUCTURAL.finditer(line):
+        for match in STRUCTURAL_BYTES.finditer(line):
             position = match.start()
             byte = match.group()
             if position == escaped:
@@ -109,6 +109,6 @@
             if byte == b"\\":
                 escaped = position + 1
             elif byte == b'"':
-                self.quoted = not self.quoted
-            elif not self.quoted:
-                self.depth += 1 if byte in b"{[" else -1
+                self.in_string = not self.in_string
+            elif not self.in_string:
+                self.bracket_depth += 1 if byte in b"{[" else -1
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -13,7 +13,7 @@
 from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.interface import DiscoveryCall, EndpointState, ListKind, Outcome
 from pebblehinge.platform_settings import PlatformSettingsError
-from pebblehinge.service import early
+from pebblehinge.service import early_signals
 from pebblehinge.service.client_request import ClientRequest
 from pebblehinge.service.config import ServiceConfig, load_config
 from pebblehinge.service.connection_pools import ConnectionPools
@@ -26,13 +26,13 @@
 from pebblehinge.service.service_shutdown import ServiceShutdown
 from pebblehinge.service.summary import Summary
 
-CHECK_S = 0.1  # between checks for connections that have lasted too long
-OWN_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
-SHELF_FRACTION = 3 / 8  # of the descriptors, for connections to storage nodes
-KNOWN_LIST_MS = 500.0  # with the configured list alone, the gateway is ready after this
-NO_LIST_MS = 5000.0  # ... and without any list after this; the platform expects it within 10 s
-SUMMARY_S = 5.0  # between summaries in the log
-TIMER_GRID_S = 0.0005  # the loop rounds to its grid: without this a timer may fire just before its time
+CHECK_INTERVAL_S = 0.1  # between checks for connections that have lasted too long
+RESERVED_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
+NODE_SOCKET_FRACTION = 3 / 8  # of the descriptors, for connections to storage nodes
+INITIAL_LIST_DELAY_MS = 500.0  # with the configured list alone, the gateway is ready after this
+NO_LIST_DELAY_MS = 5000.0  # ... and without any list after this; the platform expects it within 10 s
+SUMMARY_INTERVAL_S = 5.0  # between summaries in the log
+TIMER_ROUNDING_S = 0.0005  # the loop rounds to its grid: without this a timer may fire just before its time
 SEED_MASK = 0x5EED  # the discovery watch draws from another sequence than the scheduler
 
 
@@ -60,16 +60,16 @@
         self.service_log = ServiceLog()
         self.lateness = Lateness(loop)
         self.registry = ConnectionRegistry(self)
-        self.pools = ConnectionPools(self, config.idle_ms, config.connect_ms, 0)
+        self.pools = ConnectionPools(self, config.idle_timeout_ms, config.connect_timeout_ms, 0)
         self.listener = Listener(self)
         self.core = RequestTable(config.settings, config.seed, self.started_ms, self)
         self.summary = Summary(self.core, self.registry, self.pools)
         rng = random.Random(config.seed ^ SEED_MASK)
-        self.watch = DiscoveryWatch(loop, config.discovery, rng, self._receive_update, self.log)
-        self.discovered = False  # discovery itself has sent a list
-        self.timer: asyncio.TimerHandle | None = None
+        self.watch = DiscoveryWatch(loop, config.discovery_address, rng, self._receive_update, self.log)
+        self.has_discovery_list = False  # discovery itself has sent a list
+        self.wake_timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
-        self.stopped: asyncio.Future[None] = loop.create_future()
+        self.stopped_future: asyncio.Future[None] = loop.create_future()
         self.shutdown = ServiceShutdown(self)
         self._divide_sockets()
 
@@ -78,42 +78,42 @@
         self.service_log.write(self.config.name, (self.clock() - self.started_ms) / 1000.0, event, fields)
 
     @property
-    def late_ms(self) -> float:
+    def lateness_ms(self) -> float:
         """For how long what is read now may have been unread."""
         return self.lateness.current_ms
 
     def _divide_sockets(self) -> None:
         """Divide the descriptors among connections of clients and to storage nodes."""
-        self.pools.max_connections = int(self.config.sockets * SHELF_FRACTION)
-        self.listener.max_connections = self.config.sockets - self.pools.max_connections - OWN_SOCKETS
+        self.pools.max_connections = int(self.config.max_sockets * NODE_SOCKET_FRACTION)
+        self.listener.max_connections = self.config.max_sockets - self.pools.max_connections - RESERVED_SOCKETS
 
     # ---- start and configuration
 
     async def start(self) -> None:
         """Listen and begin to follow discovery; raises OSError if the address can't be listened on."""
-        if self.config.known is not None:
+        if self.config.initial_node_list is not None:
             try:
-                self._apply_list(NodeListUpdate(self.config.known))
+                self._apply_node_list(NodeListUpdate(self.config.initial_node_list))
             except PlatformSettingsError as error:
                 self.log("configured node list is invalid", error=error)
         self.core.start(self.clock())
         self.watch.start()
-        self.listener.open(self.config.listen)
-        self.loop.call_later(CHECK_S, self._check)
+        self.listener.open(self.config.listen_address)
+        self.loop.call_later(CHECK_INTERVAL_S, self._run_checks)
         self.lateness.start()
-        self.loop.call_later(SUMMARY_S, self._summarize_again)
+        self.loop.call_later(SUMMARY_INTERVAL_S, self._log_summary_periodically)
         gc.collect()
         gc.freeze()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether it listens and has a list: discovery's, or after a while the configured one.
 
         Without any list it is ready later: requests are rejected with a Retry-After then, which is more than no answer.
         """
         uptime_ms = self.clock() - self.started_ms
-        if not self.listener.is_open or not self.pools.table:
-            return self.listener.is_open and uptime_ms > NO_LIST_MS
-        return self.discovered or uptime_ms > KNOWN_LIST_MS
+        if not self.listener.is_open or not self.pools.nodes:
+            return self.listener.is_open and uptime_ms > NO_LIST_DELAY_MS
+        return self.has_discovery_list or uptime_ms > INITIAL_LIST_DELAY_MS
 
     def reload(self) -> None:
         """Read the configuration file again (SIGHUP); if it is wrong, the old one stays in force."""
@@ -125,38 +125,40 @@
         old = self.config
         self.config = config
         self._divide_sockets()
-        self.pools.idle_ms = config.idle_ms
-        self.pools.connect_ms = config.connect_ms
+        self.pools.idle_timeout_ms = config.idle_timeout_ms
+        self.pools.connect_timeout_ms = config.connect_timeout_ms
         if config.settings != old.settings:
             self.core.adopt(self.clock(), config.settings)
-        self.watch.move(config.discovery)
-        if config.listen != old.listen:
+        self.watch.change_address(config.discovery_address)
+        if config.listen_address != old.listen_address:
             self.log("listen address changes at the next start")
         self.log("configuration reloaded")
 
     def stop(self) -> None:
-        """Close everything at the end of the shutdown; `stopped` is done then."""
+        """Close everything at the end of the shutdown; `stopped_future` is done then."""
         self.listener.close()
-        self._summarize()
+        self._log_summary()
         self.log("stopped", open=self.core.open_count)
         self.watch.stop()
         self.pools.stop()
-        if not self.stopped.done():
-            self.stopped.set_result(None)
+        if not self.stopped_future.done():
+            self.stopped_future.set_result(None)
 
     # ---- effects of the core; see `Effects`
 
-    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: PendingRequest, node: str, attempt: int, until_ms: float) -> None:
         """Begin an attempt."""
-        self.pools.send(cast(ClientRequest, pending), shelf, attempt, until_ms)
+        self.pools.send(cast(ClientRequest, pending), node, attempt, until_ms)
 
     def cancel_attempt(self, pending: PendingRequest) -> None:
         """Cancel the attempt that is out."""
         self.pools.cancel(pending.attempt)
 
-    def answer(self, pending: PendingRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(
+        self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         """Send the final answer."""
-        self.registry.answer(pending, final, stay_ms, data)
+        self.registry.answer(pending, final, retry_after_ms, data)
 
     def call_discovery(self, call: DiscoveryCall) -> None:
         """Do nothing: the watch is always open."""
@@ -164,50 +166,54 @@
     def wake_at(self, at_ms: float) -> None:
         """Have the core woken at a time, or earlier if that was asked for before."""
         if at_ms < self.wake_ms:
-            if self.timer is not None:
-                self.timer.cancel()
+            if self.wake_timer is not None:
+                self.wake_timer.cancel()
             self.wake_ms = at_ms
-            self.timer = self.loop.call_later(max(0.0, at_ms - self.clock()) / 1000.0 + TIMER_GRID_S, self._wake)
+            self.wake_timer = self.loop.call_later(
+                max(0.0, at_ms - self.clock()) / 1000.0 + TIMER_ROUNDING_S, self._wake
+            )
 
     def _wake(self) -> None:
-        self.timer = None
+        self.wake_timer = None
         self.wake_ms = float("inf")
         self.core.woken(self.clock())
 
     # ---- storage nodes, discovery and timers
 
-    def is_wanted(self, pending: PendingRequest) -> bool:
+    def can_start_attempt(self, pending: PendingRequest) -> bool:
         """Return whether an attempt may still be begun for a request."""
-        return self.registry.is_wanted(pending)
+        return self.registry.can_start_attempt(pending)
 
-    def end_attempt(self, pending: PendingRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes) -> None:
+    def end_attempt(
+        self, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes
+    ) -> None:
         """Pass the outcome of an attempt to the core."""
-        self.core.ended(self.clock(), pending, attempt, outcome, took_ms, data)
+        self.core.ended(self.clock(), pending, attempt, outcome, duration_ms, data)
 
     def _receive_update(self, update: NodeListUpdate) -> None:
-        self.discovered = True
-        self._apply_list(update)
+        self.has_discovery_list = True
+        self._apply_node_list(update)
 
-    def _apply_list(self, update: NodeListUpdate) -> None:
+    def _apply_node_list(self, update: NodeListUpdate) -> None:
         ready = {entry.node_name: entry.state is EndpointState.READY for entry in update.entries}
-        self.pools.apply_list(ready, update.addresses, update.kind is ListKind.WHOLE)
+        self.pools.apply_node_list(ready, update.addresses, update.kind is ListKind.WHOLE)
         self.core.listed(self.clock(), update.kind, update.entries)
 
-    def _check(self) -> None:
-        self.loop.call_later(CHECK_S, self._check)
+    def _run_checks(self) -> None:
+        self.loop.call_later(CHECK_INTERVAL_S, self._run_checks)
         now = self.clock()
         self.registry.close_expired(now)
         self.pools.close_expired(now)
         self.watch.check_silence()
 
-    def _summarize(self) -> None:
+    def _log_summary(self) -> None:
         increments = self.summary.increments()
         if increments:
-            self.log("summary", **increments, **self.summary.gauges(self.late_ms))
+            self.log("summary", **increments, **self.summary.gauges(self.lateness_ms))
 
-    def _summarize_again(self) -> None:
-        self.loop.call_later(SUMMARY_S, self._summarize_again)
-        self._summarize()
+    def _log_summary_periodically(self) -> None:
+        self.loop.call_later(SUMMARY_INTERVAL_S, self._log_summary_periodically)
+        self._log_summary()
 
 
 async def run(path: str, config: ServiceConfig) -> None:
@@ -215,8 +221,10 @@
     loop = asyncio.get_running_loop()
     service = Service(loop, config, path)
     loop.set_exception_handler(
-        lambda _, about: service.log(
-            "unhandled error in the event loop", what=about["message"], error=repr(about.get("exception"))
+        lambda _, error_context: service.log(
+            "unhandled error in the event loop",
+            what=error_context["message"],
+            error=repr(error_context.get("exception")),
         )
     )
     handlers = {
@@ -227,9 +235,9 @@
     for number, handler in handlers.items():
         loop.add_signal_handler(number, handler)
     await service.start()
-    for received in early.received:
-        handlers[signal.Signals(received)]()
-    await service.stopped
+    for signal_number in early_signals.received_signals:
+        handlers[signal.Signals(signal_number)]()
+    await service.stopped_future
 
 
 __all__ = ["Service", "run"]
--- a/pebblehinge/service/service_shutdown.py
+++ b/pebblehinge/service/service_shutdown.py
@@ -34,7 +34,7 @@
     listener: Listener
 
     @property
-    def late_ms(self) -> float:
+    def lateness_ms(self) -> float:
         """For how long what is read now may have been unread."""
 
     @property
@@ -55,38 +55,38 @@
     def begin(self) -> None:
         """Drain: open connections are served as long as there is time to answer, then closed."""
         context = self.context
-        step_ms = self.shutdown.begin(context.clock(), context.late_ms, context.config.longest_wait_ms)
-        if step_ms is not None:
-            context.log("draining", open=context.core.open_count, clients=context.registry.count)
-            self._step_at(step_ms)
+        next_step_ms = self.shutdown.begin(context.clock(), context.lateness_ms, context.config.longest_wait_ms)
+        if next_step_ms is not None:
+            context.log("draining", open=context.core.open_count, clients=context.registry.connection_count)
+            self._schedule_step(next_step_ms)
 
     def _step(self) -> None:
-        step_ms = self.shutdown.step(self.context.clock())
-        if step_ms is not None:
-            self._step_at(step_ms)
+        next_step_ms = self.shutdown.step(self.context.clock())
+        if next_step_ms is not None:
+            self._schedule_step(next_step_ms)
 
-    def _step_at(self, step_ms: float) -> None:
-        delay_s = max(0.0, step_ms - self.context.clock()) / 1000.0
+    def _schedule_step(self, next_step_ms: float) -> None:
+        delay_s = max(0.0, next_step_ms - self.context.clock()) / 1000.0
         self.context.loop.call_later(delay_s, self._step)
 
     # ---- effects; see `ShutdownEffects`
 
-    def answer_by(self, end_ms: float) -> None:
+    def set_answer_deadline(self, deadline_ms: float) -> None:
         """Have all requests answered by a time."""
-        self.context.registry.draining = True
-        self.context.core.leaves(self.context.clock(), end_ms)
+        self.context.registry.is_draining = True
+        self.context.core.leaves(self.context.clock(), deadline_ms)
 
-    def accept_waiting(self) -> bool:
+    def accept_queued_connections(self) -> bool:
         """Accept what waits in the listen queue; return whether anything did."""
-        return self.context.listener.accept_waiting()
+        return self.context.listener.accept_queued_connections()
 
-    def close_inactive(self, last: bool) -> None:
-        """Close connections with nothing open and nothing unread; if `last`, those with part of a request too."""
-        self.context.registry.close_inactive(last)
+    def close_inactive_connections(self, reject_partial: bool) -> None:
+        """Close connections with nothing open or unread; if `reject_partial`, those with part of a request too."""
+        self.context.registry.close_inactive_connections(reject_partial)
 
-    def count_owed(self) -> int:
+    def count_unanswered_connections(self) -> int:
         """Return the number of connections on which an answer is, or may be, owed."""
-        return self.context.registry.count_owed(self.context.clock())
+        return self.context.registry.count_unanswered_connections(self.context.clock())
 
     def finish(self) -> None:
         """Stop: nothing is owed any more."""
--- a/pebblehinge/service/shutdown.py
+++ b/pebblehinge/service/shutdown.py
@@ -13,11 +13,11 @@
 
 # After SIGTERM clients go on using open connections, and the process is killed no earlier than the longest time a
 # client waits, of at most 3 s, and 0.7 s on top. Until shortly before that it serves them.
-MAX_WAIT_MS = 3000.0
-KILL_MS = 700.0
-CLOSING_MS = 250.0  # before the kill, connections without an open request are closed
-ANSWERED_MS = 120.0  # before the kill, all that was taken has its answer
-STEP_MS = 20.0  # between checks of what is left
+MAX_CLIENT_WAIT_MS = 3000.0
+KILL_DELAY_MS = 700.0
+CLOSING_LEAD_MS = 250.0  # before the kill, connections without an open request are closed
+ANSWER_LEAD_MS = 120.0  # before the kill, all that was taken has its answer
+STEP_INTERVAL_MS = 20.0  # between checks of what is left
 
 
 class Stage(Enum):
@@ -32,16 +32,16 @@
 class ShutdownEffects(Protocol):
     """What the gateway does for its shutdown."""
 
-    def answer_by(self, end_ms: float) -> None:
+    def set_answer_deadline(self, deadline_ms: float) -> None:
         """Have all requests, present and future, answered by a time of the gateway's clock."""
 
-    def accept_waiting(self) -> bool:
+    def accept_queued_connections(self) -> bool:
         """Accept what waits in the listen queue; return whether anything did."""
 
-    def close_inactive(self, last: bool) -> None:
-        """Close connections with nothing open and nothing unread; if `last`, those with part of a request too."""
+    def close_inactive_connections(self, reject_partial: bool) -> None:
+        """Close connections with nothing open or unread; if `reject_partial`, those with part of a request too."""
 
-    def count_owed(self) -> int:
+    def count_unanswered_connections(self) -> int:
         """Return the number of connections on which an answer is, or may be, owed."""
 
     def finish(self) -> None:
@@ -58,12 +58,12 @@
         self.stage = Stage.SERVING
         self.kill_ms = float("inf")  # the earliest time of a kill
 
-    def begin(self, now: float, late_ms: float, longest_wait_ms: float) -> float | None:
+    def begin(self, now: float, lateness_ms: float, longest_wait_ms: float) -> float | None:
         """Begin to drain; a further call changes nothing.
 
         Args:
             now: The time.
-            late_ms: How long ago the signal may have arrived.
+            lateness_ms: How long ago the signal may have arrived.
             longest_wait_ms: The longest time that a client may wait for its answer.
 
         Returns:
@@ -72,18 +72,18 @@
         if self.stage is not Stage.SERVING:
             return None
         self.stage = Stage.DRAINING
-        self.kill_ms = now - late_ms + min(MAX_WAIT_MS, longest_wait_ms) + KILL_MS
-        self.effects.answer_by(self.kill_ms - ANSWERED_MS)
-        return self.kill_ms - CLOSING_MS
+        self.kill_ms = now - lateness_ms + min(MAX_CLIENT_WAIT_MS, longest_wait_ms) + KILL_DELAY_MS
+        self.effects.set_answer_deadline(self.kill_ms - ANSWER_LEAD_MS)
+        return self.kill_ms - CLOSING_LEAD_MS
 
     def step(self, now: float) -> float | None:
         """Go on as far as possible; return when to call this again, or None once stopped."""
-        if self.stage is Stage.DRAINING and now >= self.kill_ms - CLOSING_MS:
+        if self.stage is Stage.DRAINING and now >= self.kill_ms - CLOSING_LEAD_MS:
             self.stage = Stage.CLOSING
         if self.stage is Stage.CLOSING:
-            accepted = self.effects.accept_waiting()
-            self.effects.close_inactive(now >= self.kill_ms - ANSWERED_MS / 2)
-            if not accepted and not self.effects.count_owed():
+            accepted = self.effects.accept_queued_connections()
+            self.effects.close_inactive_connections(now >= self.kill_ms - ANSWER_LEAD_MS / 2)
+            if not accepted and not self.effects.count_unanswered_connections():
                 self.stage = Stage.STOPPED
                 self.effects.finish()
-        return None if self.stage is Stage.STOPPED else now + STEP_MS
+        return None if self.stage is Stage.STOPPED else now + STEP_INTERVAL_MS
--- a/tests/life_world.py
+++ b/tests/life_world.py
@@ -114,7 +114,11 @@
         self.events: list[tuple[float, int, Any]] = []
         self.wires: list[Wire] = []
         self.queue: list[Wire] = []
-        self.loop, self.late_ms, self.config = self, 0.0, read_config(json.dumps({**CONFIG, "settings": SLOW}).encode())
+        self.loop, self.lateness_ms, self.config = (
+            self,
+            0.0,
+            read_config(json.dumps({**CONFIG, "settings": SLOW}).encode()),
+        )
         self.never = 0  # attempts that were not begun, since their client had gone
         self.risky: set[str] = set()  # ids of what may have run
         self.registry, self.shutdown, self.done = ConnectionRegistry(self), Shutdown(self), False  # type: ignore[arg-type]
@@ -134,7 +138,7 @@
     # what the core has done
     def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
         pending.attempt = token = object()
-        if not self.registry.is_wanted(pending):
+        if not self.registry.can_start_attempt(pending):
             self.never += 1
             self.at(
                 self.now,
@@ -165,23 +169,23 @@
         self.at(at_ms, lambda: self.core.woken(self.now))
 
     # the end
-    def answer_by(self, end_ms: float) -> None:
-        self.registry.draining = True
+    def set_answer_deadline(self, end_ms: float) -> None:
+        self.registry.is_draining = True
         self.core.leaves(self.now, end_ms)
 
-    def accept_waiting(self) -> bool:
+    def accept_queued_connections(self) -> bool:
         came, self.queue = self.queue, []
         for wire in came:
             wire.conn = ClientConnection(self.registry, wire)  # type: ignore[arg-type]
-            self.registry.count += 1
+            self.registry.connection_count += 1
             wire.conn.connection_made(wire)
         return bool(came)
 
-    def close_inactive(self, last: bool) -> None:
-        self.registry.close_inactive(last)
+    def close_inactive_connections(self, last: bool) -> None:
+        self.registry.close_inactive_connections(last)
 
-    def count_owed(self) -> int:
-        return self.registry.count_owed(self.now)
+    def count_unanswered_connections(self) -> int:
+        return self.registry.count_unanswered_connections(self.now)
 
     def finish(self) -> None:
         self.done = True
@@ -242,4 +246,4 @@
             for wire in self.wires:
                 wire.turn()
             if self.shutdown.stage is not Stage.CLOSING:
-                self.accept_waiting()
+                self.accept_queued_connections()
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -140,7 +140,9 @@
             await peer.start()
         self.discovery.list = listing(1, *(entry(f"s{i}", s.port, i) for i, s in enumerate(self.shelfs)))
         config = read_config(json.dumps({**CONFIG, "limits": {"sockets": sockets}}).encode())
-        config = dataclasses.replace(config, listen=(LOOPBACK, 0), discovery=(LOOPBACK, self.discovery.port), **changes)
+        config = dataclasses.replace(
+            config, listen_address=(LOOPBACK, 0), discovery_address=(LOOPBACK, self.discovery.port), **changes
+        )
         self.head = Service(asyncio.get_running_loop(), config, "/nowhere")
         self.head.log = lambda event, **facts: None  # type: ignore[method-assign]
         await self.head.start()
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -194,7 +194,7 @@
     assert common["frame_limit"] == limits.frame
     assert common["framed_clients"] == limits.connections
     assert common["keepalive_s"] * 1000 == limits.keepalive
-    assert common["service_idle_s"] * 1000 == ConnectionRegistry.IDLE_MS
+    assert common["service_idle_s"] * 1000 == ConnectionRegistry.IDLE_TIMEOUT_MS
 
 
 def test_the_caps_of_the_page_are_those_of_the_code() -> None:
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -33,11 +33,11 @@
     held = (
         head.core.open_count,
         head.core.pending,
-        registry.ids,
-        head.pools.attempts,
-        registry.active,
-        registry.incomplete,
-        registry.idle,
+        registry.open_request_ids,
+        head.pools.attempt_count,
+        registry.active_group,
+        registry.incomplete_group,
+        registry.idle_group,
     )
     return not any(held)
 
@@ -67,7 +67,7 @@
                 pass
             ends(raw, how)
             await asyncio.sleep(0.01)
-            await until(lambda: rig.head.registry.count <= 1 and not rig.head.core.open_count)
+            await until(lambda: rig.head.registry.connection_count <= 1 and not rig.head.core.open_count)
         assert len(rig.shelfs[0].asked) == 1
         assert rig.head.core.counts.client_gone == rig.head.core.counts.received - 1
 
@@ -82,7 +82,7 @@
         client = await rig.client()
         client.write(ask(X_Deadline_Ms="1900"))
         await until(lambda: rig.shelfs[0].asked)
-        client.write(ask() * 3 + b"x" * 4 * client_connection.AHEAD_LIMIT)
+        client.write(ask() * 3 + b"x" * 4 * client_connection.MAX_PIPELINED_BYTES)
         client.transport.write_eof()
         await until(lambda: rig.head.core.counts.client_gone == 1, 1.5)
         await until(lambda: rig.shelfs[0].conns[0].lost, 1.5)
@@ -122,11 +122,11 @@
         await until(lambda: rig.shelfs[1].asked)
         assert conn.transport.get_write_buffer_size()
         raw.shutdown(socket.SHUT_WR)
-        await until(lambda: rig.head.core.open_count == 0 and not rig.head.registry.ids, 1.5)
-        assert rig.head.registry.count == 1
+        await until(lambda: rig.head.core.open_count == 0 and not rig.head.registry.open_request_ids, 1.5)
+        assert rig.head.registry.connection_count == 1
         await until(lambda: rig.shelfs[1].conns[0].lost)
         raw.close()
-        await until(lambda: rig.head.registry.count == 0)
+        await until(lambda: rig.head.registry.connection_count == 0)
 
     on_rig(script)
 
@@ -182,7 +182,7 @@
 
 def test_one_that_asks_for_health_and_never_reads_is_bounded_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its answers were kept without bound, and so was what it sent behind them."""
-    monkeypatch.setattr(connection_registry.ConnectionRegistry, "STALL_MS", 200.0)
+    monkeypatch.setattr(connection_registry.ConnectionRegistry, "STALL_TIMEOUT_MS", 200.0)
 
     async def script(rig: Rig) -> None:
         raw = socket.socket()
@@ -197,11 +197,15 @@
                 pass
             except OSError:
                 break
-            for conn in (*rig.head.registry.idle, *rig.head.registry.closing, *rig.head.registry.incomplete):
+            for conn in (
+                *rig.head.registry.idle_group,
+                *rig.head.registry.closing_group,
+                *rig.head.registry.incomplete_group,
+            ):
                 most = max(most, len(conn.parser.buffer) + conn.transport.get_write_buffer_size())
             await asyncio.sleep(0.005)
         assert most < 2_000_000
-        await until(lambda: rig.head.registry.count == 0)
+        await until(lambda: rig.head.registry.connection_count == 0)
 
     on_rig(script)
 
@@ -228,6 +232,8 @@
         rig.shelfs[0].does = does
         client = await rig.client()
         client.write(ask() + ask() + ask())
-        assert [(await client.answer()).status for _ in range(3)] == [200] * 3 and rig.head.registry.abandoned == 0
+        assert [(await client.answer()).status for _ in range(3)] == [
+            200
+        ] * 3 and rig.head.registry.skipped_attempt_count == 0
 
     on_rig(script)
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -32,7 +32,7 @@
     gate.opens.set()
     await asyncio.sleep(0.05)
     assert not any(s.asked for s in rig.shelfs)
-    assert rig.head.pools.attempts == rig.head.pools.dialling == 0 and not rig.head.core.pending
+    assert rig.head.pools.attempt_count == rig.head.pools.dialing_count == 0 and not rig.head.core.pending
 
 
 @pytest.mark.parametrize("cancellations", [True, False])
@@ -57,7 +57,7 @@
 
     async def script(rig: Rig) -> None:
         client, gate = await dialling(rig, ask("save", 0, b"abc"))
-        rig.head.pools.connect_ms = 5000.0
+        rig.head.pools.connect_timeout_ms = 5000.0
         rig.head.core.leaves(rig.head.clock(), rig.head.clock() + 20.0)
         answer = await client.answer()
         assert answer.status == 502  # the module does not know that its attempt only waits
@@ -87,7 +87,7 @@
         moved = Shelf()
         await moved.start()
         rig.discovery.conns[0].tell(listing(2, entry("s0", moved.port, 0), full=False))
-        await until(lambda: rig.head.pools.table["s0"].address[1] == moved.port)
+        await until(lambda: rig.head.pools.nodes["s0"].address[1] == moved.port)
         gate.opens.set()
         assert (await client.answer()).status == 200
         assert len(moved.asked) == 1 and not rig.shelfs[0].asked
@@ -104,11 +104,11 @@
         port = rig.shelfs[0].port
         rig.discovery.conns[0].tell(listing(2, entry("s0", port, 0, "Gone"), full=False))
         rig.discovery.conns[0].tell(listing(3, entry("s0", port, 0, started=rig.head.clock()), full=False))
-        await until(lambda: rig.head.watch.newest == 3)
+        await until(lambda: rig.head.watch.newest_version == 3)
         gate.opens.set()
         await client.answer()
-        idle = rig.head.pools.table["s0"].idle
-        assert all(conn.shelf is rig.head.pools.table["s0"] for conn in idle)
+        idle = rig.head.pools.nodes["s0"].idle_connections
+        assert all(conn.node is rig.head.pools.nodes["s0"] for conn in idle)
 
     on_rig(script)
 
@@ -118,7 +118,7 @@
         client, gate = await dialling(rig, ask(X_Deadline_Ms="100"))
         assert (await client.answer()).status == 503 and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
         await nothing_is_sent(rig, gate)
-        assert len(rig.head.pools.table["s0"].idle) == 1
+        assert len(rig.head.pools.nodes["s0"].idle_connections) == 1
 
     on_rig(script)
 
@@ -128,11 +128,11 @@
         client, gate = await dialling(rig, ask(X_Deadline_Ms="600"))
         assert (await client.answer()).status == 503
         assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] >= 1 and not rig.shelfs[0].asked
-        assert rig.head.pools.attempts == rig.head.pools.dialling == 0
+        assert rig.head.pools.attempt_count == rig.head.pools.dialing_count == 0
         gate.opens.set()
         await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
 
-    on_rig(script, connect_ms=80.0)
+    on_rig(script, connect_timeout_ms=80.0)
 
 
 IDEMPOTENT_WITH_KEY = {
@@ -170,7 +170,7 @@
         assert (await client.answer()).status == (503 if late else 200)
         assert len(rig.shelfs[0].asked) == (1 if late else 2)
 
-    on_rig(script, settings=WINDOW, connect_ms=1000.0)
+    on_rig(script, settings=WINDOW, connect_timeout_ms=1000.0)
 
 
 def test_a_repeat_whose_last_byte_does_not_leave_within_its_window_is_cut() -> None:
@@ -178,7 +178,7 @@
 
     async def script(rig: Rig) -> None:
         shelfs, sent = rig.head.pools, []
-        begin: Callable[..., bool] = shelfs._begin
+        begin: Callable[..., bool] = shelfs._start_attempt
 
         def blocked(attempt: Any, conn: Any) -> bool:
             if attempt.number == 1:  # as a socket that takes no more: what is written stays with the transport
@@ -186,11 +186,11 @@
                 sent.append(attempt)
             return begin(attempt, conn)
 
-        shelfs._begin = blocked  # type: ignore[method-assign]
+        shelfs._start_attempt = blocked  # type: ignore[method-assign]
         loop, raw = rig.head.loop, socket.create_server(rig.address(0)[:1] + (0,))
         raw.setblocking(False)
         rig.discovery.conns[0].tell(listing(2, entry("s0", raw.getsockname()[1], 0), full=False))
-        await until(lambda: rig.head.watch.newest == 2)
+        await until(lambda: rig.head.watch.newest_version == 2)
         client = await rig.client()
         client.write(ask("save", 0, b"abc"))
         first, _ = await loop.sock_accept(raw)
@@ -198,8 +198,8 @@
         await loop.sock_sendall(first, ERROR)
         second, _ = await loop.sock_accept(raw)  # nobody reads there
         assert (await client.answer()).status == 503
-        assert len(sent) == 1 and not sent[0].written and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
-        assert rig.head.pools.connections == 0 and rig.head.clock() < sent[0].until_ms
+        assert len(sent) == 1 and not sent[0].is_written and rig.head.core.outcome_counts[Outcome.NOT_SENT] == 1
+        assert rig.head.pools.connection_count == 0 and rig.head.clock() < sent[0].deadline_ms
         for sock in (first, second, raw):
             sock.close()
 
@@ -218,11 +218,11 @@
         for client in clients:
             client.write(ask())
         await asyncio.sleep(0.05)
-        assert rig.head.pools.dialling + rig.head.pools.connections - gate.dials <= 2 and gate.dials == 2
+        assert rig.head.pools.dialing_count + rig.head.pools.connection_count - gate.dials <= 2 and gate.dials == 2
         assert [(await c.answer()).status for c in clients[2:]] == [503, 503]
         gate.opens.set()
         assert [(await c.answer()).status for c in clients[:2]] == [200, 200]
         other = await rig.ask(ask(shard=1))  # idle ones give way
-        assert other.status == 200 and rig.head.pools.connections <= 3
+        assert other.status == 200 and rig.head.pools.connection_count <= 3
 
     on_rig(script)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -62,7 +62,7 @@
         await until(lambda: seen.told)
         assert seen.told[0].version == 1
         seen.loop.opens.set()
-        await until(lambda: seen.watch.connecting is None)
+        await until(lambda: seen.watch.connect_task is None)
         assert len(seen.watch.connections) == 1
 
     on_sockets(script, gated=True)
@@ -82,7 +82,7 @@
 def test_beside_a_silent_watch_another_is_opened_and_the_old_one_may_still_tell(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENT_S", 0.2)
+    monkeypatch.setattr(discovery, "SILENCE_RECONNECT_S", 0.2)
 
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
@@ -91,9 +91,9 @@
         seen.watch.check_silence()
         await until(lambda: len(seen.peer.conns) == 2 and len(seen.watch.connections) == 2)
         old.tell(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
-        await until(lambda: seen.watch.newest == 2)
+        await until(lambda: seen.watch.newest_version == 2)
         seen.peer.conns[1].tell(listing(3, entry("s0", 5, 0, "Gone"), full=False))
-        await until(lambda: seen.watch.newest == 3 and old.lost)
+        await until(lambda: seen.watch.newest_version == 3 and old.lost)
         old_watch = seen.watch.connections
         assert len(old_watch) == 1
 
@@ -109,7 +109,7 @@
         text += json.dumps(listing(3, entry("s3", 5, 2), full=False), indent=indent).encode() + b"\n"
         for at in range(0, len(text), 5):
             seen.peer.conns[0].write(chunk(text[at : at + 5]))
-        await until(lambda: seen.watch.newest == 3)
+        await until(lambda: seen.watch.newest_version == 3)
         assert set(seen.standings()) == {"s0", odd, "s2", "s3"} and len(seen.peer.conns) == 1
 
     on_sockets(script)
@@ -138,7 +138,7 @@
         await until(lambda: len(seen.peer.conns) > 4)
         assert len(seen.told) == 1 and len(seen.said) == 1
         seen.peer.does, seen.peer.list = good, listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating"))
-        await until(lambda: seen.watch.newest == 2)
+        await until(lambda: seen.watch.newest_version == 2)
         assert seen.standings() == {"s0": "draining"}
 
     on_sockets(script)
@@ -150,31 +150,31 @@
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
         seen.peer.conns[0].tell(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
-        await until(lambda: seen.watch.newest == 7)
+        await until(lambda: seen.watch.newest_version == 7)
         seen.peer.list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
         seen.peer.conns[0].tell(listing(4, entry("s0", 5, 0), full=False))
-        await until(lambda: seen.watch.newest == 5)
+        await until(lambda: seen.watch.newest_version == 5)
         assert seen.peer.asked[-1][1].target == b"/registry/instances?stream=1"
         assert seen.standings() == {"s0": "draining", "s1": "ready", "s2": "ready"}
         # A new start of it, or a later word, is another matter; and a version that skips is none.
         seen.peer.conns[-1].tell(listing(6, entry("s0", 5, 0, started=9.0), full=False))
-        await until(lambda: seen.watch.newest == 6)
+        await until(lambda: seen.watch.newest_version == 6)
         assert seen.standings()["s0"] == "ready"
         seen.peer.conns[-1].tell(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
         seen.peer.conns[-1].tell(listing(22, entry("s1", 5, 1), full=False))
-        await until(lambda: seen.watch.newest == 22)
+        await until(lambda: seen.watch.newest_version == 22)
         assert seen.standings()["s1"] == "ready"
 
     on_sockets(script)
 
 
 def test_what_left_is_kept_in_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(departures, "DEPARTED_LIMIT", 10)
+    monkeypatch.setattr(departures, "MAX_DEPARTURES", 10)
 
     async def script(seen: Seen) -> None:
         for n in range(40):
             seen.watch.departures.apply(NodeListUpdate(listing(n, entry(f"g{n}", 5, 0, "Gone"))))
-        assert list(seen.watch.departures.nodes) == [f"g{n}" for n in range(30, 40)]
+        assert list(seen.watch.departures.by_node) == [f"g{n}" for n in range(30, 40)]
 
     on_sockets(script)
 
@@ -192,10 +192,10 @@
         there = Discovery()
         await there.start()
         there.list = listing(4, entry("s0", 5, 0, "Terminating"))
-        seen.watch.move((LOOPBACK, there.port))
+        seen.watch.change_address((LOOPBACK, there.port))
         if isinstance(seen.loop, Gate):
             seen.loop.opens.set()
-        await until(lambda: seen.watch.newest == 4)
+        await until(lambda: seen.watch.newest_version == 4)
         await until(lambda: len(seen.watch.connections) == 1 and all(c.lost for c in seen.peer.conns))
 
     on_sockets(script, gated=when == "while a connection is made")
--- a/tests/test_discovery_drawn.py
+++ b/tests/test_discovery_drawn.py
@@ -125,11 +125,16 @@
     """A watch that had fallen silent was given up after 6.5 s, pauses grew to 3 s and a connection had 2 s to come up:
     with two of them in a row a drain was learned of after its time."""
     late = [lateness(seed) for seed in range(150)]
-    assert max(late) <= discovery.longest_s() + 0.2 < TOLD_S - 0.5
+    assert max(late) <= discovery.max_list_delay_s() + 0.2 < TOLD_S - 0.5
     assert max(late) > 1.0  # the bad orders did happen
 
 
 def test_the_bound_is_passed_where_the_waits_are_as_they_were(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("SILENT_S", 6.5), ("ABANDON_S", 6.5), ("CONNECT_S", 2.0), ("BACKOFF_S", (0.05, 2.0))):
+    for name, value in (
+        ("SILENCE_RECONNECT_S", 6.5),
+        ("SILENCE_CLOSE_S", 6.5),
+        ("CONNECT_TIMEOUT_S", 2.0),
+        ("BACKOFF_RANGE_S", (0.05, 2.0)),
+    ):
         monkeypatch.setattr(discovery, name, value)
     assert max(lateness(seed) for seed in range(60)) > TOLD_S
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,23 +26,23 @@
     async def script(rig: Rig) -> None:
         shelfs, gate, dials = rig.head.pools, Gate(rig.head.loop), []
         shelfs.loop = gate  # type: ignore[assignment]
-        late = shelfs._cancel_dial
-        shelfs._cancel_dial = lambda dial: dials.append(dial)  # type: ignore[method-assign]
+        late = shelfs._cancel_connecting
+        shelfs._cancel_connecting = lambda dial: dials.append(dial)  # type: ignore[method-assign]
         client = await rig.client()
         client.write(ask(X_Deadline_Ms="800"))
         await until(lambda: dials)
-        shelfs._cancel_dial = late  # type: ignore[method-assign]
+        shelfs._cancel_connecting = late  # type: ignore[method-assign]
         acts = [gate.opens.set, lambda: late(dials[0])]
         for act in acts if first == "the connection" else acts[::-1]:
             act()
         answer = await client.answer()
         assert answer.status in (200, 503)
-        await until(lambda: not shelfs.attempts and not shelfs.dialling)
-        kept = len(shelfs.table["s0"].idle)
-        await until(lambda: shelfs.connections == kept)
+        await until(lambda: not shelfs.attempt_count and not shelfs.dialing_count)
+        kept = len(shelfs.nodes["s0"].idle_connections)
+        await until(lambda: shelfs.connection_count == kept)
         assert rig.head.core.outcome_counts[Outcome.SUCCEEDED] == (answer.status == 200)
 
-    on_rig(script, connect_ms=30.0)
+    on_rig(script, connect_timeout_ms=30.0)
 
 
 @pytest.mark.parametrize("first", ["the answer", "its time"])
@@ -56,7 +56,7 @@
         (pending,) = rig.head.core.pending.values()
         held[0].write(OK)
         if first == "its time":
-            rig.head.pools._time_out(pending.attempt)
+            rig.head.pools._time_out_attempt(pending.attempt)
         else:
             time.sleep(0.02)
             await until(lambda: not rig.head.core.pending)
@@ -130,7 +130,7 @@
         rig.shelfs[0].does = SPOILT[what]
         answer = await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="400"))
         assert answer.status == 502 and answer.body == b"" and len(rig.shelfs[0].asked) == 1
-        await until(lambda: rig.head.pools.buffered_bytes == 0 and rig.head.pools.connections == 0)
+        await until(lambda: rig.head.pools.buffered_bytes == 0 and rig.head.pools.connection_count == 0)
         rig.shelfs[0].does = lambda conn, request: conn.write(OK)
         assert (await rig.ask(ask("save", 0, b"abc"))).body == b"ok"
 
@@ -150,7 +150,7 @@
         await until(lambda: conn.write_paused)
         rig.head.shutdown.begin()
         await asyncio.sleep(1.2)  # past the kill, which may come late
-        assert not rig.head.stopped.done()
+        assert not rig.head.stopped_future.done()
         raw.settimeout(5.0)
 
         def read() -> bytes:
@@ -160,7 +160,7 @@
             return got
 
         got = await asyncio.to_thread(read)
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert got.endswith(body)
         raw.close()
 
@@ -188,7 +188,7 @@
         kept.sendall(ask())  # its class is gone
         assert await status(kept) == b"400"
         assert (await client.answer()).status == 503
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert rig.head.core.open_count == 0 and not rig.head.core.pending
 
     on_rig(script, longest_wait_ms=400.0)
--- a/tests/test_full_of_clients.py
+++ b/tests/test_full_of_clients.py
@@ -34,14 +34,19 @@
             conn.transport.abort()
         await until(lambda: not head.watch.connections)
         raws = [socket.create_connection((LOOPBACK, rig.port)) for _ in range(2 * SOCKETS)]
-        await until(lambda: head.registry.count >= head.listener.max_connections)
+        await until(lambda: head.registry.connection_count >= head.listener.max_connections)
         for _ in range(40):  # they stay, and more wait; discovery is asked for and is not there
-            held = head.registry.count + head.pools.connections + head.pools.dialling + len(head.watch.connections)
-            assert held <= SOCKETS and head.registry.count <= head.listener.max_connections
+            held = (
+                head.registry.connection_count
+                + head.pools.connection_count
+                + head.pools.dialing_count
+                + len(head.watch.connections)
+            )
+            assert held <= SOCKETS and head.registry.connection_count <= head.listener.max_connections
             await asyncio.sleep(0.02)
         again = await back(rig, port)
         again.list = listing(9, entry("s0", rig.shelfs[0].port, 0), entry("s1", rig.shelfs[1].port, 1, "Terminating"))
-        await until(lambda: head.watch.newest == 9, 3.0)
+        await until(lambda: head.watch.newest_version == 9, 3.0)
         assert 1 not in head.core.scheduler.nodes.node_at_slot
         client = await rig.client()
         client.write(ask())
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -46,7 +46,9 @@
 
         world.come = comes  # type: ignore[method-assign]
         world.play()
-        assert world.done and not (world.core.open_count or world.core.pending or world.registry.ids or world.queue)
+        assert world.done and not (
+            world.core.open_count or world.core.pending or world.registry.open_request_ids or world.queue
+        )
         counts = world.core.counts
         assert counts.received == counts.succeeded + counts.rejected + counts.failed + counts.client_gone
         for wire in world.wires:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -18,7 +18,7 @@
 from helpers import LOOPBACK
 from service_rig import CONFIG, SETTINGS, Client, Shelf, ask, entry, listing
 
-from pebblehinge.service import early
+from pebblehinge.service import early_signals
 
 SHORT = {**SETTINGS, "classes": [{**c, "give_up_s": 0.5} for c in SETTINGS["classes"]]}
 READY = b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -116,18 +116,18 @@
 def while_it_loads(*numbers: signal.Signals) -> list[str]:
     """How a head is started that gets signals once it has begun and before anything of weight is loaded."""
     kills = "; ".join(f"os.kill(os.getpid(), {int(number)})" for number in numbers)
-    begun = "import os, runpy, sys; from pebblehinge.service import early; early.hold(); "
+    begun = "import os, runpy, sys; from pebblehinge.service import early_signals; early_signals.record_signals(); "
     rest = "; assert 'uvloop' not in sys.modules; runpy.run_module('pebblehinge.service', run_name='__main__')"
     return ["-c", begun + kills + rest]
 
 
 def test_signals_are_kept_before_anything_else_is_loaded() -> None:
-    lines = (Path(early.__file__).parent / "__main__.py").read_text().splitlines()
-    held = next(n for n, line in enumerate(lines) if "early.hold()" in line)
+    lines = (Path(early_signals.__file__).parent / "__main__.py").read_text().splitlines()
+    held = next(n for n, line in enumerate(lines) if "early_signals.record_signals()" in line)
     loads = [n for n, line in enumerate(lines) if line.startswith(("import", "from"))]
     assert held < loads[-1]
     before = [lines[n] for n in loads if n < held]
-    assert before == ["import os", "import sys", "from pebblehinge.service import early"]
+    assert before == ["import os", "import sys", "from pebblehinge.service import early_signals"]
 
 
 def test_a_reload_while_a_head_still_loads_does_not_end_it(heads: Heads, silent: str) -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
         assert (request.method, request.target, request.body) == (b"PUT", b"/save/x?a=1", b"a\nb")
         assert request.header_values(b"x-request-id") == [b"9b1f03aa5c7e2d41"]
         assert 0 < int(request.header_values(b"x-deadline-ms")[0]) <= 900
-        assert rig.head.core.open_count == 0 and not rig.head.core.pending and not rig.head.registry.ids
+        assert rig.head.core.open_count == 0 and not rig.head.core.pending and not rig.head.registry.open_request_ids
 
     on_rig(script)
 
@@ -68,17 +68,19 @@
         client = await rig.client()
         client.write(ask() + b"".join(ask() for _ in range(20_000)))
         await until(lambda: rig.shelfs[0].asked)
-        (conn,), most = rig.head.registry.active, 0
+        (conn,), most = rig.head.registry.active_group, 0
         for _ in range(100):  # all of it is read, and nothing kept beyond the bound
             most = max(most, len(conn.parser.buffer))
             await asyncio.sleep(0.002)
         assert (
-            most <= client_connection.AHEAD_LIMIT and conn.overflowed and not client.transport.get_write_buffer_size()
+            most <= client_connection.MAX_PIPELINED_BYTES
+            and conn.input_overflowed
+            and not client.transport.get_write_buffer_size()
         )
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
         rig.shelfs[0].conns[0].write(OK)
         await until(lambda: client.lost)
-        kept = client_connection.AHEAD_LIMIT // len(ask())
+        kept = client_connection.MAX_PIPELINED_BYTES // len(ask())
         assert [a.status for a in client.answers] == [200] * (len(client.answers) - 1) + [413]
         assert kept <= len(client.answers) <= kept + 2
 
@@ -146,7 +148,7 @@
 
 
 def test_half_a_request_and_silence_come_to_an_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_registry.ConnectionRegistry, "READ_MS", 150.0)
+    monkeypatch.setattr(connection_registry.ConnectionRegistry, "READ_TIMEOUT_MS", 150.0)
 
     async def script(rig: Rig) -> None:
         half, silent = await rig.client(), await rig.client()
@@ -182,8 +184,8 @@
         assert (
             core.counts.client_gone == 1
             and not core.pending
-            and not rig.head.registry.ids
-            and rig.head.pools.attempts == 0
+            and not rig.head.registry.open_request_ids
+            and rig.head.pools.attempt_count == 0
         )
 
     on_rig(script)
@@ -195,7 +197,7 @@
     async def script(rig: Rig) -> None:
         silent = [await rig.client() for _ in range(90)]
         assert (await rig.ask(ask())).status == 200
-        assert rig.head.registry.count <= rig.head.listener.max_connections < 90
+        assert rig.head.registry.connection_count <= rig.head.listener.max_connections < 90
         assert sum(c.lost for c in silent) >= 90 - rig.head.listener.max_connections
 
     on_rig(script, sockets=96)
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -32,7 +32,7 @@
         rig.shelfs[0].does = lambda conn, r: None
         client.write(ask(X_Deadline_Ms="9000"))
         await client.answer()  # in time for the kill, whatever the client would have waited
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert 0.5 < time.monotonic() - began < 1.2 and client.lost
         assert rig.head.core.open_count == 0 and client.answers[-1].status == 503
 
@@ -45,17 +45,17 @@
     def __init__(self) -> None:
         self.queue, self.open, self.said = 0, 0, []  # type: ignore[var-annotated]
 
-    def answer_by(self, end_ms: float) -> None:
+    def set_answer_deadline(self, end_ms: float) -> None:
         self.said.append(("answer by", end_ms))
 
-    def accept_waiting(self) -> bool:
+    def accept_queued_connections(self) -> bool:
         came, self.queue, self.open = self.queue > 0, 0, self.open + self.queue
         return came
 
-    def close_inactive(self, last: bool) -> None:
+    def close_inactive_connections(self, last: bool) -> None:
         self.said.append(("last" if last else "close",))
 
-    def count_owed(self) -> int:
+    def count_unanswered_connections(self) -> int:
         return self.open
 
     def finish(self) -> None:
@@ -99,7 +99,7 @@
         await until(lambda: rig.head.core.open_count == 7 and len(rig.shelfs[0].asked) == 4)
         began = time.monotonic()
         rig.head.shutdown.begin()
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert rig.head.core.open_count == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
         assert [(await client.answer()).status for client in callers] == [503] * 6 + [502]
 
@@ -117,8 +117,8 @@
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     raw.connect((LOOPBACK, rig.port))
-    await until(lambda: rig.head.registry.incomplete)
-    (conn,) = rig.head.registry.incomplete
+    await until(lambda: rig.head.registry.incomplete_group)
+    (conn,) = rig.head.registry.incomplete_group
     conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return raw, conn
 
@@ -148,7 +148,7 @@
             raw.sendall(data)
         time.sleep(0.1)
         rig.head.shutdown._step()  # one long turn: all of it lies unread when the head begins to close
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert await status(silent) == b""
         assert [await status(raw) for raw in (queued, kept, half)] == [b"503"] * 3
         assert [(await ahead.answer()).status for _ in range(3)] == [503] * 3
@@ -164,7 +164,7 @@
         raw = connect(rig)
         raw.sendall(ask())
         rig.head.shutdown._step()  # nothing but what waits in the listen queue is left
-        await rig.head.stopped
+        await rig.head.stopped_future
         assert await status(raw) in (b"200", b"503")
 
     on_rig(script, longest_wait_ms=400.0)
@@ -183,7 +183,7 @@
             got += piece
         assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"ok")
         raw.close()
-        await until(lambda: rig.head.registry.count == 0)
+        await until(lambda: rig.head.registry.connection_count == 0)
 
     on_rig(script)
 
@@ -213,18 +213,18 @@
             new = entry(f"n{n}", rig.shelfs[0].port, 0)
             old = entry(f"n{n - 1}" if n else "s0", rig.shelfs[0].port, 0, "Gone")
             rig.discovery.conns[0].tell(listing(2 + n, old, new, full=False))
-            await until(lambda n=n: f"n{n}" in head.pools.table)
-        await until(lambda: head.registry.count == 0)
+            await until(lambda n=n: f"n{n}" in head.pools.nodes)
+        await until(lambda: head.registry.connection_count == 0)
         registry = head.registry
-        assert len(head.pools.table) == 2 and len(head.core.scheduler.nodes.names) <= 4
+        assert len(head.pools.nodes) == 2 and len(head.core.scheduler.nodes.names) <= 4
         assert not (
             head.core.pending
-            or registry.ids
-            or registry.incomplete
-            or registry.idle
-            or registry.active
-            or registry.closing
+            or registry.open_request_ids
+            or registry.incomplete_group
+            or registry.idle_group
+            or registry.active_group
+            or registry.closing_group
         )
-        await until(lambda: head.pools.connections <= 1)
+        await until(lambda: head.pools.connection_count <= 1)
 
     on_rig(script)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -47,7 +47,7 @@
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = lambda conn, r: None
         raw = connect(rig)
-        await until(lambda: rig.head.registry.count == 1)
+        await until(lambda: rig.head.registry.connection_count == 1)
 
         def long_turn() -> None:
             raw.sendall(ask(X_Deadline_Ms="900"))
@@ -59,7 +59,7 @@
         (pending,) = rig.head.core.pending.values()
         assert 300.0 < pending.handle.deadline_ms - pending.arrived_ms < 520.0
         await asyncio.sleep(0.1)
-        assert rig.head.late_ms < 100.0
+        assert rig.head.lateness_ms < 100.0
 
     on_rig(script)
 
@@ -77,10 +77,10 @@
         watch.tell(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
         await until(lambda: 0 in rig.head.core.scheduler.nodes.node_at_slot)
         assert (await rig.ask(ask())).status == 200 and len(new.asked) == 1
-        assert "s0" not in rig.head.pools.table
+        assert "s0" not in rig.head.pools.nodes
         rig.discovery.list = listing(4, entry("s2", new.port, 0), entry("s1", rig.shelfs[1].port, 1))
         watch.transport.abort()
-        await until(lambda: rig.head.watch.version == 4)
+        await until(lambda: rig.head.watch.resume_version == 4)
         assert rig.discovery.asked[-1][1].target == b"/registry/instances?stream=1&index=3"
 
     on_rig(script)
@@ -103,18 +103,20 @@
         port = rig.shelfs[1].port
         rig.discovery.conns[0].tell(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
         await until(lambda: len(rig.head.core.scheduler.nodes.node_at_slot) == 1500)
-        assert len(rig.head.pools.table) == 1500
+        assert len(rig.head.pools.nodes) == 1500
         io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
         assert (await rig.ask(ask(X_IO=io))).status == 200 and len(rig.shelfs[1].asked) == 1
 
-    on_rig(script, shards=1500)
+    on_rig(script, slot_count=1500)
 
 
 def test_starts_are_told_on_the_heads_own_clock_and_what_can_not_be_read_is_left_out() -> None:
     told = NodeListUpdate(
         listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"})
     )
-    assert [(e.node_name, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(told.faults) == 2
+    assert [(e.node_name, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(
+        told.entry_errors
+    ) == 2
     with pytest.raises(PlatformSettingsError):
         NodeListUpdate([1, 2])
 
@@ -127,15 +129,17 @@
 def test_before_discovery_answers_the_known_list_serves_and_readiness_waits() -> None:
     async def script(rig: Rig) -> None:
         port = rig.shelfs[0].port
-        known = dataclasses.replace(rig.head.config, known=listing(1, entry("s0", port, 0)), discovery=(LOOPBACK, 1))
+        known = dataclasses.replace(
+            rig.head.config, initial_node_list=listing(1, entry("s0", port, 0)), discovery_address=(LOOPBACK, 1)
+        )
         head = Service(rig.head.loop, known)
         head.log = lambda event, **facts: None  # type: ignore[method-assign]
         await head.start()
-        assert head.listener.socket is not None and not head.ready()
+        assert head.listener.socket is not None and not head.is_ready()
         rig.port = head.listener.socket.getsockname()[1]
         assert (await rig.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 503
         assert (await rig.ask(ask())).status == 200
-        await until(head.ready)
+        await until(head.is_ready)
         assert (await rig.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 200
         head.watch.stop()
 
@@ -162,10 +166,10 @@
         settings = {**SETTINGS, "classes": [{**c, "on_time_s": 0.3} for c in SETTINGS["classes"]]}
         file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{other.port}", "settings": settings}))
         rig.head.reload()
-        await until(lambda: rig.head.watch.version == 5 and old.lost)
+        await until(lambda: rig.head.watch.resume_version == 5 and old.lost)
         assert (
             rig.head.core.scheduler.settings.request_classes["look"].latency_objective_ms == 300.0
-            and rig.head.config.sockets == 256
+            and rig.head.config.max_sockets == 256
         )
         held[0].write(OK)
         assert (await client.answer()).status == 200
@@ -201,5 +205,5 @@
 def test_the_configuration_is_read_as_the_platform_writes_it() -> None:
     config = read_config(json.dumps(CONFIG).encode())
     assert isinstance(config, ServiceConfig)
-    assert config.writes == {"look": False, "save": True} and config.longest_wait_ms == 2000.0
-    assert (config.idle_ms, config.connect_ms, config.shards) == (30_000.0, 250.0, 4)
+    assert config.is_write_by_class == {"look": False, "save": True} and config.longest_wait_ms == 2000.0
+    assert (config.idle_timeout_ms, config.connect_timeout_ms, config.slot_count) == (30_000.0, 250.0, 4)
--- a/tests/test_service_settings.py
+++ b/tests/test_service_settings.py
@@ -30,7 +30,7 @@
         second = Service(rig.head.loop, config)
         second.log = lambda event, **facts: None  # type: ignore[method-assign]
         await second.start()
-        await until(lambda: second.pools.table)
+        await until(lambda: second.pools.nodes)
         assert second.listener.socket is not None
         first_port, second_port = rig.port, second.listener.socket.getsockname()[1]
         for _ in range(3):  # the second's limit is its own, its store empty: nothing goes
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -58,14 +58,14 @@
             raw.sendall(ask())
             assert await status(raw) == b"200"
         registry = rig.head.registry
-        first = next(iter(registry.idle))
-        first.since_ms -= registry.IDLE_MS
+        first = next(iter(registry.idle_group))
+        first.timeout_start_ms -= registry.IDLE_TIMEOUT_MS
         old.sendall(ask())
         registry.close_expired(rig.head.clock())
-        assert len(registry.idle) == 2 and not registry.closing
+        assert len(registry.idle_group) == 2 and not registry.closing_group
         assert await status(old) == b"200"
-        first.since_ms -= registry.IDLE_MS
-        await until(lambda: len(registry.idle) == 1)
+        first.timeout_start_ms -= registry.IDLE_TIMEOUT_MS
+        await until(lambda: len(registry.idle_group) == 1)
         assert await status(old) == b""
 
     on_rig(script)
@@ -96,7 +96,7 @@
             await until(lambda: all(c.lost for c in rig.shelfs[0].conns))
         rig.shelfs[0].does = lambda conn, r: conn.write(OK)
         assert (await rig.ask(ask())).body == b"ok"
-        assert not rig.head.core.pending and rig.head.pools.attempts == 0 and rig.head.pools.buffered_bytes == 0
+        assert not rig.head.core.pending and rig.head.pools.attempt_count == 0 and rig.head.pools.buffered_bytes == 0
 
     on_rig(script)
 
@@ -121,14 +121,14 @@
         client.write(ask())
         await client.answer()
         (first,) = rig.shelfs[0].conns
-        (conn,) = rig.head.pools.table["s0"].idle
+        (conn,) = rig.head.pools.nodes["s0"].idle_connections
         assert conn.is_usable()
         first.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         deadline = time.monotonic() + 2.0
         while conn.is_usable() and time.monotonic() < deadline:
             time.sleep(0.001)  # the loop must not run: it is the socket that tells
         assert not conn.is_usable()
-        rig.head.pools.table["s0"].idle[:] = [conn]
+        rig.head.pools.nodes["s0"].idle_connections[:] = [conn]
         client.write(ask())
         assert (await client.answer()).body == b"ok" and len(rig.shelfs[0].conns) == 2
 
@@ -161,12 +161,12 @@
         for client in open_:
             client.write(ask())
         await until(lambda: len(rig.shelfs[0].asked) == 3)
-        assert rig.head.pools.attempts == 3 == len(rig.head.core.scheduler.nodes.in_flight[0])
-        assert rig.head.pools.connections == 3 == len(rig.shelfs[0].conns)
+        assert rig.head.pools.attempt_count == 3 == len(rig.head.core.scheduler.nodes.in_flight[0])
+        assert rig.head.pools.connection_count == 3 == len(rig.shelfs[0].conns)
         for client in open_:
             await client.answer()
         assert len(took) == 3 and all(0.0 <= t - p < 60.0 for t, p in zip(took, peer, strict=True))
-        assert rig.head.pools.attempts == 0 and len(rig.head.pools.table["s0"].idle) == 3
+        assert rig.head.pools.attempt_count == 0 and len(rig.head.pools.nodes["s0"].idle_connections) == 3
 
     on_rig(script)
 
@@ -179,11 +179,11 @@
         await until(lambda: conn.lost)
         assert 0.2 < time.monotonic() - began < 0.5
 
-    on_rig(script, idle_ms=500.0)
+    on_rig(script, idle_timeout_ms=500.0)
 
 
 def test_unfinished_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_connection, "BUFFERED_LIMIT", 400_000)
+    monkeypatch.setattr(node_connection, "MAX_BUFFERED_BYTES", 400_000)
 
     async def script(rig: Rig) -> None:
         rig.shelfs[0].does = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 299_000)
