--- a/benchmarks/caps_roles.py
+++ b/benchmarks/caps_roles.py
@@ -60,8 +60,8 @@
     Cap(
         "looks missed",
         CONSOLE,
-        "MAX_MISSED = ",
-        constant("pebblehinge.console.server", "MAX_MISSED"),
+        "MAX_MISSED_SNAPSHOTS = ",
+        constant("pebblehinge.console.server", "MAX_MISSED_SNAPSHOTS"),
         "looks",
         "in a row, by a viewer with over 64 KiB unsent; one look at "
         f"{SHELFS} shelfs is {view_bytes() / 1e3:.0f} KB or more, and it was dropped at the first",
--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -89,7 +89,7 @@
         0.0, ListKind.WHOLE, [EndpointEntry(f"shelf-{n}", EndpointState.READY, n, 0.0) for n in range(shelfs)]
     )
     view = GatewayView(SimpleNamespace(core=SimpleNamespace(scheduler=module)))
-    return len(msgspec.json.encode(view.storage_nodes(100_000.0)))
+    return len(msgspec.json.encode(view.node_rows(100_000.0)))
 
 
 @functools.cache
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -132,7 +132,7 @@
 
     def stop(self, why: str) -> None:
         """Begins the graceful shutdown: nothing new, an answer to every accepted request."""
-        self.notifier.stopping(f"{self.server.core.open_count} accesses are owed an answer")
+        self.notifier.notify_stopping(f"{self.server.core.open_count} accesses are owed an answer")
         self.server.stop(why)
 
     def reload(self) -> None:
@@ -148,13 +148,13 @@
         if config.member:
             self.log.warning("the group's configuration stays in force", file=options.file)
             return
-        self.notifier.reloading(int(time.monotonic() * 1e6))
+        self.notifier.notify_reloading(int(time.monotonic() * 1e6))
         self.server.adopt(config)
         self.log.info("settings taken up", file=options.file)
         self._notify_ready()
 
     def _notify_ready(self) -> None:
-        self.notifier.ready(f"{self.options.name} serves {self.server.block.listen}")
+        self.notifier.notify_ready(f"{self.options.name} serves {self.server.block.listen}")
 
     async def start_console(self) -> Console | None:
         """Returns the running console, if the gateway's block has one; exits where its address can't be used."""
--- a/pebblehinge/client/establish.py
+++ b/pebblehinge/client/establish.py
@@ -14,10 +14,10 @@
     *,
     name: str = "client",
     loop: asyncio.AbstractEventLoop | None = None,
-    limit: int = 1 << 20,
-    streams: int = 512,
+    max_frame_bytes: int = 1 << 20,
+    max_streams: int = 512,
     stall_ms: float = 10_000.0,
-    within_ms: float = 2_000.0,
+    timeout_ms: float = 2_000.0,
     role: str = "client",
     observer: Observer | None = None,
     keepalive_ms: float = KEEPALIVE_MS,
@@ -28,10 +28,10 @@
         address: The gateway's host:port.
         name: The client's name, which logs show.
         loop: The event loop, by default the running one.
-        limit: The greatest length of a frame that is accepted, in bytes.
-        streams: How many requests may be open at once.
+        max_frame_bytes: The greatest length of a frame that is accepted, in bytes.
+        max_streams: How many requests may be open at once.
         stall_ms: After how long a gateway that does not read is cut off.
-        within_ms: How long connecting may take, with the greeting.
+        timeout_ms: How long connecting may take, with the greeting.
         role: The role in the greeting.
         observer: Is told of each event.
         keepalive_ms: A connection silent for so long is sent a PING, and one silent for three times that is cut, since
@@ -43,13 +43,13 @@
         AddressError: `address` is none.
     """
     loop = loop or asyncio.get_running_loop()
-    deadline = loop.time() + within_ms / 1000.0
-    client = Client(loop, name, limit, streams, stall_ms, role, observer, keepalive_ms)
+    deadline = loop.time() + timeout_ms / 1000.0
+    client = Client(loop, name, max_frame_bytes, max_streams, stall_ms, role, observer, keepalive_ms)
     try:
         async with asyncio.timeout_at(deadline):
             await dial(loop, client, address)
-            await client.greeted
+            await client.handshake
     except TimeoutError:
         client.abort()
-        raise TimeoutError(f"{address}: no greeting within {within_ms:g} ms") from None
+        raise TimeoutError(f"{address}: no greeting within {timeout_ms:g} ms") from None
     return client
--- a/pebblehinge/client/result.py
+++ b/pebblehinge/client/result.py
@@ -10,7 +10,7 @@
 LOST = "lost"  # the connection broke first: nothing is known of the effect
 TIMED_OUT = "out of time"  # the client's patience ended with no answer, which no sound gateway lets happen
 
-FINALS = (SUCCEEDED, REJECTED, FAILED)
+FINAL_STATUSES = (SUCCEEDED, REJECTED, FAILED)
 """The final answers of a gateway, by their numbers on the wire."""
 
 
@@ -19,22 +19,22 @@
     """How one request ended.
 
     Attributes:
-        final: `SUCCEEDED`, `REJECTED`, `FAILED`, `LOST` or `TIMED_OUT`.
-        stay_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
+        status: `SUCCEEDED`, `REJECTED`, `FAILED`, `LOST` or `TIMED_OUT`.
+        retry_after_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
         reason: Why it did not succeed, for people to read.
         slot: The placement slot that served it, or -1.
         data: The bytes read.
-        took_ms: Time from the request to its end, in milliseconds.
+        duration_ms: Time from the request to its end, in milliseconds.
     """
 
-    final: str
-    stay_ms: float = 0.0
+    status: str
+    retry_after_ms: float = 0.0
     reason: str = ""
     slot: int = -1
     data: bytes = b""
-    took_ms: float = 0.0
+    duration_ms: float = 0.0
 
     @property
     def succeeded(self) -> bool:
         """Whether the request was done."""
-        return self.final == SUCCEEDED
+        return self.status == SUCCEEDED
--- a/pebblehinge/client/retry.py
+++ b/pebblehinge/client/retry.py
@@ -28,33 +28,33 @@
     backoff_ms: float = 100.0
     idempotency: str = IDEMPOTENT
 
-    def next_ms(self, attempts: int, last: Result, left_ms: float, draw: float) -> float | None:
+    def retry_delay_ms(self, attempt_count: int, result: Result, remaining_ms: float, jitter: float) -> float | None:
         """Returns how long to wait before the next attempt, in milliseconds, or None if there should be none.
 
         Args:
-            attempts: How many attempts were made.
-            last: The result of the last one.
-            left_ms: What is left of the caller's patience.
-            draw: A random number from [0, 1), for the jitter of the backoff.
+            attempt_count: How many attempts were made.
+            result: The result of the last one.
+            remaining_ms: What is left of the caller's patience.
+            jitter: A random number from [0, 1), for the jitter of the backoff.
         """
-        if last.succeeded or attempts > self.max_retries or left_ms <= 0:
+        if result.succeeded or attempt_count > self.max_retries or remaining_ms <= 0:
             return None
-        if not self._is_harmless(last):
+        if not self._is_safe_to_retry(result):
             return None
-        backoff_ms = self.backoff_ms * 2 ** (attempts - 1) * (0.5 + draw)
-        wait_ms = max(last.stay_ms, backoff_ms)
-        return wait_ms if wait_ms < left_ms else None
+        backoff_ms = self.backoff_ms * 2 ** (attempt_count - 1) * (0.5 + jitter)
+        delay_ms = max(result.retry_after_ms, backoff_ms)
+        return delay_ms if delay_ms < remaining_ms else None
 
-    def _is_harmless(self, last: Result) -> bool:
-        if last.final == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
+    def _is_safe_to_retry(self, result: Result) -> bool:
+        if result.status == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
             return False  # whether the key's scope and window still hold can't be judged from here
-        return last.final == REJECTED or self.idempotency == IDEMPOTENT
+        return result.status == REJECTED or self.idempotency == IDEMPOTENT
 
 
 async def with_retries(
     attempt: Callable[[int, float], Awaitable[Result]],
     policy: RetryPolicy,
-    patience_ms: float,
+    timeout_ms: float,
     loop: asyncio.AbstractEventLoop,
     rng: random.Random,
 ) -> tuple[Result, int]:
@@ -63,19 +63,19 @@
     Args:
         attempt: Called with the number of the attempt, from 0, and what is left of the patience in milliseconds.
         policy: How often and when to retry.
-        patience_ms: The time that all attempts together may take.
+        timeout_ms: The time that all attempts together may take.
         loop: Its clock counts.
         rng: For the jitter of the backoff.
 
     Returns:
         The last result, and how many attempts were made.
     """
-    deadline = loop.time() + patience_ms / 1000.0
-    attempts = 0
+    deadline = loop.time() + timeout_ms / 1000.0
+    attempt_count = 0
     while True:
-        result = await attempt(attempts, (deadline - loop.time()) * 1000.0)
-        attempts += 1
-        wait_ms = policy.next_ms(attempts, result, (deadline - loop.time()) * 1000.0, rng.random())
-        if wait_ms is None:
-            return result, attempts
-        await asyncio.sleep(wait_ms / 1000.0)
+        result = await attempt(attempt_count, (deadline - loop.time()) * 1000.0)
+        attempt_count += 1
+        delay_ms = policy.retry_delay_ms(attempt_count, result, (deadline - loop.time()) * 1000.0, rng.random())
+        if delay_ms is None:
+            return result, attempt_count
+        await asyncio.sleep(delay_ms / 1000.0)
--- a/pebblehinge/console/event_history.py
+++ b/pebblehinge/console/event_history.py
@@ -9,7 +9,7 @@
 MAX_EVENTS = 200
 """So many are kept."""
 
-EVENTS_SHOWN = 40
+MAX_EVENTS_SHOWN = 40
 """So many are in a snapshot."""
 
 
@@ -18,13 +18,13 @@
 
     def __init__(self) -> None:
         self._rows: deque[EventRow] = deque(maxlen=MAX_EVENTS)
-        self._count = 0
+        self._event_count = 0
 
-    def note(self, now_ms: float, text: str) -> None:
+    def add(self, now_ms: float, text: str) -> None:
         """Adds an event at a time by the gateway's clock."""
-        self._count += 1
-        self._rows.append((self._count, round(now_ms, 1), text))
+        self._event_count += 1
+        self._rows.append((self._event_count, round(now_ms, 1), text))
 
     def latest(self) -> list[EventRow]:
         """The events that a snapshot shows, in their order."""
-        return list(self._rows)[-EVENTS_SHOWN:]
+        return list(self._rows)[-MAX_EVENTS_SHOWN:]
--- a/pebblehinge/console/node_health.py
+++ b/pebblehinge/console/node_health.py
@@ -40,9 +40,9 @@
     if nodes.is_down(node, now_ms):
         losses = nodes.consecutive_losses[node]
         return HealthReport(NodeHealth.DOWN, f"{losses} trips lost in a row, or silent with trips out")
-    started_ms = nodes.slow_start_since_ms[node]
-    if started_ms is not None and now_ms - started_ms < nodes.settings.current.slow_start_duration_ms:
-        return HealthReport(NodeHealth.WARMING_UP, f"{(now_ms - started_ms) / 1000:.1f} s since its start")
+    slow_start_ms = nodes.slow_start_since_ms[node]
+    if slow_start_ms is not None and now_ms - slow_start_ms < nodes.settings.current.slow_start_duration_ms:
+        return HealthReport(NodeHealth.WARMING_UP, f"{(now_ms - slow_start_ms) / 1000:.1f} s since its start")
     limit = nodes.concurrency_limit[node]
     if limit < MAX_CONCURRENCY:
         return HealthReport(NodeHealth.SLOW, f"trips take long: {limit} at a time")
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -13,8 +13,8 @@
 from pebblehinge.console.view import GatewayView
 from pebblehinge.net import parse_address
 
-STATIC = Path(__file__).parent / "static"
-REFRESH_MS = 500.0
+STATIC_FOLDER = Path(__file__).parent / "static"
+REFRESH_INTERVAL_MS = 500.0
 """The time between two snapshots while anybody watches."""
 
 VIEWERS_PER_BATCH = 8
@@ -27,12 +27,12 @@
 MAX_UNSENT_BYTES = 64 << 10
 """A viewer with more unsent bytes is left out of a snapshot."""
 
-MAX_MISSED = 20
+MAX_MISSED_SNAPSHOTS = 20
 """A viewer that is left out more often in a row, which is ten seconds, is dropped."""
 
 BACKLOG = 1024
 SHUTDOWN_TIMEOUT_S = 0.5
-NAME_EXCERPT = 60
+MAX_NAME_EXCERPT_CHARS = 60
 """Characters of an unknown name that an error repeats."""
 
 PAGE_HEADERS = {
@@ -57,8 +57,8 @@
 
     Attributes:
         viewers: The open streams of events, each with the signal that there is a new snapshot.
-        number: The number of the last snapshot.
-        dropped: How many viewers were dropped because they did not read.
+        snapshot_number: The number of the last snapshot.
+        dropped_viewers: How many viewers were dropped because they did not read.
     """
 
     def __init__(self, gateway: Any, address: str, token: str = "") -> None:
@@ -67,66 +67,66 @@
         self.token = token
         self.view = GatewayView(gateway)
         self.viewers: dict[web.StreamResponse, asyncio.Event] = {}
-        self.number = 0
-        self.dropped = 0
+        self.snapshot_number = 0
+        self.dropped_viewers = 0
         self._last_event = b""
-        self._task: asyncio.Task[None] | None = None
+        self._refresh_task: asyncio.Task[None] | None = None
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
         """Listens; raises OSError if the address can't be bound, ValueError if it isn't one."""
         app = web.Application()
-        app.router.add_get("/", self.page)
-        app.router.add_get("/state", self.state)
-        app.router.add_get("/events", self.events)
-        app.router.add_get("/shelf/{name}", self.storage_node)
-        app.router.add_get("/volume/{name}", self.volume)
-        app.router.add_get("/why/{name}", self.why)
-        app.router.add_static("/static", STATIC)
+        app.router.add_get("/", self.serve_page)
+        app.router.add_get("/state", self.serve_state)
+        app.router.add_get("/events", self.stream_snapshots)
+        app.router.add_get("/shelf/{name}", self.serve_storage_node)
+        app.router.add_get("/volume/{name}", self.serve_volume)
+        app.router.add_get("/why/{name}", self.serve_wait_report)
+        app.router.add_static("/static", STATIC_FOLDER)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         host, port = parse_address(self.address)
         await web.TCPSite(self._runner, host, port, backlog=BACKLOG).start()
-        self._task = asyncio.get_running_loop().create_task(self._refresh())
+        self._refresh_task = asyncio.get_running_loop().create_task(self._refresh())
 
     async def stop(self) -> None:
         """Ends all streams and stops listening."""
-        if self._task is not None:
-            self._task.cancel()
-        for changed in self.viewers.values():
-            changed.set()
+        if self._refresh_task is not None:
+            self._refresh_task.cancel()
+        for signal in self.viewers.values():
+            signal.set()
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def page(self, request: web.Request) -> web.StreamResponse:
+    async def serve_page(self, request: web.Request) -> web.StreamResponse:
         """The page; raises HTTPUnauthorized, as the others do, without the token."""
         self._authorize(request)
-        return web.FileResponse(STATIC / "console.html", headers=PAGE_HEADERS)
+        return web.FileResponse(STATIC_FOLDER / "console.html", headers=PAGE_HEADERS)
 
-    async def state(self, request: web.Request) -> web.Response:
+    async def serve_state(self, request: web.Request) -> web.Response:
         """A snapshot."""
         self._authorize(request)
         return _json_response(self.view.snapshot())
 
-    async def storage_node(self, request: web.Request) -> web.Response:
+    async def serve_storage_node(self, request: web.Request) -> web.Response:
         """One storage node's row; raises HTTPNotFound if there is none of its name."""
         self._authorize(request)
         name = request.match_info["name"]
-        rows = self.view.storage_nodes(self.gateway.clock())
+        rows = self.view.node_rows(self.gateway.clock())
         row = next((row for row in rows if row["name"] == name), None)
         if row is None:
-            raise web.HTTPNotFound(text=f"no shelf {name[:NAME_EXCERPT]!r} is known here\n")
+            raise web.HTTPNotFound(text=f"no shelf {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
         return _json_response(row)
 
-    async def volume(self, request: web.Request) -> web.Response:
+    async def serve_volume(self, request: web.Request) -> web.Response:
         """One volume's row, or only its quota plan if it wasn't used lately; raises HTTPNotFound if there is none."""
         name = self._volume_name(request)
-        row = next((row for row in self.view.volumes() if row["name"] == name), None)
+        row = next((row for row in self.view.volume_rows() if row["name"] == name), None)
         if row is None:
             return _json_response({"name": name, "plan": self.gateway.config.volume[name].plan})
         return _json_response(row)
 
-    async def why(self, request: web.Request) -> web.Response:
+    async def serve_wait_report(self, request: web.Request) -> web.Response:
         """Where a volume's time went, in words; raises HTTPNotFound if there is no such volume, or no accounting."""
         name = self._volume_name(request)
         accounting = self.gateway.core.wait_accounting
@@ -134,7 +134,7 @@
             raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
         return web.Response(text="\n".join(accounting.report(name)) + "\n")
 
-    async def events(self, request: web.Request) -> web.StreamResponse:
+    async def stream_snapshots(self, request: web.Request) -> web.StreamResponse:
         """Streams snapshots as they are made; one may be left out, since each is complete."""
         self._authorize(request)
         if len(self.viewers) >= MAX_VIEWERS:
@@ -145,15 +145,15 @@
         signal = asyncio.Event()
         self.viewers[response] = signal
         try:
-            await self._stream(request, signal)
+            await self._write_snapshots(request, signal)
         finally:
             self.viewers.pop(response, None)
         return response
 
-    async def _stream(self, request: web.Request, signal: asyncio.Event) -> None:
+    async def _write_snapshots(self, request: web.Request, signal: asyncio.Event) -> None:
         """Writes a snapshot at each signal, until the viewer is gone, dropped, or the console stops."""
-        missed = 0
-        while self._task is not None and not self._task.done():
+        missed_snapshots = 0
+        while self._refresh_task is not None and not self._refresh_task.done():
             await signal.wait()
             signal.clear()
             transport = request.transport
@@ -162,21 +162,23 @@
             if not self._last_event:
                 continue
             if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # one snapshot of a large fleet alone exceeds it
-                missed += 1
-                if missed > MAX_MISSED:
-                    self.dropped += 1
+                missed_snapshots += 1
+                if missed_snapshots > MAX_MISSED_SNAPSHOTS:
+                    self.dropped_viewers += 1
                     transport.abort()
                     return
                 continue
-            missed = 0
+            missed_snapshots = 0
             transport.write(b"%x\r\n%s\r\n" % (len(self._last_event), self._last_event))
 
     def _authorize(self, request: web.Request) -> None:
         """Raises HTTPUnauthorized without the token."""
         if not self.token:
             return
-        given = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get("token", "")
-        if not hmac.compare_digest(given.encode(), self.token.encode()):
+        presented_token = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get(
+            "token", ""
+        )
+        if not hmac.compare_digest(presented_token.encode(), self.token.encode()):
             raise web.HTTPUnauthorized(text="sign in: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
 
     def _volume_name(self, request: web.Request) -> str:
@@ -184,16 +186,16 @@
         self._authorize(request)
         name = request.match_info["name"]
         if name not in self.gateway.config.volume:
-            raise web.HTTPNotFound(text=f"no volume {name[:NAME_EXCERPT]!r} is known here\n")
+            raise web.HTTPNotFound(text=f"no volume {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
         return name
 
     async def _refresh(self) -> None:
         """Makes snapshots while anybody watches."""
-        pause_s = REFRESH_MS / 1000.0 / 2
+        pause_s = REFRESH_INTERVAL_MS / 1000.0 / 2
         while True:
             if self.viewers:
-                self.number += 1
-                self._last_event = b"id: %d\ndata: %s\n\n" % (self.number, _encode(self.view.snapshot()))
+                self.snapshot_number += 1
+                self._last_event = b"id: %d\ndata: %s\n\n" % (self.snapshot_number, _encode(self.view.snapshot()))
                 await self._signal_viewers(pause_s)
             await asyncio.sleep(pause_s)
 
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -14,7 +14,7 @@
 """So many volumes are shown."""
 
 PERCENTILES = {"p50": 50.0, "p99": 99.0, "p999": 99.9}
-MIN_INTERVAL_S = 1e-3
+MIN_RATE_INTERVAL_S = 1e-3
 """Rates are taken over at least this time."""
 
 
@@ -25,18 +25,18 @@
         gateway: The server of the gateway; only read.
 
     Attributes:
-        events: The changes of health that snapshots have found.
-        health: The health of each storage node in the last snapshot, by its name.
+        event_history: The changes of health that snapshots have found.
+        health_by_node: The health of each storage node in the last snapshot, by its name.
     """
 
     def __init__(self, gateway: Any) -> None:
         self.gateway = gateway
-        self.events = EventHistory()
-        self.health: dict[str, str] = {}
+        self.event_history = EventHistory()
+        self.health_by_node: dict[str, str] = {}
         self._last_counts: dict[str, int] = {}
-        self._last_ms = 0.0
+        self._last_snapshot_ms = 0.0
 
-    def storage_nodes(self, now_ms: float) -> list[NodeRow]:
+    def node_rows(self, now_ms: float) -> list[NodeRow]:
         """Each storage node with its health as this gateway sees it, in order of slots."""
         nodes = self.gateway.core.scheduler.nodes
         rows = []
@@ -55,7 +55,7 @@
             )
         return sorted(rows, key=lambda row: row["slot"])
 
-    def volumes(self) -> list[VolumeRow]:
+    def volume_rows(self) -> list[VolumeRow]:
         """The volumes that were used last, the latest first, with the quotas that this gateway has of them."""
         buckets = self.gateway.core.scheduler.dispatcher.valuation.buckets
         return [self._volume_row(name, buckets[name]) for name in islice(reversed(list(buckets)), MAX_VOLUMES)]
@@ -67,8 +67,8 @@
         now_ms = gateway.clock()
         counts = core.counts.by_label()
         rates = self._rates(counts, now_ms)
-        nodes = self.storage_nodes(now_ms)
-        self._note_health(nodes, now_ms)
+        nodes = self.node_rows(now_ms)
+        self._record_health_changes(nodes, now_ms)
         snapshot = Snapshot(
             head=gateway.name,
             version=__version__,
@@ -85,13 +85,13 @@
             latency_ms=self._latencies(),
             waits=sum(len(reserved) for reserved in core.scheduler.nodes.reservations),
             shelfs=nodes,
-            volumes=self.volumes(),
-            events=self.events.latest(),
+            volumes=self.volume_rows(),
+            events=self.event_history.latest(),
         )
         if gateway.rsync_listener is not None:
-            snapshot["transfers"] = _transfers(gateway.rsync_listener)
+            snapshot["transfers"] = _transfer_values(gateway.rsync_listener)
         if gateway.write_back is not None:
-            snapshot["journal"] = _journal(gateway.write_back)
+            snapshot["journal"] = _journal_values(gateway.write_back)
         if gateway.version_shown:
             snapshot["configuration"] = gateway.version_shown
         return snapshot
@@ -111,25 +111,27 @@
 
     def _rates(self, counts: dict[str, int], now_ms: float) -> dict[str, float]:
         """How many of each count a second there were since the last snapshot; 0 in the first."""
-        if self._last_ms:
-            seconds = max(MIN_INTERVAL_S, (now_ms - self._last_ms) / 1000.0)
+        if self._last_snapshot_ms:
+            seconds = max(MIN_RATE_INTERVAL_S, (now_ms - self._last_snapshot_ms) / 1000.0)
             rates = {
                 name: round((count - self._last_counts.get(name, 0)) / seconds, 1) for name, count in counts.items()
             }
         else:
             rates = dict.fromkeys(counts, 0.0)
         self._last_counts = counts
-        self._last_ms = now_ms
+        self._last_snapshot_ms = now_ms
         return rates
 
-    def _note_health(self, nodes: list[NodeRow], now_ms: float) -> None:
+    def _record_health_changes(self, nodes: list[NodeRow], now_ms: float) -> None:
         """Notes the storage nodes whose health has changed, and new ones that are not healthy."""
         for row in nodes:
-            before = self.health.get(row["name"], NodeHealth.HEALTHY.value)
-            if before != row["health"]:
-                was = self.health.get(row["name"], "new")
-                self.events.note(now_ms, f"{row['name']}: {was} to {row['health']} {row['why']}".strip())
-        self.health = {row["name"]: row["health"] for row in nodes}
+            previous_health = self.health_by_node.get(row["name"], NodeHealth.HEALTHY.value)
+            if previous_health != row["health"]:
+                previous_label = self.health_by_node.get(row["name"], "new")
+                self.event_history.add(
+                    now_ms, f"{row['name']}: {previous_label} to {row['health']} {row['why']}".strip()
+                )
+        self.health_by_node = {row["name"]: row["health"] for row in nodes}
 
     def _latencies(self) -> dict[str, float]:
         """Percentiles of the latency of succeeded requests, in milliseconds."""
@@ -140,7 +142,7 @@
         }
 
 
-def _transfers(rsync: Any) -> dict[str, Any]:
+def _transfer_values(rsync: Any) -> dict[str, Any]:
     """The rsync listener's transfers."""
     return {
         "open": rsync.transfers,
@@ -150,7 +152,7 @@
     }
 
 
-def _journal(write_back: Any) -> dict[str, Any]:
+def _journal_values(write_back: Any) -> dict[str, Any]:
     """The write-back journal."""
     return {
         "dirty": len(write_back.dirty),
--- a/pebblehinge/daemon/open_files.py
+++ b/pebblehinge/daemon/open_files.py
@@ -11,7 +11,7 @@
 MIN_STORAGE_NODES = 2048
 """Storage nodes that any role is ready for, whatever its settings name."""
 
-OWN = 64
+OWN_FILES = 64
 """Files of the process itself: logs, records, group members, operators, the laboratory."""
 
 SOCKETS_PER_PEER = 2
@@ -38,22 +38,22 @@
         STORAGE_NODE: gateways,
         GROUP_MEMBER: gateways,
     }[role]
-    dialed = storage_nodes if role == GATEWAY else 0
-    return SOCKETS_PER_PEER * peers + dialed + OWN
+    outgoing = storage_nodes if role == GATEWAY else 0
+    return SOCKETS_PER_PEER * peers + outgoing + OWN_FILES
 
 
-def raise_open_file_limit(wanted: int) -> str | None:
+def raise_open_file_limit(needed: int) -> str | None:
     """Raises this process's soft limit of open files; returns a warning where the hard limit is lower."""
-    return raise_soft_limit(wanted, lambda: resource.getrlimit(resource.RLIMIT_NOFILE), _set_soft_limit)
+    return raise_soft_limit(needed, lambda: resource.getrlimit(resource.RLIMIT_NOFILE), _set_soft_limit)
 
 
 def raise_soft_limit(
-    wanted: int, getrlimit: Callable[[], tuple[int, int]], setrlimit: Callable[[int], None]
+    needed: int, getrlimit: Callable[[], tuple[int, int]], setrlimit: Callable[[int], None]
 ) -> str | None:
     """Raises a soft limit of open files as far as the hard one allows; never lowers it.
 
     Args:
-        wanted: The limit that is needed.
+        needed: The limit that is needed.
         getrlimit: Returns the soft and the hard limit; a hard one below 0 is none.
         setrlimit: Sets the soft limit.
 
@@ -61,13 +61,13 @@
         None, or one line that says what is needed and what is allowed.
     """
     soft, hard = getrlimit()
-    if soft >= wanted:
+    if soft >= needed:
         return None
-    if hard >= wanted or hard < 0:
-        setrlimit(wanted)
+    if hard >= needed or hard < 0:
+        setrlimit(needed)
         return None
     setrlimit(hard)
-    return f"{wanted} open files may be needed and {hard} are allowed: raise the hard limit"
+    return f"{needed} open files may be needed and {hard} are allowed: raise the hard limit"
 
 
 def _set_soft_limit(soft: int) -> None:
--- a/pebblehinge/daemon/pid_file.py
+++ b/pebblehinge/daemon/pid_file.py
@@ -5,7 +5,7 @@
 import fcntl
 import os
 
-MAX_DIGITS = 20
+MAX_PID_BYTES = 20
 """Bytes of another process's file that are read for its id."""
 
 
@@ -35,7 +35,7 @@
         try:
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            holder = os.pread(self.descriptor, MAX_DIGITS, 0).decode("ascii", "replace").strip()
+            holder = os.pread(self.descriptor, MAX_PID_BYTES, 0).decode("ascii", "replace").strip()
             os.close(self.descriptor)
             raise PidFileError(f"{path} is held by process {holder or 'unknown'}") from None
         os.ftruncate(self.descriptor, 0)
--- a/pebblehinge/discovery/registry.py
+++ b/pebblehinge/discovery/registry.py
@@ -48,7 +48,7 @@
         rng: Draws the delays.
 
     Attributes:
-        published: The endpoints that have been published, also those that are gone, by the storage node's name.
+        published_endpoints: What has been published, also the endpoints that are gone, by the storage node's name.
         extra_delay_ms: Added to every delay while a fault makes the list stale.
     """
 
@@ -56,13 +56,13 @@
         self.block = block
         self.rng = rng
         self.extra_delay_ms = 0.0
-        self.published: dict[str, Endpoint] = {}
-        self._pending: list[tuple[float, int, Endpoint]] = []  # a heap: when it is due, its number, the change
-        self._changes = 0
+        self.published_endpoints: dict[str, Endpoint] = {}
+        self._pending_changes: list[tuple[float, int, Endpoint]] = []  # a heap: when it is due, its number, the change
+        self._change_count = 0
         self._last_due_ms: dict[str, float] = {}
 
     def register(
-        self, now_ms: float, node: str, address: str, slot: int, started_ms: float, without_delay: bool
+        self, now_ms: float, node: str, address: str, slot: int, started_ms: float, is_immediate: bool
     ) -> None:
         """Takes a process that runs.
 
@@ -72,9 +72,9 @@
             address: Where it listens, as `host:port`.
             slot: Its placement slot.
             started_ms: When it started; negative if that was long ago.
-            without_delay: Whether it is published at once, as at the start of the whole fleet.
+            is_immediate: Whether it is published at once, as at the start of the whole fleet.
         """
-        delay_ms = 0.0 if without_delay else self.rng.uniform(*self.block.add)
+        delay_ms = 0.0 if is_immediate else self.rng.uniform(*self.block.add)
         self._schedule(now_ms, delay_ms, Endpoint(node, address, EndpointState.READY, slot, started_ms))
 
     def set_state(self, now_ms: float, node: str, state: EndpointState) -> None:
@@ -97,32 +97,38 @@
         if endpoint is not None:
             self._schedule(now_ms, 0.0, replace(endpoint, state=state))
 
-    def due(self, now_ms: float) -> list[Endpoint]:
+    def publish_due(self, now_ms: float) -> list[Endpoint]:
         """Publishes the changes that are due, and returns those that change something."""
-        changed = []
-        while self._pending and self._pending[0][0] <= now_ms:
-            endpoint = heapq.heappop(self._pending)[2]
-            if self.published.get(endpoint.node) != endpoint:
-                self.published[endpoint.node] = endpoint
-                changed.append(endpoint)
-        return changed
+        changed_endpoints = []
+        while self._pending_changes and self._pending_changes[0][0] <= now_ms:
+            endpoint = heapq.heappop(self._pending_changes)[2]
+            if self.published_endpoints.get(endpoint.node) != endpoint:
+                self.published_endpoints[endpoint.node] = endpoint
+                changed_endpoints.append(endpoint)
+        return changed_endpoints
 
     def next_due_ms(self) -> float | None:
         """When the next change is due, or None if there is none."""
-        return self._pending[0][0] if self._pending else None
+        return self._pending_changes[0][0] if self._pending_changes else None
 
     def snapshot(self) -> list[Endpoint]:
         """All published endpoints that are not gone, in the order of their names."""
-        return [endpoint for _, endpoint in sorted(self.published.items()) if endpoint.state is not EndpointState.GONE]
+        return [
+            endpoint
+            for _, endpoint in sorted(self.published_endpoints.items())
+            if endpoint.state is not EndpointState.GONE
+        ]
 
     def _latest(self, node: str) -> Endpoint | None:
         """The last known endpoint of a storage node, published or not."""
-        pending = [(due_ms, number, endpoint) for due_ms, number, endpoint in self._pending if endpoint.node == node]
-        return max(pending, key=lambda change: change[:2])[2] if pending else self.published.get(node)
+        pending = [
+            (due_ms, number, endpoint) for due_ms, number, endpoint in self._pending_changes if endpoint.node == node
+        ]
+        return max(pending, key=lambda change: change[:2])[2] if pending else self.published_endpoints.get(node)
 
     def _schedule(self, now_ms: float, delay_ms: float, endpoint: Endpoint) -> None:
         earliest_ms = self._last_due_ms.get(endpoint.node, 0.0)
         due_ms = max(now_ms + delay_ms + self.extra_delay_ms, earliest_ms)
         self._last_due_ms[endpoint.node] = due_ms
-        self._changes += 1
-        heapq.heappush(self._pending, (due_ms, self._changes, endpoint))
+        self._change_count += 1
+        heapq.heappush(self._pending_changes, (due_ms, self._change_count, endpoint))
--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -16,13 +16,13 @@
 BACKLOG = 4096
 """Connections that wait to be accepted: after a restart all gateways and storage nodes come within half a second."""
 
-NAME = "listing"
+PROCESS_NAME = "listing"
 """The name and the role of the process, in its greeting and in its event log."""
 
 CONTROLLER_ROLE = "lab"
 """The only role that may send CONTROL."""
 
-WORD_EXCERPT = 20
+MAX_WORD_EXCERPT_CHARS = 20
 """Characters of an unknown word that an error repeats."""
 
 FULL_LIST = "whole"
@@ -45,11 +45,11 @@
 
     def __init__(self, discovery: DiscoveryServer) -> None:
         limits = discovery.config.limits
-        session = Session(NAME, NAME, limits.frame, limits.streams, dialed=False)
+        session = Session(PROCESS_NAME, PROCESS_NAME, limits.frame, limits.streams, dialed=False)
         super().__init__(discovery.loop, session, limits.stall, limits.keepalive)
         self.discovery = discovery
         self.node = ""  # the storage node that registered here
-        self.watches = False
+        self.is_watching = False
 
     def connection_made(self, transport: Any) -> None:
         """Counts the connection among those of the server."""
@@ -64,7 +64,7 @@
 
     def on_watch(self, token: int) -> None:
         """Sends the full list, and changes from now on."""
-        self.watches = True
+        self.is_watching = True
         self.discovery.send_full_list(self)
 
     def on_register(self, node: str, address: str, slot: int, rack: str, age_ms: float) -> None:
@@ -91,7 +91,7 @@
         """Takes the state that a registered storage node reports; raises WireError for any other."""
         state = REPORTED_STATES.get(word)
         if not self.node or state is None:
-            raise WireError(f"STANDING {word[:WORD_EXCERPT]!r}: a registered shelf says ready or draining")
+            raise WireError(f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: a registered shelf says ready or draining")
         self.discovery.registry.set_state(self.discovery.clock(), self.node, state)
         self.discovery.publish()
 
@@ -131,22 +131,22 @@
         self.registry = EndpointRegistry(config.listing, random.Random(f"{seed}/listing"))
         self.connections: list[DiscoveryConnection] = []
         self.registrants: dict[str, DiscoveryConnection] = {}  # by the storage node's name
-        self.known: set[str] = set()  # all storage nodes that have ever registered
-        self.timer: asyncio.TimerHandle | None = None
+        self.known_nodes: set[str] = set()  # all storage nodes that have ever registered
+        self.publish_timer: asyncio.TimerHandle | None = None
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listens; raises OSError if the address can't be bound."""
         host, port = parse_address(self.config.listing.listen)
         self.server = await self.loop.create_server(lambda: DiscoveryConnection(self), host, port, backlog=BACKLOG)
-        self.events.note(self.clock(), "up", role=NAME, name=NAME)
+        self.events.note(self.clock(), "up", role=PROCESS_NAME, name=PROCESS_NAME)
 
     def stop(self) -> None:
         """Stops listening and closes all connections and the event log."""
         if self.server is not None:
             self.server.close()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.publish_timer is not None:
+            self.publish_timer.cancel()
         for connection in list(self.connections):
             connection.close()
         self.events.close()
@@ -155,11 +155,11 @@
         """Registers the storage node of a connection; `age_ms` is negative if its process started long ago."""
         now_ms = self.clock()
         node = connection.node
-        without_delay = node not in self.known and age_ms < 0
-        self.known.add(node)
+        is_immediate = node not in self.known_nodes and age_ms < 0
+        self.known_nodes.add(node)
         self.registrants[node] = connection
         started_ms = now_ms - age_ms if age_ms >= 0 else UNKNOWN_START_MS
-        self.registry.register(now_ms, node, address, slot, started_ms, without_delay)
+        self.registry.register(now_ms, node, address, slot, started_ms, is_immediate)
         self.publish()
 
     def unregister(self, connection: DiscoveryConnection) -> None:
@@ -172,17 +172,17 @@
     def publish(self) -> None:
         """Sends the changes that are due, and sets the timer for the next ones."""
         now_ms = self.clock()
-        changes = self.registry.due(now_ms)
+        changes = self.registry.publish_due(now_ms)
         if changes:
             for connection in self.connections:
-                if connection.watches:
+                if connection.is_watching:
                     self._send(connection, now_ms, CHANGES, changes)
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        if self.publish_timer is not None:
+            self.publish_timer.cancel()
+            self.publish_timer = None
         due_ms = self.registry.next_due_ms()
         if due_ms is not None:
-            self.timer = self.loop.call_at(due_ms / 1000.0, self.publish)
+            self.publish_timer = self.loop.call_at(due_ms / 1000.0, self.publish)
 
     def send_full_list(self, connection: DiscoveryConnection) -> None:
         """Sends all published endpoints to one gateway."""
@@ -199,12 +199,12 @@
             `done`, or `no: ` and why not.
         """
         now_ms = self.clock()
-        ends = bool(values.get("off", 0))
+        is_off = bool(values.get("off", 0))
         self.events.note(now_ms, "control", verb=verb, values=values)
         if verb == "list-stale":
-            self.registry.extra_delay_ms = 0.0 if ends else float(values["by"])
+            self.registry.extra_delay_ms = 0.0 if is_off else float(values["by"])
         elif verb == "list-wrong":
-            state = EndpointState.READY if ends else EndpointState.GONE
+            state = EndpointState.READY if is_off else EndpointState.GONE
             self.registry.override_state(now_ms, str(values["shelf"]), state)
             self.publish()
         else:
--- a/pebblehinge/storage_node/attempt.py
+++ b/pebblehinge/storage_node/attempt.py
@@ -45,7 +45,7 @@
         connection: The connection that it came by.
         number: Its number there.
         request_id: The request's id.
-        attempt: Its number among the request's attempts, 0 for the first.
+        attempt_index: Its number among the request's attempts, 0 for the first.
         extent: What it reads or writes.
         operation: READ, WRITE or APPEND, as on the wire.
         offset: Where, in bytes.
@@ -58,7 +58,7 @@
     connection: AttemptConnection
     number: int
     request_id: str
-    attempt: int
+    attempt_index: int
     extent: str
     operation: int
     offset: int
--- a/pebblehinge/storage_node/cold_budget.py
+++ b/pebblehinge/storage_node/cold_budget.py
@@ -27,18 +27,18 @@
         self.window_ms = window_ms
         self.peak_load = 0.0
         self._arrivals: deque[Arrival] = deque()
-        self._sum_ms = 0.0
+        self._window_work_ms = 0.0
 
     def clear(self) -> None:
         """Forgets all arrivals; the peak stays."""
         self._arrivals.clear()
-        self._sum_ms = 0.0
+        self._window_work_ms = 0.0
 
     def add(self, now_ms: float, work_ms: float, limit_ms: float) -> bool:
         """Adds an arrival; returns whether the work within the window exceeds the limit."""
         self._arrivals.append(Arrival(now_ms, work_ms))
-        self._sum_ms += work_ms
+        self._window_work_ms += work_ms
         while self._arrivals and self._arrivals[0].time_ms <= now_ms - self.window_ms:
-            self._sum_ms -= self._arrivals.popleft().work_ms
-        self.peak_load = max(self.peak_load, self._sum_ms / limit_ms)
-        return self._sum_ms > limit_ms
+            self._window_work_ms -= self._arrivals.popleft().work_ms
+        self.peak_load = max(self.peak_load, self._window_work_ms / limit_ms)
+        return self._window_work_ms > limit_ms
--- a/pebblehinge/storage_node/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -24,7 +24,7 @@
 CONTROLLER_ROLE = "lab"
 """The only role that may send CONTROL."""
 
-GARBLED_BIT = 0x40
+GARBLED_BIT_MASK = 0x40
 """The bit of one byte of a frame that a garbled frame has flipped."""
 
 ControlHandler = Callable[[str, dict[str, Any]], str]
@@ -115,14 +115,14 @@
         self,
         number: int,
         request_id: str,
-        attempt: int,
+        attempt_index: int,
         extent: str,
         operation: int,
         offset: int,
         length: int,
         units: float,
         key: str | None,
-        left_ms: float,
+        remaining_ms: float,
         data: bytes,
     ) -> None:
         """Accepts or rejects an attempt, whose fields `Attempt` and `RequestHandler.accept` describe.
@@ -132,8 +132,8 @@
         """
         if number in self.attempts:
             raise WireError(f"TRIP: number {number} is out already")
-        accepted = Attempt(self, number, request_id, attempt, extent, operation, offset, length, key, data)
-        self.context.requests.accept(accepted, units, left_ms)
+        attempt = Attempt(self, number, request_id, attempt_index, extent, operation, offset, length, key, data)
+        self.context.requests.accept(attempt, units, remaining_ms)
 
     def on_recall(self, number: int) -> None:
         """Cancels an attempt, unless it has an outcome already."""
@@ -155,8 +155,8 @@
         if self.is_half_open:
             return
         network = self.context.requests.network
-        if network.occurs(network.garbled_frames) and self.is_gateway:
+        if network.should_inject(network.garble_probability) and self.is_gateway:
             garbled = bytearray(data)
-            garbled[network.rng.randrange(PREFIX_BYTES, len(garbled))] ^= GARBLED_BIT
+            garbled[network.rng.randrange(PREFIX_BYTES, len(garbled))] ^= GARBLED_BIT_MASK
             data = bytes(garbled)
         super()._write(data)
--- a/pebblehinge/storage_node/contents.py
+++ b/pebblehinge/storage_node/contents.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.storage_node.journal import Effect, EffectJournal
 
-JOURNAL_NAME = "effects.journal"
+JOURNAL_FILE_NAME = "effects.journal"
 """The journal's file in the slot's folder."""
 
 
@@ -37,7 +37,7 @@
         self.effects: list[Effect] = []
         self._journal: EffectJournal | None = None
         if folder is not None:
-            self._journal = EffectJournal(Path(folder) / JOURNAL_NAME)
+            self._journal = EffectJournal(Path(folder) / JOURNAL_FILE_NAME)
             for effect in self._journal.recover():
                 self.apply(effect)
 
@@ -73,7 +73,9 @@
 
     def forget_keys(self, now_ms: float, window_ms: float) -> None:
         """Forgets the idempotency keys that are older than the window."""
-        self.applied_ms = {key: at_ms for key, at_ms in self.applied_ms.items() if now_ms - at_ms <= window_ms}
+        self.applied_ms = {
+            key: applied_at_ms for key, applied_at_ms in self.applied_ms.items() if now_ms - applied_at_ms <= window_ms
+        }
 
     def close(self) -> None:
         """Closes the journal, if there is one."""
--- a/pebblehinge/storage_node/effects.py
+++ b/pebblehinge/storage_node/effects.py
@@ -30,11 +30,11 @@
         self._key_window_ms = key_window_ms
         self.count = 0
 
-    def is_duplicate(self, attempt: Attempt, now: float) -> bool:
+    def is_duplicate(self, attempt: Attempt, now_ms: float) -> bool:
         """Whether a write with the attempt's idempotency key has taken effect already."""
-        return attempt.key is not None and self._contents.is_applied(attempt.key, now, self._key_window_ms)
+        return attempt.key is not None and self._contents.is_applied(attempt.key, now_ms, self._key_window_ms)
 
-    def apply(self, attempt: Attempt, now: float) -> bool:
+    def apply(self, attempt: Attempt, now_ms: float) -> bool:
         """Applies a write, unless its key says that it was applied, or an append, if the extent ends at its offset.
 
         Returns:
@@ -42,17 +42,17 @@
         """
         request_id, key, extent, offset = attempt.request_id, attempt.key, attempt.extent, attempt.offset
         if attempt.operation == APPEND and self._contents.length(extent) != offset:
-            self._events.note(now, "beside", id=request_id, n=attempt.attempt, x=extent, offset=offset)
+            self._events.note(now_ms, "beside", id=request_id, n=attempt.attempt_index, x=extent, offset=offset)
             return False
         if attempt.operation not in (WRITE, APPEND):
             return False
-        if attempt.operation == WRITE and self.is_duplicate(attempt, now):
-            self._events.note(now, "repeat", id=request_id, n=attempt.attempt, label=key)
+        if attempt.operation == WRITE and self.is_duplicate(attempt, now_ms):
+            self._events.note(now_ms, "repeat", id=request_id, n=attempt.attempt_index, label=key)
             return False
         self.count += 1
         if self.count % EFFECTS_PER_CLEANUP == 0:
-            self._contents.forget_keys(now, self._key_window_ms)
+            self._contents.forget_keys(now_ms, self._key_window_ms)
         size = len(attempt.data)
-        self._events.note(now, "effect", id=request_id, n=attempt.attempt, label=key, x=extent, bytes=size)
-        self._contents.write(Effect(now, request_id, extent, offset, key, attempt.data, attempt.attempt))
+        self._events.note(now_ms, "effect", id=request_id, n=attempt.attempt_index, label=key, x=extent, bytes=size)
+        self._contents.write(Effect(now_ms, request_id, extent, offset, key, attempt.data, attempt.attempt_index))
         return True
--- a/pebblehinge/storage_node/fault_control.py
+++ b/pebblehinge/storage_node/fault_control.py
@@ -13,13 +13,13 @@
 from pebblehinge.storage_node.faults import MachineFaults
 from pebblehinge.storage_node.registration import Registration, ReportedState
 
-Values = Mapping[str, Any]
+ControlValues = Mapping[str, Any]
 """The values of a control frame, by their words on the wire."""
 
-ENDS = "off"
+OFF_KEY = "off"
 """The value that ends a fault."""
 
-DONE = "done"
+DONE_RESPONSE = "done"
 """The response to a verb that was carried out and asks for nothing."""
 
 
@@ -39,43 +39,43 @@
     STATS = "stats"
 
 
-def _number(values: Values, word: str) -> float:
+def _fault_value(values: ControlValues, key: str) -> float:
     """A value of a machine fault; 1 if it is missing."""
-    return float(values.get(word, True))
+    return float(values.get(key, True))
 
 
-def _slow(faults: MachineFaults, values: Values) -> MachineFaults:
-    return replace(faults, slowdown=_number(values, "slow"))
+def _with_slowdown(faults: MachineFaults, values: ControlValues) -> MachineFaults:
+    return replace(faults, slowdown=_fault_value(values, "slow"))
 
 
-def _hang(faults: MachineFaults, values: Values) -> MachineFaults:
+def _with_hang(faults: MachineFaults, values: ControlValues) -> MachineFaults:
     return replace(faults, is_hung=bool(values.get("hang", True)))
 
 
-def _neighbor(faults: MachineFaults, values: Values) -> MachineFaults:
-    share, period_ms = _number(values, "neighbour"), _number(values, "neighbour_ms")
+def _with_neighbor(faults: MachineFaults, values: ControlValues) -> MachineFaults:
+    share, period_ms = _fault_value(values, "neighbour"), _fault_value(values, "neighbour_ms")
     return replace(faults, neighbor_share=share, neighbor_period_ms=period_ms)
 
 
-def _pauses(faults: MachineFaults, values: Values) -> MachineFaults:
-    pause_ms, interval_ms = _number(values, "pause_ms"), _number(values, "pause_every_ms")
+def _with_pauses(faults: MachineFaults, values: ControlValues) -> MachineFaults:
+    pause_ms, interval_ms = _fault_value(values, "pause_ms"), _fault_value(values, "pause_every_ms")
     return replace(faults, pause_ms=pause_ms, pause_interval_ms=interval_ms)
 
 
-def _fast_errors(faults: MachineFaults, values: Values) -> MachineFaults:
-    return replace(faults, error_share=_number(values, "errors"))
+def _with_errors(faults: MachineFaults, values: ControlValues) -> MachineFaults:
+    return replace(faults, error_share=_fault_value(values, "errors"))
 
 
-MACHINE_FAULTS: dict[str, Callable[[MachineFaults, Values], MachineFaults]] = {
-    ControlVerb.SLOW: _slow,
-    ControlVerb.HANG: _hang,
-    ControlVerb.NEIGHBOR: _neighbor,
-    ControlVerb.PAUSES: _pauses,
-    ControlVerb.FAST_ERRORS: _fast_errors,
+MACHINE_FAULT_CHANGES: dict[str, Callable[[MachineFaults, ControlValues], MachineFaults]] = {
+    ControlVerb.SLOW: _with_slowdown,
+    ControlVerb.HANG: _with_hang,
+    ControlVerb.NEIGHBOR: _with_neighbor,
+    ControlVerb.PAUSES: _with_pauses,
+    ControlVerb.FAST_ERRORS: _with_errors,
 }
 """What a verb changes in the machine's faults, by the verb."""
 
-AT_REST: dict[str, Values] = {
+NO_FAULT_VALUES: dict[str, ControlValues] = {
     ControlVerb.SLOW: {"slow": 1.0},
     ControlVerb.HANG: {"hang": False},
     ControlVerb.NEIGHBOR: {"neighbour": 0.0, "neighbour_ms": 0.0},
@@ -99,7 +99,7 @@
         self._requests = context.requests
         self._registration = registration
         self._events = events
-        self._handlers: dict[str, Callable[[Values, bool], None]] = {
+        self._handlers: dict[str, Callable[[ControlValues, bool], None]] = {
             ControlVerb.RESETS: self._set_resets,
             ControlVerb.GARBLE: self._set_garbled_frames,
             ControlVerb.LOST_RESPONSES: self._set_lost_responses,
@@ -107,7 +107,7 @@
             ControlVerb.DRAIN: self._set_draining,
         }
 
-    def control(self, verb: str, values: Values) -> str:
+    def control(self, verb: str, values: ControlValues) -> str:
         """Injects a fault, ends one, or returns statistics.
 
         Args:
@@ -120,46 +120,46 @@
         Raises:
             ControlError: The verb is unknown, or a value is missing or malformed.
         """
-        now = self._requests.read_clock()
-        ends = bool(values.get(ENDS, 0))
-        self._events.note(now, "control", verb=verb, values=values)
+        now_ms = self._requests.read_clock()
+        is_off = bool(values.get(OFF_KEY, 0))
+        self._events.note(now_ms, "control", verb=verb, values=values)
         if verb == ControlVerb.STATS:
             return self._statistics()
         try:
-            if verb in MACHINE_FAULTS:
-                self._set_machine_faults(now, verb, AT_REST[verb] if ends else values)
+            if verb in MACHINE_FAULT_CHANGES:
+                self._set_machine_faults(now_ms, verb, NO_FAULT_VALUES[verb] if is_off else values)
             elif verb in self._handlers:
-                self._handlers[verb](values, ends)
+                self._handlers[verb](values, is_off)
             else:
                 raise ControlError(f"{verb!r} is not known")
         except (KeyError, TypeError, ValueError) as error:
             raise ControlError(str(error)) from error
-        return DONE
+        return DONE_RESPONSE
 
-    def _set_machine_faults(self, now: float, verb: str, values: Values) -> None:
+    def _set_machine_faults(self, now_ms: float, verb: str, values: ControlValues) -> None:
         machine = self._requests.machine
-        faults = MACHINE_FAULTS[verb](machine.faults, values)
-        self._requests.end_jobs(machine.set_faults(now, faults))
+        faults = MACHINE_FAULT_CHANGES[verb](machine.faults, values)
+        self._requests.complete_jobs(machine.set_faults(now_ms, faults))
         self._requests.set_timer()
 
-    def _set_resets(self, values: Values, ends: bool) -> None:
-        self._requests.network.resets = _probability(values, ends)
+    def _set_resets(self, values: ControlValues, is_off: bool) -> None:
+        self._requests.network.reset_probability = _probability(values, is_off)
 
-    def _set_garbled_frames(self, values: Values, ends: bool) -> None:
-        self._requests.network.garbled_frames = _probability(values, ends)
+    def _set_garbled_frames(self, values: ControlValues, is_off: bool) -> None:
+        self._requests.network.garble_probability = _probability(values, is_off)
 
-    def _set_lost_responses(self, values: Values, ends: bool) -> None:
-        self._requests.network.lost_responses = _probability(values, ends)
+    def _set_lost_responses(self, values: ControlValues, is_off: bool) -> None:
+        self._requests.network.response_loss_probability = _probability(values, is_off)
 
-    def _set_half_open(self, values: Values, ends: bool) -> None:
+    def _set_half_open(self, values: ControlValues, is_off: bool) -> None:
         """Turns the connections that stand half open, as a link that is cut in the middle; new ones are well."""
         for connection in self._context.connections:
             if connection.is_gateway:
-                connection.is_half_open = not ends
+                connection.is_half_open = not is_off
 
-    def _set_draining(self, values: Values, ends: bool) -> None:
-        self._requests.is_draining = not ends
-        self._registration.report(ReportedState.READY if ends else ReportedState.DRAINING)
+    def _set_draining(self, values: ControlValues, is_off: bool) -> None:
+        self._requests.is_draining = not is_off
+        self._registration.report(ReportedState.READY if is_off else ReportedState.DRAINING)
 
     def _statistics(self) -> str:
         machine = self._requests.machine
@@ -168,5 +168,5 @@
         return f"effects={self._requests.effects.count} worst_fill={peak:.3f} fell={crashed} speed={machine.speed:.3f}"
 
 
-def _probability(values: Values, ends: bool) -> float:
-    return 0.0 if ends else float(values["by"])
+def _probability(values: ControlValues, is_off: bool) -> float:
+    return 0.0 if is_off else float(values["by"])
--- a/pebblehinge/storage_node/faults.py
+++ b/pebblehinge/storage_node/faults.py
@@ -35,16 +35,16 @@
 
     Attributes:
         rng: What the probabilities are drawn with.
-        resets: That the connection is reset, in half of the cases before the attempt is seen.
-        garbled_frames: That a frame to a gateway is garbled.
-        lost_responses: That a response isn't sent.
+        reset_probability: That the connection is reset, in half of the cases before the attempt is seen.
+        garble_probability: That a frame to a gateway is garbled.
+        response_loss_probability: That a response isn't sent.
     """
 
     rng: random.Random
-    resets: float = 0.0
-    garbled_frames: float = 0.0
-    lost_responses: float = 0.0
+    reset_probability: float = 0.0
+    garble_probability: float = 0.0
+    response_loss_probability: float = 0.0
 
-    def occurs(self, probability: float) -> bool:
+    def should_inject(self, probability: float) -> bool:
         """Draws whether a fault occurs; without a draw if its probability is 0."""
         return probability > 0.0 and self.rng.random() < probability
--- a/pebblehinge/storage_node/job.py
+++ b/pebblehinge/storage_node/job.py
@@ -17,7 +17,7 @@
         units: The size of the request.
         is_write: Whether it writes; a part of a write's work is deferred to the next flush.
         extent: What it reads or writes; one in the cache costs less.
-        attempt: The number of the attempt, 0 for the first.
+        attempt_index: The number of the attempt, 0 for the first.
         deadline_ms: When it's too late to start.
         is_duplicate: Whether it repeats an applied write, which costs next to nothing.
         is_cancelled: Whether it was cancelled.
@@ -29,7 +29,7 @@
     units: float
     is_write: bool
     extent: str
-    attempt: int
+    attempt_index: int
     deadline_ms: float
     is_duplicate: bool = False
     is_cancelled: bool = False
--- a/pebblehinge/storage_node/journal.py
+++ b/pebblehinge/storage_node/journal.py
@@ -23,7 +23,7 @@
 MAX_RECORD_BYTES = 1 << 26
 """A longer record is taken for damage."""
 
-JOURNAL_MODE = 0o644
+JOURNAL_FILE_MODE = 0o644
 """The permissions of a new journal."""
 
 
@@ -37,7 +37,7 @@
         offset: Where, in bytes.
         key: The idempotency key, if the request has one.
         data: The bytes.
-        attempt: The number of the attempt, 0 for the first.
+        attempt_index: The number of the attempt, 0 for the first.
     """
 
     time_ms: float
@@ -46,7 +46,7 @@
     offset: int
     key: str | None
     data: bytes
-    attempt: int
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,10 +74,10 @@
         length, checksum = RECORD_HEADER.unpack_from(data, start)
         end = start + RECORD_HEADER.size + length
         body = data[start + RECORD_HEADER.size : end]
-        is_whole = len(body) == length
-        if length > MAX_RECORD_BYTES or (is_whole and xxhash.xxh32_intdigest(body) != checksum):
+        is_complete = len(body) == length
+        if length > MAX_RECORD_BYTES or (is_complete and xxhash.xxh32_intdigest(body) != checksum):
             raise JournalError(f"{path}: the record at byte {start} is damaged; what stands before it is sound")
-        if not is_whole:
+        if not is_complete:
             return  # the process was killed while writing: this effect was never answered
         yield JournalEntry(_decode(body), end)
         start = end
@@ -109,7 +109,7 @@
                 effects.append(entry.effect)
                 end = entry.end
             os.truncate(self.path, end)
-        self._descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, JOURNAL_MODE)
+        self._descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, JOURNAL_FILE_MODE)
         return effects
 
     def append(self, effect: Effect) -> None:
--- a/pebblehinge/storage_node/machine.py
+++ b/pebblehinge/storage_node/machine.py
@@ -1,8 +1,8 @@
 """A storage node as a machine in time, without sockets and without a clock of its own: a model, not a measurement.
 
 Work is counted in milliseconds of one core at speed 1. All cores go at one rate, which changes with warmth, pauses and
-faults, so one running sum of the work done by each core decides when a job ends. `advance(now)` brings the machine up
-to a time and returns what ended; `next_event_ms()` says when to call it again.
+faults, so one running sum of the work done by each core decides when a job ends. `advance(now_ms)` brings the machine
+up to a time and returns what ended; `next_event_ms()` says when to call it again.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 MAX_DUPLICATE_WORK_MS = 0.1
 """What a duplicate of an applied write costs at most."""
 
-SLACK_REQUESTS = 2.0
+COLD_SLACK_REQUESTS = 2.0
 """How many of the largest requests a cold machine bears beyond its budget."""
 
 WORK_TOLERANCE_MS = 1e-9
 """Rounding that a sum of work may be off by."""
 
-JITTER = (0.8, 1.2)
+JITTER_RANGE = (0.8, 1.2)
 """The range of the factor by which intervals vary."""
 
 NEVER_MS = float("inf")
@@ -46,69 +46,69 @@
         kind: The machine's capacity and habits.
         rules: What a cold machine bears.
         rng: What speed, work and intervals are drawn with.
-        now: The present in milliseconds.
+        now_ms: The present in milliseconds.
         is_warm: Whether it has been running for long; else it starts now, and warms up.
 
     Attributes:
         has_crashed: Whether a cold machine was asked for too much; it does nothing any more.
     """
 
-    def __init__(self, kind: KindBlock, rules: RulesBlock, rng: random.Random, now: float, is_warm: bool) -> None:
+    def __init__(self, kind: KindBlock, rules: RulesBlock, rng: random.Random, now_ms: float, is_warm: bool) -> None:
         self.kind = kind
         self.rules = rules
         self.rng = rng
-        self.now = now
-        self.started_ms = now
-        self.warming_since_ms = ALWAYS_WARM_MS if is_warm else now
+        self.now_ms = now_ms
+        self.started_ms = now_ms
+        self.warming_since_ms = ALWAYS_WARM_MS if is_warm else now_ms
         self.speed = rng.uniform(*kind.speed)
         self.faults = MachineFaults()
         self.queue: deque[Job[Owner]] = deque()
         self.running: list[RunningWork[Owner]] = []  # a heap
-        self.done_ms = 0.0  # work done by each core since the start
+        self.work_done_ms = 0.0  # work done by each core since the start
         self.cached_extents: deque[str] = deque(maxlen=kind.remembers or None)
         self.deferred_ms = 0.0  # work of writes that waits for the next flush
-        self.flush_ms = now + rng.uniform(0.5, 1.0) * kind.flush
+        self.next_flush_ms = now_ms + rng.uniform(0.5, 1.0) * kind.flush
         self.paused_until_ms = 0.0
-        self.pause_ms = now + rng.uniform(0.2, 1.0) * kind.pause_every if kind.pause else NEVER_MS
-        self.fault_pause_ms = NEVER_MS
+        self.next_pause_ms = now_ms + rng.uniform(0.2, 1.0) * kind.pause_every if kind.pause else NEVER_MS
+        self.next_fault_pause_ms = NEVER_MS
         self.has_crashed = False
         self.cold_budget = ColdBudget(rules.fall_window)
-        self._order = 0
+        self._run_count = 0
 
     # ---- capacity
 
-    def warmth(self, now: float) -> float:
+    def warm_up_fraction(self, now_ms: float) -> float:
         """Returns the part of its full speed that the machine has reached, 1 once it is warm."""
         kind = self.kind
-        age_ms = now - self.warming_since_ms
+        age_ms = now_ms - self.warming_since_ms
         return min(1.0, kind.cold_from + (1.0 - kind.cold_from) * age_ms / max(1.0, kind.cold))
 
-    def capacity(self, now: float) -> float:
+    def capacity(self, now_ms: float) -> float:
         """Returns the work a millisecond of all cores, without faults and load."""
-        return self.kind.cores * self.speed * self.warmth(now)
+        return self.kind.cores * self.speed * self.warm_up_fraction(now_ms)
 
-    def rate(self, now: float) -> float:
+    def rate(self, now_ms: float) -> float:
         """Returns the work a millisecond of one core."""
         faults = self.faults
-        if self.has_crashed or faults.is_hung or now < self.paused_until_ms:
+        if self.has_crashed or faults.is_hung or now_ms < self.paused_until_ms:
             return 0.0
-        rate = self.speed * self.warmth(now) / faults.slowdown
-        if faults.neighbor_share and int(now / max(1.0, faults.neighbor_period_ms)) % 2 == 0:
+        rate = self.speed * self.warm_up_fraction(now_ms) / faults.slowdown
+        if faults.neighbor_share and int(now_ms / max(1.0, faults.neighbor_period_ms)) % 2 == 0:
             rate *= 1.0 - faults.neighbor_share
-        crowding = (len(self.queue) + len(self.running)) / max(1, self.kind.cores * self.kind.slots)
-        if crowding > 1.0:
-            rate /= 1.0 + self.kind.thrash * min(1.0, crowding - 1.0)
+        occupancy = (len(self.queue) + len(self.running)) / max(1, self.kind.cores * self.kind.slots)
+        if occupancy > 1.0:
+            rate /= 1.0 + self.kind.thrash * min(1.0, occupancy - 1.0)
         return rate
 
     # ---- jobs
 
-    def submit(self, now: float, job: Job[Owner]) -> bool:
+    def submit(self, now_ms: float, job: Job[Owner]) -> bool:
         """Queues a job; returns False if the queue is full or the machine has crashed, maybe by this very job."""
         kind = self.kind
         job.work_ms = self._draw_work(job)
-        self._charge_cold_budget(now, job.work_ms)
-        capacity = kind.queue * kind.cores + max(0, kind.cores - len(self.running))
-        if self.has_crashed or len(self.queue) >= capacity:
+        self._charge_cold_budget(now_ms, job.work_ms)
+        queue_capacity = kind.queue * kind.cores + max(0, kind.cores - len(self.running))
+        if self.has_crashed or len(self.queue) >= queue_capacity:
             return False
         if kind.remembers:
             if job.extent in self.cached_extents:
@@ -117,7 +117,7 @@
         self.queue.append(job)
         return True
 
-    def start_queued(self, now: float) -> None:
+    def start_queued(self, now_ms: float) -> None:
         """Starts queued jobs on idle cores.
 
         A caller that submits several jobs together starts them after the last one, so that a job that is cancelled
@@ -125,7 +125,7 @@
         """
         while self.queue and len(self.running) < self.kind.cores:
             job = self.queue.popleft()
-            if job.is_cancelled or now >= job.deadline_ms:
+            if job.is_cancelled or now_ms >= job.deadline_ms:
                 continue
             job.has_started = True
             work_ms = job.work_ms
@@ -138,42 +138,42 @@
         work_ms = job.units * self.kind.unit_work * self.rng.uniform(1.0 - self.kind.noise, 1.0 + self.kind.noise)
         if job.is_duplicate:
             return min(work_ms, MAX_DUPLICATE_WORK_MS)
-        if job.extent in self.cached_extents and job.attempt == 0:
+        if job.extent in self.cached_extents and job.attempt_index == 0:
             work_ms *= 1.0 - self.kind.seek
         return work_ms
 
-    def _charge_cold_budget(self, now: float, work_ms: float) -> None:
-        if self.has_crashed or self.warmth(now) >= 1.0:
+    def _charge_cold_budget(self, now_ms: float, work_ms: float) -> None:
+        if self.has_crashed or self.warm_up_fraction(now_ms) >= 1.0:
             self.cold_budget.clear()
             return
-        limit_ms = self.rules.fall_multiple * self.capacity(now) * self.rules.fall_window
-        limit_ms += SLACK_REQUESTS * self.rules.most_units * self.kind.unit_work
-        if self.cold_budget.add(now, work_ms, limit_ms):
+        limit_ms = self.rules.fall_multiple * self.capacity(now_ms) * self.rules.fall_window
+        limit_ms += COLD_SLACK_REQUESTS * self.rules.most_units * self.kind.unit_work
+        if self.cold_budget.add(now_ms, work_ms, limit_ms):
             self.has_crashed = True
             self.queue.clear()
             self.running.clear()
 
     def _run(self, work_ms: float, job: Job[Owner] | None) -> None:
-        self._order += 1
-        heapq.heappush(self.running, RunningWork(self.done_ms + work_ms, self._order, job))
+        self._run_count += 1
+        heapq.heappush(self.running, RunningWork(self.work_done_ms + work_ms, self._run_count, job))
 
     # ---- time
 
-    def advance(self, now: float) -> list[Job[Owner]]:
-        """Brings the machine up to `now`; returns the jobs that ended since, in order."""
-        ended: list[Job[Owner]] = []
+    def advance(self, now_ms: float) -> list[Job[Owner]]:
+        """Brings the machine up to `now_ms`; returns the jobs that ended since, in order."""
+        ended_jobs: list[Job[Owner]] = []
         while True:
-            step_ms = min(now, self._next_change_ms())
-            self.done_ms += self.rate(self.now) * max(0.0, step_ms - self.now)
-            self.now = max(self.now, step_ms)
-            while self.running and self.running[0].end_work_ms <= self.done_ms + WORK_TOLERANCE_MS:
+            step_end_ms = min(now_ms, self._next_change_ms())
+            self.work_done_ms += self.rate(self.now_ms) * max(0.0, step_end_ms - self.now_ms)
+            self.now_ms = max(self.now_ms, step_end_ms)
+            while self.running and self.running[0].end_work_ms <= self.work_done_ms + WORK_TOLERANCE_MS:
                 job = heapq.heappop(self.running).job
                 if job is not None:
-                    ended.append(job)
-            self._start_pauses_and_flush()
-            self.start_queued(self.now)
-            if step_ms >= now:
-                return ended
+                    ended_jobs.append(job)
+            self._begin_pauses_and_flush()
+            self.start_queued(self.now_ms)
+            if step_end_ms >= now_ms:
+                return ended_jobs
 
     def next_event_ms(self) -> float:
         """Returns when to call `advance` next; infinite if only a new job can change anything."""
@@ -181,41 +181,41 @@
             return NEVER_MS
         return self._next_change_ms()
 
-    def set_faults(self, now: float, faults: MachineFaults) -> list[Job[Owner]]:
+    def set_faults(self, now_ms: float, faults: MachineFaults) -> list[Job[Owner]]:
         """Replaces the faults that act on the machine; returns the jobs that ended before."""
-        ended = self.advance(now)
+        ended_jobs = self.advance(now_ms)
         self.faults = faults
-        self.fault_pause_ms = NEVER_MS
+        self.next_fault_pause_ms = NEVER_MS
         if faults.pause_ms:
-            self.fault_pause_ms = now + self.rng.uniform(0.1, 1.0) * faults.pause_interval_ms
-        return ended
+            self.next_fault_pause_ms = now_ms + self.rng.uniform(0.1, 1.0) * faults.pause_interval_ms
+        return ended_jobs
 
     def _next_change_ms(self) -> float:
         """When a job ends, a pause begins or ends, a flush is due, or the rate has changed by a step."""
-        now = self.now
-        change_ms = min(self.pause_ms, self.fault_pause_ms, self.flush_ms)
-        if now < self.paused_until_ms:
+        now_ms = self.now_ms
+        change_ms = min(self.next_pause_ms, self.next_fault_pause_ms, self.next_flush_ms)
+        if now_ms < self.paused_until_ms:
             change_ms = min(change_ms, self.paused_until_ms)
-        rate = self.rate(now)
+        rate = self.rate(now_ms)
         if self.running and rate > 0.0:
-            change_ms = min(change_ms, now + max(0.0, self.running[0].end_work_ms - self.done_ms) / rate)
-        if self.running and (self.warmth(now) < 1.0 or self.faults.neighbor_share):
-            change_ms = min(change_ms, now + RATE_STEP_MS)
-        return max(change_ms, now)
+            change_ms = min(change_ms, now_ms + max(0.0, self.running[0].end_work_ms - self.work_done_ms) / rate)
+        if self.running and (self.warm_up_fraction(now_ms) < 1.0 or self.faults.neighbor_share):
+            change_ms = min(change_ms, now_ms + RATE_STEP_MS)
+        return max(change_ms, now_ms)
 
-    def _start_pauses_and_flush(self) -> None:
-        now = self.now
+    def _begin_pauses_and_flush(self) -> None:
+        now_ms = self.now_ms
         kind = self.kind
         faults = self.faults
-        if now >= self.pause_ms:
-            self.paused_until_ms = max(self.paused_until_ms, now + kind.pause)
-            self.pause_ms = now + kind.pause_every * self.rng.uniform(*JITTER) + kind.pause
-        if now >= self.fault_pause_ms:
-            self.paused_until_ms = max(self.paused_until_ms, now + faults.pause_ms)
-            interval_ms = faults.pause_interval_ms * self.rng.uniform(*JITTER) + faults.pause_ms
-            self.fault_pause_ms = now + interval_ms if faults.pause_ms else NEVER_MS
-        if now >= self.flush_ms:
-            self.flush_ms = now + kind.flush * self.rng.uniform(*JITTER)
+        if now_ms >= self.next_pause_ms:
+            self.paused_until_ms = max(self.paused_until_ms, now_ms + kind.pause)
+            self.next_pause_ms = now_ms + kind.pause_every * self.rng.uniform(*JITTER_RANGE) + kind.pause
+        if now_ms >= self.next_fault_pause_ms:
+            self.paused_until_ms = max(self.paused_until_ms, now_ms + faults.pause_ms)
+            interval_ms = faults.pause_interval_ms * self.rng.uniform(*JITTER_RANGE) + faults.pause_ms
+            self.next_fault_pause_ms = now_ms + interval_ms if faults.pause_ms else NEVER_MS
+        if now_ms >= self.next_flush_ms:
+            self.next_flush_ms = now_ms + kind.flush * self.rng.uniform(*JITTER_RANGE)
             if self.deferred_ms and not self.has_crashed:
                 self._run(self.deferred_ms / kind.cores, None)
                 self.deferred_ms = 0.0
--- a/pebblehinge/storage_node/registration.py
+++ b/pebblehinge/storage_node/registration.py
@@ -12,10 +12,10 @@
 from pebblehinge.storage_node.connection import ROLE
 from pebblehinge.wire import Kind, Session
 
-RECONNECT_S = 0.2
+RECONNECT_DELAY_S = 0.2
 """The time from a lost or failed connection to the next one."""
 
-STARTED_LONG_AGO_MS = -1.0
+UNKNOWN_AGE_MS = -1.0
 """The age of a process that has been running for long."""
 
 
@@ -54,7 +54,7 @@
 
     def on_disconnect(self, exc: Exception | None) -> None:
         """Connects again later."""
-        self.registration.on_lost(self)
+        self.registration.on_connection_lost(self)
 
 
 class Registration:
@@ -84,12 +84,12 @@
         self._state = ReportedState.READY
         self._is_closed = False
         self._connection: RegistrationConnection | None = None  # once it has registered
-        self._connecting: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
         self._reconnect_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Connects in the background."""
-        self._connecting = self.loop.create_task(self._connect())
+        self._connect_task = self.loop.create_task(self._connect())
 
     def report(self, state: ReportedState) -> None:
         """Reports a state, now and with each further registration."""
@@ -100,8 +100,8 @@
     def stop(self) -> None:
         """Ends the attempts to connect."""
         self._is_closed = True
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
 
@@ -114,19 +114,19 @@
     def on_ready(self, connection: RegistrationConnection) -> None:
         """The greeting of a connection is over: registers there."""
         node = self._node
-        age_ms = STARTED_LONG_AGO_MS if node.started_ms is None else self._clock() - node.started_ms
+        age_ms = UNKNOWN_AGE_MS if node.started_ms is None else self._clock() - node.started_ms
         block = node.block
         connection.send(Kind.REGISTER, node.name, block.listen, block.slot, block.rack, age_ms)
         if self._state is ReportedState.DRAINING:
             connection.send(Kind.STANDING, self._state.value)
         self._connection = connection
 
-    def on_lost(self, connection: RegistrationConnection | None) -> None:
+    def on_connection_lost(self, connection: RegistrationConnection | None) -> None:
         """A connection is lost, or, with None, was not made: connects again after a while."""
         if self._connection is connection:
             self._connection = None
         if not self._is_closed:
-            self._reconnect_timer = self.loop.call_later(RECONNECT_S, self.start)
+            self._reconnect_timer = self.loop.call_later(RECONNECT_DELAY_S, self.start)
 
     async def _connect(self) -> None:
         session = Session(ROLE, self._node.name, self.limits.frame, self.limits.streams, dialed=True)
@@ -134,4 +134,4 @@
             host, port = parse_address(self._address)
             await self.loop.create_connection(lambda: RegistrationConnection(self, session), host, port)
         except OSError:
-            self.on_lost(None)
+            self.on_connection_lost(None)
--- a/pebblehinge/storage_node/requests.py
+++ b/pebblehinge/storage_node/requests.py
@@ -13,10 +13,10 @@
 from pebblehinge.storage_node.simulation import Simulation
 from pebblehinge.wire.frames import APPEND, APPEND_RESULT, WRITE
 
-UNSEEN_RESETS = 0.5
+UNSEEN_RESET_SHARE = 0.5
 """The part of the resets that come before the attempt is seen; the others come before its response."""
 
-APPLIED_ERRORS = 0.5
+APPLIED_ERROR_SHARE = 0.5
 """The part of the errors that come after the effect, so that no gateway may take them for unapplied."""
 
 TIMER_MARGIN_S = 0.0005
@@ -34,7 +34,7 @@
         on_crash: Called with the present when the machine has crashed.
 
     Attributes:
-        now: The present in milliseconds, read once for all that comes in one batch.
+        now_ms: The present in milliseconds, read once for all that comes in one batch.
         effects: What applies writes and appends to the contents.
         is_draining: Whether all attempts are rejected.
     """
@@ -55,19 +55,19 @@
         self.rng = simulation.rng
         self.effects = EffectApplier(simulation.contents, events, simulation.key_window_ms)
         self.events = events
-        self.now = self.machine.now
+        self.now_ms = self.machine.now_ms
         self.is_draining = False
         self._on_crash = on_crash
         self._is_closed = False
         self._crash_reported = False
         self._start_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_ms = NEVER_MS
+        self._timer_due_ms = NEVER_MS
 
     def read_clock(self) -> float:
         """Reads the clock for what is handled next; returns the present in milliseconds."""
-        self.now = self.clock()
-        return self.now
+        self.now_ms = self.clock()
+        return self.now_ms
 
     def close(self) -> None:
         """Stops the timer; nothing is started any more."""
@@ -77,31 +77,31 @@
 
     # ---- attempts
 
-    def accept(self, attempt: Attempt, units: float, left_ms: float) -> None:
+    def accept(self, attempt: Attempt, units: float, remaining_ms: float) -> None:
         """Accepts or rejects an attempt.
 
         Args:
             attempt: The attempt.
             units: The size of its request.
-            left_ms: The time until its deadline, after which it isn't started.
+            remaining_ms: The time until its deadline, after which it isn't started.
         """
-        now = self.now
-        self.end_jobs(self.machine.advance(now))
-        is_reset = self.network.occurs(self.network.resets)
-        if is_reset and self.network.rng.random() < UNSEEN_RESETS:
+        now_ms = self.now_ms
+        self.complete_jobs(self.machine.advance(now_ms))
+        is_reset = self.network.should_inject(self.network.reset_probability)
+        if is_reset and self.network.rng.random() < UNSEEN_RESET_SHARE:
             gateway = attempt.connection.gateway
-            self.events.note(now, "reset", id=attempt.request_id, n=attempt.attempt, head=gateway, unseen=True)
+            self.events.note(now_ms, "reset", id=attempt.request_id, n=attempt.attempt_index, head=gateway, unseen=True)
             attempt.connection.abort()
             return
         if self._draw_error():
-            self._fail(attempt, units)
+            self._respond_with_error(attempt, units)
             return
-        job = self._job_of(attempt, units, now + left_ms)
-        is_accepted = not self.is_draining and self.machine.submit(now, job)
-        self._note_received(attempt, units, job.work_ms, is_full=not is_accepted)
+        job = self._create_job(attempt, units, now_ms + remaining_ms)
+        is_accepted = not self.is_draining and self.machine.submit(now_ms, job)
+        self._record_received(attempt, units, job.work_ms, is_full=not is_accepted)
         if self.machine.has_crashed and not self._crash_reported:
             self._crash_reported = True
-            self._on_crash(now)
+            self._on_crash(now_ms)
             return
         if not is_accepted:
             reason = "draining" if self.is_draining else "full"
@@ -121,9 +121,9 @@
         job.is_cancelled = True
         if not job.has_started:
             attempt.connection.attempts.pop(attempt.number, None)
-        self.events.note(self.now, "recalled", id=attempt.request_id, n=attempt.attempt, began=job.has_started)
+        self.events.note(self.now_ms, "recalled", id=attempt.request_id, n=attempt.attempt_index, began=job.has_started)
 
-    def end_jobs(self, jobs: list[Job[Attempt]]) -> None:
+    def complete_jobs(self, jobs: list[Job[Attempt]]) -> None:
         """Applies and answers the attempts of jobs that have ended by now."""
         for job in jobs:
             self.complete(job.owner)
@@ -132,26 +132,26 @@
         probability = self.machine.faults.error_share or self.machine.kind.errors
         return bool(probability) and self.rng.random() < probability
 
-    def _fail(self, attempt: Attempt, units: float) -> None:
+    def _respond_with_error(self, attempt: Attempt, units: float) -> None:
         """Answers with an error at once, in some cases after the effect."""
-        self._note_received(attempt, units, 0.0, is_full=False)
-        if self.rng.random() < APPLIED_ERRORS:
-            self.effects.apply(attempt, self.now)
+        self._record_received(attempt, units, 0.0, is_full=False)
+        if self.rng.random() < APPLIED_ERROR_SHARE:
+            self.effects.apply(attempt, self.now_ms)
         self.respond(attempt, AttemptStatus.SERVER_ERROR, "failed", b"")
 
-    def _job_of(self, attempt: Attempt, units: float, deadline_ms: float) -> Job[Attempt]:
+    def _create_job(self, attempt: Attempt, units: float, deadline_ms: float) -> Job[Attempt]:
         is_write = attempt.operation in (WRITE, APPEND)
-        is_duplicate = self.effects.is_duplicate(attempt, self.now)
-        job = Job(attempt, units, is_write, attempt.extent, attempt.attempt, deadline_ms, is_duplicate)
+        is_duplicate = self.effects.is_duplicate(attempt, self.now_ms)
+        job = Job(attempt, units, is_write, attempt.extent, attempt.attempt_index, deadline_ms, is_duplicate)
         attempt.job = job
         return job
 
-    def _note_received(self, attempt: Attempt, units: float, work_ms: float, *, is_full: bool) -> None:
+    def _record_received(self, attempt: Attempt, units: float, work_ms: float, *, is_full: bool) -> None:
         self.events.note(
-            self.now,
+            self.now_ms,
             "got",
             id=attempt.request_id,
-            n=attempt.attempt,
+            n=attempt.attempt_index,
             head=attempt.connection.gateway,
             x=attempt.extent,
             u=units,
@@ -159,7 +159,7 @@
             op=attempt.operation,
             full=is_full,
             label=attempt.key,
-            cold=self.machine.warmth(self.now) < 1.0,
+            cold=self.machine.warm_up_fraction(self.now_ms) < 1.0,
         )
 
     # ---- effects and responses
@@ -168,22 +168,22 @@
         """Applies and answers an attempt whose job has ended."""
         data = b""
         if attempt.operation == WRITE:
-            self.effects.apply(attempt, self.now)
+            self.effects.apply(attempt, self.now_ms)
         elif attempt.operation == APPEND:
-            is_appended = self.effects.apply(attempt, self.now)
+            is_appended = self.effects.apply(attempt, self.now_ms)
             data = APPEND_RESULT.pack(is_appended, self.contents.length(attempt.extent))
         else:
             data = self.contents.read(attempt.extent, attempt.offset, attempt.length)
-            self.events.note(self.now, "read", id=attempt.request_id, n=attempt.attempt)
+            self.events.note(self.now_ms, "read", id=attempt.request_id, n=attempt.attempt_index)
         self.respond(attempt, AttemptStatus.SUCCEEDED, "", data)
 
     def respond(self, attempt: Attempt, status: AttemptStatus, reason: str, data: bytes) -> None:
         """Answers an attempt, as `NodeConnection.send_outcome` describes, unless the response is lost."""
         attempt.connection.attempts.pop(attempt.number, None)
-        if self.network.occurs(self.network.lost_responses):
-            self.events.note(self.now, "lost", id=attempt.request_id, n=attempt.attempt)
+        if self.network.should_inject(self.network.response_loss_probability):
+            self.events.note(self.now_ms, "lost", id=attempt.request_id, n=attempt.attempt_index)
             return
-        self.events.note(self.now, "said", id=attempt.request_id, n=attempt.attempt, status=status.value)
+        self.events.note(self.now_ms, "said", id=attempt.request_id, n=attempt.attempt_index, status=status.value)
         attempt.connection.send_outcome(attempt.number, status, reason, data)
 
     # ---- time
@@ -196,23 +196,23 @@
         """
         self._start_scheduled = False
         if not self._is_closed:
-            self.machine.start_queued(self.now)
+            self.machine.start_queued(self.now_ms)
             self.set_timer()
 
     def set_timer(self) -> None:
         """Sets the timer to the machine's next event, if that is earlier than what it is set to."""
-        at_ms = self.machine.next_event_ms()
-        if at_ms >= self._timer_ms and self._timer is not None:
+        event_ms = self.machine.next_event_ms()
+        if event_ms >= self._timer_due_ms and self._timer is not None:
             return
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._timer_ms = at_ms
-        if at_ms < NEVER_MS:
-            self._timer = self.loop.call_at(at_ms / 1000.0 + TIMER_MARGIN_S, self._on_timer)
+        self._timer_due_ms = event_ms
+        if event_ms < NEVER_MS:
+            self._timer = self.loop.call_at(event_ms / 1000.0 + TIMER_MARGIN_S, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._timer_ms = NEVER_MS
-        self.end_jobs(self.machine.advance(self.read_clock()))
+        self._timer_due_ms = NEVER_MS
+        self.complete_jobs(self.machine.advance(self.read_clock()))
         self.set_timer()
--- a/pebblehinge/storage_node/server.py
+++ b/pebblehinge/storage_node/server.py
@@ -74,7 +74,7 @@
         node = RegisteredNode(name, self.block, None if is_warm else self.machine.started_ms)
         self._registration = Registration(loop, clock, config.limits, config.listing.listen, node)
         self._context = ConnectionContext(loop, config.limits, name, self.requests, self.control)
-        self._controller = FaultController(self._context, self._registration, self.events)
+        self._fault_controller = FaultController(self._context, self._registration, self.events)
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -113,11 +113,11 @@
 
     def control(self, verb: str, values: dict[str, Any]) -> str:
         """Injects a fault, ends one, or returns statistics, as `FaultController.control` describes."""
-        return self._controller.control(verb, values)
+        return self._fault_controller.control(verb, values)
 
-    def _on_crash(self, now: float) -> None:
+    def _on_crash(self, now_ms: float) -> None:
         """The machine has crashed, and its sockets go with it."""
-        self.events.note(now, "fell", name=self.name, fill=self.machine.cold_budget.peak_load)
+        self.events.note(now_ms, "fell", name=self.name, fill=self.machine.cold_budget.peak_load)
         self.log.warning("fell over", shelf=self.name)
         if self._server is not None:
             self._server.close()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -181,7 +181,7 @@
             head.core.wait_accounting.enqueue(rig.clock(), n, "v", f"n{n}", 1.0)
             head.core.wait_accounting.end_request(rig.clock(), n)
             view.snapshot()
-        assert max(len(head.links), len(view.health), len(head.core.wait_accounting.nodes)) < 12
+        assert max(len(head.links), len(view.health_by_node), len(head.core.wait_accounting.nodes)) < 12
 
     on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,10 +16,10 @@
 
 ADDRESS = f"{LOOPBACK}:7300"
 URL = f"http://{ADDRESS}"
-LOOK = {"profile": "look", "units": 1.0, "patience_ms": 1500.0}
+LOOK = {"request_class": "look", "units": 1.0, "timeout_ms": 1500.0}
 
 
-def with_console(script: Any, more: str = "", token: str = "") -> None:
+def run_with_console(script: Any, more: str = "", token: str = "") -> None:
     async def main(rig: Rig) -> None:
         console = Console(rig.head, ADDRESS, token)
         await console.start()
@@ -51,7 +51,7 @@
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK)).succeeded
         got = await client.read("v", "x", 1, slot=9, **LOOK)
-        assert got.final == "pushed back" and got.reason == "its shelf is not listed"
+        assert got.status == "pushed back" and got.reason == "its shelf is not listed"
         state = json.loads(await (await session.get(URL + "/state")).read())
         assert state["counts"]["honoured"] == 1 and state["refused_because"] == {"its shelf is not listed": 1}
         assert [(s["name"], s["health"]) for s in state["shelfs"]] == [("s1", "well"), ("s2", "well")]
@@ -68,7 +68,7 @@
         assert (await session.get(URL + "/why/nobody")).status == 404
         assert json.loads(await (await session.get(URL + "/volume/v")).read())["plan"] == "gold"
 
-    with_console(script)
+    run_with_console(script)
 
 
 def test_events_come_live_and_say_what_changed() -> None:
@@ -86,7 +86,7 @@
         assert any("s2: well to down" in text for _, _, text in found[-1]["events"])
         await until(lambda: not console.viewers)
 
-    with_console(script)
+    run_with_console(script)
 
 
 def test_the_page_is_whole_and_only_for_who_may_see_it() -> None:
@@ -101,11 +101,11 @@
             assert (await session.get(f"{URL}/static/{asset}")).status == 200
         assert (await session.get(URL + "/?token=wrong")).status == 401
 
-    with_console(script, token="secret")
+    run_with_console(script, token="secret")
 
 
 def test_a_viewer_that_does_not_read_is_dropped_and_too_many_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(console_server, "REFRESH_MS", 5.0)
+    monkeypatch.setattr(console_server, "REFRESH_INTERVAL_MS", 5.0)
     monkeypatch.setattr(console_server, "MAX_VIEWERS", 3)
 
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
@@ -113,14 +113,14 @@
         host, port = ADDRESS.split(":")
         reader, writer = await asyncio.open_connection(host, int(port), limit=1024)
         writer.write(b"GET /events HTTP/1.1\r\nHost: x\r\n\r\n")
-        await until(lambda: console.dropped == 1, 20.0)
+        await until(lambda: console.dropped_viewers == 1, 20.0)
         writer.close()
         watching = [await session.get(URL + "/events") for _ in range(3)]
         assert (await session.get(URL + "/events")).status == 503
         for response in watching:
             response.close()
 
-    with_console(script)
+    run_with_console(script)
 
 
 def test_two_hundred_viewers_hold_up_no_request() -> None:
@@ -134,7 +134,7 @@
             for n in range(300):
                 got = await client.read("v", f"x{n}", 1, slot=n % 2, **LOOK)
                 assert got.succeeded
-                took.append(got.took_ms)
+                took.append(got.duration_ms)
                 await asyncio.sleep(0.004)
             return sorted(took)[len(took) * 95 // 100]
 
@@ -149,16 +149,16 @@
         # Viewers and requests share this test's one process, too.
         assert beside < 5 * alone + 20.0, (alone, beside)
 
-    with_console(script)
+    run_with_console(script)
 
 
 @pytest.mark.parametrize("why, volume, patience, units", [("its plan's limit", "c", 300.0, 6.0)])
 def test_refusals_name_what_they_waited_for(why: str, volume: str, patience: float, units: float) -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        more = {"profile": "look", "slot": 0, "units": units, "patience_ms": patience}
+        more = {"request_class": "look", "slot": 0, "units": units, "timeout_ms": patience}
         ends = [await client.read(volume, f"x{n}", 1, **more) for n in range(4)]
-        assert any(why in e.reason for e in ends if e.final == "pushed back"), [e.reason for e in ends]
+        assert any(why in e.reason for e in ends if e.status == "pushed back"), [e.reason for e in ends]
         assert set(rig.head.core.reason_counts) and sum(rig.head.core.reason_counts.values()) == sum(
             not e.succeeded for e in ends
         )
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -30,11 +30,11 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         notifier = Notifier(loop, {"NOTIFY_SOCKET": str(tmp_path / "notify"), "WATCHDOG_USEC": "40000"}, 77)
-        notifier.ready("serving")
+        notifier.notify_ready("serving")
         await asyncio.sleep(0.07)
-        notifier.stopping("3 owed")
+        notifier.notify_stopping("3 owed")
         notifier.close()
-        assert not notifier.tell("READY=1")
+        assert not notifier.send("READY=1")
 
     asyncio.run(main())
     assert heard.recv(200).decode().splitlines()[:2] == ["READY=1", "STATUS=serving"]
@@ -46,12 +46,12 @@
 def test_nobody_to_tell_and_a_socket_that_is_gone(tmp_path: Path) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        assert not Notifier(loop, {}, 1).tell("READY=1")
+        assert not Notifier(loop, {}, 1).send("READY=1")
         gone = Notifier(loop, {"NOTIFY_SOCKET": str(tmp_path / "nothing"), "WATCHDOG_USEC": "x"}, 1)
-        gone.ready("serving")
-        assert not gone.tell("READY=1") and gone.watchdog_s == 0.0
+        gone.notify_ready("serving")
+        assert not gone.send("READY=1") and gone.watchdog_interval_s == 0.0
         other = {"NOTIFY_SOCKET": "@abstract", "WATCHDOG_USEC": "1000000", "WATCHDOG_PID": "5"}
-        assert Notifier(loop, other, 1).watchdog_s == 0.0  # the watch is another process's
+        assert Notifier(loop, other, 1).watchdog_interval_s == 0.0  # the watch is another process's
         gone.close()
 
     asyncio.run(main())
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -18,14 +18,14 @@
     async def script(rig: Rig) -> None:
         clients = []
         for _ in range(20):
-            clients += await asyncio.gather(*(rig.client(within_ms=10_000) for _ in range(100)))
+            clients += await asyncio.gather(*(rig.client(timeout_ms=10_000) for _ in range(100)))
         assert len(rig.head.conns) == 2000
         order = [
-            c.read("v", f"x{i}", 1, profile="look", slot=i % 2, units=1.0, patience_ms=8000.0)
+            c.read("v", f"x{i}", 1, request_class="look", slot=i % 2, units=1.0, timeout_ms=8000.0)
             for i, c in enumerate(clients)
         ]
         got = await asyncio.gather(*order)
-        assert len(got) == 2000 and {g.final for g in got} <= {"honoured", "pushed back"}
+        assert len(got) == 2000 and {g.status for g in got} <= {"honoured", "pushed back"}
         # The first connection to a shelf is made while the loop is late by the burst itself: found as a shelf that
         # counted as unreachable, with everything after it rejected.
         assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] == 0
@@ -147,20 +147,20 @@
 @pytest.mark.parametrize(
     ("more", "reason"),
     [
-        ({"profile": "nothing"}, "profile 'nothing' is not known"),
+        ({"request_class": "nothing"}, "profile 'nothing' is not known"),
         ({"volume": "w"}, "volume 'w' is not known"),
-        ({"plan": "tin"}, "a plan that is not known"),
-        ({"plan": "capped"}, "stands on another plan"),
+        ({"quota_plan": "tin"}, "a plan that is not known"),
+        ({"quota_plan": "capped"}, "stands on another plan"),
         ({"units": 7.0}, "at most 6"),
-        ({"op": 5}, "no read or write"),
+        ({"operation": 5}, "no read or write"),
     ],
 )
 def test_what_cannot_be_taken_is_pushed_back_with_the_reason(more: dict, reason: str) -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        asked = {"volume": "v", "extent": "x", "op": 0, "length": 1, **LOOK_OPTIONS, **more}
+        asked = {"volume": "v", "extent": "x", "operation": 0, "length": 1, **LOOK_OPTIONS, **more}
         got = await client.request(**asked)
-        assert got.final == "pushed back" and reason in got.reason and 200.0 <= got.stay_ms <= 400.0
+        assert got.status == "pushed back" and reason in got.reason and 200.0 <= got.retry_after_ms <= 400.0
         assert not rig.shelfs[0].attempts
 
     on_rig(script)
@@ -182,7 +182,7 @@
 def test_settings_taken_up_in_service_drop_nothing() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        lim = dict(profile="look", slot=0, units=6.0, patience_ms=2000.0)
+        lim = dict(request_class="look", slot=0, units=6.0, timeout_ms=2000.0)
         await asyncio.sleep(1.3)
         assert (await client.read("c", "x", 1, **lim)).succeeded
         held = client.read("c", "y", 1, **lim)  # its store has to fill: 6 units at 10 a second
@@ -191,7 +191,7 @@
         new.plan["capped"].limit, new.plan["capped"].burst = 100.0, 100.0
         rig.head.adopt(new)
         got = await held
-        assert got.succeeded and got.took_ms < 400
+        assert got.succeeded and got.duration_ms < 400
         assert rig.head.core.scheduler.settings.quota_plans["capped"].limit_rate == 100.0
 
     on_rig(script)
--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 from helpers import Rig
-from test_console import ADDRESS, with_console
+from test_console import ADDRESS, run_with_console
 
 from pebblehinge.console import Console
 from pebblehinge.console import server as console_server
@@ -55,7 +55,7 @@
 def test_a_viewer_on_a_slow_line_misses_looks_and_stays(monkeypatch: pytest.MonkeyPatch) -> None:
     """Before, a viewer was dropped at the first look that came while 64 KiB were unsent; one look of 2,048 shelfs is
     three times that. This one reads less than half of what comes, so it must miss some."""
-    monkeypatch.setattr(console_server, "REFRESH_MS", 150.0)
+    monkeypatch.setattr(console_server, "REFRESH_INTERVAL_MS", 150.0)
 
     def seen(read: bytes) -> list[int]:
         return [int(part.split(b"\n")[0]) for part in read.split(b"id: ")[1:] if b"\n" in part]
@@ -71,15 +71,15 @@
         await loop.sock_sendall(sock, b"GET /events HTTP/1.1\r\nHost: x\r\n\r\n")
         read, end = b"", loop.time() + 20.0
         while not (numbers := seen(read)) or numbers[-1] - numbers[0] < len(numbers):
-            assert loop.time() < end, (numbers, console.number)
+            assert loop.time() < end, (numbers, console.snapshot_number)
             got = await asyncio.wait_for(loop.sock_recv(sock, 40_000), 5.0)
             assert got, "dropped"
             read += got
             await asyncio.sleep(0.025)
-        assert console.dropped == 0 and len(console.viewers) == 1 and numbers == sorted(numbers)
+        assert console.dropped_viewers == 0 and len(console.viewers) == 1 and numbers == sorted(numbers)
         sock.close()
 
-    with_console(script)
+    run_with_console(script)
 
 
 def test_accounts_of_two_thousand_volumes_keep_five_causes_of_each() -> None:
--- a/tests/test_stand_ins.py
+++ b/tests/test_stand_ins.py
@@ -34,9 +34,9 @@
 
 def run(m: Machine, until: float) -> list[tuple[float, Job]]:
     ended = []
-    m.start_queued(m.now)
+    m.start_queued(m.now_ms)
     while (at := m.next_event_ms()) <= until:
-        ended += [(m.now, j) for j in m.advance(at)]
+        ended += [(m.now_ms, j) for j in m.advance(at)]
     m.advance(until)
     return ended
 
@@ -77,7 +77,7 @@
 
 def test_put_off_work_is_done_at_the_flush() -> None:
     m = machine(defer=0.5, flush=100.0)
-    m.flush_ms = 100.0
+    m.next_flush_ms = 100.0
     m.submit(0.0, job(4.0, write=True))
     assert [round(t) for t, _ in run(m, 99.0)] == [20]
     m.advance(100.0)
@@ -102,7 +102,7 @@
 
 def test_a_cold_machine_warms_and_falls_over_when_pushed() -> None:
     m = machine(warm=False, cold_from=0.5, cold=1000.0, queue=1000)
-    assert (m.warmth(0.0), m.warmth(500.0), m.warmth(1000.0)) == (0.5, 0.75, 1.0)
+    assert (m.warm_up_fraction(0.0), m.warm_up_fraction(500.0), m.warm_up_fraction(1000.0)) == (0.5, 0.75, 1.0)
     # 2 x 0.5 x 1000 ms and two largest requests: 1080 ms of work within the window
     for i in range(27):
         assert m.submit(0.0, job(4.0, f"x{i}"))
@@ -133,14 +133,14 @@
 def test_the_list_is_late_and_tells_the_news_of_a_shelf_in_order() -> None:
     r = EndpointRegistry(ListingBlock(add=(100.0, 100.0), notice=(500.0, 500.0), drain=(50.0, 50.0)), random.Random(1))
     r.register(0.0, "a", "h:1", 0, -1.0, True)
-    assert [row.state for row in r.due(0.0)] == ["ready"]
+    assert [row.state for row in r.publish_due(0.0)] == ["ready"]
     r.remove(10.0, "a")
     r.register(20.0, "a", "h:1", 0, 20.0, False)  # back before the list has told that it went
-    assert r.due(509.0) == [] and r.next_due_ms() == 510.0
-    assert [(row.state, row.started_ms) for row in r.due(510.0)] == [("gone", -1.0), ("ready", 20.0)]
+    assert r.publish_due(509.0) == [] and r.next_due_ms() == 510.0
+    assert [(row.state, row.started_ms) for row in r.publish_due(510.0)] == [("gone", -1.0), ("ready", 20.0)]
     r.extra_delay_ms = 1000.0
     r.set_state(600.0, "a", EndpointState.DRAINING)
-    assert r.due(1649.0) == [] and [row.state for row in r.due(1650.0)] == ["draining"]
+    assert r.publish_due(1649.0) == [] and [row.state for row in r.publish_due(1650.0)] == ["draining"]
     assert [row.node for row in r.snapshot()] == ["a"]
 
 
@@ -190,8 +190,12 @@
     network = node.requests.network
     for verb in ("resets", "garble", "lost-answers"):
         assert node.control(verb, {"by": 0.25}) == "done"
-    assert (network.resets, network.garbled_frames, network.lost_responses) == (0.25, 0.25, 0.25)
-    assert node.control("garble", {"off": 1}) == "done" and network.garbled_frames == 0.0
+    assert (network.reset_probability, network.garble_probability, network.response_loss_probability) == (
+        0.25,
+        0.25,
+        0.25,
+    )
+    assert node.control("garble", {"off": 1}) == "done" and network.garble_probability == 0.0
     assert node.control("drain", {}) == "done" and node.requests.is_draining
     assert node.control("stats", {}) == "effects=0 worst_fill=0.000 fell=0 speed=1.000"
     for verb, values, reason in [
