--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -1,7 +1,7 @@
 """Scene `sums`: what all heads together do to one shelf, and spend beyond the requests that they were asked for.
 
 Cases: `dead` (careful attempts to a shelf that can't be reached, a second), `cold` (what a cold shelf gets against the
-line of tests/cold_fleet.py, N + 2 sqrt(N) + 2), `budget` (retries a second while a tenth of the shelfs err).
+line of tests/slow_start_fleet.py, N + 2 sqrt(N) + 2), `budget` (retries a second while a tenth of the shelfs err).
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from cold_fleet import Fleet as ColdFleet  # noqa: E402
 from decisions_fleet import PAIR_S, SETTINGS, Fleet, weights_of  # noqa: E402
+from slow_start_fleet import SlowStartFleet as ColdFleet  # noqa: E402
 
 from pebblehinge.interface import Outcome  # noqa: E402
 
@@ -67,8 +67,8 @@
 def cold(heads: int, seed: int, shape: str, asked: float) -> dict[str, float]:
     """A shelf whose warm self can do the coming size's requests a second over `asked`, started in the middle."""
     fleet = ColdFleet(seed, heads, asked, shape)
-    fleet.units_s = PAIR_S * heads * fleet.cfg.mean_units / asked
-    fleet.rate = PAIR_S * heads / 1000.0
+    fleet.units_per_s = PAIR_S * heads * fleet.settings.mean_units / asked
+    fleet.requests_per_ms = PAIR_S * heads / 1000.0
     worst, served = fleet.play()
     return {"of_line": round(worst, 3), "served": round(served, 3)}
 
--- a/benchmarks/fault_days.py
+++ b/benchmarks/fault_days.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.faults.draw import cast_of, draw, shrink
 from pebblehinge.lab.faults.script import Fault, write
 from pebblehinge.lab.processes import Processes, own_loopback
@@ -49,7 +49,7 @@
     return judged(village.facts(), seed, known)
 
 
-def judged(facts: Day, seed: int, known: dict[str, Any]) -> dict[str, Any]:
+def judged(facts: DayFacts, seed: int, known: dict[str, Any]) -> dict[str, Any]:
     told = summary(facts, "struck", seed, {"faults": known["faults"]})
     broken = {rule: said["first"] for rule, said in told["rules"].items() if not said["kept"]}
     if known["faults"]:
@@ -103,7 +103,7 @@
 
     with tempfile.TemporaryDirectory(prefix="pebblehinge-") as folder, asyncio.Runner() as runner:
         known = runner.run(whole(Path(folder)))
-        row = judged(Day.read(Path(folder) / "records", config), seed, known)
+        row = judged(DayFacts.read(Path(folder) / "records", config), seed, known)
     return row | {"script": write(script)}
 
 
--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -47,7 +47,7 @@
             done = facts.done.get(op, {"final": "", "took": 0.0})
             count += 1
             late += done["final"] == "honoured" and done["took"] > config.profile[row["profile"]].expected
-    broken = [r for r, v in facts.judge().items() if not v.told()["kept"]]
+    broken = [r for r, v in facts.check_rules().items() if not v.told()["kept"]]
     assert not broken, (seed, kind, broken)
     return seed, kind, got / due, late / count
 
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -30,31 +30,31 @@
 RULES = ("final_answer", "no_double_effect", "drains", "cold", "limits", "order", "budget", "data")
 
 
-def valued(value: Any) -> Any:
+def positional_values(value: Any) -> Any:
     """Plain values by place. An enum's member is its index; a dict's keys are data, and count with their order."""
     if isinstance(value, Enum):
         return ("member", list(type(value)).index(value))
     if dataclasses.is_dataclass(value):
-        return tuple(valued(getattr(value, field.name)) for field in dataclasses.fields(value))
+        return tuple(positional_values(getattr(value, field.name)) for field in dataclasses.fields(value))
     if isinstance(value, msgspec.Struct):
-        return tuple(valued(part) for part in msgspec.structs.astuple(value))
+        return tuple(positional_values(part) for part in msgspec.structs.astuple(value))
     if isinstance(value, dict):
-        return ("pairs", *((valued(key), valued(part)) for key, part in value.items()))
+        return ("pairs", *((positional_values(key), positional_values(part)) for key, part in value.items()))
     if isinstance(value, list | tuple):
-        return tuple(valued(part) for part in value)
+        return tuple(positional_values(part) for part in value)
     if value is None or isinstance(value, bool | int | float | str | bytes):
         return value
     raise TypeError(f"{type(value)} has no values by place")
 
 
-def digests(runs: int) -> Iterator[tuple[str, int, str, int]]:
+def run_digests(runs: int) -> Iterator[tuple[str, int, str, int]]:
     """For each run its rule, its seed, what was decided, and how many calls that took."""
     if str(HERE / "tests") not in sys.path:
         sys.path.insert(1, str(HERE / "tests"))
-    from drawn import COLD, CONFIG, events_of
-    from drawn_world import World
+    from random_runs import CONFIG, SLOW_START_CONFIG, random_events
+    from simulated_run import SimulatedRun
 
-    class Watched(World):
+    class Watched(SimulatedRun):
         def __init__(self, *given: Any) -> None:
             self.said, self.calls = hashlib.sha256(), 0
             super().__init__(*given)
@@ -66,18 +66,18 @@
             super()._done(name, life, changes)
 
         def note(self, what: Any) -> None:
-            self.said.update(repr(valued(what)).encode())
+            self.said.update(repr(positional_values(what)).encode())
 
     for n in range(runs):
         rule, seed = RULES[n % len(RULES)], n // len(RULES)
-        world = Watched(COLD if rule == "cold" else CONFIG, seed, rule)
-        world.play(events_of(seed, rule))
+        world = Watched(SLOW_START_CONFIG if rule == "cold" else CONFIG, seed, rule)
+        world.play(random_events(seed, rule))
         for name, life in world.lives.items():
             world.note((name, life.head.snapshot(world.now)))
         yield rule, seed, world.said.hexdigest()[:16], world.calls
 
 
-def by_rule(lines: list[str]) -> dict[str, list[str]]:
+def group_by_rule(lines: list[str]) -> dict[str, list[str]]:
     """Printed lines as a saved file has them: for each rule its seeds in order, each a digest and a count of calls."""
     found: dict[str, list[str]] = {rule: [] for rule in RULES}
     for line in lines:
@@ -86,7 +86,7 @@
     return found
 
 
-def lines_of(saved: dict[str, list[str]], runs: int) -> list[str]:
+def saved_lines(saved: dict[str, list[str]], runs: int) -> list[str]:
     """The other way, as far as it goes."""
     rows = [(seed, n, rule, row) for n, rule in enumerate(RULES) for seed, row in enumerate(saved[rule])]
     return [f"{rule} {seed} {row}" for seed, _, rule, row in sorted(rows)][:runs]
@@ -125,15 +125,15 @@
     parser.add_argument("--digests", action="store_true", help="print this checkout's own")
     options = parser.parse_args()
     if options.digests:
-        for row in digests(options.runs):
+        for row in run_digests(options.runs):
             print(*row)
         return 0
     if options.save is not None:
-        rows = by_rule([" ".join(map(str, row)) for row in digests(options.runs)])
+        rows = group_by_rule([" ".join(map(str, row)) for row in run_digests(options.runs)])
         options.save.write_text(json.dumps(rows, indent=0) + "\n")
         return 0
     if options.saved is not None:
-        expected = lines_of(json.loads(options.saved.read_text()), options.runs)
+        expected = saved_lines(json.loads(options.saved.read_text()), options.runs)
         return compare(lines_from(start(HERE, len(expected)), len(expected)), expected)
     if options.against is None or not (options.against / "pebblehinge").is_dir():
         parser.error("--saved wants a file, or --against another checkout of this project")
--- a/benchmarks/scale_run.py
+++ b/benchmarks/scale_run.py
@@ -27,10 +27,10 @@
 from scale.stage import ScaleStage
 
 import pebblehinge
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.days import DayError
 from pebblehinge.lab.processes import own_loopback
-from pebblehinge.lab.verdict import kept, summary
+from pebblehinge.lab.verdict import all_checks_pass, summary
 from pebblehinge.settings.load import loads
 
 
@@ -88,7 +88,7 @@
     report.versions(lines, events.told["versions"], windows["rest"], given.heads)
     for row in events.told["versions"]:
         row.pop("asked"), row.pop("until", None)
-    day = summary(Day.read(folder, stage.config), "struck", given.seed, {"faults": known["faults"]})
+    day = summary(DayFacts.read(folder, stage.config), "struck", given.seed, {"faults": known["faults"]})
     return {
         "heads": given.heads,
         "shelfs": given.shelfs,
@@ -110,7 +110,7 @@
         "trips": dict(events.following.attempts),
         "parts_summed": summed(events.following.rows, events.versions.limits),
         "real": {k: day[k] for k in ("service", "worst_second", "latency_ms", "answers", "accesses")},
-        "rules_kept": kept(day),
+        "rules_kept": all_checks_pass(day),
         "rules": {r: v for r, v in day["rules"].items() if not v["kept"]},
         "windows": windows,
     }
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -32,7 +32,7 @@
 
 
 if TYPE_CHECKING:
-    from pebblehinge.lab.check import Day
+    from pebblehinge.lab.check import DayFacts
     from pebblehinge.lab.faults.script import Fault
 
 
@@ -41,7 +41,7 @@
     """The laboratory: scripted days, load, and the checker of the rules."""
 
 
-def day_facts(records: str) -> Day:
+def day_facts(records: str) -> DayFacts:
     """Returns what a folder of records holds of its day; exits where it holds none or can't be read."""
     folder = Path(records)
     if not (folder / "day.conf").is_file():
@@ -53,16 +53,16 @@
         give_up(str(error))
 
 
-def read_day(folder: Path, config: Config) -> Day:
+def read_day(folder: Path, config: Config) -> DayFacts:
     """Reads the records of a day.
 
     Raises:
         EventLogError: They can't be read.
     """
-    from pebblehinge.lab.check import Day  # noqa: PLC0415
+    from pebblehinge.lab.check import DayFacts  # noqa: PLC0415
 
-    facts = Day.read(folder, config)
-    assert isinstance(facts, Day)  # `read` is of the base class, and makes what it is called on
+    facts = DayFacts.read(folder, config)
+    assert isinstance(facts, DayFacts)  # `read` is of the base class, and makes what it is called on
     return facts
 
 
@@ -160,13 +160,13 @@
 
 def show_verdict(verdict: dict[str, Any], goal: float, as_json: bool) -> bool:
     """Prints the summary of a day; returns whether the rules were kept and the goal met, without a fault."""
-    from pebblehinge.lab.verdict import kept, lines  # noqa: PLC0415
+    from pebblehinge.lab.verdict import all_checks_pass, summary_lines  # noqa: PLC0415
 
     missed: bool = verdict["service"] < goal
-    click.echo(json.dumps(verdict) if as_json else "\n".join(lines(verdict)))
+    click.echo(json.dumps(verdict) if as_json else "\n".join(summary_lines(verdict)))
     if missed and not as_json:
         click.echo(f"service {verdict['service']:.3f} is under the day's goal of {goal:g}")
-    return kept(verdict) and not missed and not verdict["faults"]
+    return all_checks_pass(verdict) and not missed and not verdict["faults"]
 
 
 @lab.command(name="check")
@@ -174,9 +174,9 @@
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 def check_records(records: str, as_json: bool) -> None:
     """Judge the rules again from a day's RECORDS."""
-    from pebblehinge.lab.verdict import kept, lines, summary  # noqa: PLC0415
+    from pebblehinge.lab.verdict import all_checks_pass, summary, summary_lines  # noqa: PLC0415
 
     facts = day_facts(records)
     verdict = summary(facts, next(iter(facts.config.day)), 0)
-    click.echo(json.dumps(verdict) if as_json else "\n".join(lines(verdict)))
-    sys.exit(0 if kept(verdict) else 1)
+    click.echo(json.dumps(verdict) if as_json else "\n".join(summary_lines(verdict)))
+    sys.exit(0 if all_checks_pass(verdict) else 1)
--- a/pebblehinge/lab/check.py
+++ b/pebblehinge/lab/check.py
@@ -6,26 +6,26 @@
 
 from __future__ import annotations
 
-from pebblehinge.lab import rules_of_answers, rules_of_pace, rules_of_reach
+from pebblehinge.lab import answer_rules, gateway_rules, node_rules
 from pebblehinge.lab.facts import TRANSIT_MS, Facts
 from pebblehinge.lab.seen import Got, Life, Try, Verdict
 
-__all__ = ["RULES", "TRANSIT_MS", "Day", "Got", "Life", "Try", "Verdict"]
+__all__ = ["RULES", "TRANSIT_MS", "DayFacts", "Got", "Life", "Try", "Verdict"]
 
 RULES = ("final_answer", "no_double_effect", "drains", "cold", "limits", "order", "budget")
 
 
-class Day(Facts):
+class DayFacts(Facts):
     """A day's facts, and what the rules make of them."""
 
-    final_answer = rules_of_answers.final_answer
-    no_double_effect = rules_of_answers.no_double_effect
-    drains = rules_of_reach.drains
-    cold = rules_of_reach.cold
-    limits = rules_of_reach.limits
-    order = rules_of_pace.order
-    budget = rules_of_pace.budget
+    final_answer = answer_rules.final_answer
+    no_double_effect = answer_rules.no_double_effect
+    drains = node_rules.drains
+    cold = node_rules.cold
+    limits = node_rules.limits
+    order = gateway_rules.order
+    budget = gateway_rules.budget
 
-    def judge(self) -> dict[str, Verdict]:
+    def check_rules(self) -> dict[str, Verdict]:
         self.settle_late()
         return {rule: getattr(self, rule)() for rule in RULES}
--- a/pebblehinge/lab/report.py
+++ b/pebblehinge/lab/report.py
@@ -14,8 +14,8 @@
 import matplotlib.pyplot as plt  # noqa: E402
 import numpy as np  # noqa: E402
 
-from pebblehinge.lab.check import Day  # noqa: E402
-from pebblehinge.lab.verdict import service  # noqa: E402
+from pebblehinge.lab.check import DayFacts  # noqa: E402
+from pebblehinge.lab.verdict import service_shares  # noqa: E402
 
 STYLE = """
 body { font: 15px/1.5 system-ui, sans-serif; margin: 2em auto; max-width: 72em; padding: 0 1em; color: #222 }
@@ -31,7 +31,7 @@
     return base64.b64encode(out.getvalue()).decode()
 
 
-def series(day: Day) -> dict[str, np.ndarray]:
+def series(day: DayFacts) -> dict[str, np.ndarray]:
     """Second by second: requests by end, service, latency percentiles."""
     if not day.ops:
         return {}
@@ -46,13 +46,13 @@
         if end == "honoured":
             took[s].append(done["took"])
     found = {f"end {k}": v for k, v in sorted(counts.items())}
-    found["service"] = np.array(service(day)[2])
+    found["service"] = np.array(service_shares(day)[2])
     for q in (50, 99):
         found[f"p{q}"] = np.array([np.percentile(t, q) if t else np.nan for t in took])
     return found
 
 
-def heat(day: Day) -> tuple[list[str], np.ndarray]:
+def heat(day: DayFacts) -> tuple[list[str], np.ndarray]:
     """Work that reached each shelf, second by second, as a part of what it could do warm."""
     end = max((op["t"] for op in day.ops.values()), default=day.begin)
     seconds = int((end - day.begin) / 1000.0) + 1
@@ -68,7 +68,7 @@
     return names, table
 
 
-def spans(day: Day) -> list[tuple[float, float, str]]:
+def spans(day: DayFacts) -> list[tuple[float, float, str]]:
     """Troubles of the day: from, until (seconds), name."""
     by: dict[str, list[float]] = defaultdict(list)
     for step in day.steps:
@@ -83,7 +83,7 @@
     return sorted(found)
 
 
-def page(day: Day, told: dict[str, Any], title: str) -> str:
+def page(day: DayFacts, told: dict[str, Any], title: str) -> str:
     """The report as one HTML text."""
     lines = series(day)
     marks = spans(day)
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -13,9 +13,9 @@
 
 from pebblehinge.capacity_planner import Trial, TrialResult
 from pebblehinge.capture import CapturedRequest
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.replay import Replay
-from pebblehinge.lab.verdict import service
+from pebblehinge.lab.verdict import service_shares
 from pebblehinge.lab.village import play
 from pebblehinge.settings import Config, ScheduledFault
 from pebblehinge.settings.schema import DayBlock, ShelfBlock
@@ -113,9 +113,9 @@
     return read(village.facts(), trial, length * 0.35 if trial.failure else None)
 
 
-def read(day: Day, trial: Trial, lost_at: float | None = None) -> TrialResult:
+def read(day: DayFacts, trial: Trial, lost_at: float | None = None) -> TrialResult:
     """What a day showed, by cause."""
-    whole, by_plan, _ = service(day)
+    whole, by_plan, _ = service_shares(day)
     shelf, limit = losses(day)
     during = after = 0.0
     if lost_at is not None:
@@ -125,7 +125,7 @@
     return TrialResult(trial, whole, by_plan, shelf, limit, during, after)
 
 
-def losses(day: Day) -> tuple[dict[str, float], dict[str, float]]:
+def losses(day: DayFacts) -> tuple[dict[str, float], dict[str, float]]:
     """Importance lost by shelf, and by volume where its plan's limit was used up in that second."""
     config = day.config
     names = {s.slot: name for name, s in config.shelf.items()}
@@ -169,7 +169,7 @@
     return found
 
 
-def part_of(day: Day, begin: float, end: float) -> float:
+def part_of(day: DayFacts, begin: float, end: float) -> float:
     """Service of what was due between two times."""
     due = got = 0.0
     for name, op in day.ops.items():
--- a/pebblehinge/lab/verdict.py
+++ b/pebblehinge/lab/verdict.py
@@ -8,14 +8,14 @@
 import numpy as np
 
 from pebblehinge import __version__
-from pebblehinge.lab.check import RULES, Day, Verdict
+from pebblehinge.lab.check import RULES, DayFacts, Verdict
 from pebblehinge.lab.rsync_verdict import judged, sound
 
 NONE: dict[str, Any] = judged((), ())
 ANSWERS = {"honoured": "honoured", "pushed back": "pushed_back", "terminated": "terminated"}
 
 
-def service(day: Day) -> tuple[float, dict[str, float], list[float]]:
+def service_shares(day: DayFacts) -> tuple[float, dict[str, float], list[float]]:
     """Importance in time over importance due: of the whole, by plan, and second by second."""
     due: dict[str, float] = defaultdict(float)
     got: dict[str, float] = defaultdict(float)
@@ -33,9 +33,9 @@
     return whole, by_plan, line
 
 
-def summary(day: Day, name: str, seed: int, more: dict[str, Any] | None = None) -> dict[str, Any]:
+def summary(day: DayFacts, name: str, seed: int, more: dict[str, Any] | None = None) -> dict[str, Any]:
     """The object that `--json` prints."""
-    whole, by_plan, line = service(day)
+    whole, by_plan, line = service_shares(day)
     answers: Counter[str] = Counter({"honoured": 0, "pushed_back": 0, "terminated": 0, "lost": 0})
     for a in day.tries.values():
         if a.answers:
@@ -45,7 +45,7 @@
     ends = Counter(d["final"] for d in day.done.values())
     took = [d["took"] for d in day.done.values() if d["final"] == "honoured"]
     p50, p99, p999 = np.percentile(took, [50, 99, 99.9]).tolist() if took else (0.0, 0.0, 0.0)
-    rules: dict[str, Verdict] = day.judge()
+    rules: dict[str, Verdict] = day.check_rules()
     return {
         "day": name,
         "seed": seed,
@@ -65,12 +65,12 @@
     }
 
 
-def kept(told: dict[str, Any]) -> bool:
+def all_checks_pass(told: dict[str, Any]) -> bool:
     """Whether a day's summary shows all rules kept."""
     return all(r["kept"] for r in told["rules"].values()) and sound(told.get("transfers", NONE))
 
 
-def lines(told: dict[str, Any]) -> list[str]:
+def summary_lines(told: dict[str, Any]) -> list[str]:
     """The same for a person."""
     answers, latency = told["answers"], told["latency_ms"]
     out = [
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -14,7 +14,7 @@
 from pebblehinge.capture import CaptureWriter
 from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.gateway import GatewayCore, GatewayServer
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.clients import Crowd
 from pebblehinge.lab.faults.ground_in_memory import VillageGround, clock_of, join
 from pebblehinge.lab.faults.player import Ground
@@ -187,8 +187,8 @@
 
     # ---- what the day left
 
-    def facts(self) -> Day:
-        day = Day(self.config)
+    def facts(self) -> DayFacts:
+        day = DayFacts(self.config)
         for name, notes in sorted(self.notes.items()):
             if name.startswith("load"):
                 day.clients(notes.rows)
--- a/tests/compatibility/recorded.py
+++ b/tests/compatibility/recorded.py
@@ -12,7 +12,7 @@
 from plain import plain
 
 from pebblehinge.cli import main
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
@@ -47,7 +47,7 @@
 
 def facts(folder: Path) -> dict[str, str]:
     """A digest of each sort of facts that are read from records, by place."""
-    day = Day.read(folder, settings((folder / "day.conf").read_text()))
+    day = DayFacts.read(folder, settings((folder / "day.conf").read_text()))
     parts = {
         "tries": day.tries,
         "operations": day.ops,
--- a/tests/compatibility/test_decisions.py
+++ b/tests/compatibility/test_decisions.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-import drawn
 import pytest
-from same_decisions import RULES, by_rule, compare, digests, lines_of, valued
+import random_runs
+from same_decisions import RULES, compare, group_by_rule, positional_values, run_digests, saved_lines
 
 from pebblehinge.interface import Attempt, FinalAnswer, FinalAnswerKind, Outcome
 
@@ -19,39 +19,39 @@
 
 
 def lines(runs: int) -> list[str]:
-    return [" ".join(map(str, row)) for row in digests(runs)]
+    return [" ".join(map(str, row)) for row in run_digests(runs)]
 
 
 def test_decisions_are_those_of_before() -> None:
     assert [len(SAVED[rule]) for rule in RULES] == [250] * len(RULES)
-    assert lines(RUNS) == lines_of(SAVED, RUNS)
+    assert lines(RUNS) == saved_lines(SAVED, RUNS)
 
 
 def test_another_figure_in_the_settings_is_seen(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    config = drawn.loads(drawn.TEXT.replace("importance 2", "importance 2.0001"))
-    assert config != drawn.CONFIG
-    monkeypatch.setattr(drawn, "CONFIG", config)
+    config = random_runs.loads(random_runs.CONFIG_TEXT.replace("importance 2", "importance 2.0001"))
+    assert config != random_runs.CONFIG
+    monkeypatch.setattr(random_runs, "CONFIG", config)
     here = lines(RUNS)
-    assert compare(here, lines_of(SAVED, RUNS)) == 1
+    assert compare(here, saved_lines(SAVED, RUNS)) == 1
     assert "differ" in capsys.readouterr().out
-    assert lines_of(by_rule(here), RUNS) == here
+    assert saved_lines(group_by_rule(here), RUNS) == here
 
 
 def test_any_changed_value_changes_what_is_digested() -> None:
     attempt = Attempt("s1", 100.0, 50.0)
     for other in (Attempt("s2", 100.0, 50.0), Attempt("s1", 100.5, 50.0), Attempt("s1", 100.0, 50.5)):
-        assert valued(other) != valued(attempt)
+        assert positional_values(other) != positional_values(attempt)
     answer = FinalAnswer(FinalAnswerKind.REJECTED, 2.0, "why")
     for other in (
         FinalAnswer(FinalAnswerKind.FAILED, 2.0, "why"),
         replace(answer, retry_after_ms=3.0),
         replace(answer, reason=""),
     ):
-        assert valued(other) != valued(answer)
-    assert len({repr(valued(outcome)) for outcome in Outcome}) == len(Outcome)
-    assert valued({"a": 1, "b": 2}) != valued({"b": 2, "a": 1})
+        assert positional_values(other) != positional_values(answer)
+    assert len({repr(positional_values(outcome)) for outcome in Outcome}) == len(Outcome)
+    assert positional_values({"a": 1, "b": 2}) != positional_values({"b": 2, "a": 1})
 
 
 def test_names_do_not_count() -> None:
@@ -73,7 +73,7 @@
         one: float
         two: Any
 
-    assert valued(Here(1.0, [Colour.BLUE])) == valued(There(1.0, (Farbe.BLAU,)))
-    assert valued(Here(1.0, Colour.BLUE)) != valued(There(1.0, Farbe.ROT))
+    assert positional_values(Here(1.0, [Colour.BLUE])) == positional_values(There(1.0, (Farbe.BLAU,)))
+    assert positional_values(Here(1.0, Colour.BLUE)) != positional_values(There(1.0, Farbe.ROT))
     with pytest.raises(TypeError):
-        valued(object())
+        positional_values(object())
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from drawn import COLD, CONFIG
 from plain import saved
+from random_runs import CONFIG, SLOW_START_CONFIG
 
 from pebblehinge.interface import Settings
 from pebblehinge.settings import Config, load
@@ -26,7 +26,7 @@
     """The mark of each file's settings, and of some that are drawn from."""
     found = {file.name: hash_settings(handed(load(str(file)))) for file in FILES if load(str(file)).head}
     drawn = handed(CONFIG)
-    found |= {"drawn": hash_settings(drawn), "cold": hash_settings(handed(COLD))}
+    found |= {"drawn": hash_settings(drawn), "cold": hash_settings(handed(SLOW_START_CONFIG))}
     found["no plans"] = hash_settings(replace(drawn, quota_plans=()))
     found["one of each"] = hash_settings(
         replace(drawn, quota_plans=drawn.quota_plans[:1], request_classes=drawn.request_classes[:1])
--- a/tests/drawn.py
+++ b/tests/random_runs.py
@@ -5,20 +5,27 @@
 import random
 from typing import Any
 
-from test_rules_can_break import BASE
+from test_rule_violations import BASE_CONFIG
 
 from pebblehinge.decide import Request
 from pebblehinge.interface import Outcome, Settings
 from pebblehinge.settings.load import loads
 
-RUNS = 200  # a rule
+RUNS_PER_RULE = 200  # a rule
 GRACE_MS = 80.0  # a wake may be late by so much
 MARK = "profile mark {\nimportance 2\nexpected 300ms\npatience 1s\nrepeat labelled\ngroup cell\nwindow 700ms\n}\n"
-TEXT = BASE.replace("drain-grace", "answer-grace 90ms\ndrain-grace").replace("heads 2", "heads 3") + MARK
+CONFIG_TEXT = BASE_CONFIG.replace("drain-grace", "answer-grace 90ms\ndrain-grace").replace("heads 2", "heads 3") + MARK
 RUNNING = (Outcome.SERVER_ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED, Outcome.SUCCEEDED)
-CONFIG = loads(TEXT)
-COLD = loads(TEXT.replace("cold-share 30%", "cold-share 12%").replace("multiple 2x", "multiple 1.4x"))
-PROFILES, VOLUMES, SHELFS, HEADS = ("look", "save", "line", "mark"), ("gold", "capped"), 4, ("h1", "h2", "h3")
+CONFIG = loads(CONFIG_TEXT)
+SLOW_START_CONFIG = loads(
+    CONFIG_TEXT.replace("cold-share 30%", "cold-share 12%").replace("multiple 2x", "multiple 1.4x")
+)
+REQUEST_CLASS_NAMES, VOLUMES, NODE_COUNT, HEADS = (
+    ("look", "save", "line", "mark"),
+    ("gold", "capped"),
+    4,
+    ("h1", "h2", "h3"),
+)
 OUTCOMES = {
     "usual": {
         Outcome.SUCCEEDED: 60,
@@ -34,7 +41,7 @@
 WHAT = ("restart", "restart", "drain", "gone", "back", "moved", "earlier", "unstated", "future")
 
 
-def events_of(seed: int, rule: str, count: int = 150) -> list[tuple[Any, ...]]:
+def random_events(seed: int, rule: str, count: int = 150) -> list[tuple[Any, ...]]:
     """One run: pairs of milliseconds to wait and what happens then."""
     rng = random.Random(f"{seed}/{rule}")
     pace = {"limits": 6.0, "cold": 4.0, "order": 10.0}.get(rule, 14.0)
@@ -48,15 +55,15 @@
         if what == "take":
             odd = rng.random()
             left = rng.choice((-50.0, 0.0, 1.0, 5.0, 40.0, 390.0, 410.0)) if odd < 0.15 else rng.uniform(300.0, 1500.0)
-            slot = -1 if rng.random() < 0.05 else rng.randrange(SHELFS + (rng.random() < 0.1))
-            profile = "line" if rule == "order" and odd > 0.3 else rng.choice(PROFILES)
+            slot = -1 if rng.random() < 0.05 else rng.randrange(NODE_COUNT + (rng.random() < 0.1))
+            profile = "line" if rule == "order" and odd > 0.3 else rng.choice(REQUEST_CLASS_NAMES)
             volume = "capped" if rule == "limits" and odd > 0.2 else rng.choice(VOLUMES)
             slot = 0 if rule == "cold" and odd > 0.3 else slot
             extent = f"x{rng.randrange(40 if rule == 'cold' else 3)}"
             rest = (profile, volume, extent, slot, rng.choice((0.5, 1.0, 2.0, 4.0)), left)
         elif what == "shelf":
             done = "restart" if rule == "cold" else rng.choice(WHAT)
-            rest = (0 if rule == "cold" else rng.randrange(SHELFS), done, rng.uniform(5.0, 400.0))
+            rest = (0 if rule == "cold" else rng.randrange(NODE_COUNT), done, rng.uniform(5.0, 400.0))
         elif what == "tell":
             rest = (rng.choice(("whole", "changes", "cached", "failed", "stale")),)
         else:
@@ -68,8 +75,8 @@
 def end_of(seed: int, rule: str, trace: str, n: int) -> tuple[random.Random, Outcome, float]:
     """How an attempt ends and after how many ms, by what it is, so that a run that is cut down keeps it."""
     rng = random.Random(f"{seed}/{trace}/{n}")
-    drawn = OUTCOMES["well" if rule in ("limits", "cold") else "usual"]
-    outcome = rng.choices(list(drawn), list(drawn.values()))[0]
+    weights = OUTCOMES["well" if rule in ("limits", "cold") else "usual"]
+    outcome = rng.choices(list(weights), list(weights.values()))[0]
     return rng, outcome, rng.choice((2.0, 20.0, 60.0, 250.0))
 
 
--- a/tests/lone_head.py
+++ b/tests/scheduler_helpers.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import Any
 
-from test_scenarios import PLANS, PROFILES, SETTINGS
+from test_scenarios import QUOTA_PLANS, REQUEST_CLASSES, SETTINGS
 
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, EndpointEntry, EndpointState, ListKind, Outcome
 
-SAFE = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS, slow_start_duration_ms=10.0)
+SAFE = replace(SETTINGS, request_classes=REQUEST_CLASSES, quota_plans=QUOTA_PLANS, slow_start_duration_ms=10.0)
 
 KEYWORDS = {"profile": "request_class", "plan": "quota_plan"}  # the settings' words: the scheduler's
 
--- a/tests/drawn_fleet.py
+++ b/tests/simulated_fleet.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import Any
 
-from drawn import HEADS, RUNNING, SHELFS, Life, end_of
+from random_runs import HEADS, NODE_COUNT, RUNNING, Life, end_of
 
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, EndpointEntry, EndpointState, FinalAnswerKind, Outcome
@@ -20,7 +20,7 @@
     def __init__(self, config: Config, seed: int, rule: str, kind: type[Scheduler] = Scheduler) -> None:
         self.config, self.seed, self.rule, self.kind = config, seed, rule, kind
         self.now, self.count, self.order = 1000.0, 0, 0
-        self.truth = {f"s{i}": EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(SHELFS)}
+        self.truth = {f"s{i}": EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(NODE_COUNT)}
         self.old = dict(self.truth)
         self.lives: dict[str, Life] = {}
         self.agenda: list[tuple[float, int, Any]] = []  # time, order, call
--- a/tests/drawn_world.py
+++ b/tests/simulated_run.py
@@ -5,22 +5,22 @@
 from dataclasses import replace
 from typing import Any
 
-from drawn import GRACE_MS, HEADS, SHELFS
-from drawn_fleet import Fleet
+from random_runs import GRACE_MS, HEADS, NODE_COUNT
+from simulated_fleet import Fleet
 
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
-from pebblehinge.lab.check import Day
+from pebblehinge.lab.check import DayFacts
 
 
-class World(Fleet):
+class SimulatedRun(Fleet):
     """Plays a run. What crosses between clients, heads, list and shelfs goes into a `Day` for the oracles."""
 
-    def play(self, events: list[tuple[Any, ...]]) -> Day:
+    def play(self, events: list[tuple[Any, ...]]) -> DayFacts:
         for wait, what, head, *rest in events:
             self._pass(self.now + wait)
             getattr(self, "_" + what)(head, *rest)
         self._pass(self.now + 4000.0)
-        day = Day(self.config)
+        day = DayFacts(self.config)
         day.lab(self.rows["lab"])
         day.clients(self.rows["clients"])
         day.listing(self.rows["listing"])
@@ -58,7 +58,7 @@
             for row in self.out.pop(shelf, []):
                 self._end(*row, Outcome.CONNECTION_LOST)
             started = {"earlier": self.now - 2000.0, "unstated": 0.0, "future": self.now + 500.0}.get(what, self.now)
-            slot = (entry.slot + 1) % SHELFS if what == "moved" else entry.slot
+            slot = (entry.slot + 1) % NODE_COUNT if what == "moved" else entry.slot
             self.truth[shelf] = EndpointEntry(shelf, EndpointState.READY, slot, started)
             self._up(shelf, what == "restart")
         for head in HEADS:
--- a/tests/cold_fleet.py
+++ b/tests/slow_start_fleet.py
@@ -38,15 +38,15 @@
     return read_settings(platform_settings)
 
 
-class Fleet:
+class SlowStartFleet:
     """One drawn fleet; `play` returns how far past the line the worst window was, as a ratio, and what was served."""
 
     def __init__(self, seed: int, heads: int, asked: float, scene: str) -> None:
         """`asked` is what is asked of the shelf, of what it can do once it is warm."""
         self.rng, self.scene = random.Random(seed), scene
-        cfg = self.cfg = settings(self.rng)
-        self.units_s = self.rng.uniform(8.0, 60.0)  # that the warm shelf can do
-        self.rate = asked * self.units_s / cfg.mean_units / 1000.0  # requests a ms for this shelf
+        cfg = self.settings = settings(self.rng)
+        self.units_per_s = self.rng.uniform(8.0, 60.0)  # that the warm shelf can do
+        self.requests_per_ms = asked * self.units_per_s / cfg.mean_units / 1000.0  # requests a ms for this shelf
         self.now, self.order, self.events = 0.0, itertools.count(), []  # type: ignore[var-annotated]
         self.heads = [Scheduler(cfg, self.rng.randrange(1 << 30), 0.0) for _ in range(heads)]
         self.wakes = [math.inf] * heads
@@ -95,7 +95,7 @@
     def come(self) -> None:
         hot = self.scene == "hot extent" and START_MS + 1000.0 < self.now < START_MS + 8000.0
         burst = 1.0 if self.scene != "hot extent" else 1.0 if hot else 0.5
-        self.at(self.now + self.rng.expovariate(self.rate * burst), self.come)
+        self.at(self.now + self.rng.expovariate(self.requests_per_ms * burst), self.come)
         h = bisect_left(self.weights, self.rng.random() * self.weights[-1])
         extent = self.rng.randrange(200)
         if hot and self.rng.random() < 0.5:
@@ -142,7 +142,7 @@
         shelfs = self.heads[h].nodes
         knows = shelfs.slow_start_since_ms[request.node] is not None  # told, or suspected: no other head can hold back
         if up and self.now >= START_MS and knows:
-            self.sends.append((self.now, request.units / self.cfg.mean_units))
+            self.sends.append((self.now, request.units / self.settings.mean_units))
         if not up and self.scene == "queue released":
             when, outcome = attempt.deadline_ms, Outcome.TIMED_OUT
         elif not up:
@@ -161,7 +161,7 @@
 
     def worst(self) -> float:
         """The largest sum in any window, over what is still put down to chance then."""
-        cfg, worst, first, total = self.cfg, 0.0, 0, 0.0
+        cfg, worst, first, total = self.settings, 0.0, 0, 0.0
         for at, work in self.sends:
             total += work
             while self.sends[first][0] < at - WINDOW_MS:
@@ -172,6 +172,6 @@
                 + (1 - cfg.slow_start_initial_share) * max(0.0, at - WINDOW_MS - START_MS) / cfg.slow_start_duration_ms
             )
             if at < START_MS + cfg.slow_start_duration_ms:
-                n = cfg.slow_start_failure_multiple * warmth * self.units_s * WINDOW_MS / 1000.0 / cfg.mean_units
+                n = cfg.slow_start_failure_multiple * warmth * self.units_per_s * WINDOW_MS / 1000.0 / cfg.mean_units
                 worst = max(worst, total / (n + 2 * math.sqrt(n) + 2))
         return worst
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 import pytest
-from drawn import CONFIG
 from helpers import FLEET, Rig, on_rig
-from lone_head import SAFE, listed, served, take, went
+from random_runs import CONFIG
+from scheduler_helpers import SAFE, listed, served, take, went
 from test_core_properties import Origin, RecordingEffects
-from test_scenarios import PLANS
+from test_scenarios import QUOTA_PLANS
 
 from pebblehinge.console.view import GatewayView
 from pebblehinge.decide import MAX_CACHE_ENTRIES, MAX_CONCURRENCY, Request, Scheduler
@@ -130,7 +130,7 @@
 
 def test_a_volume_at_rest_does_not_get_back_more_of_its_limit_than_has_filled() -> None:
     """Seen: a volume forgotten after a minute began again as if it had filled since the head's start."""
-    plans = (replace(PLANS[2], limit_rate=0.5, limit_burst=100.0, limit_slack=0.0), PLANS[0])
+    plans = (replace(QUOTA_PLANS[2], limit_rate=0.5, limit_burst=100.0, limit_slack=0.0), QUOTA_PLANS[0])
     head = Scheduler(replace(SAFE, quota_plans=plans, max_units=100.0), 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
     first = take(head, 300_000.0, plan="capped", units=100.0, volume="v")
@@ -144,7 +144,7 @@
 
 
 def test_a_limit_that_was_raised_in_service_fills_from_then_on() -> None:
-    plans = (replace(PLANS[2], limit_rate=1.0, limit_burst=10.0, limit_slack=0.0), PLANS[0])
+    plans = (replace(QUOTA_PLANS[2], limit_rate=1.0, limit_burst=10.0, limit_slack=0.0), QUOTA_PLANS[0])
     settings = replace(SAFE, quota_plans=plans, max_units=100.0)
     head = Scheduler(settings, 1, 0.0)
     listed(head, 0.0, ("A", 0, 0.0))
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from drawn import CONFIG, PROFILES, RUNS, SHELFS
+from random_runs import CONFIG, NODE_COUNT, REQUEST_CLASS_NAMES, RUNS_PER_RULE
 
 from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
@@ -51,7 +51,7 @@
     rng, effects, now, cancelled_ids = random.Random(f"{seed}/core"), RecordingEffects(), 1000.0, set()
     core = core_type(CONFIG, CONFIG.head["h1"], now, effects)
     core.start(now)
-    endpoints = [EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(SHELFS)]
+    endpoints = [EndpointEntry(f"s{i}", EndpointState.READY, i, 0.0) for i in range(NODE_COUNT)]
     core.apply_endpoint_list(now, ListKind.WHOLE, endpoints)
     count, accepted = 0, []
 
@@ -82,9 +82,9 @@
                 f"t{count}",
                 rng.choice(("gold-1", "gold-2", "gold-3", "capped-1", "none")),
                 None,
-                rng.choice(PROFILES),
+                rng.choice(REQUEST_CLASS_NAMES),
                 f"x{rng.randrange(3)}",
-                rng.randrange(-1, SHELFS),
+                rng.randrange(-1, NODE_COUNT),
                 rng.choice((1.0, 1.0, 1.0, 4.0, 9.0)),
                 rng.choice((0.0, 30.0, 600.0, 900.0)),
                 None,
@@ -105,10 +105,10 @@
             cancelled_ids |= {pending.id} if not pending.answered else set()
             core.on_client_disconnect(now, pending)
         elif draw < 0.98:
-            i = rng.randrange(SHELFS)
+            i = rng.randrange(NODE_COUNT)
             state = rng.choice((EndpointState.READY, *EndpointState))
             started = rng.choice((0.0, 0.0, now, now - 900.0))
-            endpoints[i] = EndpointEntry(f"s{i}", state, rng.choice((i, i, (i + 1) % SHELFS)), started)
+            endpoints[i] = EndpointEntry(f"s{i}", state, rng.choice((i, i, (i + 1) % NODE_COUNT)), started)
             list_kind = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
             core.apply_endpoint_list(now, list_kind, [e for e in endpoints if e.state is not EndpointState.GONE])
         else:
@@ -125,7 +125,7 @@
 
 def test_core_answers_each_request_once_and_removes_it() -> None:
     totals: Counter[str] = Counter()
-    for seed in range(RUNS):
+    for seed in range(RUNS_PER_RULE):
         faults, core, _ = run_core(seed, GatewayCore)
         assert not faults, f"seed {seed}: {faults}"
         totals.update(core.counts.by_label())
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,7 +12,7 @@
 from pebblehinge.client import Result, RetryPolicy
 from pebblehinge.lab.days import DayError, timeline
 from pebblehinge.lab.load import Draw
-from pebblehinge.lab.verdict import kept, summary
+from pebblehinge.lab.verdict import all_checks_pass, summary
 from pebblehinge.lab.village import play
 from pebblehinge.settings import load
 
@@ -27,7 +27,7 @@
     config = load(DAYS / f"{name}.conf")
     village, known = play(config, name, 11)
     told = summary(village.facts(), name, 11, {"faults": known["faults"]})
-    assert kept(told), told["rules"]
+    assert all_checks_pass(told), told["rules"]
     assert known["faults"] == [] and told["service"] >= max(0.5, config.day[name].goal)
     assert sum(told["answers"].values()) >= told["accesses"] > 1000
 
@@ -42,7 +42,7 @@
     name = next(iter(config.day))
     village, known = play(config, name, seed)
     told = summary(village.facts(), name, seed, {"faults": known["faults"]})
-    assert kept(told), told["rules"]
+    assert all_checks_pass(told), told["rules"]
     assert known["faults"] == [] and told["service"] > (0.85 if path.stem == "half-open" else 0.7)
 
 
@@ -78,7 +78,7 @@
     )
     done = command("lab", "day", str(day), "--json", "--quiet", "--records", str(tmp_path / "r"))
     told = json.loads(done.stdout)
-    assert done.returncode == 0 and kept(told), told
+    assert done.returncode == 0 and all_checks_pass(told), told
     assert told["faults"] == [] and told["accesses"] > 500 and told["service"] > 0.5
     assert set(told["rules"]) == {"final_answer", "no_double_effect", "drains", "cold", "limits", "order", "budget"}
     second = command("lab", "day", str(day), "--records", str(tmp_path / "r"))
--- a/tests/test_fault_processes.py
+++ b/tests/test_fault_processes.py
@@ -8,8 +8,8 @@
 from command_line import command
 
 from pebblehinge.event_log import read_events
-from pebblehinge.lab.check import Day
-from pebblehinge.lab.verdict import kept
+from pebblehinge.lab.check import DayFacts
+from pebblehinge.lab.verdict import all_checks_pass
 from pebblehinge.settings import load
 
 SCRIPT = """
@@ -37,7 +37,7 @@
     done = command("lab", "day", "struck", "--faults", str(script), "--records", str(records), "--json", "--quiet")
     assert done.stdout, done.stderr
     told = json.loads(done.stdout)
-    assert kept(told), told["rules"]
+    assert all_checks_pass(told), told["rules"]
     assert told["faults"] == [] and told["service"] > 0.3, told
     assert told["scripted"] == told["struck"] == 15, told["idle"]
     rows = list(read_events(records / "lab.jsonl"))
@@ -46,7 +46,7 @@
     assert sorted(lives) == sorted([*struck, ("started", "g2")])
     # The instance whose disk failed said so, ended, and was started again when the disk was well.
     assert "storage failed" in (records / "processes.log").read_text()
-    facts = Day.read(records, load(str(records / "day.conf")))
+    facts = DayFacts.read(records, load(str(records / "day.conf")))
     assert facts.ways.held("g1", "h1", facts.begin + 2_000.0, facts.begin + 2_000.0)
     copies = records / "copies" / "h2"
     assert [p.name for p in copies.iterdir()] == ["3500-3000"] and not (records / "copies" / "h3").exists()
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from test_rules_can_break import CASES, stage_for
+from test_rule_violations import VIOLATIONS, config_for_rule
 
 from pebblehinge.gateway import GatewayCore
 from pebblehinge.lab.faults.draw import cast_of, draw
@@ -29,7 +29,7 @@
 
 
 def verdicts(village: Village) -> dict[str, str]:
-    return {rule: v.offence for rule, v in village.facts().judge().items() if not v.kept}
+    return {rule: v.offence for rule, v in village.facts().check_rules().items() if not v.kept}
 
 
 def answered(village: Village, head: str, begin: float, end: float) -> int:
@@ -135,11 +135,11 @@
     assert mean("at 2s disk-slow h1 by 400ms for 9s\n") < usual + 10.0
 
 
-@pytest.mark.parametrize("case", CASES)
+@pytest.mark.parametrize("case", VIOLATIONS)
 def test_a_head_that_breaks_a_rule_is_caught_under_faults_too(case: str) -> None:
     """What a checker excuses where ways were struck must not cover a defence that is gone."""
-    rule, at, core, alter = CASES[case]
-    at, base = stage_for(rule, at)
+    rule, at, core, alter = VIOLATIONS[case]
+    at, base = config_for_rule(rule, at)
     config = loads(f"{base}\nlimits {{\nkeepalive 500ms\n}}\nday d {{\nlength 8s\n{at}}}\n")
     script = read(
         "at 2s delay h1 to s2 by 200ms for 1s\nat 3s silent s3 to h1 for 1s\nat 5s half-open h2 from s4\n",
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-from lone_head import SAFE, listed, served, take, went
-from test_rules_can_break import BASE
+from scheduler_helpers import SAFE, listed, served, take, went
+from test_rule_violations import BASE_CONFIG
 
 from pebblehinge.decide import MAX_CONCURRENCY, Scheduler
 from pebblehinge.interface import ListKind, Outcome
@@ -168,12 +168,14 @@
 def test_a_real_head_that_joins_late_keeps_the_rules(memory_age_ms: float | None) -> None:
     """Shelfs are slow and queues deep; two heads die and come back with no memory, a fresh one, a stale one."""
     at = "at 1s slow s1 s2 by 4x for 5s\nat 1s burst by 3x for 4s\nat 2s head-crash h1 h2 for 300ms\n"
-    text = BASE.replace("extents 20", "extents 20\nimpatient 20%")
+    text = BASE_CONFIG.replace("extents 20", "extents 20\nimpatient 20%")
     config = loads(f"{text}\nday d {{\nlength 6s\n{at}}}\n")
     village, known = play(config, "d", 5, memory_age_ms=memory_age_ms)
     day = village.facts()
     assert not known["faults"] and len(day.tries) > 500
-    assert all(v.kept for v in day.judge().values()), {r: v.offence for r, v in day.judge().items() if not v.kept}
+    assert all(v.kept for v in day.check_rules().values()), {
+        r: v.offence for r, v in day.check_rules().items() if not v.kept
+    }
 
 
 def test_memory_of_another_fleet_changes_nothing_for_the_shelfs_that_are_here() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 import pytest
-from drawn import COLD, CONFIG, RUNS, events_of
-from drawn_world import World
+from random_runs import CONFIG, RUNS_PER_RULE, SLOW_START_CONFIG, random_events
+from simulated_run import SimulatedRun
 
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, EndpointEntry, EndpointState, ListKind
@@ -111,8 +111,10 @@
 }
 
 
-def offence(rule: str, seed: int, kind: type[Scheduler], events: list[tuple[Any, ...]]) -> tuple[str, World, int]:
-    world = World(COLD if rule == "cold" else CONFIG, seed, rule, kind)
+def offence(
+    rule: str, seed: int, kind: type[Scheduler], events: list[tuple[Any, ...]]
+) -> tuple[str, SimulatedRun, int]:
+    world = SimulatedRun(SLOW_START_CONFIG if rule == "cold" else CONFIG, seed, rule, kind)
     day = world.play(events)
     if rule == "data":
         return "; ".join(world.astray[:1]), world, sum(len(attempts) for attempts in day.attempts.values())
@@ -141,7 +143,7 @@
     met: Counter[str] = Counter()
     cases = 0
     for seed in range(runs):
-        events = events_of(seed, rule)
+        events = random_events(seed, rule)
         said, world, looked = offence(rule, seed, kind, events)
         if said:
             fewer = cut_down(rule, seed, kind, events)
@@ -154,14 +156,14 @@
 
 @pytest.mark.parametrize("rule", MET)
 def test_a_rule_holds_over_runs_of_events(rule: str) -> None:
-    said, met, cases = broken_run(rule, Scheduler, RUNS)
+    said, met, cases = broken_run(rule, Scheduler, RUNS_PER_RULE)
     assert not said, said
     assert set(MET) == {*RULES, "data"}
-    assert cases > RUNS, cases
+    assert cases > RUNS_PER_RULE, cases
     assert all(met[what] >= least for what, least in MET[rule].items()), met
 
 
 @pytest.mark.parametrize("rule", BROKEN)
 def test_a_head_that_breaks_the_rule_is_caught_by_its_property(rule: str) -> None:
-    said, _, _ = broken_run(rule, BROKEN[rule], RUNS)
+    said, _, _ = broken_run(rule, BROKEN[rule], RUNS_PER_RULE)
     assert said.startswith(f"{rule}, seed ") and 2 < len(said.splitlines()) < 60, said
--- a/tests/test_rsync_days.py
+++ b/tests/test_rsync_days.py
@@ -11,7 +11,7 @@
 from pebblehinge.lab.rsync_call import Local
 from pebblehinge.lab.rsync_member import Member
 from pebblehinge.lab.rsync_verdict import judged, sound
-from pebblehinge.lab.verdict import kept, summary
+from pebblehinge.lab.verdict import all_checks_pass, summary
 from pebblehinge.lab.village import play
 from pebblehinge.rsync.tree import Directory
 from pebblehinge.settings import Config, load
@@ -32,7 +32,7 @@
     stage, _ = play(config, "rsync-tender", 4)
     told = summary(stage.facts(), "rsync-tender", 4)
     t = told["transfers"]
-    assert kept(told) and t["started"] > 100 and t["completed"] == t["started"] and t["saves"] > 150, t
+    assert all_checks_pass(told) and t["started"] > 100 and t["completed"] == t["started"] and t["saves"] > 150, t
     assert t["looked_at"] > 30 and sum(t["tries"].values()) > t["started"]  # some had to try again
 
 
@@ -45,7 +45,7 @@
         told = summary(stage.facts(), "rsync-tender", seed)
         if told["transfers"]["landed_twice"]:
             break
-    assert told["transfers"]["landed_twice"] and not kept(told)
+    assert told["transfers"]["landed_twice"] and not all_checks_pass(told)
 
 
 def test_contents_that_may_not_stand_are_told() -> None:
--- a/tests/test_rules_can_break.py
+++ b/tests/test_rule_violations.py
@@ -19,7 +19,7 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
-BASE = """
+BASE_CONFIG = """
 rules {
     drain-grace 300ms
     cold-share 30%
@@ -164,7 +164,7 @@
 
 RESETS = "at 1s resets all by 20% for 4s\n"
 MORE_RESETS = "at 1s resets all by 30% for 4s\n"  # with 20% a head without a budget just stays under it (0.96)
-CASES = {
+VIOLATIONS = {
     "final_answer, twice": ("final_answer", "", AnswersTwice, None),
     "final_answer, forgotten": ("final_answer", "", Forgets, None),
     "no_double_effect, a second trip": ("no_double_effect", RESETS, GatewayCore, altered(save={"repeat": "redoable"})),
@@ -178,28 +178,28 @@
 
 
 def judge(
-    at: str, core: type[GatewayCore], alter: Any, length: str = "6s", seed: int = 3, base: str = BASE
+    at: str, core: type[GatewayCore], alter: Any, length: str = "6s", seed: int = 3, base: str = BASE_CONFIG
 ) -> dict[str, Verdict]:
     config = loads(f"{base}\nday d {{\nlength {length}\n{at}}}\n")
     village, known = play(config, "d", seed, head_core=core, head_config=alter(config) if alter else None)
     assert not known["faults"]
-    return village.facts().judge()
+    return village.facts().check_rules()
 
 
-def stage_for(rule: str, at: str) -> tuple[str, str]:
+def config_for_rule(rule: str, at: str) -> tuple[str, str]:
     """The day's troubles and its settings, such that the rule is put to the test."""
     if rule == "cold":  # many heads, each with little, are what pushes a cold shelf over
-        base = BASE.replace("heads 2", "heads 8").replace("cold-from 30%", "cold-from 12%")
+        base = BASE_CONFIG.replace("heads 2", "heads 8").replace("cold-from 30%", "cold-from 12%")
         return "at 1s burst by 3x for 5s\n" + at, base.replace("multiple 2x", "multiple 1.4x")
     if rule == "order":  # two runs on one key at once
-        return at, BASE.replace("extents 20", "extents 1")
-    return at, BASE
+        return at, BASE_CONFIG.replace("extents 20", "extents 1")
+    return at, BASE_CONFIG
 
 
-@pytest.mark.parametrize("case", CASES)
+@pytest.mark.parametrize("case", VIOLATIONS)
 def test_a_head_that_breaks_a_rule_is_caught_and_named(case: str) -> None:
-    rule, at, core, alter = CASES[case]
-    at, base = stage_for(rule, at)
+    rule, at, core, alter = VIOLATIONS[case]
+    at, base = config_for_rule(rule, at)
     broken = judge(at, core, alter, base=base)
     assert not broken[rule].kept and broken[rule].offence, case
     sound = judge(at, GatewayCore, None, base=base)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -70,7 +70,7 @@
     return RequestClass(name, 2.0, due, 3000.0, 0.1, repeat, group, 1000.0, more.get("in_order", False))
 
 
-PROFILES = (
+REQUEST_CLASSES = (
     profile("look", Idempotency.IDEMPOTENT),
     profile("save", Idempotency.NON_IDEMPOTENT),
     profile("mark", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
@@ -78,7 +78,7 @@
     profile("bulk", Idempotency.IDEMPOTENT, due=2000.0),
     profile("line", Idempotency.IDEMPOTENT, in_order=True),
 )
-PLANS = (
+QUOTA_PLANS = (
     QuotaPlan("gold", 20.0, 20.0, 0.0, 0.0, 0.0, 1.0, 1.0),
     QuotaPlan("tin", 2.0, 0.0, 0.0, 0.0, 0.0, 1.0, 0.5),
     QuotaPlan("capped", 5.0, 0.0, 20.0, 20.0, 2.0, 1.0, 1.0),
@@ -89,7 +89,7 @@
     """One case: a head, the handles of its requests, and what the last line made it do."""
 
     def __init__(self) -> None:
-        self.settings = replace(SETTINGS, request_classes=PROFILES, quota_plans=PLANS)
+        self.settings = replace(SETTINGS, request_classes=REQUEST_CLASSES, quota_plans=QUOTA_PLANS)
         self.head: Scheduler | None = None
         self.handles: dict[int, Request] = {}
         self.entries: dict[str, EndpointEntry] = {}
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from cold_fleet import SCENES, START_MS, Fleet, settings
+from slow_start_fleet import SCENES, START_MS, SlowStartFleet, settings
 
 from pebblehinge.decide import Scheduler
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
@@ -18,13 +18,13 @@
 def test_no_fleet_sends_a_cold_shelf_more_than_its_budget_and_chance(heads: int, scene: str) -> None:
     for seed in range(8):
         asked = random.Random(seed).uniform(0.4, MOST_ASKED)
-        worst, served = Fleet(seed, heads, asked, scene).play()
+        worst, served = SlowStartFleet(seed, heads, asked, scene).play()
         assert worst <= 1.0, (seed, asked, worst)
         assert served > 0.2, (seed, asked, served)
 
 
 def test_the_line_can_be_passed() -> None:
-    assert max(Fleet(seed, 30, 4.0, "even").play()[0] for seed in range(3)) > 1.0
+    assert max(SlowStartFleet(seed, 30, 4.0, "even").play()[0] for seed in range(3)) > 1.0
 
 
 def let_through(again: bool) -> int:
