--- a/benchmarks/scale/hollow_links.py
+++ b/benchmarks/scale/hollow_links.py
@@ -20,11 +20,22 @@
 class Carried:
     """What a link needs to know of a request."""
 
-    __slots__ = ("trace", "volume", "extent", "op", "offset", "length", "units", "label", "data", "attempt")
-
-    def __init__(self, trace: str, extent: str) -> None:
-        self.trace, self.volume, self.extent, self.op = trace, "hollow", extent, READ
-        self.offset, self.length, self.units, self.label, self.data = 0, BYTES, 1.0, None, b""
+    __slots__ = (
+        "trace_id",
+        "volume",
+        "extent",
+        "op",
+        "offset",
+        "length",
+        "units",
+        "idempotency_key",
+        "data",
+        "attempt",
+    )
+
+    def __init__(self, trace_id: str, extent: str) -> None:
+        self.trace_id, self.volume, self.extent, self.op = trace_id, "hollow", extent, READ
+        self.offset, self.length, self.units, self.idempotency_key, self.data = 0, BYTES, 1.0, None, b""
         self.attempt: Any = None
 
 
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -120,7 +120,7 @@
         "text_bytes": len(old),
         "read_ms": least_ms(lambda: loads(old)),
         "careful_ms": least_ms(lambda: transitional_config(one, other, "h1")),
-        "take_up_ms": least_ms(lambda: head.adopt(next(turns))),
+        "take_up_ms": least_ms(lambda: head.apply_config(next(turns))),
         "kept_bytes": kept_by(lambda: pending(old, new)),
         "one_config_bytes": kept_by(lambda: loads(old)),
         "careful_bytes": kept_by(lambda: transitional_config(one, other, "h1")),
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -62,8 +62,8 @@
             RealDisk(path.parent).replace(path.name, data)
 
     def adopt(new: Config, mode: str) -> None:
-        server.version_shown = {"version": application.active, "pending": application.pending, "mode": mode}
-        server.adopt(new)
+        server.config_status = {"version": application.active, "pending": application.pending, "mode": mode}
+        server.apply_config(new)
 
-    server.adopt(config_without_lease(config, floor))
+    server.apply_config(config_without_lease(config, floor))
     return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, thread_runner(loop))
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -103,7 +103,7 @@
         except OSError as error:
             give_up(f"head {self.options.name}: {path}: {describe(error)}")
         wall_ms = time.time() * 1000.0
-        self.server.capture(
+        self.server.start_capture(
             CaptureWriter(sink, self.options.name, wall_ms, clock_of(self.loop)(), self._report_capture_end)
         )
 
@@ -118,10 +118,10 @@
         try:
             open_storage(self.loop, self.config, self.options.name, self.server)
             await self.server.start()
-            if self.server.block.metrics:
-                serve_metrics(self.server, self.server.block.metrics)
+            if self.server.gateway_settings.metrics:
+                serve_metrics(self.server, self.server.gateway_settings.metrics)
         except OSError as error:
-            give_up(f"head {self.options.name}: {self.server.block.listen}: {describe(error)}")
+            give_up(f"head {self.options.name}: {self.server.gateway_settings.listen}: {describe(error)}")
         except StorageError as error:
             give_up(f"head {self.options.name}: {error}")
 
@@ -149,18 +149,18 @@
             self.log.warning("the group's configuration stays in force", file=options.file)
             return
         self.notifier.reloading(int(time.monotonic() * 1e6))
-        self.server.adopt(config)
+        self.server.apply_config(config)
         self.log.info("settings taken up", file=options.file)
         self._notify_ready()
 
     def _notify_ready(self) -> None:
-        self.notifier.ready(f"{self.options.name} serves {self.server.block.listen}")
+        self.notifier.ready(f"{self.options.name} serves {self.server.gateway_settings.listen}")
 
     async def start_console(self) -> Console | None:
         """Returns the running console, if the gateway's block has one; exits where its address can't be used."""
         from pebblehinge.console import Console  # noqa: PLC0415
 
-        block = self.server.block
+        block = self.server.gateway_settings
         if block.console is None:
             return None
         console = Console(self.server, block.console, block.console_token)
@@ -172,7 +172,7 @@
 
     def announce(self) -> None:
         """Says on standard output, to the service manager and in the log that the gateway serves."""
-        block = self.server.block
+        block = self.server.gateway_settings
         ready()
         self._notify_ready()
         self.log.info("serving", listen=block.listen, metrics=block.metrics, version=__version__)
--- a/pebblehinge/cli/gateway_storage.py
+++ b/pebblehinge/cli/gateway_storage.py
@@ -53,7 +53,7 @@
         return
     disk = RealDisk(folder)
     disk.acquire_lock()
-    server.keep_snapshots(disk, machine_times, thread_runner(loop))
+    server.enable_snapshots(disk, machine_times, thread_runner(loop))
     if buffered:
         open_journal(loop, disk, server)
 
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -76,7 +76,7 @@
             stopping=core.stopping,
             open=core.open_count,
             held_bytes=core.payload_bytes,
-            connections=len(gateway.conns),
+            connections=len(gateway.client_connections),
             counts=counts,
             a_second=rates,
             further_trips=core.retry_count,
@@ -92,8 +92,8 @@
             snapshot["transfers"] = _transfers(gateway.rsync_listener)
         if gateway.write_back is not None:
             snapshot["journal"] = _journal(gateway.write_back)
-        if gateway.version_shown:
-            snapshot["configuration"] = gateway.version_shown
+        if gateway.config_status:
+            snapshot["configuration"] = gateway.config_status
         return snapshot
 
     def _volume_row(self, name: str, buckets: Any) -> VolumeRow:
@@ -133,7 +133,7 @@
 
     def _latencies(self) -> dict[str, float]:
         """Percentiles of the latency of succeeded requests, in milliseconds."""
-        histogram = self.gateway.latency  # in microseconds
+        histogram = self.gateway.latency_histogram  # in microseconds
         return {
             name: round(histogram.get_value_at_percentile(percentile) / 1000.0, 1)
             for name, percentile in PERCENTILES.items()
@@ -143,10 +143,10 @@
 def _transfers(rsync: Any) -> dict[str, Any]:
     """The rsync listener's transfers."""
     return {
-        "open": rsync.transfers,
+        "open": rsync.transfer_count,
         **rsync.counts,
-        "window": round(rsync.sharing.window, 1),
-        "late_ms": round(rsync.late_ms, 1),
+        "window": round(rsync.request_scheduler.window, 1),
+        "late_ms": round(rsync.loop_lag_ms, 1),
     }
 
 
--- a/pebblehinge/gateway/buffered_request.py
+++ b/pebblehinge/gateway/buffered_request.py
@@ -11,8 +11,8 @@
 class BufferedOrigin(Protocol):
     """The connection that a buffered request came by."""
 
-    def answer_buffered(
-        self, id_: int, final: FinalStatus, stay_ms: float, reason: str, slot: int, data: bytes
+    def deliver_buffered_answer(
+        self, id_: int, final: FinalStatus, retry_after_ms: float, reason: str, slot: int, data: bytes
     ) -> None:
         """Sends the final answer."""
 
@@ -31,13 +31,13 @@
         up_to: For a flush: the number of the last write that it waits for.
     """
 
-    __slots__ = ("conn", "id", "slot", "trace", "timer", "answered", "volume", "up_to")
+    __slots__ = ("origin", "id", "slot", "trace_id", "timer", "answered", "volume", "up_to")
 
-    def __init__(self, conn: BufferedOrigin, id_: int, slot: int, trace: str) -> None:
-        self.conn = conn
+    def __init__(self, origin: BufferedOrigin, id_: int, slot: int, trace_id: str) -> None:
+        self.origin = origin
         self.id = id_
         self.slot = slot
-        self.trace = trace
+        self.trace_id = trace_id
         self.timer: asyncio.TimerHandle | None = None
         self.answered = False
         self.volume = ""
--- a/pebblehinge/gateway/client_connection.py
+++ b/pebblehinge/gateway/client_connection.py
@@ -13,10 +13,10 @@
 from pebblehinge.wire import Kind, Session, WireError
 from pebblehinge.wire.frames import READ
 
-STOP_TOKEN = 1
+STOPPING_PING_TOKEN = 1
 """The token of the PING that follows STOPPING."""
 
-MAX_TRACE_LENGTH, MAX_EXTENT_LENGTH = 200, 500
+MAX_TRACE_ID_CHARS, MAX_EXTENT_CHARS = 200, 500
 
 
 class ClientConnection(Peer):
@@ -35,7 +35,7 @@
         super().__init__(context.loop, session, limits.stall, limits.keepalive)
         self.context = context
         self.open_requests: dict[int, FramedRequest | None] = {}
-        self.settled = False
+        self.shutdown_acknowledged = False
         self._dirty_writes: dict[int, tuple[Write, ...]] = {}  # what reads of buffered volumes must show, by their ids
 
     # ---- the connection
@@ -43,9 +43,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is established; it fails if there are too many."""
         super().connection_made(transport)
-        self.context.conns[self] = None
+        self.context.client_connections[self] = None
         limit = self.context.config.limits.connections
-        if len(self.context.conns) > limit:
+        if len(self.context.client_connections) > limit:
             self.fail(f"{limit} connections are open here already")
 
     def on_batch_start(self) -> None:
@@ -55,60 +55,69 @@
     def on_ready(self) -> None:
         """The greeting is over."""
         if self.context.core.stopping:
-            self.tell_stopping()
+            self.send_stopping()
 
     def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
-        self.context.connection_closed(self)
+        self.context.on_connection_closed(self)
 
     def fail(self, reason: str) -> None:
         """Sends one ERROR frame with the reason, then closes."""
         if not self.failed:
             self.context.log.warning("client cut", peer=self.session.peer_name, reason=reason)
-            self.context.faults += 1
+            self.context.failed_connection_count += 1
         super().fail(reason)
 
     # ---- graceful shutdown
 
-    def tell_stopping(self) -> None:
+    def send_stopping(self) -> None:
         """Tells the client of the shutdown.
 
         What it sent before it hears of that is on its way yet: closing now would lose it. It answers the PING after the
         last of them, and sends nothing more.
         """
         self.send(Kind.STOPPING, "this head is stopping")
-        self.send(Kind.PING, STOP_TOKEN)
+        self.send(Kind.PING, STOPPING_PING_TOKEN)
 
     def on_pong(self, token: int) -> None:
         """The client has heard of the shutdown."""
-        if token == STOP_TOKEN and self.context.core.stopping:
-            self.settled = True
+        if token == STOPPING_PING_TOKEN and self.context.core.stopping:
+            self.shutdown_acknowledged = True
             self.context.stop_if_done()
 
     # ---- requests
 
     def on_take(
-        self, id_: int, trace: str, volume: str, plan: str | None, profile: str, extent: str, *values: Any
+        self,
+        id_: int,
+        trace_id: str,
+        volume: str,
+        stated_plan: str | None,
+        request_class: str,
+        extent: str,
+        *values: Any,
     ) -> None:
         """A request has come; `values` are the rest of the frame, from the slot on."""
         if id_ in self.open_requests:
             raise WireError(f"TAKE: id {id_} is open already")
         if len(self.open_requests) >= self.session.max_streams:
             raise WireError(f"TAKE: more than {self.session.max_streams} accesses open on one connection")
-        if len(trace) > MAX_TRACE_LENGTH or len(extent) > MAX_EXTENT_LENGTH or not extent:
+        if len(trace_id) > MAX_TRACE_ID_CHARS or len(extent) > MAX_EXTENT_CHARS or not extent:
             raise WireError("TAKE: an id of at most 200 and an extent of 1 to 500 characters are taken")
         context = self.context
         self.open_requests[id_] = None  # until the request table has it: its answer may come within the call
-        context.note(context.now, "take", id=trace, client=self.session.peer_name)
+        context.record_event(context.now, "take", id=trace_id, client=self.session.peer_name)
         write_back = context.write_back
         dirty_writes: tuple[Write, ...] = ()
-        if write_back is not None and write_back.buffers(volume):
-            slot, units, left_ms, _, label, op, offset, length, data = values
-            place = (slot, units, left_ms, label, op, offset, length, data)
-            if write_back.take(self, id_, trace, volume, profile, extent, *place):
+        if write_back is not None and write_back.is_buffered(volume):
+            slot, units, time_limit_ms, _, idempotency_key, op, offset, length, data = values
+            request_values = (slot, units, time_limit_ms, idempotency_key, op, offset, length, data)
+            if write_back.try_handle(self, id_, trace_id, volume, request_class, extent, *request_values):
                 return
-            dirty_writes = write_back.before_read(volume, extent)
-        pending = context.core.take(context.now, self, id_, trace, volume, plan, profile, extent, *values)
+            dirty_writes = write_back.dirty_writes_of_extent(volume, extent)
+        pending = context.core.admit(
+            context.now, self, id_, trace_id, volume, stated_plan, request_class, extent, *values
+        )
         if pending is not None and dirty_writes:
             self._dirty_writes[id_] = dirty_writes
         if pending is not None and not pending.answered:
@@ -120,7 +129,9 @@
         if pending is not None:
             self.context.core.on_client_disconnect(self.context.now, pending)
 
-    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def deliver_answer(
+        self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         """Sends the final answer to a request that the request table had."""
         self.open_requests.pop(pending.id, None)
         dirty_writes = self._dirty_writes.pop(pending.id, ())
@@ -129,15 +140,15 @@
             write_back is not None
             and final is FinalStatus.SUCCEEDED
             and pending.op == READ
-            and write_back.buffers(pending.volume)
+            and write_back.is_buffered(pending.volume)
         ):
-            data = write_back.after_read(pending, dirty_writes, data)
-        self.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
+            data = write_back.overlay_dirty_writes(pending, dirty_writes, data)
+        self.send(Kind.ANSWER, pending.id, final, retry_after_ms, reason, pending.slot, data)
 
-    def answer_buffered(
-        self, id_: int, final: FinalStatus, stay_ms: float, reason: str, slot: int, data: bytes
+    def deliver_buffered_answer(
+        self, id_: int, final: FinalStatus, retry_after_ms: float, reason: str, slot: int, data: bytes
     ) -> None:
         """Sends the final answer to a request that the request table never had."""
         if id_ in self.open_requests:
             del self.open_requests[id_]
-            self.send(Kind.ANSWER, id_, final, stay_ms, reason, slot, data)
+            self.send(Kind.ANSWER, id_, final, retry_after_ms, reason, slot, data)
--- a/pebblehinge/gateway/context.py
+++ b/pebblehinge/gateway/context.py
@@ -15,21 +15,21 @@
 class BufferedVolumes(Protocol):
     """The write-back, as a client's connection uses it."""
 
-    def buffers(self, volume: str) -> bool:
+    def is_buffered(self, volume: str) -> bool:
         """Whether a volume is buffered."""
 
-    def take(
+    def try_handle(
         self,
-        conn: Any,
+        origin: Any,
         id_: int,
-        trace: str,
+        trace_id: str,
         volume: str,
-        profile: str,
+        request_class: str,
         extent: str,
         slot: int,
         units: float,
-        left_ms: float,
-        label: str | None,
+        time_limit_ms: float,
+        idempotency_key: str | None,
         op: int,
         offset: int,
         length: int,
@@ -37,10 +37,10 @@
     ) -> bool:
         """Takes a request, or returns False if it is for the request table."""
 
-    def before_read(self, volume: str, extent: str) -> tuple[Write, ...]:
+    def dirty_writes_of_extent(self, volume: str, extent: str) -> tuple[Write, ...]:
         """Returns the dirty writes that a read must show."""
 
-    def after_read(self, pending: FramedRequest, dirty_writes: tuple[Write, ...], data: bytes) -> bytes:
+    def overlay_dirty_writes(self, pending: FramedRequest, writes_before_read: tuple[Write, ...], data: bytes) -> bytes:
         """Returns the bytes of a read with the dirty writes over them."""
 
 
@@ -63,14 +63,14 @@
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
     config: Config
-    block: HeadBlock
+    gateway_settings: HeadBlock
     name: str
     log: Any
     core: GatewayCore
     now: float
-    note: Callable[..., None]
-    conns: dict[Any, None]
-    faults: int
+    record_event: Callable[..., None]
+    client_connections: dict[Any, None]
+    failed_connection_count: int
     stopped: asyncio.Future[None]
 
     @property
@@ -80,5 +80,5 @@
     def stop_if_done(self) -> None:
         """Ends a graceful shutdown when nothing is owed any more."""
 
-    def connection_closed(self, conn: Any) -> None:
+    def on_connection_closed(self, connection: Any) -> None:
         """A client's connection is over."""
--- a/pebblehinge/gateway/dialer.py
+++ b/pebblehinge/gateway/dialer.py
@@ -8,10 +8,10 @@
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings.schema import LimitsBlock
 
-MAX_EXTENSIONS = 3
+MAX_DEADLINE_EXTENSIONS = 3
 """How often the time to connect is given again if this process was late itself."""
 
-LATE_SHARE = 0.25
+MIN_LATE_SHARE = 0.25
 """The part of the time to connect by which this process must be late for that."""
 
 
@@ -30,7 +30,7 @@
         address: str,
         limits: LimitsBlock,
         make_peer: Callable[[], Peer],
-        connect_failed: Callable[[], None],
+        on_failure: Callable[[], None],
     ) -> None:
         """Connects peers that `make_peer` makes; `connect_failed` is called when a dial fails."""
         self.loop = loop
@@ -38,46 +38,46 @@
         self.address = address
         self.limits = limits
         self.make_peer = make_peer
-        self.connect_failed = connect_failed
-        self.connecting: asyncio.Task[None] | None = None
-        self.refusal = ""
+        self.on_failure = on_failure
+        self.dial_task: asyncio.Task[None] | None = None
+        self.failure_reason = ""
         self._deadline: asyncio.TimerHandle | None = None
         self._deadline_ms = 0.0
-        self._extensions = 0
+        self._extensions_left = 0
 
     def connect(self) -> None:
         """Begins a dial, if none is under way."""
-        if self.connecting is not None:
+        if self.dial_task is not None:
             return
-        self.refusal = ""
-        self.connecting = self.loop.create_task(self._dial())
-        self._extensions = MAX_EXTENSIONS
+        self.failure_reason = ""
+        self.dial_task = self.loop.create_task(self._dial())
+        self._extensions_left = MAX_DEADLINE_EXTENSIONS
         self._set_deadline()
 
     def close(self) -> None:
         """Cancels the dial that is under way."""
-        if self.connecting is not None:
-            self.connecting.cancel()
+        if self.dial_task is not None:
+            self.dial_task.cancel()
         if self._deadline is not None:
             self._deadline.cancel()
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """The connection is established, its greeting is over."""
         if self._deadline is not None:
             self._deadline.cancel()
             self._deadline = None
-        self.connecting = None
+        self.dial_task = None
 
     def fail(self, reason: str) -> None:
         """Ends the dial that is under way, if any."""
-        task = self.connecting
+        task = self.dial_task
         if task is None:
             return
-        self.connected()
+        self.on_connected()
         if not task.done():
             task.cancel()
-        self.refusal = self.refusal or reason
-        self.connect_failed()
+        self.failure_reason = self.failure_reason or reason
+        self.on_failure()
 
     def _set_deadline(self) -> None:
         self._deadline_ms = self.clock() + self.limits.connect
@@ -101,9 +101,9 @@
         If this gateway itself was late (a burst of thousands, a stop by signal), the storage node had no fair chance to
         be heard: the time is given again, a few times.
         """
-        late_ms = self.clock() - self._deadline_ms
-        if late_ms > self.limits.connect * LATE_SHARE and self._extensions > 0:
-            self._extensions -= 1
+        loop_lag_ms = self.clock() - self._deadline_ms
+        if loop_lag_ms > self.limits.connect * MIN_LATE_SHARE and self._extensions_left > 0:
+            self._extensions_left -= 1
             self._set_deadline()
             return
         self.fail("no greeting in time")
--- a/pebblehinge/gateway/discovery_link.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -15,13 +15,13 @@
 LIST_KINDS = {"changes": ListKind.CHANGES, "whole": ListKind.WHOLE, "failed": ListKind.FAILED}
 """The kinds of an endpoint list, by their words in LIST frames."""
 
-REDIAL_S = (0.2, 0.6)
+REDIAL_DELAY_RANGE_S = (0.2, 0.6)
 """The range of the wait before another dial, in seconds."""
 
-MAX_QUOTED_WORD, MAX_QUOTED_NAME = 20, 60
+MAX_QUOTED_WORD_CHARS, MAX_QUOTED_NAME_CHARS = 20, 60
 """Characters of a wrong word or its node's name that the text of an error repeats."""
 
-ListReceived = Callable[[float, ListKind, list[EndpointEntry], dict[str, str]], None]
+EndpointListHandler = Callable[[float, ListKind, list[EndpointEntry], dict[str, str]], None]
 """Takes the time, the kind of a list, its entries, and the addresses of its storage nodes by name."""
 
 
@@ -65,8 +65,8 @@
         address: str,
         limits: LimitsBlock,
         rng: random.Random,
-        list_received: ListReceived,
-        polls: bool,
+        on_endpoint_list: EndpointListHandler,
+        is_polling: bool,
     ) -> None:
         """Links `gateway` to discovery at `address`; `list_received` is called for each list."""
         self.loop = loop
@@ -75,17 +75,17 @@
         self.address = address
         self.limits = limits
         self.rng = rng
-        self.list_received = list_received
-        self.polls = polls
+        self.on_endpoint_list = on_endpoint_list
+        self.is_polling = is_polling
         self.connection: _DiscoveryConnection | None = None
         self.calls: list[DiscoveryCall] = []
         self.closed = False
-        self._dialing: asyncio.Task[None] | None = None
+        self._dial_task: asyncio.Task[None] | None = None
         self._redial_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Begins a dial."""
-        self._dialing = self.loop.create_task(self._connect())
+        self._dial_task = self.loop.create_task(self._connect())
 
     def call(self, call: DiscoveryCall) -> None:
         """Asks for the list, at once or when there is a connection."""
@@ -98,8 +98,8 @@
     def close(self) -> None:
         """Closes the connection, and dials no more."""
         self.closed = True
-        if self._dialing is not None:
-            self._dialing.cancel()
+        if self._dial_task is not None:
+            self._dial_task.cancel()
         if self._redial_timer is not None:
             self._redial_timer.cancel()
         if self.connection is not None:
@@ -108,7 +108,7 @@
     def on_connected(self, connection: _DiscoveryConnection) -> None:
         """The greeting is over."""
         self.connection = connection
-        if not self.polls:
+        if not self.is_polling:
             connection.send(Kind.WATCH, 1)
         for call in self.calls:
             self.call(call)
@@ -118,15 +118,15 @@
         """The connection is over. That alone changes nothing: the last list stays in force."""
         was_connected = self.connection is connection
         self.connection = None
-        if was_connected and self.polls and not self.closed:
-            self.list_received(self.clock(), ListKind.FAILED, [], {})
-        self._redial()
+        if was_connected and self.is_polling and not self.closed:
+            self.on_endpoint_list(self.clock(), ListKind.FAILED, [], {})
+        self._schedule_redial()
 
     def on_list(self, kind: str, rows: list[ENDPOINT_ROW]) -> None:
         """An endpoint list has come; raises WireError if it is none."""
         now = self.clock()
         if kind not in LIST_KINDS:
-            raise WireError(f"LIST: kind {kind[:MAX_QUOTED_WORD]!r}: expected one of {', '.join(LIST_KINDS)}")
+            raise WireError(f"LIST: kind {kind[:MAX_QUOTED_WORD_CHARS]!r}: expected one of {', '.join(LIST_KINDS)}")
         entries: list[EndpointEntry] = []
         addresses: dict[str, str] = {}
         for node, address, state, slot, age_ms in rows:
@@ -134,7 +134,7 @@
             start_ms = max(0.0, now - age_ms) if age_ms >= 0 else 0.0
             entries.append(EndpointEntry(node, _read_state(state, node), slot, start_ms))
             addresses[node] = address
-        self.list_received(now, LIST_KINDS[kind], entries, addresses)
+        self.on_endpoint_list(now, LIST_KINDS[kind], entries, addresses)
 
     async def _connect(self) -> None:
         session = Session("head", self.gateway, self.limits.frame, self.limits.streams, dialed=True)
@@ -142,11 +142,11 @@
             host, port = parse_address(self.address)
             await self.loop.create_connection(lambda: _DiscoveryConnection(self, session), host, port)
         except (OSError, ValueError):
-            self._redial()
+            self._schedule_redial()
 
-    def _redial(self) -> None:
+    def _schedule_redial(self) -> None:
         if not self.closed:
-            self._redial_timer = self.loop.call_later(self.rng.uniform(*REDIAL_S), self.start)
+            self._redial_timer = self.loop.call_later(self.rng.uniform(*REDIAL_DELAY_RANGE_S), self.start)
 
 
 def _read_state(state: str, node: str) -> EndpointState:
@@ -154,5 +154,5 @@
     try:
         return EndpointState(state)
     except ValueError:
-        quoted = f"{state[:MAX_QUOTED_WORD]!r} of {node[:MAX_QUOTED_NAME]!r}"
+        quoted = f"{state[:MAX_QUOTED_WORD_CHARS]!r} of {node[:MAX_QUOTED_NAME_CHARS]!r}"
         raise WireError(f"LIST: standing {quoted} is not known") from None
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -14,7 +14,7 @@
 from pebblehinge.event_log import EventLog, NullEventLog
 from pebblehinge.gateway.admission import GatewayCore
 from pebblehinge.gateway.discovery_link import DiscoveryLink
-from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
+from pebblehinge.gateway.framed_request import FINAL_STATUS_LABELS, FramedRequest
 from pebblehinge.gateway.node_link import NodeLink
 from pebblehinge.interface import DiscoveryCall, EndpointEntry, ListKind, Outcome
 from pebblehinge.settings.schema import Config, HeadBlock
@@ -50,7 +50,7 @@
         config: Config,
         name: str,
         log: Any,
-        records: EventLog | NullEventLog | None,
+        event_log: EventLog | NullEventLog | None,
         core: type[GatewayCore],
     ) -> None:
         self.loop = loop
@@ -58,26 +58,26 @@
         self.config = config
         self.name = name
         self.log = log
-        self.block: HeadBlock = config.head[name]
-        self.records = records or NullEventLog()
-        self.note: Callable[..., None] = self.records.note if self.records.enabled else _ignore
+        self.gateway_settings: HeadBlock = config.head[name]
+        self.event_log = event_log or NullEventLog()
+        self.record_event: Callable[..., None] = self.event_log.note if self.event_log.enabled else _discard_event
         self.links: dict[str, NodeLink] = {}
-        self.retired: list[NodeLink] = []
+        self.retired_links: list[NodeLink] = []
         self.now = clock()
-        self.core = core(config, self.block, self.now, self)
-        self.latency = HdrHistogram(1, MAX_LATENCY_US, 3)
+        self.core = core(config, self.gateway_settings, self.now, self)
+        self.latency_histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.discovery = DiscoveryLink(
             loop,
             clock,
             name,
             config.listing.listen,
             config.limits,
-            random.Random(self.block.seed),
+            random.Random(self.gateway_settings.seed),
             self._on_list,
             config.listing.mode == "ask",
         )
         self.wake_timer: asyncio.TimerHandle | None = None
-        self._wake_ms = math.inf
+        self._next_wake_ms = math.inf
 
     def stop_if_done(self) -> None:
         """Ends a graceful shutdown when nothing is owed any more; called when the last answer is given."""
@@ -85,35 +85,39 @@
 
     # ---- called by the request table
 
-    def answer(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def answer(
+        self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         """Sends a request's final answer where it came from."""
-        pending.origin.answered(pending, final, stay_ms, reason, data)
+        pending.origin.deliver_answer(pending, final, retry_after_ms, reason, data)
         now = self.now
         if final is FinalStatus.SUCCEEDED:
-            self.latency.record_value(max(1, int((now - pending.arrived_ms) * 1000.0)))
-        self.note(now, "answer", id=pending.trace, final=FINAL_WORDS[final], stay=stay_ms)
+            self.latency_histogram.record_value(max(1, int((now - pending.arrived_ms) * 1000.0)))
+        self.record_event(now, "answer", id=pending.trace_id, final=FINAL_STATUS_LABELS[final], stay=retry_after_ms)
         if self.config.log.accesses:
-            took = round(now - pending.arrived_ms, 3)
-            self.log.info("answer", id=pending.trace, final=FINAL_WORDS[final], ms=took, reason=reason)
+            duration_ms = round(now - pending.arrived_ms, 3)
+            self.log.info(
+                "answer", id=pending.trace_id, final=FINAL_STATUS_LABELS[final], ms=duration_ms, reason=reason
+            )
         if self.core.stopping and not self.core.open_count:
             self.loop.call_soon(self.stop_if_done)
 
-    def send_attempt(self, pending: FramedRequest, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: FramedRequest, node: str, attempt_number: int, deadline_ms: float) -> None:
         """Sends a request's attempt number `attempt` to a storage node; it times out at `until_ms`."""
-        link = self.links[shelf]
+        link = self.links[node]
         if self.config.log.accesses:
-            self.log.info("trip", id=pending.trace, n=attempt, shelf=shelf)
-        link.send(pending, attempt, until_ms, self.now)
+            self.log.info("trip", id=pending.trace_id, n=attempt_number, shelf=node)
+        link.send(pending, attempt_number, deadline_ms, self.now)
 
     def cancel_attempt(self, pending: FramedRequest) -> None:
         """Cancels a request's attempt."""
-        pending.attempt.link.drop(pending)
+        pending.attempt.link.cancel_attempt(pending)
 
     def wake_at(self, at_ms: float) -> None:
         """Has the request table woken at a time, or before."""
-        if at_ms < self._wake_ms:
+        if at_ms < self._next_wake_ms:
             self._cancel_timer()
-            self._wake_ms = at_ms
+            self._next_wake_ms = at_ms
             self.wake_timer = self.loop.call_at(at_ms / 1000.0 + TIMER_SLACK_S, self._wake)
 
     def call_discovery(self, call: DiscoveryCall) -> None:
@@ -128,40 +132,42 @@
 
     def _wake(self) -> None:
         self.wake_timer = None
-        self._wake_ms = math.inf
+        self._next_wake_ms = math.inf
         self.now = self.clock()
         self.core.on_wake_up(self.now)
 
     def _on_outcome(
-        self, now: float, pending: FramedRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes
+        self, now: float, pending: FramedRequest, attempt_number: int, outcome: Outcome, duration_ms: float, data: bytes
     ) -> None:
         self.now = now
-        self.core.on_attempt_end(now, pending, attempt, outcome, took_ms, data)
+        self.core.on_attempt_end(now, pending, attempt_number, outcome, duration_ms, data)
 
     def _on_list(self, now: float, kind: ListKind, entries: list[EndpointEntry], addresses: dict[str, str]) -> None:
         self.now = now
         for node, address in addresses.items():
-            self._link_to(node, address)
-        self.note(now, "listed", kind=kind.value, entries=[(e.node_name, e.state.value) for e in entries])
+            self._ensure_link(node, address)
+        self.record_event(now, "listed", kind=kind.value, entries=[(e.node_name, e.state.value) for e in entries])
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.apply_endpoint_list(now, kind, entries)
         for node in [name for name in self.links if name not in self.core.scheduler.nodes.index]:
             self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
 
-    def _link_to(self, node: str, address: str) -> None:
+    def _ensure_link(self, node: str, address: str) -> None:
         """Makes the link to a storage node, unless there is one to that address."""
         link = self.links.get(node)
         if link is not None and link.address == address:
             return
         if link is not None:
-            self.retired = [retired for retired in self.retired if retired.in_flight or retired.waiting]
-            self.retired.append(link)
+            self.retired_links = [
+                old_link for old_link in self.retired_links if old_link.in_flight or old_link.unsent_attempts
+            ]
+            self.retired_links.append(link)
             link.retire()
-        note = self.note if self.records.enabled else None
+        record_event = self.record_event if self.event_log.enabled else None
         self.links[node] = NodeLink(
-            self.loop, self.clock, self.name, node, address, self.config.limits, self._on_outcome, note
+            self.loop, self.clock, self.name, node, address, self.config.limits, self._on_outcome, record_event
         )
 
 
-def _ignore(*_: Any, **__: Any) -> None:
+def _discard_event(*_: Any, **__: Any) -> None:
     """Takes the events of a gateway without records."""
--- a/pebblehinge/gateway/errors.py
+++ b/pebblehinge/gateway/errors.py
@@ -14,6 +14,6 @@
         stay_ms: How long the client should wait before a retry, in milliseconds, or None for the settings' time.
     """
 
-    def __init__(self, reason: str, stay_ms: float | None = None) -> None:
+    def __init__(self, reason: str, retry_after_ms: float | None = None) -> None:
         super().__init__(reason)
-        self.stay_ms = stay_ms
+        self.retry_after_ms = retry_after_ms
--- a/pebblehinge/gateway/flush_requests.py
+++ b/pebblehinge/gateway/flush_requests.py
@@ -13,31 +13,31 @@
 class FlushRequests:
     """The flushes that wait."""
 
-    def __init__(self, committer: Committer, dirty: DirtyWrites, succeed: Callable[[BufferedRequest], None]) -> None:
+    def __init__(self, committer: Committer, dirty: DirtyWrites, on_flushed: Callable[[BufferedRequest], None]) -> None:
         """Calls `succeed` for a flush that waits for nothing any more."""
         self.committer = committer
         self.dirty = dirty
-        self.succeed = succeed
-        self.waiting: list[BufferedRequest] = []
+        self.on_flushed = on_flushed
+        self.pending_flushes: list[BufferedRequest] = []
 
     def add(self, request: BufferedRequest) -> None:
         """Adds a flush, with its volume and the number of the last write that it waits for."""
-        self.waiting.append(request)
+        self.pending_flushes.append(request)
 
-    def check(self) -> None:
+    def answer_completed(self) -> None:
         """Answers the flushes that wait for nothing any more."""
-        still_waiting = []
-        for request in self.waiting:
-            if self._waits(request) and not request.answered:
-                still_waiting.append(request)
+        remaining = []
+        for request in self.pending_flushes:
+            if self._is_waiting(request) and not request.answered:
+                remaining.append(request)
             else:
-                self.succeed(request)
-        self.waiting = still_waiting
-
-    def _waits(self, request: BufferedRequest) -> bool:
-        is_unconfirmed = any(
-            row.record.volume == request.volume and row.record.number <= request.up_to
-            for row in self.committer.pending
-            if isinstance(row.record, Write)
+                self.on_flushed(request)
+        self.pending_flushes = remaining
+
+    def _is_waiting(self, request: BufferedRequest) -> bool:
+        has_unconfirmed = any(
+            pending.record.volume == request.volume and pending.record.number <= request.up_to
+            for pending in self.committer.pending
+            if isinstance(pending.record, Write)
         )
-        return is_unconfirmed or self.committer.is_running or not self.dirty.is_clean(request.volume, request.up_to)
+        return has_unconfirmed or self.committer.is_running or not self.dirty.is_clean(request.volume, request.up_to)
--- a/pebblehinge/gateway/framed_request.py
+++ b/pebblehinge/gateway/framed_request.py
@@ -6,14 +6,16 @@
 
 from pebblehinge.core import FinalStatus, PendingRequest
 
-FINAL_WORDS = ("honoured", "pushed back", "terminated")
+FINAL_STATUS_LABELS = ("honoured", "pushed back", "terminated")
 """What records, logs and the rsync sessions call the final answers, by their numbers on the wire."""
 
 
 class RequestOrigin(Protocol):
     """Where a request came from, and its final answer goes to."""
 
-    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def deliver_answer(
+        self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         """Takes the final answer."""
 
 
@@ -35,17 +37,28 @@
         again: Whether the client says that it is a retry.
     """
 
-    __slots__ = ("trace", "extent", "slot", "label", "op", "offset", "length", "plan", "profile", "again")
+    __slots__ = (
+        "trace_id",
+        "extent",
+        "slot",
+        "idempotency_key",
+        "op",
+        "offset",
+        "length",
+        "quota_plan",
+        "request_class",
+        "is_retry",
+    )
 
     origin: Any
     id: int
-    trace: str
+    trace_id: str
     extent: str
     slot: int
-    label: str
+    idempotency_key: str
     op: int
     offset: int
     length: int
-    plan: str
-    profile: str
-    again: bool
+    quota_plan: str
+    request_class: str
+    is_retry: bool
--- a/pebblehinge/gateway/internal_client.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -6,7 +6,7 @@
 
 from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.context import GatewayContext
-from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
+from pebblehinge.gateway.framed_request import FINAL_STATUS_LABELS, FramedRequest
 
 
 class InternalResult:
@@ -19,11 +19,11 @@
         data: The bytes read.
     """
 
-    __slots__ = ("final", "stay_ms", "reason", "data")
+    __slots__ = ("final", "retry_after_ms", "reason", "data")
 
-    def __init__(self, final: str, stay_ms: float, reason: str, data: bytes) -> None:
+    def __init__(self, final: str, retry_after_ms: float, reason: str, data: bytes) -> None:
         self.final = final
-        self.stay_ms = stay_ms
+        self.retry_after_ms = retry_after_ms
         self.reason = reason
         self.data = data
 
@@ -44,8 +44,8 @@
         """Makes requests as `name`, which the records show."""
         self.context = context
         self.name = name
-        self.ids = 0
-        self.waiting: dict[int, asyncio.Future[InternalResult]] = {}
+        self.last_id = 0
+        self.result_futures: dict[int, asyncio.Future[InternalResult]] = {}
 
     async def request(
         self,
@@ -54,38 +54,38 @@
         op: int,
         extent: str,
         slot: int,
-        profile: str,
+        request_class: str,
         units: float,
-        patience_ms: float,
-        trace: str,
-        again: bool,
+        time_limit_ms: float,
+        trace_id: str,
+        is_retry: bool,
         offset: int,
         length: int,
         data: bytes,
-        label: str | None,
+        idempotency_key: str | None,
     ) -> InternalResult:
         """Makes one request; its arguments are those of `GatewayCore.take`. Cancelled, it is withdrawn."""
         context = self.context
         future: asyncio.Future[InternalResult] = context.loop.create_future()
-        self.ids += 1
-        id_ = self.ids
-        self.waiting[id_] = future
+        self.last_id += 1
+        id_ = self.last_id
+        self.result_futures[id_] = future
         now = context.now = context.clock()
-        context.note(now, "take", id=trace, client=self.name)
-        pending = context.core.take(
+        context.record_event(now, "take", id=trace_id, client=self.name)
+        pending = context.core.admit(
             now,
             self,
             id_,
-            trace,
+            trace_id,
             volume,
             None,
-            profile,
+            request_class,
             extent,
             slot,
             units,
-            patience_ms,
-            again,
-            label,
+            time_limit_ms,
+            is_retry,
+            idempotency_key,
             op,
             offset,
             length,
@@ -94,14 +94,16 @@
         try:
             return await future
         except asyncio.CancelledError:
-            self.waiting.pop(id_, None)
+            self.result_futures.pop(id_, None)
             if pending is not None and not pending.answered:
                 context.now = context.clock()
                 context.core.on_client_disconnect(context.now, pending)
             raise
 
-    def answered(self, pending: FramedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def deliver_answer(
+        self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         """Takes the final answer to a request."""
-        future = self.waiting.pop(pending.id, None)
+        future = self.result_futures.pop(pending.id, None)
         if future is not None and not future.done():
-            future.set_result(InternalResult(FINAL_WORDS[final], stay_ms, reason, data))
+            future.set_result(InternalResult(FINAL_STATUS_LABELS[final], retry_after_ms, reason, data))
--- a/pebblehinge/gateway/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -47,10 +47,14 @@
         yield attempts
         yield CounterMetricFamily("pebblehinge_further_trips", "Trips beyond an access's first", value=core.retry_count)
         yield CounterMetricFamily("pebblehinge_wakes", "Wakes of the module", value=core.wake_up_count)
-        yield CounterMetricFamily("pebblehinge_client_faults", "Clients cut for what they sent", value=gateway.faults)
+        yield CounterMetricFamily(
+            "pebblehinge_client_faults", "Clients cut for what they sent", value=gateway.failed_connection_count
+        )
         yield GaugeMetricFamily("pebblehinge_open", "Accesses taken and not answered", value=core.open_count)
         yield GaugeMetricFamily("pebblehinge_held_bytes", "Payload held for open accesses", value=core.payload_bytes)
-        yield GaugeMetricFamily("pebblehinge_connections", "Connections of clients", value=len(gateway.conns))
+        yield GaugeMetricFamily(
+            "pebblehinge_connections", "Connections of clients", value=len(gateway.client_connections)
+        )
 
     def _storage_nodes(self) -> Iterator[Metric]:
         nodes = self.gateway.core.scheduler.nodes
@@ -63,14 +67,14 @@
         yield in_flight
 
     def _latency(self) -> Iterator[Metric]:
-        latency = self.gateway.latency
+        latency_histogram = self.gateway.latency_histogram
         summary = SummaryMetricFamily("pebblehinge_latency_seconds", "From taking to the honoured answer")
-        count = latency.get_total_count()
-        summary.add_metric([], count, latency.get_mean_value() * count / 1e6 if count else 0.0)
+        count = latency_histogram.get_total_count()
+        summary.add_metric([], count, latency_histogram.get_mean_value() * count / 1e6 if count else 0.0)
         yield summary
         quantiles = GaugeMetricFamily("pebblehinge_latency_quantile_seconds", "The same", labels=["quantile"])
         for percent in QUANTILES:
-            value = latency.get_value_at_percentile(percent) / 1e6 if count else 0.0
+            value = latency_histogram.get_value_at_percentile(percent) / 1e6 if count else 0.0
             quantiles.add_metric([f"{percent / 100:g}"], value)
         yield quantiles
 
@@ -81,8 +85,8 @@
         transfers.add_metric([end], listener.counts[end])
     yield transfers
     yield CounterMetricFamily("pebblehinge_saves", "Files saved", value=listener.counts["saves"])
-    yield GaugeMetricFamily("pebblehinge_transfers_open", "Transfers under way", value=listener.transfers)
-    window = listener.sharing.window
+    yield GaugeMetricFamily("pebblehinge_transfers_open", "Transfers under way", value=listener.transfer_count)
+    window = listener.request_scheduler.window
     yield GaugeMetricFamily("pebblehinge_transfer_window", "Accesses that transfers may have out", value=window)
 
 
--- a/pebblehinge/gateway/node_connection.py
+++ b/pebblehinge/gateway/node_connection.py
@@ -25,13 +25,13 @@
     def on_connected(self, connection: NodeConnection) -> None:
         """The greeting is over."""
 
-    def push(self) -> None:
+    def write_unsent(self) -> None:
         """Writes what waits."""
 
     def on_connection_lost(self, connection: NodeConnection) -> None:
         """The connection is over."""
 
-    def on_outcome(self, number: int, status: int, reason: str, data: bytes) -> None:
+    def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
         """An attempt has its outcome."""
 
 
@@ -43,7 +43,7 @@
     def __init__(self, link: ConnectionOwner, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
-        self._probed_since: float | None = None  # when bytes had last come, while a PING is out
+        self._probe_baseline_s: float | None = None  # when bytes had last come, while a PING is out
 
     def on_ready(self) -> None:
         """The greeting is over."""
@@ -51,7 +51,7 @@
 
     def on_writable(self) -> None:
         """The storage node reads again."""
-        self.link.push()
+        self.link.write_unsent()
 
     def on_disconnect(self, exc: Exception | None) -> None:
         """The connection is over."""
@@ -59,11 +59,11 @@
 
     def on_rejection(self, reason: str) -> None:
         """The storage node rejects the connection, or what was sent on it."""
-        self.link.dialer.refusal = reason
+        self.link.dialer.failure_reason = reason
 
     def fail(self, reason: str) -> None:
         """Cuts the connection: what comes from here can't be read any more, so no answer on it can be waited for."""
-        self.link.dialer.refusal = reason
+        self.link.dialer.failure_reason = reason
         self.abort()
         self.closed = True
 
@@ -71,9 +71,9 @@
         """Bytes have come: one reading of the clock serves them all."""
         self.link.now = self.link.clock()
 
-    def on_outcome(self, number: int, status: int, reason: str, data: bytes) -> None:
+    def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
         """An attempt has its outcome."""
-        self.link.on_outcome(number, status, reason, data)
+        self.link.on_outcome(attempt_id, status, reason, data)
 
     def on_stopping(self, reason: str) -> None:
         """Nothing follows: the endpoint list says which nodes are draining."""
@@ -84,13 +84,13 @@
         The cause may be the storage node, or a connection that is cut in the middle and swallows all. A PING is
         answered by any process that runs; if even that stays out, a new connection is made.
         """
-        if self._probed_since is None:
-            self._probed_since = self.last_received_s
+        if self._probe_baseline_s is None:
+            self._probe_baseline_s = self.last_received_s
             self.send(Kind.PING, 0)
-            self.loop.call_later(2 * self.link.limits.connect / 1000.0, self._end_probe)
+            self.loop.call_later(2 * self.link.limits.connect / 1000.0, self._check_probe)
 
-    def _end_probe(self) -> None:
-        since, self._probed_since = self._probed_since, None
-        if self is self.link.connection and not self.closed and self.last_received_s == since:
-            self.link.dialer.refusal = "the connection is silent"
+    def _check_probe(self) -> None:
+        baseline_s, self._probe_baseline_s = self._probe_baseline_s, None
+        if self is self.link.connection and not self.closed and self.last_received_s == baseline_s:
+            self.link.dialer.failure_reason = "the connection is silent"
             self.abort()
--- a/pebblehinge/gateway/node_link.py
+++ b/pebblehinge/gateway/node_link.py
@@ -18,10 +18,10 @@
 from pebblehinge.settings.schema import LimitsBlock
 from pebblehinge.wire import Kind, Session
 
-RECHECK_S = 0.001
+TIMEOUT_RECHECK_DELAY_S = 0.001
 """Seconds between an attempt's time-out and its end, for one more look at the sockets."""
 
-OUTCOMES = (Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.OVERLOADED)
+OUTCOMES_BY_STATUS = (Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.OVERLOADED)
 """The outcomes of an attempt, by their numbers in OUTCOME frames."""
 
 
@@ -39,27 +39,27 @@
         rechecked: Whether its time-out has passed, and the sockets were looked at once more.
     """
 
-    __slots__ = ("number", "pending", "attempt", "until_ms", "sent_ms", "timer", "link", "rechecked")
+    __slots__ = ("id", "pending", "number", "deadline_ms", "sent_ms", "timer", "link", "timeout_rechecked")
 
     timer: asyncio.TimerHandle
 
     def __init__(
-        self, number: int, pending: FramedRequest, attempt: int, until_ms: float, sent_ms: float, link: NodeLink
+        self, id_: int, pending: FramedRequest, attempt_number: int, deadline_ms: float, sent_ms: float, link: NodeLink
     ) -> None:
-        self.number = number
+        self.id = id_
         self.pending = pending
-        self.attempt = attempt
-        self.until_ms = until_ms
+        self.number = attempt_number
+        self.deadline_ms = deadline_ms
         self.sent_ms = sent_ms
         self.link = link
-        self.rechecked = False
+        self.timeout_rechecked = False
 
 
-class AttemptEnded(Protocol):
+class AttemptEndHandler(Protocol):
     """Takes the outcome of an attempt, once for each and never from within `NodeLink.send`."""
 
     def __call__(
-        self, now: float, pending: FramedRequest, attempt: int, outcome: Outcome, took_ms: float, data: bytes, /
+        self, now: float, pending: FramedRequest, number: int, outcome: Outcome, duration_ms: float, data: bytes, /
     ) -> None:
         """Called at `now`; `took_ms` is since the attempt was given to the link, `data` are the bytes read."""
 
@@ -85,8 +85,8 @@
         node: str,
         address: str,
         limits: LimitsBlock,
-        ended: AttemptEnded,
-        note: Callable[..., None] | None,
+        on_attempt_end: AttemptEndHandler,
+        record_event: Callable[..., None] | None,
     ) -> None:
         """Links `gateway` to `node`; `ended` takes outcomes, `note` writes events to the records."""
         self.loop = loop
@@ -95,155 +95,155 @@
         self.node = node
         self.address = address
         self.limits = limits
-        self.ended = ended
-        self.note = note
+        self.on_attempt_end = on_attempt_end
+        self.record_event = record_event
         self.connection: NodeConnection | None = None
-        self.dialer = Dialer(loop, clock, address, limits, self._make_peer, self._connect_failed)
-        self.waiting: deque[AttemptInFlight] = deque()
+        self.dialer = Dialer(loop, clock, address, limits, self._make_peer, self._on_dial_failure)
+        self.unsent_attempts: deque[AttemptInFlight] = deque()
         self.in_flight: dict[int, AttemptInFlight] = {}
-        self.last_number = 0
+        self.last_id = 0
         self.now = 0.0
-        self.late_outcomes = 0
-        self.retired = False
+        self.late_outcome_count = 0
+        self.is_retired = False
 
     # ---- operations
 
-    def send(self, pending: FramedRequest, attempt: int, until_ms: float, now: float) -> None:
+    def send(self, pending: FramedRequest, attempt_number: int, deadline_ms: float, now: float) -> None:
         """Sends an attempt, which times out at `until_ms`; it waits if there is no connection yet."""
-        self.last_number += 1
-        sent = AttemptInFlight(self.last_number, pending, attempt, until_ms, now, self)
-        sent.timer = self.loop.call_at(until_ms / 1000.0, self._time_out, sent)
-        pending.attempt = sent
+        self.last_id += 1
+        new_attempt = AttemptInFlight(self.last_id, pending, attempt_number, deadline_ms, now, self)
+        new_attempt.timer = self.loop.call_at(deadline_ms / 1000.0, self._time_out, new_attempt)
+        pending.attempt = new_attempt
         if self.connection is not None and not self.connection.write_paused:
-            self._write(sent, now)
+            self._write(new_attempt, now)
             return
-        self.waiting.append(sent)
+        self.unsent_attempts.append(new_attempt)
         if self.connection is None:
             self.dialer.connect()
 
-    def drop(self, pending: FramedRequest) -> None:
+    def cancel_attempt(self, pending: FramedRequest) -> None:
         """Cancels a request's attempt; the storage node is told, the caller knows the outcome."""
-        dropped: AttemptInFlight = pending.attempt
-        dropped.timer.cancel()
-        if self.in_flight.pop(dropped.number, None) is not None:
+        cancelled_attempt: AttemptInFlight = pending.attempt
+        cancelled_attempt.timer.cancel()
+        if self.in_flight.pop(cancelled_attempt.id, None) is not None:
             if self.connection is not None:
-                self.connection.send(Kind.RECALL, dropped.number)
-        elif dropped in self.waiting:
-            self.waiting.remove(dropped)
+                self.connection.send(Kind.RECALL, cancelled_attempt.id)
+        elif cancelled_attempt in self.unsent_attempts:
+            self.unsent_attempts.remove(cancelled_attempt)
 
     def retire(self) -> None:
         """The storage node has another address: what is in flight here still ends here, then the connection closes."""
-        self.retired = True
+        self.is_retired = True
         self._close_if_idle()
 
     def close(self) -> None:
         """Closes the connection and ends a dial that is under way."""
-        self.retired = True
+        self.is_retired = True
         self.dialer.close()
         if self.connection is not None:
             self.connection.close()
 
-    def push(self) -> None:
+    def write_unsent(self) -> None:
         """Writes what waits, as far as the storage node reads."""
         now = self.clock()
-        while self.waiting and self.connection is not None and not self.connection.write_paused:
-            self._write(self.waiting.popleft(), now)
+        while self.unsent_attempts and self.connection is not None and not self.connection.write_paused:
+            self._write(self.unsent_attempts.popleft(), now)
 
     # ---- called by the connection
 
     def on_connected(self, connection: NodeConnection) -> None:
         """The greeting is over."""
-        if self.dialer.connecting is None:  # the dial was given up meanwhile
+        if self.dialer.dial_task is None:  # the dial was given up meanwhile
             connection.abort()
             return
-        self.dialer.connected()
+        self.dialer.on_connected()
         self.connection = connection
-        self.push()
+        self.write_unsent()
 
     def on_connection_lost(self, connection: NodeConnection) -> None:
         """The connection is over: what was written on it may have run."""
         now = self.clock()
-        if self.dialer.connecting is not None and self.connection is None:
+        if self.dialer.dial_task is not None and self.connection is None:
             self.dialer.fail("the connection broke before the greeting")
             return
         if connection is not self.connection:
             return
         self.connection = None
-        lost = list(self.in_flight.values())
+        lost_attempts = list(self.in_flight.values())
         self.in_flight.clear()
-        for attempt in lost:
+        for attempt in lost_attempts:
             self._end(attempt, now, Outcome.CONNECTION_LOST)
-        if self.waiting:
+        if self.unsent_attempts:
             self.dialer.connect()
 
-    def on_outcome(self, number: int, status: int, reason: str, data: bytes) -> None:
+    def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
         """An attempt has its outcome. One that has ended before is only counted: its request has its answer."""
-        attempt = self.in_flight.pop(number, None)
-        if attempt is None or status >= len(OUTCOMES):
-            self.late_outcomes += 1
+        attempt = self.in_flight.pop(attempt_id, None)
+        if attempt is None or status >= len(OUTCOMES_BY_STATUS):
+            self.late_outcome_count += 1
             if attempt is not None:
                 self._end(attempt, self.now, Outcome.SERVER_ERROR)
             return
-        self._end(attempt, self.now, OUTCOMES[status], data)
-
-    # ---- on its own
+        self._end(attempt, self.now, OUTCOMES_BY_STATUS[status], data)
 
     def _make_peer(self) -> NodeConnection:
         return NodeConnection(self, Session("head", self.gateway, self.limits.frame, self.limits.streams, dialed=True))
 
-    def _connect_failed(self) -> None:
+    def _on_dial_failure(self) -> None:
         now = self.clock()
-        failed = list(self.waiting)
-        self.waiting.clear()
-        for attempt in failed:
+        failed_attempts = list(self.unsent_attempts)
+        self.unsent_attempts.clear()
+        for attempt in failed_attempts:
             self._end(attempt, now, Outcome.CONNECT_FAILED)
 
     def _write(self, attempt: AttemptInFlight, now: float) -> None:
         pending, connection = attempt.pending, self.connection
         assert connection is not None
-        self.in_flight[attempt.number] = attempt
+        self.in_flight[attempt.id] = attempt
         connection.send(
             Kind.TRIP,
+            attempt.id,
+            pending.trace_id,
             attempt.number,
-            pending.trace,
-            attempt.attempt,
             f"{pending.volume}/{pending.extent}",
             pending.op,
             pending.offset,
             pending.length,
             pending.units,
-            pending.label,
-            attempt.until_ms - now,
+            pending.idempotency_key,
+            attempt.deadline_ms - now,
             pending.data,
         )
-        if self.note is not None:
-            until = round(attempt.until_ms, 3)
-            self.note(now, "trip", id=pending.trace, n=attempt.attempt, shelf=self.node, until=until)
+        if self.record_event is not None:
+            deadline_ms = round(attempt.deadline_ms, 3)
+            self.record_event(now, "trip", id=pending.trace_id, n=attempt.number, shelf=self.node, until=deadline_ms)
 
     def _close_if_idle(self) -> None:
-        if self.retired and not self.in_flight and not self.waiting and self.connection is not None:
+        if self.is_retired and not self.in_flight and not self.unsent_attempts and self.connection is not None:
             self.connection.close()
 
     def _time_out(self, attempt: AttemptInFlight) -> None:
-        if not attempt.rechecked:
+        if not attempt.timeout_rechecked:
             # A loop that was held up runs its timers before it reads: the outcome may lie in the socket.
-            attempt.rechecked = True
-            attempt.timer = self.loop.call_later(RECHECK_S, self._time_out, attempt)
+            attempt.timeout_rechecked = True
+            attempt.timer = self.loop.call_later(TIMEOUT_RECHECK_DELAY_S, self._time_out, attempt)
             return
         now = self.clock()
-        if self.in_flight.pop(attempt.number, None) is not None:
+        if self.in_flight.pop(attempt.id, None) is not None:
             if self.connection is not None:
-                self.connection.send(Kind.RECALL, attempt.number)
+                self.connection.send(Kind.RECALL, attempt.id)
                 self.connection.probe()
             self._end(attempt, now, Outcome.TIMED_OUT)
-        elif attempt in self.waiting:
-            self.waiting.remove(attempt)
+        elif attempt in self.unsent_attempts:
+            self.unsent_attempts.remove(attempt)
             self._end(attempt, now, Outcome.CONNECT_FAILED)
 
     def _end(self, attempt: AttemptInFlight, now: float, outcome: Outcome, data: bytes = b"") -> None:
         attempt.timer.cancel()
         pending = attempt.pending
-        if self.note is not None:
-            self.note(now, "outcome", id=pending.trace, n=attempt.attempt, shelf=self.node, what=outcome.value)
-        self.ended(now, pending, attempt.attempt, outcome, now - attempt.sent_ms, data)
+        if self.record_event is not None:
+            self.record_event(
+                now, "outcome", id=pending.trace_id, n=attempt.number, shelf=self.node, what=outcome.value
+            )
+        self.on_attempt_end(now, pending, attempt.number, outcome, now - attempt.sent_ms, data)
         self._close_if_idle()
--- a/pebblehinge/gateway/rsync_session.py
+++ b/pebblehinge/gateway/rsync_session.py
@@ -24,7 +24,7 @@
 from pebblehinge.settings.rsync import ModuleBlock
 from pebblehinge.settings.schema import Config
 
-LINGER_S = 3.0
+RECEIVE_AFTER_DISCONNECT_S = 3.0
 """Seconds in which what a client sent before it went is still taken in."""
 
 MAX_SECRET_BYTES = 4096
@@ -45,12 +45,12 @@
     rng: random.Random
     sessions: dict[RsyncSession, None]
     client: InternalClient
-    transfers: int
+    transfer_count: int
     counts: dict[str, int]
     stopping: bool
-    late_ms: float
+    loop_lag_ms: float
 
-    def place(self, name: str) -> ModuleStore:
+    def module_store(self, name: str) -> ModuleStore:
         """Returns the state of a module."""
 
 
@@ -71,7 +71,7 @@
         self.task: asyncio.Task[None] | None = None
         self.address = ""
         self.transfer: Transfer | None = None
-        self._began_ms = listener.clock()
+        self._start_ms = listener.clock()
         self._login_timer: asyncio.TimerHandle | None = None
 
     # ---- the connection
@@ -80,8 +80,8 @@
         """The connection is established; it is cut if there are too many."""
         super().connection_made(transport)
         listener = self.listener
-        peer = transport.get_extra_info("peername")
-        self.address = peer[0] if peer else ""
+        peer_address = transport.get_extra_info("peername")
+        self.address = peer_address[0] if peer_address else ""
         listener.sessions[self] = None
         if len(listener.sessions) > listener.config.limits.connections or listener.stopping:
             self.abort()
@@ -95,7 +95,7 @@
         listener = self.listener
         listener.sessions.pop(self, None)
         if self.task is not None and not self.task.done():
-            self.loop.call_later(LINGER_S, self.task.cancel)
+            self.loop.call_later(RECEIVE_AFTER_DISCONNECT_S, self.task.cancel)
         if listener.stopping:
             self.loop.call_soon(listener.context.stop_if_done)
 
@@ -136,7 +136,7 @@
             return
         transfer, self.transfer = self.transfer, None
         transfer.end()
-        listener.transfers -= 1
+        listener.transfer_count -= 1
         is_complete = report.ended and not report.error and not report.failed
         listener.counts["completed" if is_complete else "failed"] += 1
         listener.counts["saves"] += len(report.saved)
@@ -157,7 +157,7 @@
             failed=len(report.failed),
             error=report.error or self.why,
             code=report.code,
-            ms=round(self.listener.clock() - self._began_ms, 1),
+            ms=round(self.listener.clock() - self._start_ms, 1),
         )
 
     # ---- what the protocol may see
@@ -179,9 +179,9 @@
             address = ipaddress.ip_address(self.address)
         except ValueError:
             return HIDDEN if block.allow or block.deny else None
-        if block.allow and not _is_among(address, block.allow):
+        if block.allow and not _is_in_networks(address, block.allow):
             return HIDDEN
-        return HIDDEN if _is_among(address, block.deny) else None
+        return HIDDEN if _is_in_networks(address, block.deny) else None
 
     def secret(self, user: str) -> bytes | None:
         """Returns a user's secret, or None if there is no such user or it can't be read."""
@@ -208,15 +208,17 @@
     def begin(self, module: str, user: str) -> Transfer | str:
         """Begins a transfer, or returns why there can be none now."""
         listener, block = self.listener, self.listener.config.rsync
-        refusal = refusal_reason(listener.transfers, block.transfers, listener.stopping, listener.late_ms > block.lag)
-        if refusal is not None:
-            return refusal
-        place = listener.place(module)
-        listener.transfers += 1
-        trace = f"{listener.context.name}.t{listener.client.ids}.{listener.rng.getrandbits(32):08x}"
-        self.transfer = Transfer(place, trace, place.block.deadline)
+        rejection = refusal_reason(
+            listener.transfer_count, block.transfers, listener.stopping, listener.loop_lag_ms > block.lag
+        )
+        if rejection is not None:
+            return rejection
+        module_store = listener.module_store(module)
+        listener.transfer_count += 1
+        trace_id = f"{listener.context.name}.t{listener.client.last_id}.{listener.rng.getrandbits(32):08x}"
+        self.transfer = Transfer(module_store, trace_id, module_store.block.deadline)
         return self.transfer
 
 
-def _is_among(address: ipaddress.IPv4Address | ipaddress.IPv6Address, networks: list[str]) -> bool:
+def _is_in_networks(address: ipaddress.IPv4Address | ipaddress.IPv6Address, networks: list[str]) -> bool:
     return any(address in ipaddress.ip_network(network, strict=False) for network in networks)
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -11,7 +11,7 @@
 from pebblehinge.gateway.client_connection import ClientConnection
 from pebblehinge.gateway.effects import GatewayEffects
 from pebblehinge.gateway.rsync_listener import RsyncListener
-from pebblehinge.gateway.snapshots import SnapshotKeeper, Times
+from pebblehinge.gateway.snapshots import ReadClocks, SnapshotManager
 from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.net import parse_address
 from pebblehinge.settings.schema import Config
@@ -47,71 +47,73 @@
         config: Config,
         name: str,
         log: Any,
-        records: EventLog | NullEventLog | None = None,
+        event_log: EventLog | NullEventLog | None = None,
         core: type[GatewayCore] = GatewayCore,
     ) -> None:
         """Runs as `name` of the settings on `loop`; `clock` returns milliseconds."""
-        super().__init__(loop, clock, config, name, log, records, core)
-        self.conns: dict[ClientConnection, None] = {}
-        self.faults = 0
+        super().__init__(loop, clock, config, name, log, event_log, core)
+        self.client_connections: dict[ClientConnection, None] = {}
+        self.failed_connection_count = 0
         self.rsync_listener: RsyncListener | None = None
-        self.snapshot_keeper: SnapshotKeeper | None = None
+        self.snapshot_manager: SnapshotManager | None = None
         self.write_back: WriteBack | None = None
-        self.version_shown: dict[str, Any] = {}
+        self.config_status: dict[str, Any] = {}
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.listener: asyncio.Server | None = None
 
     # ---- start
 
-    def enable_write_back(self, disk: Disk, make_durable: Callable[[Batch], Awaitable[None]]) -> None:
+    def enable_write_back(self, disk: Disk, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
         """Before `start`: serves buffered volumes, with a journal on `disk`; `make_durable` appends and syncs."""
-        self.write_back = WriteBack(self, disk, make_durable)
+        self.write_back = WriteBack(self, disk, write_batch)
 
-    def keep_snapshots(self, disk: Disk, times: Times, background: BackgroundRunner = run_inline) -> None:
+    def enable_snapshots(
+        self, disk: Disk, read_clocks: ReadClocks, run_in_background: BackgroundRunner = run_inline
+    ) -> None:
         """Before `start`: restores what an earlier incarnation learned, and saves what this one learns."""
-        self.snapshot_keeper = SnapshotKeeper(self, disk, times, background)
-        self.snapshot_keeper.restore()
+        self.snapshot_manager = SnapshotManager(self, disk, read_clocks, run_in_background)
+        self.snapshot_manager.restore()
 
     async def start(self) -> None:
         """Listens and serves; raises OSError if an address is taken, StorageError if the journal can't be read."""
-        host, port = parse_address(self.block.listen)
+        host, port = parse_address(self.gateway_settings.listen)
         self.listener = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
         if self.write_back is not None:
-            self.write_back.begin()
-        if self.block.rsync is not None:
+            self.write_back.recover()
+        if self.gateway_settings.rsync is not None:
             self.rsync_listener = RsyncListener(self)
             await self.rsync_listener.start()
         self.discovery.start()
         self.core.start(self.clock())
         if self.write_back is not None:
-            self.write_back.pump()
-        if self.snapshot_keeper is not None:
-            self.snapshot_keeper.begin()
-        self.note(self.clock(), "up", role="head", name=self.name)
+            self.write_back.start_due_writes()
+        if self.snapshot_manager is not None:
+            self.snapshot_manager.start_saving()
+        self.record_event(self.clock(), "up", role="head", name=self.name)
 
     # ---- while it runs
 
-    def adopt(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Puts new settings in force; addresses stay as they were until a restart."""
         self.config = config
         self.now = self.clock()
-        self.core.adopt_config(self.now, config)
+        self.core.apply_config(self.now, config)
         if self.rsync_listener is not None:
-            self.rsync_listener.adopt(config)
+            self.rsync_listener.apply_config(config)
 
-    def capture(self, writer: RequestCapture) -> None:
+    def start_capture(self, writer: RequestCapture) -> None:
         """Captures each request that is admitted from now on."""
         self.core.capture = writer
         self._flush_capture()
 
-    def connection_closed(self, conn: ClientConnection) -> None:
+    def on_connection_closed(self, connection: ClientConnection) -> None:
         """A client's connection is over: its open requests are withdrawn."""
-        self.conns.pop(conn, None)
+        self.client_connections.pop(connection, None)
         now = self.clock()
-        for pending in list(conn.open_requests.values()):
+        for pending in list(connection.open_requests.values()):
             if pending is not None:
                 self.core.on_client_disconnect(now, pending)
-        conn.open_requests.clear()
+        connection.open_requests.clear()
         self.stop_if_done()
 
     def _flush_capture(self) -> None:
@@ -135,41 +137,41 @@
             self.rsync_listener.stop()
         if self.write_back is not None:
             self.write_back.stop()
-        for conn in list(self.conns):
-            conn.tell_stopping()
-        self.loop.call_later(self.config.limits.stall / 1000.0, self._settle_all)
+        for connection in list(self.client_connections):
+            connection.send_stopping()
+        self.loop.call_later(self.config.limits.stall / 1000.0, self._stop_waiting_for_clients)
         self.stop_if_done()
 
     def stop_if_done(self) -> None:
         """Ends the shutdown when nothing is owed any more."""
-        if not self._owes_nothing():
+        if not self._is_drained():
             return
-        if self.conns:
-            for conn in list(self.conns):
-                if conn.settled:
-                    conn.close()
+        if self.client_connections:
+            for connection in list(self.client_connections):
+                if connection.shutdown_acknowledged:
+                    connection.close()
             return
         if not self.stopped.done():
             self._close_all()
             self.stopped.set_result(None)
 
-    def _owes_nothing(self) -> bool:
+    def _is_drained(self) -> bool:
         if not self.core.stopping or self.core.open_count:
             return False
         if self.rsync_listener is not None and self.rsync_listener.sessions:
             return False
-        return self.write_back is None or self.write_back.is_done()
+        return self.write_back is None or self.write_back.is_drained()
 
-    def _settle_all(self) -> None:
+    def _stop_waiting_for_clients(self) -> None:
         """A client that never answers does not hold up the shutdown for ever."""
-        for conn in self.conns:
-            conn.settled = True
+        for connection in self.client_connections:
+            connection.shutdown_acknowledged = True
         self.stop_if_done()
 
     def _close_all(self) -> None:
-        self.note(self.clock(), "down", name=self.name)
-        if self.snapshot_keeper is not None:
-            self.snapshot_keeper.save(complete=True)
+        self.record_event(self.clock(), "down", name=self.name)
+        if self.snapshot_manager is not None:
+            self.snapshot_manager.save(complete=True)
         self.discovery.close()
         if self.rsync_listener is not None:
             self.rsync_listener.close()
@@ -177,7 +179,7 @@
             self.write_back.close()
         if self.core.capture is not None:
             self.core.capture.flush()
-        for link in [*self.links.values(), *self.retired]:
+        for link in [*self.links.values(), *self.retired_links]:
             link.close()
         self._cancel_timer()
-        self.records.close()
+        self.event_log.close()
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -10,22 +10,26 @@
 from pebblehinge.store.background import BackgroundRunner, run_inline
 from pebblehinge.store.disk import Disk
 
-Times = Callable[[], tuple[float, float, str]]
+ReadClocks = Callable[[], tuple[float, float, str]]
 """Returns the wall clock, the time since the machine started (both in milliseconds), and which start that was."""
 
 
-class SnapshotKeeper:
+class SnapshotManager:
     """Restores and saves snapshots. A disk that fails costs the snapshot and nothing else."""
 
     def __init__(
-        self, context: GatewayContext, disk: Disk, times: Times, background: BackgroundRunner = run_inline
+        self,
+        context: GatewayContext,
+        disk: Disk,
+        read_clocks: ReadClocks,
+        run_in_background: BackgroundRunner = run_inline,
     ) -> None:
         """Keeps them on `disk`; `beside` runs what waits for it beside the loop."""
         self.context = context
         self.disk = disk
-        self.times = times
-        self.background = background
-        self.settings_mark = memory.hash_settings(context.config.module_settings(context.block))
+        self.read_clocks = read_clocks
+        self.run_in_background = run_in_background
+        self.settings_hash = memory.hash_settings(context.config.module_settings(context.gateway_settings))
         self._write_lock = threading.Lock()  # the last snapshot of an incarnation waits for the one before it
 
     def restore(self) -> None:
@@ -35,36 +39,36 @@
             return
         try:
             data = self.disk.read(memory.SNAPSHOT_FILE)
-            recalled = memory.restore(data, context.name, self.settings_mark, *self.times())
+            restored = memory.restore(data, context.name, self.settings_hash, *self.read_clocks())
         except (StorageError, OSError) as error:
             context.log.warning("memory is not taken up", why=str(error))
             return
-        context.core.scheduler.restore(context.clock(), recalled.state, recalled.age_ms, recalled.complete)
-        shelfs, extents = len(recalled.state["shelfs"]), len(recalled.state["thinks"])
-        context.log.info("memory", what=recalled.summary, shelfs=shelfs, extents=extents)
+        context.core.scheduler.restore(context.clock(), restored.state, restored.age_ms, restored.complete)
+        node_count, extent_count = len(restored.state["shelfs"]), len(restored.state["thinks"])
+        context.log.info("memory", what=restored.summary, shelfs=node_count, extents=extent_count)
 
     def save(self, complete: bool = False) -> None:
         """Saves what the scheduler knows now; `complete` says that nothing is sent after it."""
         context = self.context
-        self.settings_mark = memory.hash_settings(context.config.module_settings(context.block))
+        self.settings_hash = memory.hash_settings(context.config.module_settings(context.gateway_settings))
         state = context.core.scheduler.snapshot(context.clock())
-        snapshot = memory.Snapshot(context.name, self.settings_mark, *self.times(), complete, state)
+        snapshot = memory.Snapshot(context.name, self.settings_hash, *self.read_clocks(), complete, state)
 
         def write() -> None:
             with self._write_lock:
                 memory.save(self.disk, snapshot)
 
-        (run_inline if complete else self.background)(write, self._on_saved)
+        (run_inline if complete else self.run_in_background)(write, self._on_saved)
 
-    def begin(self) -> None:
+    def start_saving(self) -> None:
         """Saves from now on, each time `buffer memory` has passed, as long as the gateway runs."""
-        self.context.loop.call_later(self.context.config.buffer.memory / 1000.0, self._save_again)
+        self.context.loop.call_later(self.context.config.buffer.memory / 1000.0, self._save_periodically)
 
     def _on_saved(self, error: BaseException | None) -> None:
         if error is not None:
             self.context.log.warning("memory is not kept", why=str(error))
 
-    def _save_again(self) -> None:
+    def _save_periodically(self) -> None:
         if not self.context.stopped.done():
             self.save()
-            self.begin()
+            self.start_saving()
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -9,13 +9,13 @@
 from collections.abc import Awaitable, Callable
 
 from pebblehinge.core import FinalStatus
-from pebblehinge.gateway.admission import MAX_QUOTED, check_patience
+from pebblehinge.gateway.admission import MAX_QUOTED_CHARS, check_time_limit
 from pebblehinge.gateway.buffered_request import BufferedOrigin, BufferedRequest
-from pebblehinge.gateway.commit import NodeCommitter
 from pebblehinge.gateway.context import GatewayContext
 from pebblehinge.gateway.errors import RequestRejectedError
 from pebblehinge.gateway.flush_requests import FlushRequests
-from pebblehinge.gateway.framed_request import FINAL_WORDS, FramedRequest
+from pebblehinge.gateway.framed_request import FINAL_STATUS_LABELS, FramedRequest
+from pebblehinge.gateway.write_back_runner import WriteBackRunner
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty_writes import DirtyWrites
 from pebblehinge.store.disk import Disk
@@ -38,26 +38,26 @@
         counts: Writes by what became of them.
     """
 
-    def __init__(self, context: GatewayContext, disk: Disk, make_durable: Callable[[Batch], Awaitable[None]]) -> None:
+    def __init__(self, context: GatewayContext, disk: Disk, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
         """Keeps the journal on `disk`; `make_durable` appends a batch to it and syncs."""
         self.context = context
         self.loop = context.loop
         self.clock = context.clock
-        block = self.block = context.config.buffer
-        self.journal = Journal(disk, block.segment)
-        self.committer = Committer(self.journal, make_durable)
+        settings = self.settings = context.config.buffer
+        self.journal = Journal(disk, settings.segment)
+        self.committer = Committer(self.journal, write_batch)
         self.dirty = DirtyWrites()
-        self.policy = WritebackPolicy(block.most, block.age, block.delay, block.out)
+        self.policy = WritebackPolicy(settings.most, settings.age, settings.delay, settings.out)
         self.flushes = FlushRequests(self.committer, self.dirty, self._succeed)
-        self.open = 0
+        self.open_count = 0
         self.stopping = False
         self.closed = False
         self.counts = {"confirmed": 0, "landed": 0, "stood already": 0, "refused": 0}
-        self.node_committer = NodeCommitter(
+        self.write_back_runner = WriteBackRunner(
             context, self.journal, self.committer, self.dirty, self.policy, self.counts, self._on_progress
         )
 
-    def begin(self) -> None:
+    def recover(self) -> None:
         """Restores what an earlier incarnation had confirmed; raises StorageError if that can't be read."""
         self.journal.recover()
         now = self.clock()
@@ -71,25 +71,23 @@
             writes, size = len(self.journal.writes), self.dirty.bytes
             self.context.log.info("journal", writes=writes, bytes=size, cut=self.journal.truncated_bytes)
 
-    def buffers(self, volume: str) -> bool:
+    def is_buffered(self, volume: str) -> bool:
         """Whether a volume is buffered."""
-        block = self.context.config.volume.get(volume)
-        return block is not None and block.save == "buffered"
+        volume_settings = self.context.config.volume.get(volume)
+        return volume_settings is not None and volume_settings.save == "buffered"
 
-    # ---- requests
-
-    def take(
+    def try_handle(
         self,
-        conn: BufferedOrigin,
+        origin: BufferedOrigin,
         id_: int,
-        trace: str,
+        trace_id: str,
         volume: str,
-        profile: str,
+        request_class: str,
         extent: str,
         slot: int,
         units: float,
-        left_ms: float,
-        label: str | None,
+        time_limit_ms: float,
+        idempotency_key: str | None,
         op: int,
         offset: int,
         length: int,
@@ -101,97 +99,96 @@
         """
         now = self.context.now
         if op == READ:
-            found = self.dirty.read_covered(volume, extent, offset, length) if length else None
-            if found is not None:
-                self._answer(BufferedRequest(conn, id_, slot, trace), FinalStatus.SUCCEEDED, 0.0, "", found)
-            return found is not None
+            covered_data = self.dirty.read_covered(volume, extent, offset, length) if length else None
+            if covered_data is not None:
+                self._answer(BufferedRequest(origin, id_, slot, trace_id), FinalStatus.SUCCEEDED, 0.0, "", covered_data)
+            return covered_data is not None
         if op not in (WRITE, BARRIER, FLUSH):
             return False
-        request = BufferedRequest(conn, id_, slot, trace)
+        request = BufferedRequest(origin, id_, slot, trace_id)
         try:
-            check_patience(left_ms)
-            self._admit(now, profile, op, offset, units, data)
+            check_time_limit(time_limit_ms)
+            self._check_admission(now, request_class, op, offset, units, data)
         except RequestRejectedError as error:
             self.counts["refused"] += 1
-            stay_ms = error.stay_ms or self.context.config.rules.stay_away_max
-            self._answer(request, FinalStatus.REJECTED, stay_ms, str(error), b"")
+            retry_after_ms = error.retry_after_ms or self.context.config.rules.stay_away_max
+            self._answer(request, FinalStatus.REJECTED, retry_after_ms, str(error), b"")
             return True
-        self.open += 1
-        confirm_ms = max(0.0, left_ms - self.context.block.answer_margin)
-        request.timer = self.loop.call_later(confirm_ms / 1000.0, self._time_out, request)
+        self.open_count += 1
+        answer_timeout_ms = max(0.0, time_limit_ms - self.context.gateway_settings.answer_margin)
+        request.timer = self.loop.call_later(answer_timeout_ms / 1000.0, self._time_out, request)
         if op == FLUSH:
             self._flush(request, volume)
             return True
         number = self.journal.next_number()
         if op == BARRIER:
-            self._confirm(request, Barrier(number, volume))
+            self._append(request, Barrier(number, volume))
         else:
-            self._confirm(request, Write(number, volume, extent, slot, offset, data, label or trace, profile, units))
+            self._append(
+                request,
+                Write(number, volume, extent, slot, offset, data, idempotency_key or trace_id, request_class, units),
+            )
         return True
 
-    def before_read(self, volume: str, extent: str) -> tuple[Write, ...]:
+    def dirty_writes_of_extent(self, volume: str, extent: str) -> tuple[Write, ...]:
         """Returns dirty writes that a read must show, even if they are committed meanwhile and it did not see them."""
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
-    def after_read(self, pending: FramedRequest, dirty_writes: tuple[Write, ...], data: bytes) -> bytes:
+    def overlay_dirty_writes(self, pending: FramedRequest, writes_before_read: tuple[Write, ...], data: bytes) -> bytes:
         """Returns the bytes of a read with the dirty writes of before it, then those of now, over them."""
-        before = DirtyWrites()
-        for write in dirty_writes:
-            before.add(0.0, write)
-        base = before.overlay(pending.volume, pending.extent, pending.offset, pending.length, data)
-        return self.dirty.overlay(pending.volume, pending.extent, pending.offset, pending.length, base)
+        earlier_overlay = DirtyWrites()
+        for write in writes_before_read:
+            earlier_overlay.add(0.0, write)
+        data_before = earlier_overlay.overlay(pending.volume, pending.extent, pending.offset, pending.length, data)
+        return self.dirty.overlay(pending.volume, pending.extent, pending.offset, pending.length, data_before)
 
-    def pump(self) -> None:
+    def start_due_writes(self) -> None:
         """Starts the commits that are due, and comes again when others are."""
-        self.node_committer.pump()
-
-    # ---- graceful shutdown
+        self.write_back_runner.start_due_writes()
 
     def stop(self) -> None:
         """Accepts no new writes; what is dirty is committed for a while, and what is left stays in the journal."""
         self.stopping = True
         for volume in list(self.dirty.volumes):
             self.policy.flush(volume, self.journal.last_number)
-        self.pump()
-        self.loop.call_later(self.block.stop / 1000.0, self._give_up)
+        self.start_due_writes()
+        self.loop.call_later(self.settings.stop / 1000.0, self._on_shutdown_timeout)
 
-    def is_done(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether the gateway may end: nothing is owed, all is committed and recorded, or the time for that is over."""
-        if self.open:
+        if self.open_count:
             return False
-        is_recorded = not self.node_committer.committed or self.committer.failure is not None
+        is_recorded = not self.write_back_runner.written_back_numbers or self.committer.failure is not None
         is_clean = not len(self.dirty) and is_recorded and not self.committer.is_running
-        return self.node_committer.gave_up or is_clean
+        return self.write_back_runner.shutdown_timed_out or is_clean
 
     def close(self) -> None:
         """Cancels what is under way."""
         self.closed = True
-        self.node_committer.close()
+        self.write_back_runner.close()
 
-    def _give_up(self) -> None:
+    def _on_shutdown_timeout(self) -> None:
         if self.dirty and not self.closed:
             self.context.log.warning("left in the journal", writes=len(self.dirty), bytes=self.dirty.bytes)
-        self.node_committer.gave_up = True
+        self.write_back_runner.shutdown_timed_out = True
         self.context.stop_if_done()
 
-    # ---- steps of a request
-
-    def _admit(self, now: float, profile: str, op: int, offset: int, units: float, data: bytes) -> None:
+    def _check_admission(self, now: float, request_class: str, op: int, offset: int, units: float, data: bytes) -> None:
         """Raises RequestRejectedError for a request that is not accepted."""
         config = self.context.config
         if self.stopping:
             raise RequestRejectedError("this head is stopping: another one takes new accesses")
-        if op == WRITE and (profile not in config.profile or offset < 0):
-            quoted = profile[:MAX_QUOTED]
+        if op == WRITE and (request_class not in config.profile or offset < 0):
+            quoted = request_class[:MAX_QUOTED_CHARS]
             raise RequestRejectedError(f"profile {quoted!r} is not known here, or there is no such place")
         if op == WRITE and not 0 < units <= config.rules.most_units:
             raise RequestRejectedError(f"{units:g} units: at most {config.rules.most_units:g} are taken")
         if op == FLUSH:
             return
-        unconfirmed_bytes = sum(len(getattr(row.record, "data", b"")) for row in self.committer.pending)
-        refusal = self.policy.check_write(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failure)
-        if refusal is not None:
-            raise RequestRejectedError(refusal.reason, refusal.retry_after_ms)
+        unconfirmed_bytes = sum(len(getattr(pending.record, "data", b"")) for pending in self.committer.pending)
+        rejection = self.policy.check_write(now, self.dirty, len(data) + unconfirmed_bytes, self.committer.failure)
+        if rejection is not None:
+            raise RequestRejectedError(rejection.reason, rejection.retry_after_ms)
 
     def _flush(self, request: BufferedRequest, volume: str) -> None:
         """Waits until all is committed that was confirmed, or is being confirmed, by now."""
@@ -199,16 +196,16 @@
         request.up_to = self.journal.last_number
         self.policy.flush(volume, request.up_to)
         self.flushes.add(request)
-        self.flushes.check()
-        self.pump()
+        self.flushes.answer_completed()
+        self.start_due_writes()
 
-    def _confirm(self, request: BufferedRequest, record: Write | Barrier) -> None:
+    def _append(self, request: BufferedRequest, record: Write | Barrier) -> None:
         """Appends a record to the journal; the request is answered when it is durable."""
-        self.committer.add(record, lambda is_durable: self._on_recorded(request, record, is_durable))
+        self.committer.add(record, lambda is_durable: self._on_append_result(request, record, is_durable))
         if not self.committer.is_running:
-            self.node_committer.spawn(self.committer.run())
+            self.write_back_runner.spawn(self.committer.run())
 
-    def _on_recorded(self, request: BufferedRequest, record: Write | Barrier, is_durable: bool) -> None:
+    def _on_append_result(self, request: BufferedRequest, record: Write | Barrier, is_durable: bool) -> None:
         if self.closed:
             return
         if not is_durable:
@@ -221,7 +218,7 @@
             self.dirty.add(self.clock(), record)
             self.counts["confirmed"] += 1
         self._succeed(request)
-        self.pump()
+        self.start_due_writes()
 
     def _time_out(self, request: BufferedRequest) -> None:
         """The request's time is up. What it asked for goes on, and is no longer promised."""
@@ -230,20 +227,24 @@
     def _succeed(self, request: BufferedRequest) -> None:
         self._answer(request, FinalStatus.SUCCEEDED, 0.0, "", b"")
 
-    def _answer(self, request: BufferedRequest, final: FinalStatus, stay_ms: float, reason: str, data: bytes) -> None:
+    def _answer(
+        self, request: BufferedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
+    ) -> None:
         if request.answered:
             return
         request.answered = True
         if request.timer is not None:
             request.timer.cancel()
-            self.open -= 1
-        request.conn.answer_buffered(request.id, final, stay_ms, reason, request.slot, data)
-        self.context.note(self.clock(), "answer", id=request.trace, final=FINAL_WORDS[final], stay=stay_ms)
-        if self.stopping and not self.open:
+            self.open_count -= 1
+        request.origin.deliver_buffered_answer(request.id, final, retry_after_ms, reason, request.slot, data)
+        self.context.record_event(
+            self.clock(), "answer", id=request.trace_id, final=FINAL_STATUS_LABELS[final], stay=retry_after_ms
+        )
+        if self.stopping and not self.open_count:
             self.loop.call_soon(self.context.stop_if_done)
 
     def _on_progress(self) -> None:
         """Something of the commits is no longer under way."""
-        self.flushes.check()
+        self.flushes.answer_completed()
         if self.stopping:
             self.loop.call_soon(self.context.stop_if_done)
--- a/pebblehinge/gateway/commit.py
+++ b/pebblehinge/gateway/write_back_runner.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.core import FinalStatus
 from pebblehinge.gateway.context import GatewayContext
-from pebblehinge.gateway.framed_request import FINAL_WORDS
+from pebblehinge.gateway.framed_request import FINAL_STATUS_LABELS
 from pebblehinge.gateway.internal_client import InternalClient, InternalResult
 from pebblehinge.store.committer import Committer
 from pebblehinge.store.dirty_writes import DirtyWrites
@@ -19,11 +19,11 @@
 from pebblehinge.store.writeback_policy import WritebackPolicy, WritebackStep, next_step
 from pebblehinge.wire.frames import READ, WRITE
 
-MIN_WAIT_MS = 0.5
+MIN_TIMER_DELAY_MS = 0.5
 """The least wait until the dirty writes are looked at again, in milliseconds."""
 
 
-class NodeCommitter:
+class WriteBackRunner:
     """Commits the dirty writes of a gateway.
 
     Attributes:
@@ -41,41 +41,43 @@
         dirty: DirtyWrites,
         policy: WritebackPolicy,
         counts: dict[str, int],
-        progressed: Callable[[], None],
+        on_progress: Callable[[], None],
     ) -> None:
         """Calls `progressed` whenever something is no longer under way, and counts ends in `counts`."""
         self.context = context
         self.loop = context.loop
         self.clock = context.clock
-        self.block = context.config.buffer
+        self.settings = context.config.buffer
         self.journal = journal
         self.committer = committer
         self.dirty = dirty
         self.policy = policy
         self.counts = counts
-        self.progressed = progressed
+        self.on_progress = on_progress
         self.client = InternalClient(context, "write-back")
-        self.committed: list[int] = []
-        self.gave_up = False
+        self.written_back_numbers: list[int] = []
+        self.shutdown_timed_out = False
         self.closed = False
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._timer: asyncio.TimerHandle | None = None
-        self._record_timer: asyncio.TimerHandle | None = None
+        self._wake_timer: asyncio.TimerHandle | None = None
+        self._completion_timer: asyncio.TimerHandle | None = None
 
-    def pump(self) -> None:
+    def start_due_writes(self) -> None:
         """Starts the writes that are due, and comes again when others are."""
-        if self.gave_up or self.closed:
+        if self.shutdown_timed_out or self.closed:
             return
         now = self.clock()
         for write in self.policy.due_writes(now, self.dirty):
             self.dirty.in_flight[write.number] = None
-            self.spawn(self._commit(write))
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+            self.spawn(self._write_back(write))
+        if self._wake_timer is not None:
+            self._wake_timer.cancel()
+            self._wake_timer = None
         wake_ms = self.policy.next_wake_ms(now, self.dirty)
         if wake_ms < math.inf:
-            self._timer = self.loop.call_later(max(MIN_WAIT_MS, wake_ms - now) / 1000.0, self.pump)
+            self._wake_timer = self.loop.call_later(
+                max(MIN_TIMER_DELAY_MS, wake_ms - now) / 1000.0, self.start_due_writes
+            )
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Runs a coroutine as a task of its own; a fault in it is logged."""
@@ -86,73 +88,77 @@
     def close(self) -> None:
         """Cancels what is under way."""
         self.closed = True
-        for handle in (self._timer, self._record_timer):
+        for handle in (self._wake_timer, self._completion_timer):
             if handle is not None:
                 handle.cancel()
         for task in list(self._tasks):
             task.cancel()
 
-    async def _commit(self, write: Write) -> None:
+    async def _write_back(self, write: Write) -> None:
         step = next_step(write, write.number in self.dirty.maybe_applied, None)
         if step is WritebackStep.READ_BACK:
-            result = await self._request(write, READ, b"")
-            if result.final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
+            result = await self._send_request(write, READ, b"")
+            if result.final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]:
                 step = next_step(write, True, result.data)
         if step is WritebackStep.WRITE:
-            result = await self._request(write, WRITE, write.data)
-            if result.final != FINAL_WORDS[FinalStatus.REJECTED]:
+            result = await self._send_request(write, WRITE, write.data)
+            if result.final != FINAL_STATUS_LABELS[FinalStatus.REJECTED]:
                 self.dirty.maybe_applied[write.number] = None  # it may have run, whatever becomes of it
         now = self.clock()
         self.dirty.in_flight.pop(write.number, None)
-        is_there = step is WritebackStep.DONE
-        final, stay_ms = (FINAL_WORDS[FinalStatus.SUCCEEDED], 0.0) if is_there else (result.final, result.stay_ms)
-        if final == FINAL_WORDS[FinalStatus.SUCCEEDED]:
+        already_applied = step is WritebackStep.DONE
+        final, retry_after_ms = (
+            (FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED], 0.0)
+            if already_applied
+            else (result.final, result.retry_after_ms)
+        )
+        if final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]:
             self.policy.record_success(write)
         else:
-            self.policy.record_failure(now, write, stay_ms)
-        if is_there or (step is WritebackStep.WRITE and final == FINAL_WORDS[FinalStatus.SUCCEEDED]):
-            self.counts["stood already" if is_there else "landed"] += 1
+            self.policy.record_failure(now, write, retry_after_ms)
+        if already_applied or (step is WritebackStep.WRITE and final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]):
+            self.counts["stood already" if already_applied else "landed"] += 1
             self.dirty.remove(write)
-            self.committed.append(write.number)
-            self._record_soon()
-        self.pump()
-        self.progressed()
+            self.written_back_numbers.append(write.number)
+            self._schedule_completion()
+        self.start_due_writes()
+        self.on_progress()
 
-    async def _request(self, write: Write, op: int, data: bytes) -> InternalResult:
+    async def _send_request(self, write: Write, op: int, data: bytes) -> InternalResult:
         volume = self.context.config.volume.get(write.volume)
         request_class = volume.back if volume is not None and volume.back else write.request_class
-        number = self.client.ids + 1
+        request_number = self.client.last_id + 1
         return await self.client.request(
             write.volume,
             op=op,
             extent=write.extent,
             slot=write.slot,
-            profile=request_class,
+            request_class=request_class,
             units=write.units,
-            patience_ms=self.block.patience,
-            trace=f"{self.context.name}.w{write.number}.{number}",
-            again=False,
+            time_limit_ms=self.settings.patience,
+            trace_id=f"{self.context.name}.w{write.number}.{request_number}",
+            is_retry=False,
             offset=write.offset,
             length=len(write.data),
             data=data,
-            label=f"wb.{write.idempotency_key}.{write.number}",
+            idempotency_key=f"wb.{write.idempotency_key}.{write.number}",
         )
 
-    def _record_soon(self) -> None:
-        if self._record_timer is None and not self.closed:
-            self._record_timer = self.loop.call_later(self.block.done / 1000.0, self._record)
+    def _schedule_completion(self) -> None:
+        if self._completion_timer is None and not self.closed:
+            self._completion_timer = self.loop.call_later(self.settings.done / 1000.0, self._record_completion)
 
-    def _record(self) -> None:
+    def _record_completion(self) -> None:
         """Records what is committed, so that it is not written again after a crash; then segments may go."""
-        self._record_timer = None
-        if not self.committed or self.committer.failure or self.closed:
+        self._completion_timer = None
+        if not self.written_back_numbers or self.committer.failure or self.closed:
             return
-        numbers, self.committed = self.committed, []
-        self.committer.add(Completion(numbers), self._on_recorded)
+        numbers, self.written_back_numbers = self.written_back_numbers, []
+        self.committer.add(Completion(numbers), self._on_completion_recorded)
         if not self.committer.is_running:
             self.spawn(self.committer.run())
 
-    def _on_recorded(self, is_durable: bool) -> None:
+    def _on_completion_recorded(self, is_durable: bool) -> None:
         if is_durable and not self.closed:
             self.journal.reclaim()
             for record in self.journal.records_to_relocate():
@@ -161,7 +167,7 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.pop(task, None)
         if not self.closed:
-            self.progressed()
+            self.on_progress()
         error = None if task.cancelled() else task.exception()
         if error is not None:
             where = "".join(traceback.format_exception(error, limit=-4))
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -40,13 +40,13 @@
     application = VersionApplication(name, floor)
     if disk.exists(AGREED):
         application = VersionApplication.restore(name, floor, disk.read(AGREED))
-    head.adopt(config_without_lease(config, floor))
+    head.apply_config(config_without_lease(config, floor))
     watcher = ConfigWatcher(
         node,
         clock,
         config,
         application,
-        lambda new, mode: head.adopt(new),
+        lambda new, mode: head.apply_config(new),
         lambda data: disk.replace(AGREED, data),
         log,
         beside,
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -99,11 +99,11 @@
                 disk = self.struck.disk(name, self.seed)
                 ahead = life * (self.memory_age_ms or 0.0)
                 wall = self.struck.wall_of(name)
-                head.keep_snapshots(
+                head.enable_snapshots(
                     disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.struck.beside(name)
                 )
             kept = self.captures[f"{name}.{life}"] = bytearray()
-            head.capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
+            head.start_capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
             await head.start()
             if self.config.member:
                 join(
--- a/pebblehinge/rsync/module_state.py
+++ b/pebblehinge/rsync/module_state.py
@@ -20,13 +20,13 @@
 
     Attributes:
         final: The word of the final answer.
-        stay_ms: How long to wait before the next request, in milliseconds (Retry-After).
+        retry_after_ms: How long to wait before the next request, in milliseconds (Retry-After).
         reason: Why it did not succeed, or "".
         data: The answer's bytes.
     """
 
     final: str
-    stay_ms: float
+    retry_after_ms: float
     reason: str
     data: bytes
 
--- a/pebblehinge/rsync/transfer.py
+++ b/pebblehinge/rsync/transfer.py
@@ -98,7 +98,7 @@
             final, retry_after_ms = ABANDONED, 0.0
             try:
                 answer = await self._attempt(operation, units, is_retry=request.retries > 0)
-                final, retry_after_ms = answer.final, answer.stay_ms
+                final, retry_after_ms = answer.final, answer.retry_after_ms
             finally:
                 self.scheduler.complete(request, final, retry_after_ms)
             wait_ms = self.scheduler.requests.retry_delay_ms(self.clock(), request, final, retry_after_ms, idempotent)
@@ -115,15 +115,15 @@
             op=operation.op,
             extent=operation.extent,
             slot=slot_of(operation.extent, self.store.slots),
-            profile=operation.profile,
+            request_class=operation.profile,
             units=units,
-            patience_ms=budget_ms,
-            trace=f"{self.trace}.{self._request_count}",
-            again=is_retry,
+            time_limit_ms=budget_ms,
+            trace_id=f"{self.trace}.{self._request_count}",
+            is_retry=is_retry,
             offset=operation.offset,
             length=operation.length,
             data=operation.data,
-            label=operation.label,
+            idempotency_key=operation.label,
         )
 
     async def read(self, extent: str, offset: int, length: int) -> bytes:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -209,11 +209,11 @@
         """As SIGKILL does: the system closes its sockets, nothing is said."""
         self.head.listener.close()
         self.head.discovery.close()
-        for conn in self.head.conns:
+        for conn in self.head.client_connections:
             conn.on_disconnect = lambda exc: None  # type: ignore[method-assign]
             conn.abort()
         for link in self.head.links.values():
-            link.ended = lambda *_: None
+            link.on_attempt_end = lambda *_: None
             if link.connection is not None:
                 link.connection.abort()
         if self.head.wake_timer is not None:
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -121,7 +121,7 @@
         held = self.held.setdefault(extent, bytearray())
 
         class Done:
-            final, stay_ms, reason, data = "honoured", 0.0, "", b""
+            final, retry_after_ms, reason, data = "honoured", 0.0, "", b""
 
         done = Done()
         if op == 0:
--- a/tests/test_beside.py
+++ b/tests/test_beside.py
@@ -147,7 +147,7 @@
 
 def test_the_last_memory_of_a_life_is_the_one_that_stays(tmp_path: Path) -> None:
     """It is written at the end, in the loop; one of before may still be on its way in a thread."""
-    from pebblehinge.gateway.snapshots import SnapshotKeeper
+    from pebblehinge.gateway.snapshots import SnapshotManager
 
     order: list[str] = []
 
@@ -158,7 +158,7 @@
             order.append("ends")
 
     class House:
-        config, block, name, log = STRUCK, STRUCK.head["h1"], "h1", Quiet()
+        config, gateway_settings, name, log = STRUCK, STRUCK.head["h1"], "h1", Quiet()
 
         class core:  # noqa: N801
             class scheduler:  # noqa: N801
@@ -176,7 +176,7 @@
         threads.append(threading.Thread(target=run_inline, args=(call, done)))
         threads[-1].start()
 
-    keeper = SnapshotKeeper(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
+    keeper = SnapshotManager(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
     keeper.save()
     time.sleep(0.02)
     keeper.save(complete=True)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -162,7 +162,7 @@
     core.apply_endpoint_list(1000.0, ListKind.WHOLE, [EndpointEntry("s0", EndpointState.READY, 0, 0.0)])
 
     def one(id_: int, left_ms: float) -> Any:
-        return core.take(
+        return core.admit(
             1000.0, Origin(), id_, f"t{id_}", "gold-1", None, "look", "x", 0, 1.0, left_ms, None, None, 0, 0, 10, b""
         )
 
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -75,7 +75,7 @@
         draw = rng.random()
         if draw < 0.5:
             count += 1
-            pending = core.take(
+            pending = core.admit(
                 now,
                 Origin(),
                 count,
@@ -112,7 +112,7 @@
             list_kind = rng.choice((ListKind.WHOLE, ListKind.CHANGES))
             core.apply_endpoint_list(now, list_kind, [e for e in endpoints if e.state is not EndpointState.GONE])
         else:
-            core.adopt_config(now, CONFIG)
+            core.apply_config(now, CONFIG)
     advance_to(now + 5000.0)
     answer_counts = {i: effects.answer_counts[i] for i in range(1, count + 1)}
     faults = effects.faults + [f"{i}: {n} answers" for i, n in answer_counts.items() if n != (i not in cancelled_ids)]
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -66,7 +66,9 @@
 
 
 def test_a_replay_without_a_look_and_without_labels_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("pebblehinge.gateway.commit.next_step", lambda write, risky, read_back: WritebackStep.WRITE)
+    monkeypatch.setattr(
+        "pebblehinge.gateway.write_back_runner.next_step", lambda write, risky, read_back: WritebackStep.WRITE
+    )
     monkeypatch.setattr("pebblehinge.storage_node.contents.Contents.is_applied", lambda self, label, now, window: False)
     assert broken(range(10))["doubled"]
 
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -79,7 +79,7 @@
 
     class Watches(GatewayCore):
         def start(self, now: float) -> None:
-            learned.setdefault(self.block.listen, []).append(len(self.scheduler.nodes.restored_nodes))
+            learned.setdefault(self.gateway_settings.listen, []).append(len(self.scheduler.nodes.restored_nodes))
             super().start(now)
 
     village, known = day(script, head_core=Watches)
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -19,7 +19,7 @@
         clients = []
         for _ in range(20):
             clients += await asyncio.gather(*(rig.client(within_ms=10_000) for _ in range(100)))
-        assert len(rig.head.conns) == 2000
+        assert len(rig.head.client_connections) == 2000
         order = [
             c.read("v", f"x{i}", 1, profile="look", slot=i % 2, units=1.0, patience_ms=8000.0)
             for i, c in enumerate(clients)
@@ -115,7 +115,7 @@
         writer.write(encode_hello())
         got = await read_remaining_frames(reader)  # never answers the ping
         assert [k for k, _ in got][:2] == [Kind.HELLO, Kind.PING]
-        await until(lambda: not rig.head.conns)
+        await until(lambda: not rig.head.client_connections)
 
     on_rig(script)
 
@@ -133,10 +133,10 @@
                 )
             )
             await asyncio.sleep(0.01)
-        await until(lambda: any(c.write_paused for c in rig.head.conns))
-        conn = next(iter(rig.head.conns))
+        await until(lambda: any(c.write_paused for c in rig.head.client_connections))
+        conn = next(iter(rig.head.client_connections))
         assert conn.transport.get_write_buffer_size() < 40 * 900_000
-        await until(lambda: not rig.head.conns, 6.0)
+        await until(lambda: not rig.head.client_connections, 6.0)
         await until(lambda: not rig.head.core.pending)
         assert rig.head.core.open_count == 0 and rig.head.core.payload_bytes == 0
         writer.close()
@@ -189,7 +189,7 @@
         await asyncio.sleep(0.01)
         new = rig.config
         new.plan["capped"].limit, new.plan["capped"].burst = 100.0, 100.0
-        rig.head.adopt(new)
+        rig.head.apply_config(new)
         got = await held
         assert got.succeeded and got.took_ms < 400
         assert rig.head.core.scheduler.settings.quota_plans["capped"].limit_rate == 100.0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -133,7 +133,7 @@
 
         async def start() -> GatewayServer:
             head = rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
-            head.keep_snapshots(disk, lambda: (rig.clock(), rig.clock(), "b"))
+            head.enable_snapshots(disk, lambda: (rig.clock(), rig.clock(), "b"))
             await head.start()
             await until(lambda: len(head.core.scheduler.nodes.node_at_slot) == len(rig.shelfs))
             return head
--- a/tests/test_rsync_bad_clients.py
+++ b/tests/test_rsync_bad_clients.py
@@ -83,6 +83,6 @@
             line.close()
         assert (await t.push(TREE, "last/")).code == 0
         assert await stands(t, "last/") == held(TREE)
-        await t.until(lambda: t.servers["h1"].rsync_listener.transfers == 0, 70.0)
+        await t.until(lambda: t.servers["h1"].rsync_listener.transfer_count == 0, 70.0)
 
     in_town(script)
--- a/tests/test_rsync_commits.py
+++ b/tests/test_rsync_commits.py
@@ -38,7 +38,7 @@
         got = await t.push({b"save": Local(b"2"), b"other": Local(b"3")})
         assert got.code == 0 and lost, (got, lost)
         assert sorted(await stands(t)) == [b".", b"first", b"other", b"save"]
-        assert t.servers["h1"].rsync_listener.places["tenders"].uncertain >= 1
+        assert t.servers["h1"].rsync_listener.module_stores["tenders"].uncertain >= 1
 
     in_town(script)
 
--- a/tests/test_rsync_concurrent.py
+++ b/tests/test_rsync_concurrent.py
@@ -50,7 +50,7 @@
 
         await asyncio.gather(*(member(n) for n in range(25)))
         for head in ("h1", "h2"):
-            place = t.servers[head].rsync_listener.places["tenders"]
+            place = t.servers[head].rsync_listener.module_stores["tenders"]
             for path, log in place.directories.items():
                 held_ = t.contents[slot_of(log.extent, place.slots)].extents.get(f"files/{log.extent}", b"")
                 assert log.directory.end <= len(held_) and not log.directory.partial_record, path
--- a/tests/test_rsync_interrupted.py
+++ b/tests/test_rsync_interrupted.py
@@ -47,7 +47,7 @@
         assert {n: d for n, d in (await stands(t)).items() if n != b"."} == held(new)
         head = t.servers["h1"]
         await t.until(
-            lambda: not head.rsync_listener.transfers and not head.core.open_count and not head.core.pending
+            lambda: not head.rsync_listener.transfer_count and not head.core.open_count and not head.core.pending
         )  # nothing is left
 
     in_town(script)
@@ -63,7 +63,7 @@
         got = await t.push({b"big": Local(BIG)})
         assert got.code == 0 and got.literal < 200_000 and got.matched > 100_000, (got.literal, got.matched)
         assert (await stands(t))[b"big"] == BIG
-        assert not t.servers["h1"].rsync_listener.keeping.parts
+        assert not t.servers["h1"].rsync_listener.partial_uploads.parts
 
     in_town(script)
 
--- a/tests/test_running_gateway.py
+++ b/tests/test_running_gateway.py
@@ -43,7 +43,7 @@
         other = await rig.client()
         rig.shelfs[0].does = Attempt.answer
         assert (await other.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
-        assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late_outcomes == 1
+        assert len(rig.shelfs[0].attempts) == 2 and rig.head.links["s1"].late_outcome_count == 1
 
     on_rig(script)
 
@@ -66,7 +66,7 @@
         client = await rig.client(observer=lambda event, **_: extra.append(event))
         got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         rig.shelfs[0].attempts[0].answer()
-        await until(lambda: rig.head.links["s1"].late_outcomes == 1)
+        await until(lambda: rig.head.links["s1"].late_outcome_count == 1)
         await asyncio.sleep(0.05)
         assert got.final == "terminated" and "extra" not in extra
 
@@ -164,7 +164,7 @@
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        await until(lambda: rig.head.conns)
+        await until(lambda: rig.head.client_connections)
         rig.head.stop("SIGTERM")
         got = await client.read("v", "x", 1, **LOOK_OPTIONS)  # written before STOPPING was read
         assert got.final == "pushed back" and "stopping" in got.reason
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -159,7 +159,7 @@
         rig.shelfs[0].does = lambda attempt: attempt.answer()
         began = rig.clock()
         await asyncio.wait_for(rig.head.stopped, 8.0)
-        assert not len(back.dirty) and not back.node_committer.committed
+        assert not len(back.dirty) and not back.write_back_runner.written_back_numbers
         assert rig.clock() - began < 2000.0  # once all is noted it ends, and not with its grace
 
     on_rig(script, BUFFERED)
@@ -172,7 +172,7 @@
         client = await rig.client()
         assert (await client.write("b", "x", b"1", **WHERE)).succeeded
         new = config(BUFFERED.replace("volume b {\n    plan gold", "volume b {\n    plan capped"), FLEET)
-        rig.head.adopt(new)
+        rig.head.apply_config(new)
         for attempt in rig.shelfs[0].attempts:
             attempt.answer()
         rig.shelfs[0].does = lambda attempt: attempt.answer()
