--- a/pebblehinge/client/connection.py
+++ b/pebblehinge/client/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection to a gateway."""
+"""Connection of a client to a gateway."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pebblehinge.wire.frames import BARRIER, FLUSH, READ, WRITE
 
 KEEPALIVE_MS = 5_000.0
-"""The keepalive interval in milliseconds: the gateways' own, unless their settings say otherwise."""
+"""Keepalive interval, which is also the default of the gateways' settings."""
 
 NO_EXTENT = "-"
-"""What barriers and flushes, which concern a volume, name as their extent."""
+"""Extent name in barriers and flushes, which concern a whole volume."""
 
 
 @dataclass(slots=True)
 class _OpenRequest:
-    """A request without a result yet; `sent_s` is in seconds of the loop's clock."""
+    """A request without a result yet; `sent_s` is when it was sent, by the loop's clock in seconds."""
 
     future: asyncio.Future[Result]
     sent_s: float
@@ -32,13 +32,13 @@
 
 
 class Client(Peer):
-    """Many requests on one connection. Made by `pebblehinge.client.connect`.
+    """Connection that carries many requests at once, opened by `pebblehinge.client.connect`.
 
     Attributes:
         open_requests: The requests without a result, by their ids.
-        handshake: Done when the gateway has accepted the connection; fails with ConnectionError if it did not.
-        stopping: Whether the gateway is shutting down: a further request belongs to another one.
-        close_reason: Why the connection ended, where that is known.
+        handshake: Completes when the gateway has accepted the connection; fails with ConnectionError if it did not.
+        stopping: Whether the gateway is shutting down, so that further requests should go to another one.
+        close_reason: Why the connection ended, empty if that is unknown.
     """
 
     ACCEPTED_KINDS = frozenset({Kind.ANSWER, Kind.STOPPING})
@@ -62,26 +62,26 @@
         self.stopping = False
         self.close_reason = ""
         self._ids = itertools.count(1)
-        self._cancelled_ids: OrderedDict[int, None] = OrderedDict()  # an answer may have crossed the CANCEL
+        self._cancelled_ids: OrderedDict[int, None] = OrderedDict()  # the answer may cross the CANCEL
 
     # ---- the connection
 
     def on_ready(self) -> None:
-        """The greeting is over."""
+        """Completes the handshake."""
         if not self.handshake.done():
             self.handshake.set_result(None)
 
     def on_rejection(self, reason: str) -> None:
-        """The gateway rejects the connection, or what was sent on it."""
+        """Records why the gateway rejects the connection or a frame."""
         self.close_reason = reason
 
     def fail(self, reason: str) -> None:
-        """Sends one ERROR frame with the reason, then closes."""
+        """Sends an ERROR frame with the reason, then closes the connection."""
         self.close_reason = reason
         super().fail(reason)
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """The connection is over: what is open on it is lost."""
+        """Ends all open requests as `LOST`, and fails a handshake that is not complete."""
         if not self.handshake.done():
             self.handshake.set_exception(ConnectionError(self.close_reason or "the head closed the connection"))
         now_s = self.loop.time()
@@ -91,11 +91,11 @@
         self.open_requests.clear()
 
     def on_stopping(self, reason: str) -> None:
-        """The gateway takes nothing new."""
+        """Records that the gateway accepts no further requests."""
         self.stopping = True
 
     def on_answer(self, id_: int, status: int, retry_after_ms: float, reason: str, slot: int, data: bytes) -> None:
-        """The final answer to a request."""
+        """Ends the request that a final answer belongs to."""
         request = self.open_requests.pop(id_, None)
         now_s = self.loop.time()
         if request is None:
@@ -137,17 +137,17 @@
             volume: The volume's name.
             extent: The extent's name, 1 to 500 characters.
             request_class: The request class, as the settings name it.
-            operation: The operation, one of those of `pebblehinge.wire.frames`.
-            slot: The placement slot that holds the extent, or -1 for a new one.
+            operation: One of the operations in `pebblehinge.wire.frames`.
+            slot: The placement slot that stores the extent, or -1 for a new extent.
             units: The request's size in units of the quota.
-            timeout_ms: How long the client waits, in milliseconds.
-            offset: Where to read or write in the extent, in bytes.
-            length: How many bytes.
+            timeout_ms: How long the client waits for the answer, in milliseconds.
+            offset: Offset in the extent at which to read or write, in bytes.
+            length: Number of bytes to read or write.
             data: The bytes to write.
-            quota_plan: The quota plan, or None for the volume's.
-            idempotency_key: The idempotency key, or None for the trace.
-            is_retry: Whether this is a retry, or None if that is not said.
-            trace: Names the request in all logs; by default the client's name and a number.
+            quota_plan: The quota plan, or None for that of the volume.
+            idempotency_key: The idempotency key, or None to use the trace.
+            is_retry: Whether this is a retry, or None if that is unknown.
+            trace: Id of the request in all logs; by default the client's name and a number.
 
         Returns:
             A future of the result, which never fails. Cancelling it cancels the request.
@@ -178,19 +178,20 @@
     def barrier(self, volume: str, **options: Any) -> asyncio.Future[Result]:
         """Orders writes of a buffered volume; `options` are those of `request`.
 
-        Succeeded, all that was confirmed for the volume before is committed before what is confirmed after.
+        If it succeeds, all writes of the volume that were confirmed before it are committed before those confirmed
+        after it.
         """
         return self.request(volume, NO_EXTENT, operation=BARRIER, units=1.0, slot=0, **options)
 
     def flush_volume(self, volume: str, **options: Any) -> asyncio.Future[Result]:
         """Flushes a buffered volume; `options` are those of `request`.
 
-        Succeeded, all that was confirmed for the volume is at its storage nodes.
+        If it succeeds, the storage nodes have all writes of the volume that were confirmed before it.
         """
         return self.request(volume, NO_EXTENT, operation=FLUSH, units=1.0, slot=0, **options)
 
     def cancel(self, id_: int) -> None:
-        """Cancels a request: the gateway sends no answer to it any more."""
+        """Cancels a request, so that the gateway sends no answer to it; does nothing if it has ended."""
         request = self.open_requests.pop(id_, None)
         if request is not None:
             request.timer.cancel()
--- a/pebblehinge/client/establish.py
+++ b/pebblehinge/client/establish.py
@@ -1,4 +1,4 @@
-"""Connecting to a gateway."""
+"""Establishment of a connection to a gateway."""
 
 from __future__ import annotations
 
@@ -25,22 +25,25 @@
     """Connects to a gateway.
 
     Args:
-        address: The gateway's host:port.
-        name: The client's name, which logs show.
+        address: The gateway's address, as `host:port`.
+        name: The client's name in logs.
         loop: The event loop, by default the running one.
-        max_frame_bytes: The greatest length of a frame that is accepted, in bytes.
-        max_streams: How many requests may be open at once.
-        stall_ms: After how long a gateway that does not read is cut off.
-        timeout_ms: How long connecting may take, with the greeting.
+        max_frame_bytes: The greatest length of a frame that the client accepts.
+        max_streams: Number of requests that may be open at once.
+        stall_ms: How long the gateway may not read before the connection is aborted, in milliseconds.
+        timeout_ms: How long connecting may take, with the greeting, in milliseconds.
         role: The role in the greeting.
-        observer: Is told of each event.
-        keepalive_ms: A connection silent for so long is sent a PING, and one silent for three times that is cut, since
-            its other end may be gone with nobody left to say so.
+        observer: Called with each event of the client's requests.
+        keepalive_ms: Milliseconds of silence after which a PING is sent; after three times that the connection is
+            aborted, since the other end may have disappeared without closing it.
+
+    Returns:
+        The connected client.
 
     Raises:
         OSError: The gateway can't be reached, rejects the connection (ConnectionError) or does not greet in time
             (TimeoutError).
-        AddressError: `address` is none.
+        AddressError: `address` is invalid.
     """
     loop = loop or asyncio.get_running_loop()
     deadline = loop.time() + timeout_ms / 1000.0
--- a/pebblehinge/client/observer.py
+++ b/pebblehinge/client/observer.py
@@ -1,4 +1,4 @@
-"""What watches a client: for records and tests."""
+"""Observer of a client's requests, for records and tests."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 
 class Observer(Protocol):
-    """Is told of each event of a client's requests.
+    """Callback that receives each event of a client's requests.
 
-    Events: `sent` (id), `answer` (id, final, stay, took), `left` (id) for a cancelled one, and `extra` (id, final) for
-    an answer to a request that has ended, which no sound gateway sends.
+    Events, with their values in parentheses:
+        sent: A request was sent (id).
+        answer: A request has ended (id, final, stay, took); times are in milliseconds.
+        left: A request was cancelled (id).
+        extra: An answer came to a request that had ended already (id, final), which no correct gateway sends.
     """
 
     def __call__(self, event: str, **values: Any) -> None:
-        """Takes an event and its values."""
+        """Handles an event with its values."""
--- a/pebblehinge/client/result.py
+++ b/pebblehinge/client/result.py
@@ -1,30 +1,30 @@
-"""How a request ended, as a client sees it."""
+"""Result of a request, as a client sees it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SUCCEEDED = "honoured"
-REJECTED = "pushed back"  # trying again is harmless
-FAILED = "terminated"  # nothing is known of the effect
-LOST = "lost"  # the connection broke first: nothing is known of the effect
-TIMED_OUT = "out of time"  # the client's patience ended with no answer, which no sound gateway lets happen
+REJECTED = "pushed back"  # a retry is safe
+FAILED = "terminated"  # whether it took effect is unknown
+LOST = "lost"  # the connection broke before the answer: whether it took effect is unknown
+TIMED_OUT = "out of time"  # no answer within the timeout, although a correct gateway always answers by then
 
 FINAL_STATUSES = (SUCCEEDED, REJECTED, FAILED)
-"""The final answers of a gateway, by their numbers on the wire."""
+"""Statuses of a gateway's final answers; the index of each is its number on the wire."""
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """How one request ended.
+    """Result of one request.
 
     Attributes:
         status: `SUCCEEDED`, `REJECTED`, `FAILED`, `LOST` or `TIMED_OUT`.
-        retry_after_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
-        reason: Why it did not succeed, for people to read.
-        slot: The placement slot that served it, or -1.
-        data: The bytes read.
-        duration_ms: Time from the request to its end, in milliseconds.
+        retry_after_ms: How long to wait at least before a retry, in milliseconds; 0 if the gateway asks for no delay.
+        reason: Why the request did not succeed, as a text for people.
+        slot: The placement slot that served the request, or -1.
+        data: The bytes that were read.
+        duration_ms: Time from sending the request to its end, in milliseconds.
     """
 
     status: str
@@ -36,5 +36,5 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the request was done."""
+        """Whether the request was executed."""
         return self.status == SUCCEEDED
--- a/pebblehinge/client/retry.py
+++ b/pebblehinge/client/retry.py
@@ -1,4 +1,4 @@
-"""Retries by a client: only where the result says that they are harmless. No I/O of its own."""
+"""Retries by a client, only where the result shows that they are safe. No I/O of its own."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(slots=True)
 class RetryPolicy:
-    """How often and when to retry.
+    """Number and delays of retries.
 
     Attributes:
-        max_retries: How many attempts may follow the first.
-        backoff_ms: The mean wait before the first retry, in milliseconds; it doubles with each further one.
-        idempotency: The request class's `repeat` setting, which says what may follow a result that promises nothing:
-            `IDEMPOTENT`, `IDEMPOTENT_WITH_KEY`, or any other text for neither.
+        max_retries: Number of attempts that may follow the first one.
+        backoff_ms: Mean delay of the first retry, in milliseconds; it doubles with each further retry.
+        idempotency: The request class's `repeat` setting, which decides whether a request that may have taken effect
+            is retried: `IDEMPOTENT`, `IDEMPOTENT_WITH_KEY`, or any other text for neither.
     """
 
     max_retries: int = 1
@@ -29,13 +29,13 @@
     idempotency: str = IDEMPOTENT
 
     def retry_delay_ms(self, attempt_count: int, result: Result, remaining_ms: float, jitter: float) -> float | None:
-        """Returns how long to wait before the next attempt, in milliseconds, or None if there should be none.
+        """Returns the delay before the next attempt in milliseconds, or None if there should be no further attempt.
 
         Args:
-            attempt_count: How many attempts were made.
-            result: The result of the last one.
-            remaining_ms: What is left of the caller's patience.
-            jitter: A random number from [0, 1), for the jitter of the backoff.
+            attempt_count: Number of attempts so far.
+            result: The result of the last attempt.
+            remaining_ms: Time until the caller's deadline, in milliseconds.
+            jitter: A random number from [0, 1), which varies the backoff.
         """
         if result.succeeded or attempt_count > self.max_retries or remaining_ms <= 0:
             return None
@@ -47,7 +47,7 @@
 
     def _is_safe_to_retry(self, result: Result) -> bool:
         if result.status == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
-            return False  # whether the key's scope and window still hold can't be judged from here
+            return False  # the client can't know whether the key's scope and window still apply
         return result.status == REJECTED or self.idempotency == IDEMPOTENT
 
 
@@ -58,17 +58,17 @@
     loop: asyncio.AbstractEventLoop,
     rng: random.Random,
 ) -> tuple[Result, int]:
-    """Makes attempts until one has succeeded or the policy allows no more.
+    """Makes attempts until one succeeds or the policy allows no more.
 
     Args:
-        attempt: Called with the number of the attempt, from 0, and what is left of the patience in milliseconds.
-        policy: How often and when to retry.
-        timeout_ms: The time that all attempts together may take.
-        loop: Its clock counts.
-        rng: For the jitter of the backoff.
+        attempt: Called with the number of the attempt, from 0, and the time until the deadline in milliseconds.
+        policy: Number and delays of retries.
+        timeout_ms: Time for all attempts together, in milliseconds.
+        loop: The event loop, whose clock is used.
+        rng: Source of the jitter.
 
     Returns:
-        The last result, and how many attempts were made.
+        The last result, and the number of attempts.
     """
     deadline = loop.time() + timeout_ms / 1000.0
     attempt_count = 0
--- a/pebblehinge/console/node_health.py
+++ b/pebblehinge/console/node_health.py
@@ -1,4 +1,4 @@
-"""A storage node's health as the gateway's scheduler sees it."""
+"""Health of a storage node as the gateway's scheduler sees it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NodeHealth(StrEnum):
-    """A storage node's health; the values are the words of the console."""
+    """Health of a storage node; the values are the words in the console's JSON."""
 
     AWAY = "away"
     DOWN = "down"
@@ -19,19 +19,19 @@
 
 
 class HealthReport(NamedTuple):
-    """A health and the reason for it, empty if it is healthy."""
+    """Health of a storage node, and the reason for it, which is empty for a healthy node."""
 
     health: NodeHealth
     reason: str
 
 
 def node_health(nodes: Any, node: int, now_ms: float) -> HealthReport:
-    """The health of one storage node.
+    """Returns the health of one storage node.
 
     Args:
         nodes: The scheduler's node table.
-        node: The storage node's index in it.
-        now_ms: The present, by the scheduler's clock.
+        node: Index of the storage node in this table.
+        now_ms: Current time by the scheduler's clock, in milliseconds.
     """
     if not nodes.ready[node]:
         return HealthReport(NodeHealth.AWAY, "not ready in the list")
--- a/pebblehinge/console/rows.py
+++ b/pebblehinge/console/rows.py
@@ -1,15 +1,19 @@
-"""The console's JSON. Its keys are a public format, kept from before the present terms."""
+"""Types of the console's JSON. Its keys are a public format, which keeps older terms than the rest of the code."""
 
 from __future__ import annotations
 
 from typing import Any, NotRequired, TypeAlias, TypedDict
 
 EventRow: TypeAlias = tuple[int, float, str]
-"""An event's number, its time by the gateway's clock (ms), and its text."""
+"""Number of an event, its time by the gateway's clock in milliseconds, and its text."""
 
 
 class NodeRow(TypedDict):
-    """A storage node: its health and why, requests queued (`held`) and in flight (`out`), mean duration in ms."""
+    """State of a storage node.
+
+    `health` is a value of `NodeHealth` and `why` the reason for it, `held` the number of queued requests, `out` that of
+    attempts in flight, and `mean_ms` the mean latency of its attempts.
+    """
 
     name: str
     slot: int
@@ -21,7 +25,11 @@
 
 
 class VolumeRow(TypedDict):
-    """A volume: its quota plan, the plan's limit (units a second), and the levels of its token buckets (units)."""
+    """State of a volume.
+
+    `plan` is its quota plan and `limit` the plan's limit in units per second; `units`, `reserve` and `share` are the
+    levels of its token buckets, in units.
+    """
 
     name: str
     plan: str
@@ -32,10 +40,11 @@
 
 
 class Snapshot(TypedDict):
-    """All that the page shows.
+    """Everything that the page shows.
 
-    `held_bytes` are the bytes of open requests, `a_second` the rates of `counts`, `further_trips` the retries,
-    `outcomes` those of attempts, `refused_because` the rejections by reason, `waits` the slots reserved for retries.
+    `held_bytes` is the size of the data of open requests, `a_second` the rates of `counts` per second, `further_trips`
+    the number of retries, `outcomes` that of attempts by outcome, `refused_because` that of unsuccessful answers by
+    reason, and `waits` the number of slots reserved for retries.
     """
 
     head: str
--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -1,4 +1,4 @@
-"""The console's HTTP: a page, its state as JSON, server-sent events. All viewers share one snapshot."""
+"""HTTP server of the console: the page, the state as JSON, and server-sent events. All viewers share a snapshot."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 STATIC_FOLDER = Path(__file__).parent / "static"
 REFRESH_INTERVAL_MS = 500.0
-"""The time between two snapshots while anybody watches."""
+"""Interval between two snapshots while viewers are connected."""
 
 VIEWERS_PER_BATCH = 8
-"""So many viewers are written to in one iteration of the event loop."""
+"""Viewers that are written to in one iteration of the event loop."""
 
 MAX_VIEWERS = 600
 RETRY_AFTER_S = 10
-"""When a viewer that was rejected may come again."""
+"""Delay after which a rejected viewer may connect again, as `Retry-After` says."""
 
 MAX_UNSENT_BYTES = 64 << 10
-"""A viewer with more unsent bytes is left out of a snapshot."""
+"""A viewer with more unsent bytes than this is not sent the next snapshot."""
 
 MAX_MISSED_SNAPSHOTS = 20
-"""A viewer that is left out more often in a row, which is ten seconds, is dropped."""
+"""Consecutive snapshots, ten seconds of them, that a viewer may miss; one that misses more is disconnected."""
 
 BACKLOG = 1024
 SHUTDOWN_TIMEOUT_S = 0.5
 MAX_NAME_EXCERPT_CHARS = 60
-"""Characters of an unknown name that an error repeats."""
+"""Characters of an unknown name that an error message quotes."""
 
 PAGE_HEADERS = {
     "Content-Security-Policy": "default-src 'self'; style-src 'self'; script-src 'self'",
@@ -45,20 +45,20 @@
 
 
 class Console:
-    """Serves one gateway's console on an address of its own.
+    """Console of one gateway, on an address of its own.
 
-    What it costs is one snapshot each half second while anybody watches, and its bytes to each viewer. A viewer that
-    does not read is dropped, and its page comes again by itself.
+    Cost: one snapshot each half second while viewers are connected, and its bytes to each viewer. A viewer that does
+    not read is disconnected, and its page reconnects by itself.
 
     Args:
-        gateway: The server of the gateway; only read.
-        address: Where to listen, as `host:port`.
-        token: What a viewer has to present; empty if anyone may watch.
+        gateway: The server of the gateway, which the console only reads.
+        address: Address to listen on, as `host:port`.
+        token: Token that a viewer has to present; empty if none is required.
 
     Attributes:
-        viewers: The open streams of events, each with the signal that there is a new snapshot.
-        snapshot_number: The number of the last snapshot.
-        dropped_viewers: How many viewers were dropped because they did not read.
+        viewers: The open streams of events, each with the signal that a new snapshot exists.
+        snapshot_number: Number of the last snapshot.
+        dropped_viewers: Number of viewers that were disconnected as they did not read.
     """
 
     def __init__(self, gateway: Any, address: str, token: str = "") -> None:
@@ -74,7 +74,12 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listens; raises OSError if the address can't be bound, ValueError if it isn't one."""
+        """Starts to listen, and to make snapshots.
+
+        Raises:
+            OSError: The address can't be bound.
+            ValueError: The address is invalid.
+        """
         app = web.Application()
         app.router.add_get("/", self.serve_page)
         app.router.add_get("/state", self.serve_state)
@@ -90,7 +95,7 @@
         self._refresh_task = asyncio.get_running_loop().create_task(self._refresh())
 
     async def stop(self) -> None:
-        """Ends all streams and stops listening."""
+        """Ends all event streams and stops listening."""
         if self._refresh_task is not None:
             self._refresh_task.cancel()
         for signal in self.viewers.values():
@@ -99,17 +104,17 @@
             await self._runner.cleanup()
 
     async def serve_page(self, request: web.Request) -> web.StreamResponse:
-        """The page; raises HTTPUnauthorized, as the others do, without the token."""
+        """Returns the page; raises HTTPUnauthorized without a valid token, as all handlers do."""
         self._authorize(request)
         return web.FileResponse(STATIC_FOLDER / "console.html", headers=PAGE_HEADERS)
 
     async def serve_state(self, request: web.Request) -> web.Response:
-        """A snapshot."""
+        """Returns a new snapshot."""
         self._authorize(request)
         return _json_response(self.view.snapshot())
 
     async def serve_storage_node(self, request: web.Request) -> web.Response:
-        """One storage node's row; raises HTTPNotFound if there is none of its name."""
+        """Returns the row of one storage node; raises HTTPNotFound if no node has this name."""
         self._authorize(request)
         name = request.match_info["name"]
         rows = self.view.node_rows(self.gateway.clock())
@@ -119,7 +124,11 @@
         return _json_response(row)
 
     async def serve_volume(self, request: web.Request) -> web.Response:
-        """One volume's row, or only its quota plan if it wasn't used lately; raises HTTPNotFound if there is none."""
+        """Returns the row of one volume, or only its quota plan if the volume is not among the recently used ones.
+
+        Raises:
+            HTTPNotFound: The settings don't name the volume.
+        """
         name = self._volume_name(request)
         row = next((row for row in self.view.volume_rows() if row["name"] == name), None)
         if row is None:
@@ -127,18 +136,22 @@
         return _json_response(row)
 
     async def serve_wait_report(self, request: web.Request) -> web.Response:
-        """Where a volume's time went, in words; raises HTTPNotFound if there is no such volume, or no accounting."""
+        """Returns a text that says where the time of a volume's requests went.
+
+        Raises:
+            HTTPNotFound: The settings don't name the volume, or wait accounting is disabled.
+        """
         name = self._volume_name(request)
         accounting = self.gateway.core.wait_accounting
         if accounting is None:
-            raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
+            raise web.HTTPNotFound(text="wait accounting is disabled: set `accounts yes` in the head's block\n")
         return web.Response(text="\n".join(accounting.report(name)) + "\n")
 
     async def stream_snapshots(self, request: web.Request) -> web.StreamResponse:
-        """Streams snapshots as they are made; one may be left out, since each is complete."""
+        """Streams snapshots as they are made; some may be skipped, since each one is complete."""
         self._authorize(request)
         if len(self.viewers) >= MAX_VIEWERS:
-            text = f"{MAX_VIEWERS} are watching already\n"
+            text = f"{MAX_VIEWERS} viewers are connected already\n"
             raise web.HTTPServiceUnavailable(text=text, headers={"Retry-After": str(RETRY_AFTER_S)})
         response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
@@ -151,7 +164,7 @@
         return response
 
     async def _write_snapshots(self, request: web.Request, signal: asyncio.Event) -> None:
-        """Writes a snapshot at each signal, until the viewer is gone, dropped, or the console stops."""
+        """Writes a snapshot at each signal, until either end has closed the connection or the console stops."""
         missed_snapshots = 0
         while self._refresh_task is not None and not self._refresh_task.done():
             await signal.wait()
@@ -161,7 +174,7 @@
                 return
             if not self._last_event:
                 continue
-            if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # one snapshot of a large fleet alone exceeds it
+            if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # a single snapshot of a large fleet exceeds this
                 missed_snapshots += 1
                 if missed_snapshots > MAX_MISSED_SNAPSHOTS:
                     self.dropped_viewers += 1
@@ -172,17 +185,17 @@
             transport.write(b"%x\r\n%s\r\n" % (len(self._last_event), self._last_event))
 
     def _authorize(self, request: web.Request) -> None:
-        """Raises HTTPUnauthorized without the token."""
+        """Raises HTTPUnauthorized unless the request has the token or none is required."""
         if not self.token:
             return
         presented_token = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get(
             "token", ""
         )
         if not hmac.compare_digest(presented_token.encode(), self.token.encode()):
-            raise web.HTTPUnauthorized(text="sign in: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
+            raise web.HTTPUnauthorized(text="a token is required: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
 
     def _volume_name(self, request: web.Request) -> str:
-        """The volume that is asked for, if the viewer may ask and it is known."""
+        """Returns the volume that an authorized request names; raises HTTPNotFound if the settings don't have it."""
         self._authorize(request)
         name = request.match_info["name"]
         if name not in self.gateway.config.volume:
@@ -190,7 +203,7 @@
         return name
 
     async def _refresh(self) -> None:
-        """Makes snapshots while anybody watches."""
+        """Makes a snapshot and signals the viewers once per interval, while there are any."""
         pause_s = REFRESH_INTERVAL_MS / 1000.0 / 2
         while True:
             if self.viewers:
@@ -200,7 +213,7 @@
             await asyncio.sleep(pause_s)
 
     async def _signal_viewers(self, duration_s: float) -> None:
-        """Signals a few viewers at a time: writing to all at once would hold the loop, and so requests."""
+        """Signals the viewers in batches, since writing to all at once would block the event loop, and so requests."""
         signals = list(self.viewers.values())
         for start in range(0, len(signals), VIEWERS_PER_BATCH):
             for signal in signals[start : start + VIEWERS_PER_BATCH]:
--- a/pebblehinge/console/view.py
+++ b/pebblehinge/console/view.py
@@ -1,4 +1,4 @@
-"""What the console shows of a gateway, as plain values. No I/O: one snapshot is shared by all who watch."""
+"""State of a gateway that the console shows, as plain values. No I/O: all viewers share a snapshot."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from pebblehinge.console.rows import NodeRow, Snapshot, VolumeRow
 
 MAX_VOLUMES = 50
-"""So many volumes are shown."""
+"""Volumes in a snapshot: those that were used most recently."""
 
 PERCENTILES = {"p50": 50.0, "p99": 99.0, "p999": 99.9}
 MIN_RATE_INTERVAL_S = 1e-3
-"""Rates are taken over at least this time."""
+"""Shortest time over which rates are computed."""
 
 
 class GatewayView:
-    """Makes snapshots of one gateway, with rates against the snapshot before.
+    """Source of snapshots of one gateway, whose rates refer to the time since the previous snapshot.
 
     Args:
-        gateway: The server of the gateway; only read.
+        gateway: The server of the gateway, which is only read.
 
     Attributes:
         event_history: The changes of health that snapshots have found.
-        health_by_node: The health of each storage node in the last snapshot, by its name.
+        health_by_node: Health of each storage node in the last snapshot, by the node's name.
     """
 
     def __init__(self, gateway: Any) -> None:
@@ -37,7 +37,7 @@
         self._last_snapshot_ms = 0.0
 
     def node_rows(self, now_ms: float) -> list[NodeRow]:
-        """Each storage node with its health as this gateway sees it, in order of slots."""
+        """Returns all storage nodes as this gateway sees them, in the order of their slots."""
         nodes = self.gateway.core.scheduler.nodes
         rows = []
         for node, name in enumerate(nodes.names):
@@ -56,12 +56,12 @@
         return sorted(rows, key=lambda row: row["slot"])
 
     def volume_rows(self) -> list[VolumeRow]:
-        """The volumes that were used last, the latest first, with the quotas that this gateway has of them."""
+        """Returns the most recently used volumes, the latest first, with this gateway's part of their quotas."""
         buckets = self.gateway.core.scheduler.dispatcher.valuation.buckets
         return [self._volume_row(name, buckets[name]) for name in islice(reversed(list(buckets)), MAX_VOLUMES)]
 
     def snapshot(self) -> Snapshot:
-        """All of it; cheap enough for twice a second."""
+        """Returns a snapshot of the gateway; cheap enough to be taken twice a second."""
         gateway = self.gateway
         core = gateway.core
         now_ms = gateway.clock()
@@ -110,7 +110,7 @@
         )
 
     def _rates(self, counts: dict[str, int], now_ms: float) -> dict[str, float]:
-        """How many of each count a second there were since the last snapshot; 0 in the first."""
+        """Returns the rate per second of each count since the last snapshot; 0 in the first snapshot."""
         if self._last_snapshot_ms:
             seconds = max(MIN_RATE_INTERVAL_S, (now_ms - self._last_snapshot_ms) / 1000.0)
             rates = {
@@ -123,7 +123,7 @@
         return rates
 
     def _record_health_changes(self, nodes: list[NodeRow], now_ms: float) -> None:
-        """Notes the storage nodes whose health has changed, and new ones that are not healthy."""
+        """Adds an event for each storage node whose health has changed, and for each new one that is not healthy."""
         for row in nodes:
             previous_health = self.health_by_node.get(row["name"], NodeHealth.HEALTHY.value)
             if previous_health != row["health"]:
@@ -134,7 +134,7 @@
         self.health_by_node = {row["name"]: row["health"] for row in nodes}
 
     def _latencies(self) -> dict[str, float]:
-        """Percentiles of the latency of succeeded requests, in milliseconds."""
+        """Returns percentiles of the latency of successful requests, in milliseconds."""
         histogram = self.gateway.latency  # in microseconds
         return {
             name: round(histogram.get_value_at_percentile(percentile) / 1000.0, 1)
@@ -143,7 +143,7 @@
 
 
 def _transfer_values(rsync: Any) -> dict[str, Any]:
-    """The rsync listener's transfers."""
+    """Returns the state of the rsync listener's transfers."""
     return {
         "open": rsync.transfers,
         **rsync.counts,
@@ -153,7 +153,7 @@
 
 
 def _journal_values(write_back: Any) -> dict[str, Any]:
-    """The write-back journal."""
+    """Returns the state of the write-back journal."""
     return {
         "dirty": len(write_back.dirty),
         "dirty_bytes": write_back.dirty.bytes,
--- a/pebblehinge/daemon/__init__.py
+++ b/pebblehinge/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""A program as a long-lived process: messages to its supervisor, its pid file, its limit of open files."""
+"""Parts of a long-running process: messages to its supervisor, its pid file, and its limit of open files."""
 
 from pebblehinge.daemon.notify import Notifier
 from pebblehinge.daemon.pid_file import PidFile, PidFileError
--- a/pebblehinge/daemon/notify.py
+++ b/pebblehinge/daemon/notify.py
@@ -1,8 +1,8 @@
-"""Messages to a supervisor: the datagrams of sd_notify, as published.
+"""Messages to a supervisor, in the datagrams of systemd's sd_notify protocol.
 
-A supervisor names a socket in NOTIFY_SOCKET; lines `KEY=VALUE` are sent to it. With WATCHDOG_USEC it wants a sign of
-life at least that often: the event loop itself gives it, so a process that hangs is noticed. Without them nothing is
-sent.
+A supervisor names a socket in NOTIFY_SOCKET, to which lines `KEY=VALUE` are sent. If it sets WATCHDOG_USEC, it expects
+a keep-alive ping at least that often; the event loop sends it, so that the supervisor notices a process that hangs.
+Without these variables nothing is sent.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from collections.abc import Mapping
 
 WATCHDOG_INTERVAL_SHARE = 0.5
-"""The part of the watchdog's time after which a sign of life is sent."""
+"""The interval of the pings, as a share of the watchdog's timeout."""
 
 
 class Notifier:
-    """Tells a supervisor the state of the process.
+    """Sender of messages on the state of the process to a supervisor.
 
-    What can't be sent is dropped: a supervisor's fault must not stop the process.
+    A message that can't be sent is dropped, since a fault of the supervisor must not stop the process.
 
     Attributes:
-        address: The supervisor's socket, empty where there is none; `@` begins an abstract one.
-        watchdog_interval_s: Seconds between two signs of life, 0 for none.
+        address: Path of the supervisor's socket, empty if there is none; an abstract socket's name begins with `@`.
+        watchdog_interval_s: Seconds between two watchdog pings, 0 if none are sent.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, environment: Mapping[str, str], pid: int) -> None:
@@ -37,12 +37,12 @@
             self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC)
             self._socket.setblocking(False)
         timeout_us = environment.get("WATCHDOG_USEC", "")
-        is_own = environment.get("WATCHDOG_PID", str(pid)) == str(pid)
-        if is_own and timeout_us.isdigit():
+        is_own_watchdog = environment.get("WATCHDOG_PID", str(pid)) == str(pid)
+        if is_own_watchdog and timeout_us.isdigit():
             self.watchdog_interval_s = int(timeout_us) * WATCHDOG_INTERVAL_SHARE / 1e6
 
     def send(self, *lines: str) -> bool:
-        """Sends lines in one datagram; returns whether there was a supervisor and the datagram was sent."""
+        """Sends lines in one datagram; returns whether there is a supervisor and the datagram was sent."""
         if self._socket is None:
             return False
         address = "\0" + self.address[1:] if self.address.startswith("@") else self.address
@@ -53,21 +53,21 @@
         return True
 
     def notify_ready(self, status: str) -> None:
-        """The process serves, from the start or again after a reload; starts the signs of life."""
+        """Reports that the process serves, after its start or a reload, and starts the watchdog pings."""
         self.send("READY=1", f"STATUS={status}", f"MAINPID={os.getpid()}")
         if self.watchdog_interval_s and self._watchdog_timer is None and self._socket is not None:
             self._send_watchdog_ping()
 
     def notify_reloading(self, now_us: int) -> None:
-        """The process reads its settings again; `now_us` is the monotonic clock in microseconds."""
+        """Reports that the process reloads its settings; `now_us` is the monotonic clock in microseconds."""
         self.send("RELOADING=1", f"MONOTONIC_USEC={now_us}")
 
     def notify_stopping(self, status: str) -> None:
-        """The process is shutting down."""
+        """Reports that the process shuts down."""
         self.send("STOPPING=1", f"STATUS={status}")
 
     def close(self) -> None:
-        """Ends the signs of life and closes the socket; nothing is sent from then on."""
+        """Stops the watchdog pings and closes the socket; nothing is sent from then on."""
         if self._watchdog_timer is not None:
             self._watchdog_timer.cancel()
         if self._socket is not None:
--- a/pebblehinge/daemon/open_files.py
+++ b/pebblehinge/daemon/open_files.py
@@ -1,4 +1,4 @@
-"""Open files of a process: how many its role can need, and the process's soft limit raised to it."""
+"""Open files of a process: the number that its role can need, and the soft limit, which is raised to it."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from collections.abc import Callable
 
 MIN_GATEWAYS = 1024
-"""Gateways that any role is ready for, whatever its settings name."""
+"""Gateways that every role provides for, even if its settings name fewer."""
 
 MIN_STORAGE_NODES = 2048
-"""Storage nodes that any role is ready for, whatever its settings name."""
+"""Storage nodes that every role provides for, even if its settings name fewer."""
 
 OWN_FILES = 64
-"""Files of the process itself: logs, records, group members, operators, the laboratory."""
+"""Open files besides peers: logs, records, and connections of group members, operators and the lab."""
 
 SOCKETS_PER_PEER = 2
-"""A peer may connect again before the end of its old connection is noticed."""
+"""Sockets for each peer, which may reconnect before the end of its old connection is noticed."""
 
 GATEWAY, STORAGE_NODE, DISCOVERY, GROUP_MEMBER = "head", "shelf", "listing", "group"
-"""The roles, as the commands that start them are named."""
+"""Roles, by the names of the commands that start them."""
 
 
 def needed_open_files(role: str, gateways: int = 0, storage_nodes: int = 0, connections: int = 0) -> int:
-    """Returns how many open files a role can need.
+    """Returns the number of open files that a role can need.
 
     Args:
-        role: One of the roles of this module.
-        gateways: How many gateways the settings name.
-        storage_nodes: How many storage nodes the settings name.
-        connections: How many connections of clients a gateway accepts.
+        role: One of the roles in this module.
+        gateways: Number of gateways in the settings.
+        storage_nodes: Number of storage nodes in the settings.
+        connections: Number of client connections that a gateway accepts.
     """
     gateways = max(MIN_GATEWAYS, gateways)
     storage_nodes = max(MIN_STORAGE_NODES, storage_nodes)
@@ -38,27 +38,27 @@
         STORAGE_NODE: gateways,
         GROUP_MEMBER: gateways,
     }[role]
-    outgoing = storage_nodes if role == GATEWAY else 0
-    return SOCKETS_PER_PEER * peers + outgoing + OWN_FILES
+    outgoing_connections = storage_nodes if role == GATEWAY else 0
+    return SOCKETS_PER_PEER * peers + outgoing_connections + OWN_FILES
 
 
 def raise_open_file_limit(needed: int) -> str | None:
-    """Raises this process's soft limit of open files; returns a warning where the hard limit is lower."""
+    """Raises this process's soft limit of open files; returns a warning if the hard limit is too low."""
     return raise_soft_limit(needed, lambda: resource.getrlimit(resource.RLIMIT_NOFILE), _set_soft_limit)
 
 
 def raise_soft_limit(
     needed: int, getrlimit: Callable[[], tuple[int, int]], setrlimit: Callable[[int], None]
 ) -> str | None:
-    """Raises a soft limit of open files as far as the hard one allows; never lowers it.
+    """Raises a soft limit of open files as far as the hard limit allows, and never lowers it.
 
     Args:
-        needed: The limit that is needed.
-        getrlimit: Returns the soft and the hard limit; a hard one below 0 is none.
+        needed: Number of open files that is needed.
+        getrlimit: Returns the soft and the hard limit; a hard limit below 0 means unlimited.
         setrlimit: Sets the soft limit.
 
     Returns:
-        None, or one line that says what is needed and what is allowed.
+        None, or one line that says how many files are needed and how many are allowed.
     """
     soft, hard = getrlimit()
     if soft >= needed:
--- a/pebblehinge/daemon/pid_file.py
+++ b/pebblehinge/daemon/pid_file.py
@@ -1,4 +1,4 @@
-"""The pid file: one process of a name at a time."""
+"""Pid file, which ensures that only one process runs for each path."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 import os
 
 MAX_PID_BYTES = 20
-"""Bytes of another process's file that are read for its id."""
+"""Bytes of another process's pid file that are read."""
 
 
 class PidFileError(Exception):
-    """Another process holds the file, or it can't be written: one line."""
+    """Another process holds the pid file, or it can't be written. The message is one line for the operator."""
 
 
 class PidFile:
-    """The process's id in a file, locked until `close` or the process's end.
+    """File with the id of this process, locked until `close` is called or the process ends.
 
     Attributes:
-        path: Where the file is.
-        descriptor: The open file that holds the lock.
+        path: Path of the file.
+        descriptor: File descriptor that holds the lock.
     """
 
     def __init__(self, path: str) -> None:
-        """Writes the file and locks it.
+        """Locks the file and writes the process id to it.
 
         Raises:
-            PidFileError: Another process holds it, or it can't be written.
+            PidFileError: Another process holds the file, or it can't be written.
         """
         self.path = path
         try:
@@ -42,6 +42,6 @@
         os.pwrite(self.descriptor, f"{os.getpid()}\n".encode(), 0)
 
     def close(self) -> None:
-        """Empties the file and unlocks it. The file stays: removing it could take away a successor's."""
+        """Empties and unlocks the file, which is not removed, since a successor may hold it already."""
         os.ftruncate(self.descriptor, 0)
         os.close(self.descriptor)
--- a/pebblehinge/discovery/__init__.py
+++ b/pebblehinge/discovery/__init__.py
@@ -1,6 +1,6 @@
-"""The stand-in for service discovery: it tells gateways which storage nodes there are, with the delays of a real one.
+"""Stand-in for service discovery, which publishes the endpoint list to gateways with the delays of a real one.
 
-`registry` decides which changes become known when; `server` has the sockets and speaks the framed protocol.
+`registry` decides when each change is published; `server` has the sockets and speaks the framed protocol.
 """
 
 from pebblehinge.discovery.registry import Endpoint, EndpointRegistry, EndpointState
--- a/pebblehinge/discovery/registry.py
+++ b/pebblehinge/discovery/registry.py
@@ -1,4 +1,4 @@
-"""The endpoints of storage nodes, and when each change of them becomes known. No I/O and no clock."""
+"""Registry of the storage nodes' endpoints, which publishes each change after a delay. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from pebblehinge.settings.schema import ListingBlock
 
 UNKNOWN_START_MS = -1.0
-"""`Endpoint.started_ms` of a process that started long ago."""
+"""Value of `Endpoint.started_ms` for a process that started long ago."""
 
 
 class EndpointState(StrEnum):
-    """The state of an endpoint; the values are the words on the wire and in event logs."""
+    """State of an endpoint; the values are the words on the wire and in event logs."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One storage node as the list has it.
+    """Entry of the endpoint list, which describes one storage node.
 
     Attributes:
         node: The storage node's name.
-        address: Where it listens, as `host:port`.
-        state: Whether it takes requests.
+        address: Address that it listens on, as `host:port`.
+        state: Whether it accepts requests.
         slot: Its placement slot.
-        started_ms: When its process started, by the registry's clock; negative if that was long ago.
+        started_ms: When its process started, by the registry's clock in milliseconds; negative if that was long ago.
     """
 
     node: str
@@ -41,15 +41,15 @@
 
 
 class EndpointRegistry:
-    """Takes changes at once and publishes them later. Changes of one storage node are published in their order.
+    """Registry that accepts changes immediately and publishes them later, those of one storage node in their order.
 
     Args:
         block: The ranges of the delays, in milliseconds.
-        rng: Draws the delays.
+        rng: Source of the delays.
 
     Attributes:
-        published_endpoints: What has been published, also the endpoints that are gone, by the storage node's name.
-        extra_delay_ms: Added to every delay while a fault makes the list stale.
+        published_endpoints: The published endpoints, also those that are gone, by the storage node's name.
+        extra_delay_ms: Delay that is added to all others while a fault makes the list stale.
     """
 
     def __init__(self, block: ListingBlock, rng: random.Random) -> None:
@@ -57,48 +57,48 @@
         self.rng = rng
         self.extra_delay_ms = 0.0
         self.published_endpoints: dict[str, Endpoint] = {}
-        self._pending_changes: list[tuple[float, int, Endpoint]] = []  # a heap: when it is due, its number, the change
+        self._pending_changes: list[tuple[float, int, Endpoint]] = []  # heap of (due time, change number, change)
         self._change_count = 0
         self._last_due_ms: dict[str, float] = {}
 
     def register(
         self, now_ms: float, node: str, address: str, slot: int, started_ms: float, is_immediate: bool
     ) -> None:
-        """Takes a process that runs.
+        """Registers a running process.
 
         Args:
-            now_ms: The present, by the registry's clock.
+            now_ms: The current time, by the registry's clock.
             node: The storage node's name.
-            address: Where it listens, as `host:port`.
+            address: Address that it listens on, as `host:port`.
             slot: Its placement slot.
             started_ms: When it started; negative if that was long ago.
-            is_immediate: Whether it is published at once, as at the start of the whole fleet.
+            is_immediate: Whether it is published without a delay, as at the start of the whole fleet.
         """
         delay_ms = 0.0 if is_immediate else self.rng.uniform(*self.block.add)
         self._schedule(now_ms, delay_ms, Endpoint(node, address, EndpointState.READY, slot, started_ms))
 
     def set_state(self, now_ms: float, node: str, state: EndpointState) -> None:
-        """Takes what a storage node says of itself; one that is not known is ignored."""
+        """Sets the state that a storage node reports of itself; an unknown node is ignored."""
         endpoint = self._latest(node)
         if endpoint is not None:
             delay_ms = self.rng.uniform(*self.block.drain)
             self._schedule(now_ms, delay_ms, replace(endpoint, state=state))
 
     def remove(self, now_ms: float, node: str) -> None:
-        """Takes that a storage node's process is gone; one that is not known is ignored."""
+        """Marks a storage node as gone, as its process has ended; an unknown node is ignored."""
         endpoint = self._latest(node)
         if endpoint is not None:
             delay_ms = self.rng.uniform(*self.block.notice)
             self._schedule(now_ms, delay_ms, replace(endpoint, state=EndpointState.GONE))
 
     def override_state(self, now_ms: float, node: str, state: EndpointState) -> None:
-        """Publishes a state without delay, whether it is true or not, as a fault of the list does."""
+        """Publishes a state without a delay, even if it is wrong, to simulate a faulty list."""
         endpoint = self._latest(node)
         if endpoint is not None:
             self._schedule(now_ms, 0.0, replace(endpoint, state=state))
 
     def publish_due(self, now_ms: float) -> list[Endpoint]:
-        """Publishes the changes that are due, and returns those that change something."""
+        """Publishes the changes that are due, and returns those that differ from the published endpoint."""
         changed_endpoints = []
         while self._pending_changes and self._pending_changes[0][0] <= now_ms:
             endpoint = heapq.heappop(self._pending_changes)[2]
@@ -108,11 +108,11 @@
         return changed_endpoints
 
     def next_due_ms(self) -> float | None:
-        """When the next change is due, or None if there is none."""
+        """Returns when the next change is due, in milliseconds, or None if there is none."""
         return self._pending_changes[0][0] if self._pending_changes else None
 
     def snapshot(self) -> list[Endpoint]:
-        """All published endpoints that are not gone, in the order of their names."""
+        """Returns all published endpoints that are not gone, sorted by name."""
         return [
             endpoint
             for _, endpoint in sorted(self.published_endpoints.items())
@@ -120,7 +120,7 @@
         ]
 
     def _latest(self, node: str) -> Endpoint | None:
-        """The last known endpoint of a storage node, published or not."""
+        """Returns the latest endpoint of a storage node, published or not."""
         pending = [
             (due_ms, number, endpoint) for due_ms, number, endpoint in self._pending_changes if endpoint.node == node
         ]
--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -1,4 +1,4 @@
-"""The sockets of the stand-in for service discovery."""
+"""Server of the stand-in for service discovery."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from pebblehinge.wire import Kind, Session, WireError
 
 BACKLOG = 4096
-"""Connections that wait to be accepted: after a restart all gateways and storage nodes come within half a second."""
+"""Connections that may wait to be accepted; after a restart all processes reconnect within half a second."""
 
 PROCESS_NAME = "listing"
-"""The name and the role of the process, in its greeting and in its event log."""
+"""Name and role of the process, in its greeting and in its event log."""
 
 CONTROLLER_ROLE = "lab"
 """The only role that may send CONTROL."""
 
 MAX_WORD_EXCERPT_CHARS = 20
-"""Characters of an unknown word that an error repeats."""
+"""Characters of an unknown word that an error message quotes."""
 
 FULL_LIST = "whole"
-"""The kind of a LIST of all endpoints."""
+"""Kind of a LIST frame with all endpoints."""
 
 CHANGES = "changes"
-"""The kind of a LIST of the endpoints that changed."""
+"""Kind of a LIST frame with the endpoints that changed."""
 
 NO_TOKEN = 0
-"""The token of a LIST that nobody asked for; all are numbered so."""
+"""Token of LIST frames, none of which answers a request with a token."""
 
 REPORTED_STATES = {str(state): state for state in (EndpointState.READY, EndpointState.DRAINING)}
-"""The states that a storage node may report of itself, by their words on the wire."""
+"""States that a storage node may report of itself, by their words on the wire."""
 
 
 class DiscoveryConnection(Peer):
-    """A connection of a gateway that watches or polls, of a storage node that registers, or of the lab's control."""
+    """Connection of a gateway that watches or polls, of a storage node that registers, or of the lab."""
 
     ACCEPTED_KINDS = frozenset({Kind.WATCH, Kind.REGISTER, Kind.STANDING, Kind.CONTROL})
 
@@ -48,37 +48,37 @@
         session = Session(PROCESS_NAME, PROCESS_NAME, limits.frame, limits.streams, dialed=False)
         super().__init__(discovery.loop, session, limits.stall, limits.keepalive)
         self.discovery = discovery
-        self.node = ""  # the storage node that registered here
+        self.node = ""  # the storage node that registered on this connection
         self.is_watching = False
 
     def connection_made(self, transport: Any) -> None:
-        """Counts the connection among those of the server."""
+        """Adds the connection to those of the server."""
         super().connection_made(transport)
         self.discovery.connections.append(self)
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """Unregisters the storage node that registered here."""
+        """Removes the connection, and the storage node that registered on it."""
         self.discovery.connections.remove(self)
         if self.node:
             self.discovery.unregister(self)
 
     def on_watch(self, token: int) -> None:
-        """Sends the full list, and changes from now on."""
+        """Sends the full list, and the changes from then on."""
         self.is_watching = True
         self.discovery.send_full_list(self)
 
     def on_register(self, node: str, address: str, slot: int, rack: str, age_ms: float) -> None:
-        """Registers a storage node for as long as the connection stands.
+        """Registers a storage node for as long as the connection lasts.
 
         Args:
             node: Its name.
-            address: Where it listens, as `host:port`.
+            address: Address that it listens on, as `host:port`.
             slot: Its placement slot.
-            rack: Not used here.
-            age_ms: For how long its process has run; negative if it started long ago.
+            rack: Its rack, which is not used.
+            age_ms: How long its process has run, in milliseconds; negative if it started long ago.
 
         Raises:
-            WireError: The address isn't one.
+            WireError: The address is invalid.
         """
         try:
             parse_address(address)
@@ -88,30 +88,36 @@
         self.discovery.register(self, address, slot, age_ms)
 
     def on_standing(self, word: str) -> None:
-        """Takes the state that a registered storage node reports; raises WireError for any other."""
+        """Sets the state that a storage node reports.
+
+        Raises:
+            WireError: The storage node is not registered, or the state is unknown.
+        """
         state = REPORTED_STATES.get(word)
         if not self.node or state is None:
-            raise WireError(f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: a registered shelf says ready or draining")
+            raise WireError(
+                f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: expected ready or draining, from a registered shelf"
+            )
         self.discovery.registry.set_state(self.discovery.clock(), self.node, state)
         self.discovery.publish()
 
     def on_control(self, token: int, verb: str, values: dict[str, float | str]) -> None:
-        """Injects or ends a fault for the lab; raises WireError for anyone else."""
+        """Injects or ends a fault for the lab; raises WireError if the other end is not the lab."""
         if self.session.peer_role != CONTROLLER_ROLE:
-            raise WireError("CONTROL is for the lab")
+            raise WireError("CONTROL is accepted from the lab only")
         self.send(Kind.CONTROLLED, token, self.discovery.control(verb, values))
 
 
 class DiscoveryServer:
-    """Sends every watching gateway what the registry publishes.
+    """Server that sends what the registry publishes to every watching gateway.
 
     Args:
         loop: The event loop, which makes the socket and the timer.
-        clock: The present in milliseconds, by the clock of the loop.
-        config: The settings; `listing` and `limits` are read.
+        clock: Returns the current time in milliseconds, by the loop's clock.
+        config: The settings, of which `listing` and `limits` are used.
         log: A structlog logger.
-        events: Where events are written, if anywhere.
-        seed: Of the delays.
+        events: The event log, if there is one.
+        seed: Seed of the delays.
     """
 
     def __init__(
@@ -136,7 +142,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens; raises OSError if the address can't be bound."""
+        """Starts to listen; raises OSError if the address can't be bound."""
         host, port = parse_address(self.config.listing.listen)
         self.server = await self.loop.create_server(lambda: DiscoveryConnection(self), host, port, backlog=BACKLOG)
         self.events.note(self.clock(), "up", role=PROCESS_NAME, name=PROCESS_NAME)
@@ -163,7 +169,7 @@
         self.publish()
 
     def unregister(self, connection: DiscoveryConnection) -> None:
-        """Removes the storage node of a lost connection, unless it has registered on another one since."""
+        """Removes the storage node of a lost connection, unless it has registered on another connection since."""
         if self.registrants.get(connection.node) is connection:
             del self.registrants[connection.node]
             self.registry.remove(self.clock(), connection.node)
@@ -196,7 +202,7 @@
             values: The arguments; a true `off` ends the fault.
 
         Returns:
-            `done`, or `no: ` and why not.
+            `done`, or `no: ` and the reason.
         """
         now_ms = self.clock()
         is_off = bool(values.get("off", 0))
@@ -208,7 +214,7 @@
             self.registry.override_state(now_ms, str(values["shelf"]), state)
             self.publish()
         else:
-            return f"no: {verb!r} is not known"
+            return f"no: {verb!r} is not a known verb"
         return "done"
 
     def _send(self, connection: DiscoveryConnection, now_ms: float, kind: str, endpoints: list[Endpoint]) -> None:
--- a/pebblehinge/storage_node/__init__.py
+++ b/pebblehinge/storage_node/__init__.py
@@ -1,8 +1,8 @@
-"""The stand-in storage node: a simulated machine that stores what gateways write, and injects faults for the lab.
+"""Stand-in storage node: a simulated machine that stores what gateways write, with faults that the lab injects.
 
-`machine` is the simulated machine without sockets, `contents` what it stores, `requests` what it does with an attempt.
-`connection` and `registration` are its connections, `fault_control` the faults that the lab injects, and `server` puts
-them together as one process.
+`machine` simulates the machine's time without sockets, `contents` stores the data, and `requests` executes attempts.
+`connection` and `registration` hold the connections, `fault_control` injects the lab's faults, and `server` combines
+them into one process.
 """
 
 from pebblehinge.storage_node.contents import Contents
--- a/pebblehinge/storage_node/attempt.py
+++ b/pebblehinge/storage_node/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt that a gateway has sent, and how it ends."""
+"""Attempts that gateways send, and their outcomes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt ended, as its number in OUTCOME."""
+    """Outcome of an attempt; the value is its number in OUTCOME frames."""
 
     SUCCEEDED = 0
     SERVER_ERROR = 1
@@ -18,23 +18,23 @@
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that it came by.
+    """What an attempt needs of the connection that it arrived on.
 
     Attributes:
-        attempts: The attempts that were accepted and not answered, by their number on the connection.
+        attempts: The attempts that were accepted and not answered yet, by their number on the connection.
     """
 
     attempts: dict[int, Attempt]
 
     @property
     def gateway(self) -> str:
-        """The name that the other end greeted with."""
+        """The name of the gateway, from its greeting."""
 
     def send_outcome(self, number: int, status: AttemptStatus, reason: str, data: bytes) -> None:
         """Sends the outcome of an attempt."""
 
     def abort(self) -> None:
-        """Cuts the connection."""
+        """Aborts the connection."""
 
 
 @dataclass(slots=True, eq=False)
@@ -42,17 +42,17 @@
     """One attempt of a request.
 
     Attributes:
-        connection: The connection that it came by.
-        number: Its number there.
+        connection: The connection that it arrived on.
+        number: Its number on this connection.
         request_id: The request's id.
-        attempt_index: Its number among the request's attempts, 0 for the first.
-        extent: What it reads or writes.
+        attempt_index: Its index among the attempts of the request, 0 for the first.
+        extent: The extent that it reads or writes.
         operation: READ, WRITE or APPEND, as on the wire.
-        offset: Where, in bytes.
-        length: How many bytes it reads.
+        offset: Offset in the extent, in bytes.
+        length: Number of bytes to read.
         key: The idempotency key, if the request has one.
-        data: The bytes that it writes.
-        job: Its work, once it was submitted to the machine.
+        data: The bytes to write.
+        job: Its work, None until it is submitted to the machine.
     """
 
     connection: AttemptConnection
--- a/pebblehinge/storage_node/cold_budget.py
+++ b/pebblehinge/storage_node/cold_budget.py
@@ -1,4 +1,4 @@
-"""How much work reaches a machine that is warming up: too much of it crashes the machine."""
+"""Limit on the work that arrives at a machine during its warm-up; more than that crashes the machine."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Arrival(NamedTuple):
-    """Work that reached the machine at a time, in milliseconds."""
+    """Work that arrived at the machine, and its time of arrival, both in milliseconds."""
 
     time_ms: float
     work_ms: float
 
 
 class ColdBudget:
-    """The work that arrived within a sliding window, held against a limit.
+    """The work that arrived within a sliding window, compared with a limit.
 
     Args:
-        window_ms: The length of the window.
+        window_ms: Length of the window, in milliseconds.
 
     Attributes:
-        peak_load: The highest part of the limit that was ever asked; above 1 if the limit was exceeded.
+        peak_load: Highest ratio of work to limit so far; above 1 if the limit was exceeded.
     """
 
     def __init__(self, window_ms: float) -> None:
@@ -30,12 +30,12 @@
         self._window_work_ms = 0.0
 
     def clear(self) -> None:
-        """Forgets all arrivals; the peak stays."""
+        """Removes all arrivals; the peak stays."""
         self._arrivals.clear()
         self._window_work_ms = 0.0
 
     def add(self, now_ms: float, work_ms: float, limit_ms: float) -> bool:
-        """Adds an arrival; returns whether the work within the window exceeds the limit."""
+        """Adds an arrival, and returns whether the work within the window now exceeds the limit."""
         self._arrivals.append(Arrival(now_ms, work_ms))
         self._window_work_ms += work_ms
         while self._arrivals and self._arrivals[0].time_ms <= now_ms - self.window_ms:
--- a/pebblehinge/storage_node/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a storage node: attempts in, outcomes out, and the lab's control frames."""
+"""Connections to a storage node, which carry attempts, their outcomes, and the lab's control frames."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 from pebblehinge.wire.frames import PREFIX_BYTES
 
 ROLE = "shelf"
-"""The role of a storage node, in its greeting and in its event log."""
+"""Role of a storage node in its greeting and in its event log."""
 
 GATEWAY_ROLE = "head"
-"""The role of a gateway in its greeting."""
+"""Role of a gateway in its greeting."""
 
 CONTROLLER_ROLE = "lab"
 """The only role that may send CONTROL."""
 
 GARBLED_BIT_MASK = 0x40
-"""The bit of one byte of a frame that a garbled frame has flipped."""
+"""The bit that is flipped in one byte of a garbled frame."""
 
 ControlHandler = Callable[[str, dict[str, Any]], str]
-"""Carries out a control verb with its values; returns the response, and raises ControlError."""
+"""Executes a control verb with its values, and returns the response or raises ControlError."""
 
 
 @dataclass(slots=True)
 class ConnectionContext:
-    """What the connections of one storage node share.
+    """State that the connections of one storage node share.
 
     Attributes:
         loop: The event loop.
         limits: The limits of a connection.
         name: The storage node's name.
-        requests: What executes attempts.
-        control: What carries out the lab's control verbs.
-        connections: All that stand, in the order in which they were made; the values have no meaning.
+        requests: The handler that executes attempts.
+        control: The handler of the lab's control verbs.
+        connections: The open connections, in the order in which they were opened; the values have no meaning.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -53,11 +53,11 @@
 
 
 class NodeConnection(Peer):
-    """The connection of a gateway or of the lab.
+    """Connection of a gateway or of the lab.
 
     Attributes:
-        attempts: The attempts that were accepted and not answered, by their number.
-        is_half_open: Whether nothing is read or written any more, though the connection stands.
+        attempts: The attempts that were accepted and not answered yet, by their number.
+        is_half_open: Whether nothing is read or written, although the connection is open.
     """
 
     ACCEPTED_KINDS = frozenset({Kind.TRIP, Kind.RECALL, Kind.CONTROL})
@@ -72,32 +72,32 @@
 
     @property
     def gateway(self) -> str:
-        """The name that the other end greeted with."""
+        """The name of the other end, from its greeting."""
         return self.session.peer_name
 
     @property
     def is_gateway(self) -> bool:
-        """Whether the other end greeted as a gateway."""
+        """Whether the other end is a gateway, by its greeting."""
         return self.session.peer_role == GATEWAY_ROLE
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts the connection among those of the storage node; a crashed one cuts it."""
+        """Registers the connection with the storage node, and aborts it if the machine has crashed."""
         super().connection_made(transport)
         self.context.connections[self] = None
         if self.context.requests.machine.has_crashed:
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Handles the frames, unless the connection is half open."""
+        """Handles the frames in the data, unless the connection is half open."""
         if not self.is_half_open:
             super().data_received(data)
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Removes the connection from those of the storage node."""
         self.context.connections.pop(self, None)
 
     def on_batch_start(self) -> None:
-        """Reads the clock once for all frames that came together."""
+        """Reads the clock once for all frames that were received together."""
         self.context.requests.read_clock()
 
     def send_outcome(self, number: int, status: AttemptStatus, reason: str, data: bytes) -> None:
@@ -105,9 +105,9 @@
 
         Args:
             number: The attempt's number on this connection.
-            status: How it ended.
-            reason: Why, if it didn't succeed.
-            data: What was read, or the result of an append.
+            status: The outcome.
+            reason: Why the attempt did not succeed; empty if it did.
+            data: The bytes that were read, or the result of an append.
         """
         self.send(Kind.OUTCOME, number, status.value, reason, data)
 
@@ -125,13 +125,13 @@
         remaining_ms: float,
         data: bytes,
     ) -> None:
-        """Accepts or rejects an attempt, whose fields `Attempt` and `RequestHandler.accept` describe.
+        """Accepts or rejects an attempt, whose fields are described in `Attempt` and `RequestHandler.accept`.
 
         Raises:
-            WireError: An attempt of this number has no outcome yet.
+            WireError: An attempt with this number has no outcome yet.
         """
         if number in self.attempts:
-            raise WireError(f"TRIP: number {number} is out already")
+            raise WireError(f"TRIP: number {number} is in flight already")
         attempt = Attempt(self, number, request_id, attempt_index, extent, operation, offset, length, key, data)
         self.context.requests.accept(attempt, units, remaining_ms)
 
@@ -142,9 +142,9 @@
             self.context.requests.cancel(attempt)
 
     def on_control(self, token: int, verb: str, values: dict[str, float | str]) -> None:
-        """Carries out a control verb of the lab; raises WireError for anyone else."""
+        """Executes a control verb of the lab; raises WireError if the other end is not the lab."""
         if self.session.peer_role != CONTROLLER_ROLE:
-            raise WireError("CONTROL is for the lab")
+            raise WireError("CONTROL is accepted from the lab only")
         try:
             response = self.context.control(verb, values)
         except ControlError as error:
--- a/pebblehinge/storage_node/effects.py
+++ b/pebblehinge/storage_node/effects.py
@@ -1,4 +1,4 @@
-"""The effects of attempts on the contents: each write once within its key's window, each append at its place."""
+"""Effects of attempts on the contents: each key's write once within a window, each append only at its offset."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from pebblehinge.wire.frames import APPEND, WRITE
 
 EFFECTS_PER_CLEANUP = 1024
-"""After so many effects old idempotency keys are forgotten."""
+"""Effects after which expired idempotency keys are removed."""
 
 
 class EffectApplier:
-    """Applies writes and appends, and notes what became of each.
+    """Component that applies writes and appends to the contents, and records the result of each.
 
     Args:
-        contents: What they are applied to.
-        events: Where events are written.
-        key_window_ms: For how long an idempotency key is known.
+        contents: The contents that change.
+        events: The event log.
+        key_window_ms: How long an idempotency key is remembered, in milliseconds.
 
     Attributes:
-        count: The number of effects so far.
+        count: Number of effects so far.
     """
 
     def __init__(self, contents: Contents, events: EventLog | NullEventLog, key_window_ms: float) -> None:
@@ -31,14 +31,14 @@
         self.count = 0
 
     def is_duplicate(self, attempt: Attempt, now_ms: float) -> bool:
-        """Whether a write with the attempt's idempotency key has taken effect already."""
+        """Returns whether a write with the attempt's idempotency key has taken effect already."""
         return attempt.key is not None and self._contents.is_applied(attempt.key, now_ms, self._key_window_ms)
 
     def apply(self, attempt: Attempt, now_ms: float) -> bool:
-        """Applies a write, unless its key says that it was applied, or an append, if the extent ends at its offset.
+        """Applies a write unless it is a duplicate, or an append if the extent ends at its offset.
 
         Returns:
-            Whether it took effect.
+            Whether the attempt took effect.
         """
         request_id, key, extent, offset = attempt.request_id, attempt.key, attempt.extent, attempt.offset
         if attempt.operation == APPEND and self._contents.length(extent) != offset:
--- a/pebblehinge/storage_node/errors.py
+++ b/pebblehinge/storage_node/errors.py
@@ -1,8 +1,8 @@
-"""The errors of the storage node."""
+"""Errors of the storage node."""
 
 
 class StorageNodeError(Exception):
-    """Any error of this package."""
+    """Base class of the errors of this package."""
 
 
 class JournalError(StorageNodeError):
@@ -10,4 +10,4 @@
 
 
 class ControlError(StorageNodeError):
-    """A control request of the lab has an unknown verb, or lacks a value or has one that is none."""
+    """A control request of the lab has an unknown verb, or a missing or malformed value."""
--- a/pebblehinge/storage_node/fault_control.py
+++ b/pebblehinge/storage_node/fault_control.py
@@ -1,4 +1,4 @@
-"""The faults that the lab injects by control frames, and ends."""
+"""Injection and removal of faults, as the lab requests in control frames."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from pebblehinge.storage_node.registration import Registration, ReportedState
 
 ControlValues = Mapping[str, Any]
-"""The values of a control frame, by their words on the wire."""
+"""Values of a control frame, by their keys on the wire."""
 
 OFF_KEY = "off"
-"""The value that ends a fault."""
+"""Key of the value that, if true, ends a fault."""
 
 DONE_RESPONSE = "done"
-"""The response to a verb that was carried out and asks for nothing."""
+"""Response to a verb that was executed and returns no data."""
 
 
 class ControlVerb(StrEnum):
-    """What the lab can ask for, by its word on the wire."""
+    """What the lab can request; the value is the verb on the wire."""
 
     SLOW = "slow"
     HANG = "hang"
@@ -40,7 +40,7 @@
 
 
 def _fault_value(values: ControlValues, key: str) -> float:
-    """A value of a machine fault; 1 if it is missing."""
+    """Returns a value of a machine fault, 1 if it is missing."""
     return float(values.get(key, True))
 
 
@@ -73,7 +73,7 @@
     ControlVerb.PAUSES: _with_pauses,
     ControlVerb.FAST_ERRORS: _with_errors,
 }
-"""What a verb changes in the machine's faults, by the verb."""
+"""How each verb changes the machine's faults."""
 
 NO_FAULT_VALUES: dict[str, ControlValues] = {
     ControlVerb.SLOW: {"slow": 1.0},
@@ -82,16 +82,16 @@
     ControlVerb.PAUSES: {"pause_ms": 0.0, "pause_every_ms": 0.0},
     ControlVerb.FAST_ERRORS: {"errors": 0.0},
 }
-"""The values that end a fault of the machine, by its verb."""
+"""The values with which each verb ends its fault."""
 
 
 class FaultController:
-    """Carries out the lab's control verbs.
+    """Handler of the lab's control verbs.
 
     Args:
-        context: The connections, the requests and the network of the storage node.
-        registration: Where a draining storage node reports that it is.
-        events: Where events are written.
+        context: The storage node's connections and request handler.
+        registration: The registration, which reports whether the storage node is draining.
+        events: The event log.
     """
 
     def __init__(self, context: ConnectionContext, registration: Registration, events: EventLog | NullEventLog) -> None:
@@ -111,11 +111,11 @@
         """Injects a fault, ends one, or returns statistics.
 
         Args:
-            verb: A word of `ControlVerb`.
-            values: The arguments; a true `off` ends the fault.
+            verb: A value of `ControlVerb`.
+            values: The verb's arguments; a true `off` ends the fault.
 
         Returns:
-            `done`, or the statistics.
+            `DONE_RESPONSE`, or the statistics.
 
         Raises:
             ControlError: The verb is unknown, or a value is missing or malformed.
@@ -131,7 +131,7 @@
             elif verb in self._handlers:
                 self._handlers[verb](values, is_off)
             else:
-                raise ControlError(f"{verb!r} is not known")
+                raise ControlError(f"{verb!r} is not a known verb")
         except (KeyError, TypeError, ValueError) as error:
             raise ControlError(str(error)) from error
         return DONE_RESPONSE
@@ -152,7 +152,7 @@
         self._requests.network.response_loss_probability = _probability(values, is_off)
 
     def _set_half_open(self, values: ControlValues, is_off: bool) -> None:
-        """Turns the connections that stand half open, as a link that is cut in the middle; new ones are well."""
+        """Makes the present connections of gateways half open, or ends that; new connections are not affected."""
         for connection in self._context.connections:
             if connection.is_gateway:
                 connection.is_half_open = not is_off
--- a/pebblehinge/storage_node/faults.py
+++ b/pebblehinge/storage_node/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the lab can inject: those of the machine, and those of the network before it."""
+"""Faults that the lab can inject into the machine and into the network in front of it."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineFaults:
-    """Faults of the machine; the defaults are a machine without any.
+    """Faults of the machine; by default there are none.
 
     Attributes:
-        slowdown: By how much the machine is slower, as a factor.
-        is_hung: Whether no work goes on at all.
-        neighbor_share: The part of the machine that a noisy neighbor takes while it is active.
-        neighbor_period_ms: For how long the neighbor is active, and then idle, in turn.
-        pause_ms: The length of the pauses; 0 for none.
-        pause_interval_ms: The mean time from the end of a pause to the next one.
-        error_share: The part of all attempts that fail at once.
+        slowdown: Factor by which the machine is slower.
+        is_hung: Whether the machine makes no progress at all.
+        neighbor_share: Share of the machine that a noisy neighbor uses while it is active.
+        neighbor_period_ms: How long the neighbor is active, and then idle, in turn, in milliseconds.
+        pause_ms: Length of the pauses in milliseconds, 0 for none.
+        pause_interval_ms: Mean time from the end of a pause to the next one, in milliseconds.
+        error_share: Share of all attempts that fail immediately.
     """
 
     slowdown: float = 1.0
@@ -31,13 +31,13 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Faults of the network; each is a probability for one attempt or frame.
+    """Faults of the network, as probabilities for each attempt or frame.
 
     Attributes:
-        rng: What the probabilities are drawn with.
-        reset_probability: That the connection is reset, in half of the cases before the attempt is seen.
-        garble_probability: That a frame to a gateway is garbled.
-        response_loss_probability: That a response isn't sent.
+        rng: Source of the draws.
+        reset_probability: Probability that an attempt resets its connection, in half of the cases before it is seen.
+        garble_probability: Probability that a frame to a gateway is garbled.
+        response_loss_probability: Probability that a response is not sent.
     """
 
     rng: random.Random
@@ -46,5 +46,5 @@
     response_loss_probability: float = 0.0
 
     def should_inject(self, probability: float) -> bool:
-        """Draws whether a fault occurs; without a draw if its probability is 0."""
+        """Draws whether a fault is to occur; a probability of 0 draws no random number."""
         return probability > 0.0 and self.rng.random() < probability
--- a/pebblehinge/storage_node/job.py
+++ b/pebblehinge/storage_node/job.py
@@ -1,4 +1,4 @@
-"""A machine's jobs."""
+"""Jobs of the simulated machine."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     """The work of one attempt.
 
     Attributes:
-        owner: What the caller knows it by.
-        units: The size of the request.
+        owner: Object that the caller identifies the job by.
+        units: The size of the request, in units of the quota.
         is_write: Whether it writes; a part of a write's work is deferred to the next flush.
-        extent: What it reads or writes; one in the cache costs less.
-        attempt_index: The number of the attempt, 0 for the first.
-        deadline_ms: When it's too late to start.
+        extent: The extent that it reads or writes; a cached extent costs less.
+        attempt_index: Index of the attempt, 0 for the first.
+        deadline_ms: Time from which the job is no longer started, in milliseconds.
         is_duplicate: Whether it repeats an applied write, which costs next to nothing.
         is_cancelled: Whether it was cancelled.
-        has_started: Whether a core has begun on it.
-        work_ms: Its work, drawn as it is submitted.
+        has_started: Whether a core has started it.
+        work_ms: Its work in milliseconds of one core at speed 1, drawn when the job is submitted.
     """
 
     owner: Owner
@@ -38,7 +38,7 @@
 
 
 class RunningWork(NamedTuple, Generic[Owner]):
-    """Work that a core is on: the sum of work at which it ends, the order of its start, its job (None for a flush)."""
+    """Work in progress: the sum of work at which it ends, its start number, and its job (None for a flush)."""
 
     end_work_ms: float
     order: int
--- a/pebblehinge/storage_node/journal.py
+++ b/pebblehinge/storage_node/journal.py
@@ -1,7 +1,8 @@
-"""The journal of effects: one file that outlives a storage node's process.
+"""Journal of effects: a file that outlives the process of a storage node.
 
 Each record is `length u32 | checksum u32 | effect`, big-endian; the checksum is XXH32 over the effect, which is one
-msgpack array. An effect is written before it is answered, so a torn last record was never answered.
+msgpack array. An effect is written before its attempt is answered, so the attempt of a torn last record was never
+answered.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 from pebblehinge.storage_node.errors import JournalError
 
 RECORD_HEADER = struct.Struct(">II")
-"""Length and checksum of a record."""
+"""Length and checksum at the start of a record."""
 
 MAX_RECORD_BYTES = 1 << 26
-"""A longer record is taken for damage."""
+"""Maximum length of an effect; a greater length means that the record is damaged."""
 
 JOURNAL_FILE_MODE = 0o644
-"""The permissions of a new journal."""
+"""Permissions of a new journal."""
 
 
 class Effect(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One write or append that took effect. Its fields are stored in this order.
+    """A write or append that took effect. The fields are stored in this order.
 
     Attributes:
-        time_ms: When it took effect.
+        time_ms: When it took effect, in milliseconds.
         request_id: The request's id.
-        extent: What was written to.
-        offset: Where, in bytes.
+        extent: The extent that was written to.
+        offset: Offset in the extent, in bytes.
         key: The idempotency key, if the request has one.
-        data: The bytes.
-        attempt_index: The number of the attempt, 0 for the first.
+        data: The bytes that were written.
+        attempt_index: Index of the attempt, 0 for the first.
     """
 
     time_ms: float
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalEntry:
-    """An effect that was read, and the offset in bytes at which its record ends."""
+    """An effect of the journal, and the offset in bytes at which its record ends."""
 
     effect: Effect
     end: int
@@ -62,7 +63,7 @@
 
 
 def read_journal(path: Path) -> Iterator[JournalEntry]:
-    """Yields the effects of a journal in order, up to its end or a torn last record.
+    """Yields the effects of a journal in order, up to its end or to a torn last record.
 
     Raises:
         JournalError: A record before the last one is damaged.
@@ -76,18 +77,18 @@
         body = data[start + RECORD_HEADER.size : end]
         is_complete = len(body) == length
         if length > MAX_RECORD_BYTES or (is_complete and xxhash.xxh32_intdigest(body) != checksum):
-            raise JournalError(f"{path}: the record at byte {start} is damaged; what stands before it is sound")
+            raise JournalError(f"{path}: the record at byte {start} is damaged; the records before it are valid")
         if not is_complete:
-            return  # the process was killed while writing: this effect was never answered
+            return  # the process was killed during this write, and never answered the attempt
         yield JournalEntry(_decode(body), end)
         start = end
 
 
 class EffectJournal:
-    """Appends effects to a file. `recover` comes first: it cuts a torn tail and opens the file.
+    """Journal that effects are appended to, once `recover` has truncated a torn tail and opened the file.
 
     Args:
-        path: The file; its folder is made if it's missing.
+        path: Path of the file, whose folder is created if it is missing.
     """
 
     def __init__(self, path: Path) -> None:
@@ -95,7 +96,7 @@
         self._descriptor = -1
 
     def recover(self) -> list[Effect]:
-        """Returns the effects of an earlier process, and opens the journal behind the last one.
+        """Returns the effects of earlier processes, and opens the journal for appending after the last one.
 
         Raises:
             JournalError: The journal is damaged.
@@ -113,12 +114,12 @@
         return effects
 
     def append(self, effect: Effect) -> None:
-        """Writes one effect; raises OSError if the file doesn't take it."""
+        """Appends one effect; raises OSError if it can't be written."""
         body = _encode(effect)
         os.write(self._descriptor, RECORD_HEADER.pack(len(body), xxhash.xxh32_intdigest(body)) + body)
 
     def close(self) -> None:
-        """Closes the file, if it's open."""
+        """Closes the file if it is open."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/pebblehinge/storage_node/machine.py
+++ b/pebblehinge/storage_node/machine.py
@@ -1,8 +1,8 @@
-"""A storage node as a machine in time, without sockets and without a clock of its own: a model, not a measurement.
+"""Model of a storage node's machine in time, without sockets or a clock of its own. Its times are not measurements.
 
-Work is counted in milliseconds of one core at speed 1. All cores go at one rate, which changes with warmth, pauses and
-faults, so one running sum of the work done by each core decides when a job ends. `advance(now_ms)` brings the machine
-up to a time and returns what ended; `next_event_ms()` says when to call it again.
+Work is counted in milliseconds of one core at speed 1. All cores work at the same rate, which changes with the warm-up,
+pauses and faults, so a single running sum of the work done by each core decides when a job ends. `advance(now_ms)`
+simulates up to a time and returns the jobs that ended; `next_event_ms()` returns when to call it again.
 """
 
 from __future__ import annotations
@@ -19,38 +19,38 @@
 from pebblehinge.storage_node.job import Job, Owner, RunningWork
 
 RATE_STEP_MS = 20.0
-"""The longest step in which a rate that changes continuously is taken as constant."""
+"""The longest step during which a continuously changing rate is treated as constant."""
 
 ALWAYS_WARM_MS = -1e12
-"""The start of a machine that has been running for long."""
+"""Start of the warm-up of a machine that has been running for a long time."""
 
 MAX_DUPLICATE_WORK_MS = 0.1
-"""What a duplicate of an applied write costs at most."""
+"""Maximum work of a duplicate of an applied write."""
 
 COLD_SLACK_REQUESTS = 2.0
-"""How many of the largest requests a cold machine bears beyond its budget."""
+"""Work beyond its budget that a cold machine tolerates, in requests of the largest size."""
 
 WORK_TOLERANCE_MS = 1e-9
-"""Rounding that a sum of work may be off by."""
+"""Rounding error that is tolerated in a sum of work."""
 
 JITTER_RANGE = (0.8, 1.2)
-"""The range of the factor by which intervals vary."""
+"""Range of the random factor of an interval."""
 
 NEVER_MS = float("inf")
 
 
 class Machine(Generic[Owner]):
-    """Cores, a queue in order of arrival, a cache of extents, flushes, pauses and a cold start.
+    """Machine with cores, a FIFO queue, a cache of extents, flushes, pauses and a slow start.
 
     Args:
-        kind: The machine's capacity and habits.
-        rules: What a cold machine bears.
-        rng: What speed, work and intervals are drawn with.
-        now_ms: The present in milliseconds.
-        is_warm: Whether it has been running for long; else it starts now, and warms up.
+        kind: The settings of this kind of machine.
+        rules: The settings with the limits on the load of a cold machine.
+        rng: Source of the speed, the work of jobs, and intervals.
+        now_ms: The current time in milliseconds.
+        is_warm: Whether the machine has been running for a long time; otherwise it starts now and warms up.
 
     Attributes:
-        has_crashed: Whether a cold machine was asked for too much; it does nothing any more.
+        has_crashed: Whether too much work arrived while the machine was cold; a crashed machine does nothing.
     """
 
     def __init__(self, kind: KindBlock, rules: RulesBlock, rng: random.Random, now_ms: float, is_warm: bool) -> None:
@@ -64,9 +64,9 @@
         self.faults = MachineFaults()
         self.queue: deque[Job[Owner]] = deque()
         self.running: list[RunningWork[Owner]] = []  # a heap
-        self.work_done_ms = 0.0  # work done by each core since the start
+        self.work_done_ms = 0.0  # work that each core has done since the start
         self.cached_extents: deque[str] = deque(maxlen=kind.remembers or None)
-        self.deferred_ms = 0.0  # work of writes that waits for the next flush
+        self.deferred_ms = 0.0  # work of writes, deferred until the next flush
         self.next_flush_ms = now_ms + rng.uniform(0.5, 1.0) * kind.flush
         self.paused_until_ms = 0.0
         self.next_pause_ms = now_ms + rng.uniform(0.2, 1.0) * kind.pause_every if kind.pause else NEVER_MS
@@ -78,17 +78,17 @@
     # ---- capacity
 
     def warm_up_fraction(self, now_ms: float) -> float:
-        """Returns the part of its full speed that the machine has reached, 1 once it is warm."""
+        """Returns the share of the full speed that the machine has reached, 1 once it is warm."""
         kind = self.kind
         age_ms = now_ms - self.warming_since_ms
         return min(1.0, kind.cold_from + (1.0 - kind.cold_from) * age_ms / max(1.0, kind.cold))
 
     def capacity(self, now_ms: float) -> float:
-        """Returns the work a millisecond of all cores, without faults and load."""
+        """Returns the work of all cores per millisecond, without faults and load."""
         return self.kind.cores * self.speed * self.warm_up_fraction(now_ms)
 
     def rate(self, now_ms: float) -> float:
-        """Returns the work a millisecond of one core."""
+        """Returns the work of one core per millisecond."""
         faults = self.faults
         if self.has_crashed or faults.is_hung or now_ms < self.paused_until_ms:
             return 0.0
@@ -103,7 +103,7 @@
     # ---- jobs
 
     def submit(self, now_ms: float, job: Job[Owner]) -> bool:
-        """Queues a job; returns False if the queue is full or the machine has crashed, maybe by this very job."""
+        """Queues a job; returns False if the queue is full or the machine has crashed, possibly due to this job."""
         kind = self.kind
         job.work_ms = self._draw_work(job)
         self._charge_cold_budget(now_ms, job.work_ms)
@@ -120,8 +120,8 @@
     def start_queued(self, now_ms: float) -> None:
         """Starts queued jobs on idle cores.
 
-        A caller that submits several jobs together starts them after the last one, so that a job that is cancelled
-        among them is never started.
+        A caller that submits several jobs together calls this after the last one, so that a job that was cancelled
+        meanwhile is never started.
         """
         while self.queue and len(self.running) < self.kind.cores:
             job = self.queue.popleft()
@@ -160,7 +160,7 @@
     # ---- time
 
     def advance(self, now_ms: float) -> list[Job[Owner]]:
-        """Brings the machine up to `now_ms`; returns the jobs that ended since, in order."""
+        """Simulates the machine up to `now_ms`; returns the jobs that ended since the last call, in order."""
         ended_jobs: list[Job[Owner]] = []
         while True:
             step_end_ms = min(now_ms, self._next_change_ms())
@@ -176,13 +176,13 @@
                 return ended_jobs
 
     def next_event_ms(self) -> float:
-        """Returns when to call `advance` next; infinite if only a new job can change anything."""
+        """Returns when to call `advance` next, in milliseconds; infinite if only a new job can change anything."""
         if not self.running or self.has_crashed:
             return NEVER_MS
         return self._next_change_ms()
 
     def set_faults(self, now_ms: float, faults: MachineFaults) -> list[Job[Owner]]:
-        """Replaces the faults that act on the machine; returns the jobs that ended before."""
+        """Replaces the faults of the machine; returns the jobs that ended before that."""
         ended_jobs = self.advance(now_ms)
         self.faults = faults
         self.next_fault_pause_ms = NEVER_MS
@@ -191,7 +191,7 @@
         return ended_jobs
 
     def _next_change_ms(self) -> float:
-        """When a job ends, a pause begins or ends, a flush is due, or the rate has changed by a step."""
+        """Returns when a job ends, a pause begins or ends, a flush is due, or the rate must be computed again."""
         now_ms = self.now_ms
         change_ms = min(self.next_pause_ms, self.next_fault_pause_ms, self.next_flush_ms)
         if now_ms < self.paused_until_ms:
--- a/pebblehinge/storage_node/registration.py
+++ b/pebblehinge/storage_node/registration.py
@@ -1,4 +1,4 @@
-"""A storage node's registration: the connection by which service discovery knows that its process runs."""
+"""Registration of a storage node: the connection that tells service discovery that its process runs."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from pebblehinge.wire import Kind, Session
 
 RECONNECT_DELAY_S = 0.2
-"""The time from a lost or failed connection to the next one."""
+"""Delay after which a lost or failed connection is tried again."""
 
 UNKNOWN_AGE_MS = -1.0
-"""The age of a process that has been running for long."""
+"""Age of a process that started long ago, in REGISTER frames."""
 
 
 class ReportedState(StrEnum):
-    """The state that a storage node reports of itself, by its word on the wire."""
+    """State that a storage node reports; the value is its word on the wire."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisteredNode:
-    """What is registered.
+    """Storage node that is registered.
 
     Attributes:
         name: The storage node's name.
         block: Its settings.
-        started_ms: When its process started, None if that is long ago.
+        started_ms: When its process started, None if that was long ago.
     """
 
     name: str
@@ -42,30 +42,30 @@
 
 
 class RegistrationConnection(Peer):
-    """A connection to service discovery."""
+    """Connection to service discovery."""
 
     def __init__(self, registration: Registration, session: Session) -> None:
         super().__init__(registration.loop, session, registration.limits.stall)
         self.registration = registration
 
     def on_ready(self) -> None:
-        """Registers the storage node."""
+        """Registers the storage node once the greeting is complete."""
         self.registration.on_ready(self)
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """Connects again later."""
+        """Schedules a new connection."""
         self.registration.on_connection_lost(self)
 
 
 class Registration:
-    """Keeps a storage node registered: connects, and connects again whenever the connection is lost.
+    """Client of service discovery that keeps a storage node registered, and reconnects whenever it is disconnected.
 
     Args:
         loop: The event loop, which makes the connection and the timer.
-        clock: The present in milliseconds, by the clock of the loop.
+        clock: Returns the current time in milliseconds, by the loop's clock.
         limits: The limits of a connection.
-        address: Where service discovery listens, as `host:port`.
-        node: What is registered.
+        address: Address of service discovery, as `host:port`.
+        node: The storage node to register.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._node = node
         self._state = ReportedState.READY
         self._is_closed = False
-        self._connection: RegistrationConnection | None = None  # once it has registered
+        self._connection: RegistrationConnection | None = None  # None until it has registered
         self._connect_task: asyncio.Task[None] | None = None
         self._reconnect_timer: asyncio.TimerHandle | None = None
 
@@ -92,13 +92,13 @@
         self._connect_task = self.loop.create_task(self._connect())
 
     def report(self, state: ReportedState) -> None:
-        """Reports a state, now and with each further registration."""
+        """Reports a state now, and with each further registration."""
         self._state = state
         if self._connection is not None:
             self._connection.send(Kind.STANDING, state.value)
 
     def stop(self) -> None:
-        """Ends the attempts to connect."""
+        """Stops connecting."""
         self._is_closed = True
         if self._connect_task is not None:
             self._connect_task.cancel()
@@ -106,13 +106,13 @@
             self._reconnect_timer.cancel()
 
     def close(self) -> None:
-        """Stops, and closes the connection, which ends the registration."""
+        """Stops connecting, and closes the connection, which ends the registration."""
         self.stop()
         if self._connection is not None:
             self._connection.close()
 
     def on_ready(self, connection: RegistrationConnection) -> None:
-        """The greeting of a connection is over: registers there."""
+        """Registers the storage node on a connection whose greeting is complete."""
         node = self._node
         age_ms = UNKNOWN_AGE_MS if node.started_ms is None else self._clock() - node.started_ms
         block = node.block
@@ -122,7 +122,7 @@
         self._connection = connection
 
     def on_connection_lost(self, connection: RegistrationConnection | None) -> None:
-        """A connection is lost, or, with None, was not made: connects again after a while."""
+        """Schedules a new connection after one was lost, or (None) could not be established."""
         if self._connection is connection:
             self._connection = None
         if not self._is_closed:
--- a/pebblehinge/storage_node/requests.py
+++ b/pebblehinge/storage_node/requests.py
@@ -1,4 +1,4 @@
-"""What a storage node does with attempts: the machine's queue and time, effects on its contents, and outcomes."""
+"""Execution of attempts by a storage node: they pass the machine, take effect on the contents, and are answered."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from pebblehinge.wire.frames import APPEND, APPEND_RESULT, WRITE
 
 UNSEEN_RESET_SHARE = 0.5
-"""The part of the resets that come before the attempt is seen; the others come before its response."""
+"""Share of the resets that occur before the attempt is seen; the others occur before its response."""
 
 APPLIED_ERROR_SHARE = 0.5
-"""The part of the errors that come after the effect, so that no gateway may take them for unapplied."""
+"""Share of the errors that occur after the effect, so that no gateway may assume that nothing was applied."""
 
 TIMER_MARGIN_S = 0.0005
-"""How much later than the machine's next event the timer is set, so that the event is due when it fires."""
+"""Delay of the timer after the machine's next event, so that the event is due when the timer fires."""
 
 
 class RequestHandler:
-    """Executes the attempts of all connections.
+    """Handler that executes the attempts of all connections.
 
     Args:
         loop: The event loop, which makes the timers.
-        clock: The present in milliseconds, by the clock of the loop.
+        clock: Returns the current time in milliseconds, by the loop's clock.
         simulation: The machine, its contents and faults.
-        events: Where events are written.
-        on_crash: Called with the present when the machine has crashed.
+        events: The event log.
+        on_crash: Called with the current time when the machine has crashed.
 
     Attributes:
-        now_ms: The present in milliseconds, read once for all that comes in one batch.
-        effects: What applies writes and appends to the contents.
-        is_draining: Whether all attempts are rejected.
+        now_ms: The current time in milliseconds, read once for all frames that are received together.
+        effects: The component that applies writes and appends to the contents.
+        is_draining: Whether all attempts are rejected, since the storage node is draining.
     """
 
     def __init__(
@@ -65,12 +65,12 @@
         self._timer_due_ms = NEVER_MS
 
     def read_clock(self) -> float:
-        """Reads the clock for what is handled next; returns the present in milliseconds."""
+        """Updates `now_ms` from the clock, and returns it."""
         self.now_ms = self.clock()
         return self.now_ms
 
     def close(self) -> None:
-        """Stops the timer; nothing is started any more."""
+        """Stops the timer; no further jobs are started."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -82,8 +82,8 @@
 
         Args:
             attempt: The attempt.
-            units: The size of its request.
-            remaining_ms: The time until its deadline, after which it isn't started.
+            units: The size of its request, in units of the quota.
+            remaining_ms: Time until its deadline, after which it is not started.
         """
         now_ms = self.now_ms
         self.complete_jobs(self.machine.advance(now_ms))
@@ -108,14 +108,14 @@
             attempt.connection.send_outcome(attempt.number, AttemptStatus.OVERLOADED, reason, b"")
             return
         attempt.connection.attempts[attempt.number] = attempt
-        if is_reset:  # the attempt is executed, and its response finds no connection
+        if is_reset:  # the attempt is executed, but its response can't be sent
             attempt.connection.abort()
         if not self._start_scheduled:
             self._start_scheduled = True
             self.loop.call_soon(self._start_jobs)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancels an accepted attempt: queued work is dropped, running work goes on."""
+        """Cancels an accepted attempt, which is dropped if it is queued, and continues if it has started."""
         job = attempt.job
         assert job is not None, "an accepted attempt has a job"
         job.is_cancelled = True
@@ -124,7 +124,7 @@
         self.events.note(self.now_ms, "recalled", id=attempt.request_id, n=attempt.attempt_index, began=job.has_started)
 
     def complete_jobs(self, jobs: list[Job[Attempt]]) -> None:
-        """Applies and answers the attempts of jobs that have ended by now."""
+        """Applies and answers the attempts of jobs that have ended."""
         for job in jobs:
             self.complete(job.owner)
 
@@ -133,7 +133,7 @@
         return bool(probability) and self.rng.random() < probability
 
     def _respond_with_error(self, attempt: Attempt, units: float) -> None:
-        """Answers with an error at once, in some cases after the effect."""
+        """Answers with an error immediately, in some cases after the effect."""
         self._record_received(attempt, units, 0.0, is_full=False)
         if self.rng.random() < APPLIED_ERROR_SHARE:
             self.effects.apply(attempt, self.now_ms)
@@ -178,7 +178,7 @@
         self.respond(attempt, AttemptStatus.SUCCEEDED, "", data)
 
     def respond(self, attempt: Attempt, status: AttemptStatus, reason: str, data: bytes) -> None:
-        """Answers an attempt, as `NodeConnection.send_outcome` describes, unless the response is lost."""
+        """Answers an attempt, unless the response is lost; `NodeConnection.send_outcome` describes the arguments."""
         attempt.connection.attempts.pop(attempt.number, None)
         if self.network.should_inject(self.network.response_loss_probability):
             self.events.note(self.now_ms, "lost", id=attempt.request_id, n=attempt.attempt_index)
@@ -189,10 +189,10 @@
     # ---- time
 
     def _start_jobs(self) -> None:
-        """Starts jobs once all frames that came together are handled.
+        """Starts jobs after all frames that were received together are handled.
 
-        An attempt whose cancellation stands right behind it, as in the socket of a process that was stopped for a
-        while, must not run.
+        An attempt that was received together with its cancellation, as happens after the process was suspended, must
+        not be executed.
         """
         self._start_scheduled = False
         if not self._is_closed:
@@ -200,7 +200,7 @@
             self.set_timer()
 
     def set_timer(self) -> None:
-        """Sets the timer to the machine's next event, if that is earlier than what it is set to."""
+        """Sets the timer to the machine's next event, unless it is set to an earlier time."""
         event_ms = self.machine.next_event_ms()
         if event_ms >= self._timer_due_ms and self._timer is not None:
             return
--- a/pebblehinge/storage_node/server.py
+++ b/pebblehinge/storage_node/server.py
@@ -1,4 +1,4 @@
-"""The stand-in storage node as a process: its socket, its registration, and the lab's control."""
+"""Server of the stand-in storage node, with its socket, its registration, and the lab's control."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 from pebblehinge.storage_node.simulation import Simulation
 
 BACKLOG = 1024
-"""Connections that wait to be accepted: after a restart of the storage node all gateways come at once."""
+"""Connections that may wait to be accepted; after a restart of the node all gateways connect at once."""
 
 
 class StorageNodeServer:
-    """A stand-in storage node.
+    """Stand-in storage node.
 
     Args:
         loop: The event loop, which makes the socket, the connections and the timers.
-        clock: The present in milliseconds, by the clock of the loop.
+        clock: Returns the current time in milliseconds, by the loop's clock.
         config: The settings.
-        name: The storage node's name, which the settings have.
+        name: The storage node's name in the settings.
         log: A structlog logger.
-        events: Where events are written, if anywhere.
-        contents: What the slot stores already; empty and in memory by default.
-        is_warm: Whether the machine has been running for long; else its process has just started after a crash.
-        seed: Of all that is drawn.
+        events: The event log, if there is one.
+        contents: The contents of its slot; by default they are empty and kept in memory.
+        is_warm: Whether the machine has been running for a long time; otherwise it has just started after a crash.
+        seed: Seed of all random draws.
 
     Attributes:
         block: The settings of this storage node.
         machine: The simulated machine.
-        contents: What it stores.
-        requests: What executes attempts.
+        contents: The contents of its slot.
+        requests: The handler that executes attempts.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens and registers; raises OSError if the address can't be bound."""
+        """Starts to listen and registers; raises OSError if the address can't be bound."""
         host, port = parse_address(self.block.listen)
         self._server = await self.loop.create_server(lambda: NodeConnection(self._context), host, port, backlog=BACKLOG)
         self._registration.start()
@@ -112,13 +112,13 @@
         self.contents.close()
 
     def control(self, verb: str, values: dict[str, Any]) -> str:
-        """Injects a fault, ends one, or returns statistics, as `FaultController.control` describes."""
+        """Injects a fault, ends one, or returns statistics; see `FaultController.control`."""
         return self._fault_controller.control(verb, values)
 
     def _on_crash(self, now_ms: float) -> None:
-        """The machine has crashed, and its sockets go with it."""
+        """Closes all sockets, as the machine has crashed."""
         self.events.note(now_ms, "fell", name=self.name, fill=self.machine.cold_budget.peak_load)
-        self.log.warning("fell over", shelf=self.name)
+        self.log.warning("crashed under load while cold", shelf=self.name)
         if self._server is not None:
             self._server.close()
         for connection in list(self._context.connections):
--- a/pebblehinge/storage_node/simulation.py
+++ b/pebblehinge/storage_node/simulation.py
@@ -1,4 +1,4 @@
-"""What a storage node simulates, put together."""
+"""Simulated parts of a storage node."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Simulation:
-    """What a storage node simulates.
+    """Simulated parts of a storage node.
 
     Attributes:
         machine: The machine.
-        contents: What it stores.
+        contents: The contents of its slot.
         network: The faults of the network.
-        rng: What errors are drawn with.
-        key_window_ms: For how long an idempotency key is known.
+        rng: Source of the machine's random draws.
+        key_window_ms: How long an idempotency key is remembered, in milliseconds.
     """
 
     machine: Machine[Attempt]
