--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -14,7 +14,7 @@
 from pebblehinge.wire import Kind, Session, WireError
 
 BACKLOG = 4096
-"""Connections that may wait to be accepted; after a restart all processes reconnect within half a second."""
+"""Connections that may wait to be accepted; after a restart all gateways and nodes reconnect in half a second."""
 
 PROCESS_NAME = "listing"
 """Name and role of the process, in its greeting and in its event log."""
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a running gateway, as they are scraped."""
+"""Metrics of a running gateway, as a collector scrapes them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pebblehinge.gateway.metrics import GatewayMetrics
 
-NAMES = [
+METRIC_NAMES = [
     "pebblehinge_accesses",
     "pebblehinge_not_honoured",
     "pebblehinge_trips",
@@ -25,8 +25,8 @@
 ]
 
 
-def test_each_metric_is_there_under_its_name_and_tells_of_requests_and_nodes() -> None:
-    """Once an attribute of the node table had another name than the collector's, and each scrape failed."""
+def test_metrics_have_their_names_and_count_requests_and_nodes() -> None:
+    """Every scrape fails if the collector reads an attribute that the node table does not have."""
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
@@ -36,16 +36,16 @@
         await until(lambda: len(rig.shelfs[0].attempts) == 2)
         registry = CollectorRegistry()
         registry.register(GatewayMetrics(rig.head))
-        assert [metric.name for metric in registry.collect()] == NAMES
-        value = registry.get_sample_value
-        assert value("pebblehinge_accesses_total", {"end": "taken"}) == 2.0
-        assert value("pebblehinge_accesses_total", {"end": "honoured"}) == 1.0
-        assert value("pebblehinge_accesses_total", {"end": "pushed_back"}) == 0.0
-        assert value("pebblehinge_trips_total", {"outcome": "honoured"}) == 1.0
-        assert value("pebblehinge_open") == 1.0 and value("pebblehinge_connections") == 1.0
-        assert value("pebblehinge_shelf_held", {"shelf": "s1"}) == 0.0
-        assert value("pebblehinge_shelf_away", {"shelf": "s1"}) == 1.0
-        assert value("pebblehinge_latency_seconds_count") == 1.0
-        assert (value("pebblehinge_latency_quantile_seconds", {"quantile": "0.5"}) or 0.0) > 0.0
+        assert [metric.name for metric in registry.collect()] == METRIC_NAMES
+        sample = registry.get_sample_value
+        assert sample("pebblehinge_accesses_total", {"end": "taken"}) == 2.0
+        assert sample("pebblehinge_accesses_total", {"end": "honoured"}) == 1.0
+        assert sample("pebblehinge_accesses_total", {"end": "pushed_back"}) == 0.0
+        assert sample("pebblehinge_trips_total", {"outcome": "honoured"}) == 1.0
+        assert sample("pebblehinge_open") == 1.0 and sample("pebblehinge_connections") == 1.0
+        assert sample("pebblehinge_shelf_held", {"shelf": "s1"}) == 0.0
+        assert sample("pebblehinge_shelf_away", {"shelf": "s1"}) == 1.0
+        assert sample("pebblehinge_latency_seconds_count") == 1.0
+        assert (sample("pebblehinge_latency_quantile_seconds", {"quantile": "0.5"}) or 0.0) > 0.0
 
     on_rig(script)
