--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -120,7 +120,7 @@
         rows = self.view.node_rows(self.gateway.clock())
         row = next((row for row in rows if row["name"] == name), None)
         if row is None:
-            raise web.HTTPNotFound(text=f"no shelf {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
+            raise web.HTTPNotFound(text=f"no shelf {name[:MAX_NAME_EXCERPT_CHARS]!r} is known to this head\n")
         return _json_response(row)
 
     async def serve_volume(self, request: web.Request) -> web.Response:
@@ -188,10 +188,8 @@
         """Raises HTTPUnauthorized unless the request has the token or none is required."""
         if not self.token:
             return
-        presented_token = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get(
-            "token", ""
-        )
-        if not hmac.compare_digest(presented_token.encode(), self.token.encode()):
+        sent_token = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get("token", "")
+        if not hmac.compare_digest(sent_token.encode(), self.token.encode()):
             raise web.HTTPUnauthorized(text="a token is required: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
 
     def _volume_name(self, request: web.Request) -> str:
@@ -199,7 +197,7 @@
         self._authorize(request)
         name = request.match_info["name"]
         if name not in self.gateway.config.volume:
-            raise web.HTTPNotFound(text=f"no volume {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
+            raise web.HTTPNotFound(text=f"no volume {name[:MAX_NAME_EXCERPT_CHARS]!r} is known to this head\n")
         return name
 
     async def _refresh(self) -> None:
--- a/pebblehinge/storage_node/machine.py
+++ b/pebblehinge/storage_node/machine.py
@@ -40,7 +40,7 @@
 
 
 class Machine(Generic[Owner]):
-    """Machine with cores, a FIFO queue, a cache of extents, flushes, pauses and a slow start.
+    """Machine with cores, a FIFO queue, a cache of extents, flushes, pauses and a warm-up.
 
     Args:
         kind: The settings of this kind of machine.
