--- a/pebblehinge/console/server.py
+++ b/pebblehinge/console/server.py
@@ -120,7 +120,7 @@
         rows = self.view.node_rows(self.gateway.clock())
         row = next((row for row in rows if row["name"] == name), None)
         if row is None:
-            raise web.HTTPNotFound(text=f"no shelf {name[:MAX_NAME_EXCERPT_CHARS]!r} is known to this head\n")
+            raise web.HTTPNotFound(text=f"no shelf {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
         return _json_response(row)
 
     async def serve_volume(self, request: web.Request) -> web.Response:
@@ -144,14 +144,14 @@
         name = self._volume_name(request)
         accounting = self.gateway.core.wait_accounting
         if accounting is None:
-            raise web.HTTPNotFound(text="wait accounting is disabled: set `accounts yes` in the head's block\n")
+            raise web.HTTPNotFound(text="no accounts are kept here: accounts yes in the head's block\n")
         return web.Response(text="\n".join(accounting.report(name)) + "\n")
 
     async def stream_snapshots(self, request: web.Request) -> web.StreamResponse:
         """Streams snapshots as they are made; some may be skipped, since each one is complete."""
         self._authorize(request)
         if len(self.viewers) >= MAX_VIEWERS:
-            text = f"{MAX_VIEWERS} viewers are connected already\n"
+            text = f"{MAX_VIEWERS} are watching already\n"
             raise web.HTTPServiceUnavailable(text=text, headers={"Retry-After": str(RETRY_AFTER_S)})
         response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
@@ -190,14 +190,14 @@
             return
         sent_token = request.headers.get("Authorization", "").removeprefix("Bearer ") or request.query.get("token", "")
         if not hmac.compare_digest(sent_token.encode(), self.token.encode()):
-            raise web.HTTPUnauthorized(text="a token is required: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
+            raise web.HTTPUnauthorized(text="sign in: Authorization: Bearer TOKEN, or ?token=TOKEN\n")
 
     def _volume_name(self, request: web.Request) -> str:
         """Returns the volume that an authorized request names; raises HTTPNotFound if the settings don't have it."""
         self._authorize(request)
         name = request.match_info["name"]
         if name not in self.gateway.config.volume:
-            raise web.HTTPNotFound(text=f"no volume {name[:MAX_NAME_EXCERPT_CHARS]!r} is known to this head\n")
+            raise web.HTTPNotFound(text=f"no volume {name[:MAX_NAME_EXCERPT_CHARS]!r} is known here\n")
         return name
 
     async def _refresh(self) -> None:
--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -96,7 +96,7 @@
         state = REPORTED_STATES.get(word)
         if not self.node or state is None:
             raise WireError(
-                f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: expected ready or draining, from a registered shelf"
+                f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: a registered shelf says ready or draining"
             )
         self.discovery.registry.set_state(self.discovery.clock(), self.node, state)
         self.discovery.publish()
@@ -104,7 +104,7 @@
     def on_control(self, token: int, verb: str, values: dict[str, float | str]) -> None:
         """Injects or ends a fault for the lab; raises WireError if the other end is not the lab."""
         if self.session.peer_role != CONTROLLER_ROLE:
-            raise WireError("CONTROL is accepted from the lab only")
+            raise WireError("CONTROL is for the lab")
         self.send(Kind.CONTROLLED, token, self.discovery.control(verb, values))
 
 
@@ -214,7 +214,7 @@
             self.registry.override_state(now_ms, str(values["shelf"]), state)
             self.publish()
         else:
-            return f"no: {verb!r} is not a known verb"
+            return f"no: {verb!r} is not known"
         return "done"
 
     def _send(self, connection: DiscoveryConnection, now_ms: float, kind: str, endpoints: list[Endpoint]) -> None:
--- a/pebblehinge/replicated_config/member_connection.py
+++ b/pebblehinge/replicated_config/member_connection.py
@@ -56,10 +56,10 @@
             WireError: If the sender is no member of this group, or the message can't be decoded.
         """
         if self.session.peer_role != session_roles.MEMBER:
-            raise WireError("RAFT is for members of the group")
+            raise WireError("RAFT is for instances of the group")
         group = self.member.config.group.id
         if self.session.peer_name.rpartition("@")[2] != group:
-            raise WireError(f"this is group {group!r}: {self.session.peer_name!r} belongs to another")
+            raise WireError(f"this is group {group!r}: {self.session.peer_name!r} is of another")
         try:
             self.member.node.receive(data)
         except msgspec.DecodeError as error:
--- a/pebblehinge/storage_node/connection.py
+++ b/pebblehinge/storage_node/connection.py
@@ -131,7 +131,7 @@
             WireError: An attempt with this number has no outcome yet.
         """
         if number in self.attempts:
-            raise WireError(f"TRIP: number {number} is in flight already")
+            raise WireError(f"TRIP: number {number} is out already")
         attempt = Attempt(self, number, request_id, attempt_index, extent, operation, offset, length, key, data)
         self.context.requests.accept(attempt, units, remaining_ms)
 
@@ -144,7 +144,7 @@
     def on_control(self, token: int, verb: str, values: dict[str, float | str]) -> None:
         """Executes a control verb of the lab; raises WireError if the other end is not the lab."""
         if self.session.peer_role != CONTROLLER_ROLE:
-            raise WireError("CONTROL is accepted from the lab only")
+            raise WireError("CONTROL is for the lab")
         try:
             response = self.context.control(verb, values)
         except ControlError as error:
--- a/pebblehinge/storage_node/fault_control.py
+++ b/pebblehinge/storage_node/fault_control.py
@@ -131,7 +131,7 @@
             elif verb in self._handlers:
                 self._handlers[verb](values, is_off)
             else:
-                raise ControlError(f"{verb!r} is not a known verb")
+                raise ControlError(f"{verb!r} is not known")
         except (KeyError, TypeError, ValueError) as error:
             raise ControlError(str(error)) from error
         return DONE_RESPONSE
