--- a/pebblehinge/discovery/server.py
+++ b/pebblehinge/discovery/server.py
@@ -95,9 +95,7 @@
         """
         state = REPORTED_STATES.get(word)
         if not self.node or state is None:
-            raise WireError(
-                f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: a registered shelf says ready or draining"
-            )
+            raise WireError(f"STANDING {word[:MAX_WORD_EXCERPT_CHARS]!r}: a registered shelf says ready or draining")
         self.discovery.registry.set_state(self.discovery.clock(), self.node, state)
         self.discovery.publish()
 
