--- a/pebblehinge/service/__main__.py
+++ b/pebblehinge/service/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m pebblehinge.service`: one gateway in the foreground, configured by the file that RELAY_CONFIG names."""
+"""Entry point of `python -m pebblehinge.service`: runs one gateway, configured by the file that RELAY_CONFIG names."""
 
 import os
 import sys
 
 from pebblehinge.service import early_signals
 
-if __name__ == "__main__":  # before the imports below, which take a while
+if __name__ == "__main__":  # This precedes the imports below, as they take long enough for a signal to arrive.
     early_signals.record_signals()
 
 import uvloop
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run until the gateway is stopped; return the exit code: 0, or 2 if it could not start."""
+    """Runs the gateway until it is stopped; returns the exit code: 0, or 2 if it could not start."""
     path = os.environ.get("RELAY_CONFIG", "")
     try:
         if not path:
--- a/pebblehinge/service/client_connection.py
+++ b/pebblehinge/service/client_connection.py
@@ -1,10 +1,11 @@
-"""A client's connection: reads requests, holds at most one open request, writes its answer.
+"""The connection of a client: reads its requests, one open request at a time, and writes the answers.
 
-A request that is not of the protocol's form is answered with an error, and its connection is closed behind it. Nothing
-of it has been sent anywhere.
+A request that violates the protocol is answered with an error, after which the connection is closed. No part of such a
+request is sent to a storage node.
 
-Reading is never paused: that a client has closed is seen at the end of its sending, which is behind whatever it sent. A
-client that sends more ahead than is kept is answered for what is kept, then gets an error.
+Reading is never paused: the end of stream, by which the gateway notices that a client has closed, comes after all bytes
+that the client sent. The bytes that a client may send ahead (pipelining) are limited. A client that exceeds the limit
+gets answers to the requests within it, then an error.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 from pebblehinge.service.context import Registry
 from pebblehinge.service.socket_state import is_peer_closed, is_readable
 
-MAX_PIPELINED_BYTES = 2 * MAX_REQUEST_BODY_BYTES  # bytes of requests sent ahead; clients send one request at a time
+MAX_PIPELINED_BYTES = 2 * MAX_REQUEST_BODY_BYTES  # Limit of bytes sent ahead; clients send one request at a time.
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LIVE_TARGET = b"/health/live"
 READY_TARGET = b"/health/ready"
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection. At most one request of it is open; those sent ahead wait for its answer.
+    """The connection of one client, with at most one open request; requests sent ahead wait for its answer.
 
     Attributes:
-        pending: The request that is open.
-        keep_alive: The client lets the connection go on behind the last request.
-        timeout_start_ms: When it came into its group, or when writing was paused.
-        input_overflowed: More was sent ahead than is kept; what comes now is read and dropped.
-        read_scheduled: `read_requests` is due once the loop has read more.
-        write_paused: The client reads too slowly.
-        closing: Our side has ended, or the client has gone.
-        group: The registry's group that it is in.
-        is_counted: It counts among the registry's connections.
-        answer_deadline_ms: Until when the client of the last request waits for its answer.
+        pending: The open request, or None.
+        keep_alive: Whether the connection may stay open after the answer to the last request.
+        timeout_start_ms: Clock time from which timeouts count: its entry into the group, or the last pause of writing.
+        input_overflowed: Whether more than MAX_PIPELINED_BYTES were sent ahead; further bytes are read and dropped.
+        read_scheduled: Whether `read_requests` is scheduled for after the loop's next reads.
+        write_paused: Whether the write buffer is full, as the client reads too slowly.
+        output_ended: Whether nothing more is written: the gateway closed its side, or the client is gone.
+        group: The registry's group that contains the connection, or None.
+        is_counted: Whether the registry's connection count includes the connection.
+        answer_deadline_ms: Clock time until which the client waits for the answer to its last request.
     """
 
     __slots__ = (
@@ -73,18 +74,17 @@
         self.answer_deadline_ms = 0.0
         self.group: dict[ClientConnection, None] | None = None
 
-    # ---- reading
+    # ---- reading requests
 
     def connection_made(self, transport: Any) -> None:
-        """Wait for the first request."""
+        """Adds the connection to the group of those without a complete request."""
         self.transport = transport
         self.registry.move_to_group(self, self.registry.incomplete_group)
 
     def data_received(self, data: bytes) -> None:
-        """Read on, unless a request is open."""
-        if (
-            self.output_ended or self.input_overflowed
-        ):  # read and dropped: a close over unread bytes would lose the last answer
+        """Buffers received bytes; handles the requests among them unless one is open."""
+        # Bytes are read and dropped here, as closing a socket with unread bytes could lose the last answer.
+        if self.output_ended or self.input_overflowed:
             return
         self.parser.feed(data)
         if self.pending is None:
@@ -96,9 +96,9 @@
                 self.read_requests()
 
     def read_requests(self) -> None:
-        """Handle the requests that have come, one after the other, as far as each is answered at once.
+        """Handles the buffered requests in order, until one of them has to wait for its answer.
 
-        If more is unread on the socket, that is read first: it may be the client's end, or much more than is kept.
+        If the socket has unread data, that is read first: it may be the client's end of stream, or exceed the limit.
         """
         if (
             self.pending is None
@@ -128,7 +128,7 @@
         self.read_requests()
 
     def _handle_incomplete_request(self) -> None:
-        """No request is complete: let a client that asks for it go on, and refuse one that sent too much."""
+        """Answers `Expect: 100-continue` of an incomplete request; raises HttpError if too much was sent ahead."""
         if self.input_overflowed:
             raise HttpError(413, f"more than {MAX_PIPELINED_BYTES} bytes were sent ahead")
         if self.parser.expects_continue:
@@ -141,18 +141,18 @@
             raise HttpError(400, "not HTTP/1.1")
         self.keep_alive = request.keep_alive
         if request.method == b"GET" and request.target in (READY_TARGET, LIVE_TARGET):
-            healthy = request.target == LIVE_TARGET or registry.context.is_ready()
-            self.respond(200 if healthy else 503)
+            is_healthy = request.target == LIVE_TARGET or registry.context.is_ready()
+            self.respond(200 if is_healthy else 503)
             return
-        parsed = read_request(request, registry.context.config)
-        if parsed.id in registry.open_request_ids:
+        parsed_request = read_request(request, registry.context.config)
+        if parsed_request.id in registry.open_request_ids:
             raise HttpError(400, "X-Request-Id: open already")
-        registry.admit(self, parsed, request.body)
+        registry.admit(self, parsed_request, request.body)
 
-    # ---- answers
+    # ---- writing answers
 
     def answer(self, status: int, body: bytes = b"", extra_headers: bytes = b"") -> None:
-        """Write the final answer of the open request; what was sent ahead is handled in a turn of its own."""
+        """Writes the final answer of the open request; requests sent ahead are handled in a later loop iteration."""
         self.release_request()
         self.respond(status, body, extra_headers)
         if not self.output_ended:
@@ -161,43 +161,43 @@
                 self.registry.context.loop.call_soon(self.read_requests)
 
     def release_request(self) -> None:
-        """Have no request open any more."""
+        """Removes the open request, if any, and its id."""
         if self.pending is not None:
             self.registry.open_request_ids.discard(self.pending.id)
             self.pending = None
 
     def respond(self, status: int, body: bytes = b"", extra_headers: bytes = b"") -> None:
-        """Write a complete response; one that ends the connection says so."""
+        """Writes a complete response; the last one on the connection has `Connection: close`."""
         if self.output_ended:
             return
-        # While the gateway shuts down, a request sent behind this one is still owed an answer.
-        last = self.registry.close_after_response and not self.parser.buffer and not self.has_unread_data()
-        keep_alive = self.keep_alive and not last
+        # During shutdown, a request sent after this one must still be answered.
+        is_last = self.registry.close_after_response and not self.parser.buffer and not self.has_unread_data()
+        keep_alive = self.keep_alive and not is_last
         self.transport.write(write_response(status, body, keep_alive, extra_headers))
         if not keep_alive:
             self.close()
 
     def reject(self, status: int, text: str) -> None:
-        """Answer a request that is not of the protocol's form, and read no further one."""
+        """Answers a request that violates the protocol or is incomplete, and closes the connection."""
         self.keep_alive = False
         self.registry.protocol_error_count += 1
         self.respond(status, text.encode("latin-1", "replace") + b"\n")
 
     def pause_writing(self) -> None:
-        """Handle no further request until the client has read."""
+        """Stops the handling of requests until the client has read the answers."""
         self.write_paused = True
         self.timeout_start_ms = self.registry.context.clock()
 
     def resume_writing(self) -> None:
-        """Handle what was sent meanwhile."""
+        """Schedules the handling of the requests that arrived during the pause."""
         self.write_paused = False
         if self.pending is None and not self.output_ended:
             self.registry.context.loop.call_soon(self.read_requests)
 
-    # ---- the end
+    # ---- closing
 
     def close(self) -> None:
-        """End our side once what was written has gone; the client's is read until its end, or for CLOSE_TIMEOUT_MS."""
+        """Closes the gateway's side once all is written; reads the client's until its end, or for CLOSE_TIMEOUT_MS."""
         if not self.output_ended:
             self.output_ended = True
             self.parser.buffer = b""
@@ -206,15 +206,15 @@
                 self.transport.write_eof()
 
     def has_unread_data(self) -> bool:
-        """Return whether anything is unread on the socket, which the loop may not have seen yet."""
+        """Returns whether the socket has unread data, even if the event loop has not noticed it yet."""
         return not self.transport.is_closing() and is_readable(self.sock.fileno())
 
     def is_client_gone(self) -> bool:
-        """Return whether the client has closed, seen by the loop or not: nothing more is begun for it then."""
+        """Returns whether the client has closed, even if the event loop has not noticed it yet."""
         return self.transport.is_closing() or is_peer_closed(self.sock)
 
     def on_client_disconnect(self) -> None:
-        """Drop what is open, as the client has gone; may be called repeatedly."""
+        """Drops the buffered and open requests of a client that is gone; may be called repeatedly."""
         pending = self.pending
         self.output_ended = True
         self.parser.buffer = b""
@@ -223,16 +223,16 @@
             self.registry.context.core.left(self.registry.context.clock(), pending)
 
     def eof_received(self) -> None:
-        """Treat the end of the client's sending as its leaving.
+        """Treats the client's end of stream as its disconnection.
 
-        `connection_lost` would be too late: it waits for what was written and is not read.
+        `connection_lost` comes too late for that, as it waits until the client has read all written bytes.
         """
         if not self.output_ended:
             self.registry.move_to_group(self, self.registry.closing_group)
         self.on_client_disconnect()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Removes the connection from the registry."""
         if self.group is not None:
             self.group.pop(self, None)
             self.group = None
--- a/pebblehinge/service/client_request.py
+++ b/pebblehinge/service/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request in the platform's protocol: its form is checked, its fields read. No I/O."""
+"""Validates a client's request in the platform's protocol and extracts its fields. No I/O."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 SINGLE_HEADERS = frozenset(
     (b"host", b"x-request-id", b"x-class", b"x-plan", b"cookie", b"x-deadline-ms", b"x-io", b"x-retry")
 )
-# Headers that belong to one connection, or that the gateway writes itself; all others are forwarded.
+# Headers that belong to one connection, or that the gateway sets itself; all others are forwarded to storage nodes.
 UNFORWARDED_HEADERS = frozenset(
     (
         b"connection",
@@ -55,12 +55,12 @@
 
 
 class ClientRequest(PendingRequest):
-    """A request that was admitted.
+    """An admitted request.
 
     Attributes:
-        origin: The `ClientConnection` that it came on.
-        id: The client's id of it.
-        head: Head of its attempts, up to the header that each attempt has of its own.
+        origin: The `ClientConnection` on which the request arrived.
+        id: The client's id of the request.
+        head: The HTTP head of its attempts, without X-Deadline-Ms, whose value differs between attempts.
     """
 
     __slots__ = ("head",)
@@ -72,20 +72,20 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """The fields of a request.
+    """The fields of a valid request.
 
     Attributes:
-        id: The client's id of it.
-        request_class: Name of its class.
-        quota_plan: Name of its quota plan.
+        id: The client's id of the request.
+        request_class: Name of the request class.
+        quota_plan: Name of the quota plan.
         extent: Id of the extent, 16 hex digits.
         volume: Id of the volume, 16 hex digits.
-        units: Cost in the platform's units.
-        slot: Placement slot, -1 for none.
-        set_size: Number of hosts of the set.
-        max_wait_ms: How long the client waits for its answer, ms.
-        is_retry: The client marks it as a retry.
-        head: Head of its attempts, up to the header that each attempt has of its own.
+        units: Cost of the request in the platform's units.
+        slot: Slot of placement, -1 for none.
+        set_size: Number of gateways that share the volume.
+        max_wait_ms: How long the client waits for its answer, in milliseconds.
+        is_retry: Whether the client marks the request as a retry.
+        head: The HTTP head of its attempts, without X-Deadline-Ms, whose value differs between attempts.
     """
 
     id: str
@@ -102,10 +102,10 @@
 
 
 def read_request(request: HttpRequest, config: ServiceConfig) -> ParsedRequest:
-    """Return the fields of a request; the first that is not of the protocol's form is reported.
+    """Returns the fields of a request.
 
     Raises:
-        HttpError: What is wrong, with the status to answer.
+        HttpError: The request violates the protocol; the error names the first violation and the status to answer with.
     """
     headers = _read_headers(request)
     request_id = _required_header(headers, b"x-request-id", ID_PATTERN).decode()
@@ -144,7 +144,7 @@
 
 
 def _read_headers(request: HttpRequest) -> dict[bytes, bytes]:
-    """Return the headers by name, the last of those that may be repeated."""
+    """Returns the header values by name; for a header that may be repeated, its last value."""
     headers: dict[bytes, bytes] = {}
     for name, value in request.headers:
         if name in headers and name in SINGLE_HEADERS:
@@ -154,7 +154,7 @@
 
 
 def _required_header(headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes] | None = None) -> bytes:
-    """Return a header's value, which has to be there and of a form."""
+    """Returns the value of a header that must be present and, if a pattern is given, match it."""
     value = headers.get(name)
     if value is None or (pattern is not None and pattern.fullmatch(value) is None):
         raise HttpError(400, f"{CANONICAL_NAMES.get(name, name).decode()}: missing, or not in its form")
@@ -162,7 +162,7 @@
 
 
 def _check_operation(request: HttpRequest, request_class: str, config: ServiceConfig) -> None:
-    """Check method, path and body against the class."""
+    """Raises HttpError if the method, the path or the body does not fit the request class."""
     is_write = config.is_write_by_class.get(request_class)
     if is_write is None:
         raise HttpError(400, "X-Class: not known here")
@@ -194,10 +194,10 @@
 
 
 def _forwarded_head(request: HttpRequest) -> bytes:
-    """Return the head of the attempts: the client's headers but for those of its connection (RFC 9110, 7.6.1)."""
+    """Returns the head of the attempts: the client's headers without those of its connection (RFC 9110, 7.6.1)."""
     connection_options = {
         name.strip().lower() for value in request.header_values(b"connection") for name in value.split(b",")
-    } - CANONICAL_NAMES.keys()  # what the protocol itself needs is forwarded even so
+    } - CANONICAL_NAMES.keys()  # Headers that the protocol requires are forwarded all the same.
     headers = [
         (CANONICAL_NAMES.get(name, name), value)
         for name, value in request.headers
--- a/pebblehinge/service/config.py
+++ b/pebblehinge/service/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of one gateway: one file, read at the start and at SIGHUP and checked as a whole."""
+"""The platform's configuration of one gateway: a file that is read and validated at the start and at SIGHUP."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from pebblehinge.interface import Settings
 from pebblehinge.platform_settings import PlatformSettingsError, SettingsReader, read_settings
 
-MAX_FILE_BYTES = 8 * 1024 * 1024  # bytes
+MAX_FILE_BYTES = 8 * 1024 * 1024
 MIN_SOCKETS = 64
 PORTS = range(1, 65536)
 ADDRESS_PATTERN = re.compile(r"([0-9A-Za-z.-]{1,253}):([0-9]{1,5})")
-DOCUMENT_NAME = "configuration"  # its name in errors
+DOCUMENT_NAME = "configuration"  # The name of the document in error messages.
 DEFAULT_MAX_OPEN_REQUESTS = 1_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceConfig:
-    """One gateway's configuration.
+    """The configuration of one gateway; times are in milliseconds.
 
     Attributes:
-        name: The gateway's id.
-        listen: Host and port for clients.
-        discovery: Host and port of discovery.
-        seed: Of the random generators.
-        sockets: Number of descriptors that the process may have.
-        known: A node list in discovery's form, perhaps old, or None.
+        name: Id of the gateway.
+        listen_address: Host and port on which the gateway listens for clients.
+        discovery_address: Host and port of discovery.
+        seed: Seed of the random number generators.
+        max_sockets: Number of file descriptors that the process may have open.
+        initial_node_list: A node list in discovery's form, which may be outdated, or None.
         settings: The scheduler's settings.
-        writes: By request class, whether it writes.
-        shards: Number of placement slots, 0 if it is not given.
-        idle_ms: After this a storage node may close an idle connection, ms.
-        connect_ms: Time-out of a dial, ms.
-        max_open: Bound of the open requests.
-        longest_wait_ms: The longest time that a client of any class waits, ms.
+        is_write_by_class: Whether a request class writes, by the name of the class.
+        slot_count: Number of placement slots, 0 if the configuration does not state it.
+        idle_timeout_ms: Time after which a storage node may close an idle connection.
+        connect_timeout_ms: Time limit for opening a connection to a storage node.
+        max_open_requests: Maximum number of requests without a final answer.
+        longest_wait_ms: The longest time that a client of any request class waits for its answer.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 
 def parse_address(text: str, where: str) -> tuple[str, int]:
-    """Return host and port of `host:port`; raises PlatformSettingsError that names the place `where`."""
+    """Returns the host and port of `host:port`; raises PlatformSettingsError that names the place, `where`."""
     match = ADDRESS_PATTERN.fullmatch(text)
     if match is None or int(match[2]) not in PORTS:
         raise PlatformSettingsError(f"{DOCUMENT_NAME}: {where} is {text[:60]!r}: expected host:port")
@@ -64,10 +64,10 @@
 
 
 def read_config(text: bytes) -> ServiceConfig:
-    """Return the configuration of a JSON document.
+    """Returns the configuration that a JSON document contains.
 
     Raises:
-        PlatformSettingsError: The first place that is wrong, and what was expected there.
+        PlatformSettingsError: The document is invalid; the message names the first error and what was expected there.
     """
     try:
         raw = msgspec.json.decode(text)
@@ -121,10 +121,10 @@
 
 
 def load_config(path: str) -> ServiceConfig:
-    """Return the configuration of a file.
+    """Returns the configuration that a file contains.
 
     Raises:
-        PlatformSettingsError: The file can't be read, is too large, or is wrong.
+        PlatformSettingsError: The file can't be read, is too large, or is invalid.
     """
     try:
         if os.path.getsize(path) > MAX_FILE_BYTES:
--- a/pebblehinge/service/connection_pools.py
+++ b/pebblehinge/service/connection_pools.py
@@ -1,8 +1,8 @@
-"""Pools of connections to storage nodes, dials, and the attempts on them.
+"""Pools of connections to storage nodes, and the attempts that are sent on them.
 
-The bytes of an attempt are written in one place, `_start_attempt`, and only while that is allowed: its request has no
-answer yet and its client is there, its time to begin is not over, and the list has the node as ready at the address
-that the connection leads to. An attempt that was settled before ends as `NOT_SENT`: nothing of it was sent.
+The bytes of an attempt are written in one place, `_start_attempt`, and only if all of these hold: the request has no
+answer yet, its client is connected, the attempt's `begin_by_ms` has not passed, and the node list states that the node
+is ready at the address of the connection. Otherwise the attempt ends as `NOT_SENT`: no byte of it was sent.
 """
 
 from __future__ import annotations
@@ -15,21 +15,25 @@
 from pebblehinge.service.context import PoolContext
 from pebblehinge.service.node_connection import NodeAttempt, NodeConnection, StorageNode
 
-IDLE_CLOSE_FRACTION = 0.8  # of the time after which a node may close an idle connection; then it is closed here
-TIMER_GRACE_S = 0.003  # from a timer to its effect: the sockets are read once more between
-LOCAL_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)  # not the node's fault
+IDLE_CLOSE_FRACTION = 0.8  # Idle connections are closed after this part of the node's own idle timeout.
+TIMER_GRACE_S = 0.003  # Delay from a timer to its effect, so that the sockets are read once more before that.
+# Errors of the local host, which are no fault of the storage node.
+LOCAL_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ConnectionPools:
-    """The storage nodes of the list, by id, each with its connections.
+    """The storage nodes of the node list with their connections and attempts.
 
     Attributes:
-        max_connections: Bound of the connections, those that are being made among them.
-        connections: Number of connections that are up.
-        dialling: Number of connections that are being made.
-        buffered_bytes: Bytes of incomplete responses.
-        responses: Number of responses by status.
-        attempts: Number of attempts that are out.
+        idle_timeout_ms: Time after which a storage node may close an idle connection.
+        connect_timeout_ms: Time limit for opening a connection.
+        max_connections: Maximum number of connections, including those that are being opened.
+        nodes: The storage nodes, by id.
+        connection_count: Number of established connections.
+        dialing_count: Number of connections that are being opened.
+        buffered_bytes: Bytes of incomplete responses on all connections.
+        response_counts: Number of responses, by status.
+        attempt_count: Number of attempts in flight.
     """
 
     def __init__(
@@ -49,12 +53,12 @@
         self.attempt_count = 0
 
     def apply_node_list(self, ready: dict[str, bool], addresses: dict[str, tuple[str, int]], complete: bool) -> None:
-        """Apply an update of the node list.
+        """Applies an update of the node list.
 
         Args:
-            ready: By id, whether the node is ready for requests.
-            addresses: Host and port by id.
-            complete: Nodes that are not named have left.
+            ready: Whether a node is ready for requests, by its id.
+            addresses: Host and port of each node in `ready`, by its id.
+            complete: Whether the update is the complete list, so that all other nodes have left.
         """
         for name, is_ready in ready.items():
             address = addresses[name]
@@ -72,10 +76,10 @@
                 self._close_idle(node)
                 self._remove_unused_node(node)
 
-    def send(self, pending: ClientRequest, name: str, number: int, deadline_ms: float) -> None:
-        """Begin an attempt. Its outcome comes later, never from within this call."""
+    def send(self, pending: ClientRequest, node_name: str, number: int, deadline_ms: float) -> None:
+        """Starts an attempt. Its outcome is reported later, never during this call."""
         now = self.clock()
-        node = self.nodes[name]
+        node = self.nodes[node_name]
         attempt = NodeAttempt(pending, number, node, deadline_ms, now)
         pending.attempt = attempt
         node.attempt_count += 1
@@ -90,19 +94,19 @@
             self.loop.call_soon(self.finish_attempt, attempt, Outcome.NOT_SENT)
 
     def cancel(self, attempt: NodeAttempt) -> None:
-        """Give up an attempt: its connection is closed; one that is still being made is kept for others."""
+        """Cancels an attempt and closes its connection; one that is still being opened is kept for other attempts."""
         self._detach(attempt)
         self._close_connection(attempt)
 
     def finish_attempt(self, attempt: NodeAttempt, outcome: Outcome, data: bytes = b"") -> None:
-        """End an attempt with its outcome, unless it has ended before."""
+        """Ends an attempt with its outcome, unless it has already ended."""
         if attempt.pending.attempt is attempt:
             duration_ms = self.clock() - attempt.start_ms
             self._detach(attempt)
             self.context.end_attempt(attempt.pending, attempt.number, outcome, duration_ms, data)
 
     def release(self, conn: NodeConnection) -> None:
-        """Keep a connection for further attempts, or close it if the list wants none on it."""
+        """Keeps a connection for further attempts, or closes it if the node list no longer allows any on it."""
         if conn.is_current() and self.nodes.get(conn.node.name) is conn.node:
             conn.idle_since_ms = self.clock()
             conn.node.idle_connections.append(conn)
@@ -110,7 +114,7 @@
             conn.transport.abort()
 
     def close_expired(self, now: float) -> None:
-        """Close connections that the node may soon close; called now and then."""
+        """Closes idle connections that the node might soon close; called periodically."""
         for node in self.nodes.values():
             while (
                 node.idle_connections
@@ -119,12 +123,12 @@
                 node.idle_connections.pop(0).transport.abort()
 
     def stop(self) -> None:
-        """Close all idle connections."""
+        """Closes all idle connections."""
         for node in self.nodes.values():
             self._close_idle(node)
 
     def count_response(self, status: str) -> None:
-        """Count a response by its status."""
+        """Counts a response by its status."""
         self.response_counts[status] = self.response_counts.get(status, 0) + 1
 
     # ---- connections
@@ -138,7 +142,7 @@
         return None
 
     def _start_attempt(self, attempt: NodeAttempt, conn: NodeConnection) -> bool:
-        """Write an attempt to a connection if it is still allowed, else release the connection; return which."""
+        """Writes an attempt if it is still allowed, or else releases the connection; returns whether it was written."""
         now = self.clock()
         if now <= attempt.begin_by_ms and conn.is_current() and self.context.can_start_attempt(attempt.pending):
             conn.send(attempt)
@@ -149,7 +153,7 @@
         return False
 
     async def _connect_and_start(self, attempt: NodeAttempt) -> None:
-        """Make a connection for an attempt; a further one if the node's address has changed meanwhile."""
+        """Opens a connection for an attempt and starts it; opens another if the node's address changes meanwhile."""
         try:
             while attempt.pending.attempt is attempt:
                 conn = await self._open_connection(attempt.node, attempt)
@@ -171,12 +175,14 @@
             attempt.connect_task = None
 
     async def _open_connection(self, node: StorageNode, attempt: NodeAttempt) -> NodeConnection:
-        """Return a connection to the node's present address; raises OSError, also if there are too many."""
+        """Returns a new connection to the node's current address; raises OSError on failure or at the limit."""
         if self.connection_count + self.dialing_count >= self.max_connections and not self._close_longest_idle():
-            raise OSError(errno.EMFILE, "all connections that shelfs may have are in use")
+            raise OSError(errno.EMFILE, "the maximum number of connections to storage nodes is in use")
         assert attempt.connect_task is not None
         address = node.address
-        tasks = [attempt.connect_task]  # emptied once it is over: the second of the two timers can't be cancelled
+        # The list is cleared once the connection is open or has failed, as the second of the two timers can't be
+        # cancelled.
+        tasks = [attempt.connect_task]
         connect_timer = self.loop.call_later(
             self.connect_timeout_ms / 1000.0, self.loop.call_later, TIMER_GRACE_S, self._cancel_connecting, tasks
         )
@@ -194,7 +200,7 @@
             task.cancel()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; return whether there was one."""
+        """Closes the connection that has been idle for longest; returns whether there was one."""
         oldest = [node.idle_connections[0] for node in self.nodes.values() if node.idle_connections]
         if oldest:
             min(oldest, key=lambda conn: conn.idle_since_ms).node.idle_connections.pop(0).transport.abort()
@@ -209,18 +215,18 @@
         if not node.is_ready and not node.attempt_count and self.nodes.get(node.name) is node:
             del self.nodes[node.name]
 
-    # ---- ends of attempts
+    # ---- deadlines and ends of attempts
 
     def _on_attempt_deadline(self, attempt: NodeAttempt) -> None:
         attempt.deadline_timer = self.loop.call_later(TIMER_GRACE_S, self._time_out_attempt, attempt)
 
     def _time_out_attempt(self, attempt: NodeAttempt) -> None:
         self._close_connection(attempt)
-        # One whose connection never came up has not been sent at all.
+        # A node can't have run an attempt that was not completely written, or that never got a connection.
         self.finish_attempt(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.NOT_SENT)
 
     def _on_begin_deadline(self, attempt: NodeAttempt) -> None:
-        """Its time to begin is over: if part of it is not sent yet, the node can't run it."""
+        """Cancels an attempt that is not completely written by `begin_by_ms`, so that the node can't run it."""
         if not attempt.is_written and attempt.pending.attempt is attempt:
             self._close_connection(attempt)
             self.finish_attempt(attempt, Outcome.NOT_SENT)
@@ -231,7 +237,7 @@
             attempt.conn.transport.abort()
 
     def _detach(self, attempt: NodeAttempt) -> None:
-        """Take an attempt out of the books."""
+        """Removes an attempt from its request, from the node and from the counts."""
         attempt.pending.attempt = None
         if attempt.deadline_timer is not None:
             attempt.deadline_timer.cancel()
--- a/pebblehinge/service/connection_registry.py
+++ b/pebblehinge/service/connection_registry.py
@@ -1,4 +1,4 @@
-"""All clients' connections: admission of their requests, and the end of connections that have lasted too long."""
+"""The registry of client connections, which admits their requests and closes connections whose time is over."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from pebblehinge.service.client_request import ClientRequest, ParsedRequest
 from pebblehinge.service.context import ServiceContext
 
-Group = dict[ClientConnection, None]  # in the order of coming into it
+Group = dict[ClientConnection, None]  # An ordered set: the connection that entered the group first comes first.
 
-CLOSING_RECLAIM_MS = 100.0  # closing for so long: may be reclaimed first
-INCOMPLETE_RECLAIM_MS = 300.0  # with no complete request for so long: may be reclaimed next
+CLOSING_RECLAIM_MS = 100.0  # A connection that has been closing for this time is the first to be reclaimed.
+INCOMPLETE_RECLAIM_MS = 300.0  # One without a complete request for this time comes next.
 
 
 def retry_after_header(delay_ms: float) -> bytes:
-    """Return the header that says when to retry, or nothing for a delay of 0."""
+    """Returns the Retry-After header line, or no bytes for a delay of 0."""
     return b"Retry-After: %.3f\r\n" % (delay_ms / 1000.0) if delay_ms > 0 else b""
 
 
 class ConnectionRegistry:
-    """Connections in groups, the one that has been longest in its group first.
+    """All client connections, each in the group of its state.
 
     Attributes:
-        incomplete: Connections on which nothing or part of a request has come.
-        idle: Connections that have no request open.
-        active: Connections that have one open.
-        closing: Connections on which our side has ended.
-        ids: Ids of the open requests.
-        count: Number of connections.
-        protocol_errors: Requests answered with an error of form.
-        reclaimed: Connections aborted to make place for others.
-        unserved: Connections closed before any request on them was complete.
-        abandoned: Requests of which an attempt was not begun, since their client had closed.
-        draining: SIGTERM has come: a client that is closed could not come back.
-        close_after_response: Every response ends its connection.
+        incomplete_group: Connections whose next request has arrived in part, or that have sent nothing yet.
+        idle_group: Connections without an open request.
+        active_group: Connections with an open request.
+        closing_group: Connections whose gateway side has been closed.
+        open_request_ids: Ids of the open requests.
+        connection_count: Number of connections.
+        protocol_error_count: Number of requests that were answered with a protocol error.
+        reclaimed_count: Number of connections aborted to make room for others.
+        unserved_count: Number of connections closed before any request on them was complete.
+        skipped_attempt_count: Number of attempts that were not started because the client had closed.
+        is_draining: Whether the gateway is shutting down, so that a client could not reconnect after a close.
+        close_after_response: Whether every response closes its connection.
     """
 
-    READ_TIMEOUT_MS = 2400.0  # for a request to come complete; bad clients are owed an end within 3 s
-    IDLE_TIMEOUT_MS = (
-        10_000.0  # without an open request; the protocol lets a gateway close such a connection at any time ...
-    )
-    # ... and of the descriptors this part at most is used for clients that have sent a request: new clients get a third
-    # at most, and could not send any while the others stay.
+    # Time for a request to arrive completely; faulty clients must be disconnected within 3 s.
+    READ_TIMEOUT_MS = 2400.0
+    # Time without an open request; the protocol lets a gateway close such a connection at any time.
+    IDLE_TIMEOUT_MS = 10_000.0
+    # Maximum part of the descriptors for clients that have sent a request before. New clients get a third at most, and
+    # could not send any request while the others stay.
     MAX_PERSISTENT_FRACTION = 1 / 4
-    UNREAD_GRACE_MS = 300.0  # beyond READ_TIMEOUT_MS, if something is unread since the loop is late
-    CLOSE_TIMEOUT_MS = 1500.0  # for a client to end its side once ours has ended
-    FLUSH_GRACE_MS = 50.0  # ... or, at shutdown, this
-    STALL_TIMEOUT_MS = 3000.0  # for a client to read any answer, and at least until it waits no longer
-    ANSWER_MARGIN_MS = 4.0  # an answer is sent by so much before the client stops waiting
+    UNREAD_GRACE_MS = 300.0  # Added to READ_TIMEOUT_MS if data is unread, as the event loop may be late.
+    CLOSE_TIMEOUT_MS = 1500.0  # Time for a client to close its side once the gateway's side is closed.
+    FLUSH_GRACE_MS = 50.0  # The time that replaces CLOSE_TIMEOUT_MS during shutdown.
+    STALL_TIMEOUT_MS = 3000.0  # Time for a client to read an answer; it lasts at least until the client's deadline.
+    ANSWER_MARGIN_MS = 4.0  # Answers are due this long before the client stops waiting.
 
     def __init__(self, context: ServiceContext) -> None:
         self.context = context
@@ -68,7 +68,7 @@
         self.close_after_response = False
 
     def move_to_group(self, conn: ClientConnection, group: Group) -> None:
-        """Put a connection last into a group, out of the one that it was in."""
+        """Removes a connection from its group, if any, and appends it to `group`."""
         if conn.group is not None:
             conn.group.pop(conn, None)
         conn.group = group
@@ -78,15 +78,15 @@
             self.trim_idle()
 
     def stop_counting(self, conn: ClientConnection) -> None:
-        """Count a connection no more; may be called repeatedly."""
+        """Removes a connection from the connection count; may be called repeatedly."""
         if conn.is_counted:
             conn.is_counted = False
             self.connection_count -= 1
 
     # ---- requests
 
-    def admit(self, conn: ClientConnection, parsed: ParsedRequest, body: bytes) -> None:
-        """Hand a request to the core, or reject it if too many are open."""
+    def admit(self, conn: ClientConnection, parsed_request: ParsedRequest, body: bytes) -> None:
+        """Passes a request to the request table, or rejects it if too many requests are open."""
         context = self.context
         now = context.clock()
         if context.core.open_count >= context.config.max_open_requests:
@@ -94,32 +94,32 @@
             return
         pending = ClientRequest()
         pending.origin = conn
-        pending.id = parsed.id
-        pending.volume = parsed.volume
-        pending.units = parsed.units
+        pending.id = parsed_request.id
+        pending.volume = parsed_request.volume
+        pending.units = parsed_request.units
         pending.data = body
-        pending.head = parsed.head
+        pending.head = parsed_request.head
         conn.pending = pending
-        self.open_request_ids.add(parsed.id)
+        self.open_request_ids.add(parsed_request.id)
         self.move_to_group(conn, self.active_group)
         context.core.counts.received += 1
-        # It may have been unread for as long as the loop is late.
-        deadline_ms = now - context.lateness_ms + parsed.max_wait_ms - self.ANSWER_MARGIN_MS
+        # The request may have been unread for as long as the event loop is late.
+        deadline_ms = now - context.lateness_ms + parsed_request.max_wait_ms - self.ANSWER_MARGIN_MS
         conn.answer_deadline_ms = min(deadline_ms, now + context.config.longest_wait_ms)
         context.core.accept(
             now,
             pending,
-            parsed.extent,
-            parsed.request_class,
-            parsed.quota_plan,
-            parsed.set_size,
-            parsed.slot,
+            parsed_request.extent,
+            parsed_request.request_class,
+            parsed_request.quota_plan,
+            parsed_request.set_size,
+            parsed_request.slot,
             deadline_ms,
-            parsed.is_retry if context.config.settings.clients_mark_retries else None,
+            parsed_request.is_retry if context.config.settings.clients_mark_retries else None,
         )
 
     def answer(self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, data: bytes) -> None:
-        """Write the final answer of a request, unless its client has gone."""
+        """Writes the final answer of a request, unless its client is gone."""
         conn = cast(ClientConnection, pending.origin)
         if conn.pending is not pending:
             return
@@ -131,7 +131,7 @@
             conn.answer(502)
 
     def can_start_attempt(self, pending: PendingRequest) -> bool:
-        """Return whether an attempt may be begun for a request: it has no answer, and its client is there."""
+        """Returns whether an attempt may be started: the request has no answer yet and its client is connected."""
         if pending.answered:
             return False
         conn = cast(ClientConnection, pending.origin)
@@ -145,14 +145,14 @@
         conn.on_client_disconnect()
         conn.transport.abort()
 
-    # ---- bounds
+    # ---- timeouts and limits
 
     def close_expired(self, now: float) -> None:
-        """Close connections that have been in their group for too long; called now and then."""
+        """Closes connections whose time in their group is over; called periodically."""
         for conn in [c for c in self.incomplete_group if now - c.timeout_start_ms > self.READ_TIMEOUT_MS]:
             if now - conn.timeout_start_ms > self.READ_TIMEOUT_MS + self.UNREAD_GRACE_MS or not conn.has_unread_data():
                 self.time_out_request(conn)
-        # While draining, a client that is closed could not come back: idle ones stay to the end.
+        # While draining, idle connections stay open until the end, as their clients could not reconnect.
         for conn in (
             [] if self.is_draining else [c for c in self.idle_group if now - c.timeout_start_ms > self.IDLE_TIMEOUT_MS]
         ):
@@ -168,7 +168,7 @@
         return now > max(conn.answer_deadline_ms, conn.timeout_start_ms + self.STALL_TIMEOUT_MS)
 
     def time_out_request(self, conn: ClientConnection) -> None:
-        """End a connection whose next request has not come complete in time."""
+        """Closes a connection whose next request has not arrived completely in time."""
         if conn.parser.has_partial_message:
             conn.reject(408, "the request did not come whole in time")
         else:
@@ -176,7 +176,7 @@
             conn.close()
 
     def trim_idle(self) -> None:
-        """Close the connections idle for longest if there are too many, but none on which something is unread."""
+        """Closes the connections idle for longest if there are too many, but none with unread data."""
         excess = (
             len(self.idle_group)
             + len(self.active_group)
@@ -187,9 +187,9 @@
                 conn.close()
 
     def reclaim_connection(self, now: float) -> bool:
-        """Abort one connection without an open request, if there is one; return whether there was.
+        """Aborts one connection without an open request to make room for another; returns whether there was one.
 
-        Preferred is one that is closing, then one that has been silent for a while, then the one idle for longest.
+        Closing connections come first, then those without a complete request for a while, then the longest idle.
         """
         preferences = (
             (self.closing_group, CLOSING_RECLAIM_MS),
@@ -219,9 +219,9 @@
     # ---- shutdown
 
     def close_inactive_connections(self, reject_partial: bool) -> None:
-        """Close connections with nothing open and nothing unread; the others end with their answer.
+        """Closes connections with no open request and no unread data; the others close after their answer.
 
-        Part of a request may still become complete, unless this is the last time.
+        A partly received request may still become complete, unless `reject_partial` is set: then it is rejected.
         """
         self.close_after_response = True
         for conn in [c for c in (*self.idle_group, *self.incomplete_group) if not c.has_unread_data()]:
@@ -232,9 +232,9 @@
                 conn.reject(503, "this head ends")
 
     def count_unanswered_connections(self, now: float) -> int:
-        """Return on how many connections an answer is, or may be, owed: all but those whose last one was sent."""
-        flushed = sum(
+        """Returns the number of connections that may still owe an answer: all but the closing ones that are flushed."""
+        flushed_count = sum(
             not conn.transport.get_write_buffer_size() and now - conn.timeout_start_ms > self.FLUSH_GRACE_MS
             for conn in self.closing_group
         )
-        return self.connection_count - flushed
+        return self.connection_count - flushed_count
--- a/pebblehinge/service/context.py
+++ b/pebblehinge/service/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the gateway in service need of the whole."""
+"""Interfaces through which the parts of the gateway in service use each other."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class Log(Protocol):
-    """Writes an event with its fields."""
+    """A function that writes an event with its fields to the log."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Write one line."""
+        """Writes one line."""
 
 
 class ServiceContext(Protocol):
-    """The gateway as its client connections see it.
+    """The parts of the gateway that its client connections use.
 
     Attributes:
         loop: The event loop.
-        clock: Returns the time in ms.
-        config: The configuration in force.
-        core: The table of requests.
+        clock: Returns the clock time in milliseconds.
+        config: The current configuration.
+        core: The request table.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -38,14 +38,14 @@
 
     @property
     def lateness_ms(self) -> float:
-        """For how long what is read now may have been unread."""
+        """How long bytes that are read now may have been unread, in milliseconds."""
 
     def is_ready(self) -> bool:
-        """Return whether the gateway is ready for requests."""
+        """Returns whether the gateway is ready for requests."""
 
 
 class Registry(Protocol[Connection]):
-    """What a connection needs of the registry that it belongs to; see `ConnectionRegistry`."""
+    """The part of `ConnectionRegistry` that a client connection uses."""
 
     context: ServiceContext
     incomplete_group: dict[Connection, None]
@@ -56,21 +56,21 @@
     close_after_response: bool
 
     def move_to_group(self, conn: Connection, group: dict[Connection, None]) -> None:
-        """Put a connection last into a group, out of the one that it was in."""
+        """Removes a connection from its group, if any, and appends it to `group`."""
 
-    def admit(self, conn: Connection, parsed: ParsedRequest, body: bytes) -> None:
-        """Take a request, or reject it if too many are open."""
+    def admit(self, conn: Connection, parsed_request: ParsedRequest, body: bytes) -> None:
+        """Passes a request to the request table, or rejects it if too many requests are open."""
 
     def stop_counting(self, conn: Connection) -> None:
-        """Count a connection no more."""
+        """Removes a connection from the connection count."""
 
 
 class PoolContext(Protocol):
-    """What the pools need of the gateway.
+    """The parts of the gateway that the connection pools use.
 
     Attributes:
         loop: The event loop.
-        clock: Returns the time in ms.
+        clock: Returns the clock time in milliseconds.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -79,7 +79,7 @@
     def end_attempt(
         self, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes
     ) -> None:
-        """Pass on the outcome of an attempt."""
+        """Passes the outcome of an attempt to the request table."""
 
     def can_start_attempt(self, pending: PendingRequest) -> bool:
-        """Return whether an attempt may still be begun for a request."""
+        """Returns whether an attempt may still be started for a request."""
--- a/pebblehinge/service/departures.py
+++ b/pebblehinge/service/departures.py
@@ -1,4 +1,4 @@
-"""Nodes that discovery reported to leave, so that an older list does not bring them back. No I/O."""
+"""Remembers nodes that discovery reported as leaving, so that an older list does not restore them. No I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,17 @@
 from pebblehinge.interface import EndpointState
 from pebblehinge.service.node_list import NodeListUpdate
 
-MAX_DEPARTURES = 8192  # nodes that left; the first to leave is forgotten first
+MAX_DEPARTURES = 8192  # Beyond this number the oldest departure is dropped.
 
 
 @dataclass(slots=True, frozen=True)
 class Departure:
-    """The version that reported a process to leave, and the start of that process in ms."""
+    """The report that a storage node leaves.
+
+    Attributes:
+        version: The latest version of the node list that reported it.
+        started_ms: Clock time at which the node's process started, in milliseconds.
+    """
 
     version: int
     started_ms: float
@@ -22,7 +27,7 @@
 
 
 class Departures:
-    """Departures by node, in their order."""
+    """The departures by the name of the node, the oldest first."""
 
     __slots__ = ("by_node",)
 
@@ -30,16 +35,16 @@
         self.by_node: dict[str, Departure] = {}
 
     def apply(self, update: NodeListUpdate) -> None:
-        """Record the departures of an update, and mark as draining what an older version has as ready again.
+        """Records the departures in an update; marks a node as draining that an older version reports as ready.
 
-        Only a new start of the process, or a later version, says that it is ready again.
+        Only a later version, or a new start of the node's process, makes a departed node ready again.
         """
         for index, entry in enumerate(update.entries):
-            known = self.by_node.get(entry.node_name, NO_DEPARTURE)
+            departure = self.by_node.get(entry.node_name, NO_DEPARTURE)
             if entry.state is not EndpointState.READY:
                 self.by_node.pop(entry.node_name, None)
-                self.by_node[entry.node_name] = Departure(max(known.version, update.version), entry.started_ms)
-            elif update.version < known.version and entry.started_ms == known.started_ms:
+                self.by_node[entry.node_name] = Departure(max(departure.version, update.version), entry.started_ms)
+            elif update.version < departure.version and entry.started_ms == departure.started_ms:
                 update.entries[index] = replace(entry, state=EndpointState.DRAINING)
             else:
                 self.by_node.pop(entry.node_name, None)
--- a/pebblehinge/service/discovery.py
+++ b/pebblehinge/service/discovery.py
@@ -1,9 +1,9 @@
-"""The watch of discovery's node list: a connection that is made anew when it ends, fails or falls silent.
+"""The watch of discovery's node list: a connection that is replaced when it ends, fails or becomes silent.
 
-A change counts as notified 6 s after discovery had it and could be reached, whatever failed before. So every wait is
-short: the longest way from there to a list is a connection that discovery never answered on (SILENCE_RECONNECT_S), the
-longest backoff and a connection that never came up (CONNECT_TIMEOUT_S), and together they are well under 6 s
-(`max_list_delay_s`).
+A gateway must know a change of the list within 6 s after discovery had the change and was reachable, whatever failed
+before. Therefore all timeouts are short. In the worst case discovery never answers on a connection
+(SILENCE_RECONNECT_S), the next one never opens (CONNECT_TIMEOUT_S), and the longest backoff precedes each; the sum,
+`max_list_delay_s`, is well under 6 s.
 """
 
 from __future__ import annotations
@@ -21,31 +21,34 @@
 from pebblehinge.service.departures import Departures
 from pebblehinge.service.node_list import JsonObjectStream, NodeListUpdate
 
-SILENCE_RECONNECT_S = 2.5  # an empty line arrives every 2 s: after this without one, a further connection is opened ...
-SILENCE_CLOSE_S = 5.0  # ... and after this the silent one is closed
+# Discovery sends an empty line every 2 s. After SILENCE_RECONNECT_S without bytes, another connection is opened; after
+# SILENCE_CLOSE_S, the silent one is closed.
+SILENCE_RECONNECT_S = 2.5
+SILENCE_CLOSE_S = 5.0
 CONNECT_TIMEOUT_S = 1.0
-BACKOFF_RANGE_S = (0.05, 0.5)  # between attempts to connect: the first, doubled each time, and the longest
-JITTER_RANGE = (0.5, 1.5)  # each backoff is multiplied by a factor drawn from this range
-FAULT_LOG_INTERVAL_S = 5.0  # between log lines of faults
+BACKOFF_RANGE_S = (0.05, 0.5)  # The first and the longest delay between attempts to connect; it doubles each time.
+JITTER_RANGE = (0.5, 1.5)  # Each backoff is multiplied by a random factor from this range.
+FAULT_LOG_INTERVAL_S = 5.0  # Minimum time between log lines about faults.
 STREAM_TARGET = b"/registry/instances?stream=1"
 
 
 def max_list_delay_s() -> float:
-    """Return the longest time from discovery's being reachable to a list, in seconds.
+    """Returns the longest time from the moment at which discovery becomes reachable to a list, in seconds.
 
-    On a connection made just before nothing ever comes, the next never comes up, and there is a backoff before each.
+    In the worst case, a connection opened just before stays silent, the next one never opens, and the longest backoff
+    precedes each.
     """
     return SILENCE_RECONNECT_S + CONNECT_TIMEOUT_S + 2 * BACKOFF_RANGE_S[1] * JITTER_RANGE[1]
 
 
 class _WatchConnection(asyncio.Protocol):
-    """One connection to discovery, with one request for the stream of updates."""
+    """One connection to discovery, on which one request asks for the stream of updates."""
 
     def __init__(self, watch: DiscoveryWatch, address: tuple[str, int]) -> None:
         self.watch = watch
         self.address = address
         self.transport: Any = None
-        self.last_received_s = watch.loop.time()  # when bytes came last
+        self.last_received_s = watch.loop.time()
         self.body_pieces: list[bytes] = []
         self.object_stream = JsonObjectStream()
         self.response_stream = ResponseStream(self.body_pieces.append)
@@ -53,7 +56,7 @@
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         self.last_received_s = self.watch.loop.time()
-        self.watch.add_connection(self)  # before anything can be read: a first list would be lost otherwise
+        self.watch.add_connection(self)  # This precedes the first read, as the first list would be lost otherwise.
         target = STREAM_TARGET
         if self.watch.resume_version is not None:
             target += b"&index=%d" % self.watch.resume_version
@@ -66,14 +69,14 @@
             return
         try:
             self.response_stream.feed(data)
-            ended = self.response_stream.next() is not None
+            is_complete = self.response_stream.next() is not None
             if self.response_stream.status not in (0, 200):
-                raise HttpError(502, f"discovery answers {self.response_stream.status}")
+                raise HttpError(502, f"discovery answered with status {self.response_stream.status}")
             raw = b"".join(self.body_pieces)
             self.body_pieces.clear()
             for value in self.object_stream.feed(raw):
                 self.watch.receive_object(self, value)
-            if ended:
+            if is_complete:
                 self.transport.abort()
         except (HttpError, PlatformSettingsError, msgspec.DecodeError, UnicodeDecodeError) as error:
             self.watch.log_fault("invalid message from discovery", error)
@@ -84,16 +87,16 @@
 
 
 class DiscoveryWatch:
-    """Keeps one watch open, from the last version received on.
+    """Watches the node list, and resumes the watch after the last received version.
 
-    An old connection is kept until a new one has delivered an update, so that none is lost between them.
+    An old connection stays open until a newer one has delivered an update, so that no update is lost in between.
 
     Attributes:
-        version: The watch is resumed from it; None asks for the complete list.
-        newest: The last version received, -1 before the first.
-        departures: Nodes that were reported to leave.
-        connections: Open connections, the newest last.
-        connecting: Makes a connection.
+        resume_version: The version after which the watch is resumed; None requests the complete list.
+        newest_version: The last received version, -1 before the first.
+        departures: The nodes that discovery reported as leaving.
+        connections: The open connections, the newest last.
+        connect_task: Task that opens a connection, or None.
     """
 
     def __init__(
@@ -119,11 +122,11 @@
         self.last_fault_log_s = -FAULT_LOG_INTERVAL_S
 
     def start(self) -> None:
-        """Connect."""
+        """Opens the first connection."""
         self._connect_after(0.0)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Connect to another address, if it is another."""
+        """Opens a connection to another address; does nothing if the address has not changed."""
         if address == self.address:
             return
         self.address = address
@@ -134,7 +137,7 @@
         self._connect_after(0.0)
 
     def stop(self) -> None:
-        """Close all connections for good."""
+        """Closes all connections and opens no others."""
         self.is_stopped = True
         if self.connect_task is not None:
             self.connect_task.cancel()
@@ -142,7 +145,7 @@
             connection.transport.abort()
 
     def check_silence(self) -> None:
-        """Open a further connection beside a silent one, and close that one later; called now and then."""
+        """Opens another connection if the newest is silent, and closes one that stays silent; called periodically."""
         now = self.loop.time()
         for connection in list(self.connections):
             silent_s = now - connection.last_received_s
@@ -151,19 +154,19 @@
             elif silent_s > SILENCE_RECONNECT_S and connection is self.connections[-1]:
                 self._connect_after(0.0)
 
-    # ---- called by connections
+    # ---- calls by the connections
 
     def receive_object(self, connection: _WatchConnection, value: Any) -> None:
-        """Take an object from a connection; raises if it is no update or the list goes back."""
+        """Applies an update from a connection; raises an error if it is invalid or the list went back in version."""
         update = NodeListUpdate(value)
         if connection not in self.connections:
             return
         if update.version < self.newest_version:
             if connection is not self.connections[-1]:
-                return  # the newer connection has delivered more
-            if self.resume_version is not None:  # the complete list is asked for, and then counts
+                return  # A newer connection has already delivered a later version.
+            if self.resume_version is not None:  # The complete list is requested next, and accepted at any version.
                 self.resume_version = None
-                raise HttpError(502, f"the list goes back from version {self.newest_version} to {update.version}")
+                raise HttpError(502, f"the node list went back from version {self.newest_version} to {update.version}")
         self.departures.apply(update)
         self.backoff_s = BACKOFF_RANGE_S[0]
         for older in self.connections[: self.connections.index(connection)]:
@@ -175,17 +178,17 @@
         self.on_update(update)
 
     def log_fault(self, event: str, error: object) -> None:
-        """Log a fault, at most one each FAULT_LOG_INTERVAL_S."""
+        """Logs a fault, at most once per FAULT_LOG_INTERVAL_S."""
         if self.loop.time() - self.last_fault_log_s >= FAULT_LOG_INTERVAL_S:
             self.last_fault_log_s = self.loop.time()
             self.log(event, error=str(error)[:200])
 
     def add_connection(self, connection: _WatchConnection) -> None:
-        """Take in a connection that has come up."""
+        """Adds a connection that has been established."""
         self.connections.append(connection)
 
     def remove_connection(self, connection: _WatchConnection) -> None:
-        """Forget a connection that has ended; the newest is made anew."""
+        """Removes a connection that has ended; schedules a new one if it was the newest."""
         if connection in self.connections:
             was_newest = connection is self.connections[-1]
             self.connections.remove(connection)
@@ -211,15 +214,15 @@
                 break
             delay_s = self._next_backoff()
         self.connect_task = None
-        if connection not in self.connections:  # it has ended already
+        if connection not in self.connections:  # The connection has already ended.
             self._connect_after(self._next_backoff())
 
     async def _open_connection(self) -> _WatchConnection | None:
-        """Return a connection to the present address, or None if it does not come up in time."""
+        """Returns a new connection to the current address, or None if it fails or exceeds CONNECT_TIMEOUT_S."""
         address = self.address
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(lambda: _WatchConnection(self, address), *address)
-        except OSError:  # a time-out is one of these
+        except OSError:  # This includes TimeoutError.
             return None
         return connection
--- a/pebblehinge/service/early_signals.py
+++ b/pebblehinge/service/early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive before the gateway has its handlers: kept until it can act on them."""
+"""Records signals that arrive before the gateway has installed its handlers, which handle them later."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 received_signals: list[int] = []
-"""Numbers of the signals since `record_signals`, in the order of their arrival."""
+"""Numbers of the signals received since the call of `record_signals`, in the order of their arrival."""
 
 
 def record_signals() -> None:
-    """Record the signals instead of acting on them: by default SIGHUP ends a process that still imports libraries."""
+    """Records the signals from now on; by default SIGHUP would end a process that is still importing libraries."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, lambda number, frame: received_signals.append(number))
--- a/pebblehinge/service/lateness.py
+++ b/pebblehinge/service/lateness.py
@@ -1,35 +1,42 @@
-"""How late the event loop runs, which is for how long bytes read now may have been waiting."""
+"""Measures the lateness of the event loop: how long bytes that are read now may have been waiting in the socket."""
 
 from __future__ import annotations
 
 import asyncio
 import math
 
-MEASUREMENT_INTERVAL_S = 0.02  # between measurements
-DECAY_FACTOR = 0.8  # what is left of the smoothed lateness at each measurement
-DECAY_STEP_MS = 0.1  # and less by this
-MAX_SMOOTHED_MS = 100.0  # bound of the smoothed lateness; within its own turn a greater one counts in full
-TIMER_RESOLUTION_MS = 1.0  # resolution of the loop's timers
+MEASUREMENT_INTERVAL_S = 0.02
+# At each measurement the smoothed lateness is multiplied by DECAY_FACTOR and then reduced by DECAY_STEP_MS.
+DECAY_FACTOR = 0.8
+DECAY_STEP_MS = 0.1
+MAX_SMOOTHED_MS = 100.0  # Within its own loop iteration a greater measured lateness counts in full.
+TIMER_RESOLUTION_MS = 1.0
 
 
 class Lateness:
-    """Lateness of a loop, measured by a timer that repeats."""
+    """The lateness of an event loop, measured by a periodic timer.
+
+    Attributes:
+        measured_ms: The last measured lateness, 0 once the loop iteration of that measurement is over.
+        smoothed_ms: The smoothed lateness.
+        next_measurement_s: Time of the next measurement by the loop's clock.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.measured_ms = 0.0  # as measured, until the turn of the measurement is over
+        self.measured_ms = 0.0
         self.smoothed_ms = 0.0
-        self.next_measurement_s = math.inf  # time of the next measurement by the loop's clock
+        self.next_measurement_s = math.inf
 
     def start(self) -> None:
-        """Begin measuring."""
+        """Starts the periodic measurement."""
         self._measure()
 
     @property
     def current_ms(self) -> float:
-        """For how long what is read now may have been unread.
+        """How long bytes that are read now may have been unread, in milliseconds.
 
-        The greatest of the last measurement within its turn, the smoothed value, and how overdue the timer itself is.
+        This is the maximum of the measured lateness, the smoothed lateness, and the delay of the overdue timer.
         """
         return max(self.measured_ms, self.smoothed_ms, self._overdue_ms())
 
@@ -40,9 +47,8 @@
         overdue_ms = self._overdue_ms()
         self.smoothed_ms = min(MAX_SMOOTHED_MS, max(0.0, overdue_ms, self.smoothed_ms * DECAY_FACTOR - DECAY_STEP_MS))
         self.measured_ms = max(0.0, overdue_ms)
-        self.loop.call_soon(
-            self.loop.call_soon, self._reset_measured
-        )  # timers run before a turn's reads: one turn later
+        # The loop runs timers before the reads of the same iteration, so the reset waits for the next iteration.
+        self.loop.call_soon(self.loop.call_soon, self._reset_measured)
         self.next_measurement_s = self.loop.time() + MEASUREMENT_INTERVAL_S
         self.loop.call_later(MEASUREMENT_INTERVAL_S, self._measure)
 
--- a/pebblehinge/service/listener.py
+++ b/pebblehinge/service/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: how many clients are accepted, and what waits in its queue."""
+"""The listening socket: accepts client connections up to a limit and leaves the others in the listen queue."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 MAX_ACCEPTS_PER_ITERATION = 16
 BACKLOG = 1024
-ACCEPT_RETRY_INTERVAL_S = 0.02  # until accepting is tried again
+ACCEPT_RETRY_INTERVAL_S = 0.02
 
 
 class ListenerContext(Protocol):
-    """What the listener needs of the gateway.
+    """The parts of the gateway that the listener uses.
 
     Attributes:
         loop: The event loop.
-        clock: Returns the time in ms.
-        registry: Takes the connections.
+        clock: Returns the clock time in milliseconds.
+        registry: The registry of client connections.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -32,16 +32,17 @@
 
     @property
     def log(self) -> Log:
-        """Writes an event to the log."""
+        """The function that writes an event to the log."""
 
 
 class Listener:
     """The listening socket of one gateway.
 
     Attributes:
-        max_connections: Bound of the clients' connections.
-        socket: None while closed.
-        paused: Nothing is accepted for now: those that come wait in the listen queue.
+        max_connections: Maximum number of client connections.
+        socket: The listening socket, or None while closed.
+        accept_paused: Whether accepting is paused; new connections then wait in the listen queue.
+        accept_tasks: Tasks that create the transports of accepted connections.
     """
 
     def __init__(self, context: ListenerContext) -> None:
@@ -54,11 +55,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it listens."""
+        """Whether the socket is listening."""
         return self.socket is not None
 
     def open(self, address: tuple[str, int]) -> None:
-        """Listen on an address; raises OSError if that is not possible."""
+        """Listens on an address; raises OSError if that fails."""
         listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening_socket.setblocking(False)
@@ -68,14 +69,14 @@
         self.loop.add_reader(listening_socket.fileno(), self._accept)
 
     def accept_queued_connections(self) -> bool:
-        """Accept what waits in the queue; return whether anything did."""
+        """Accepts connections that wait in the listen queue; returns whether there were any."""
         has_queued = self.socket is not None and is_readable(self.socket.fileno())
         if has_queued:
             self._accept()
         return has_queued
 
     def close(self) -> None:
-        """Listen no more."""
+        """Closes the listening socket."""
         if self.socket is not None:
             self._pause()
             self.socket.close()
@@ -89,7 +90,7 @@
             if registry.connection_count >= self.max_connections and not registry.reclaim_connection(
                 self.context.clock()
             ):
-                self._pause()  # nothing is closed unanswered: clients wait in the queue until there is capacity
+                self._pause()  # Clients wait in the listen queue until there is capacity: none is closed unanswered.
                 return
             try:
                 sock, _ = self.socket.accept()
@@ -118,7 +119,7 @@
             sock.close()
 
     def _pause(self) -> None:
-        """Accept no more for ACCEPT_RETRY_INTERVAL_S."""
+        """Stops accepting connections for ACCEPT_RETRY_INTERVAL_S."""
         if not self.accept_paused and self.socket is not None:
             self.accept_paused = True
             self.loop.remove_reader(self.socket.fileno())
--- a/pebblehinge/service/node_connection.py
+++ b/pebblehinge/service/node_connection.py
@@ -1,7 +1,7 @@
-"""Connections to storage nodes: one attempt at a time on each, and the outcome that each end of an attempt means.
+"""Connections to storage nodes, each with at most one attempt in flight, and the outcomes of these attempts.
 
-Each way an attempt may end becomes the one outcome that the protocol names for it. A connection on which anything came
-while no attempt was out on it is never used again.
+Each way in which an attempt can end is mapped to the one outcome that the protocol defines for it. A connection that
+received bytes while no attempt was in flight on it is never used again.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from pebblehinge.interface import Outcome
 from pebblehinge.service.client_request import ClientRequest
 
-MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # bytes of incomplete responses, over all connections
-UNREADABLE_STATUS = "unreadable"  # counted among the statuses of responses
-NOT_RUN_STATUSES = (503, 504)  # only with these a storage node can say that it has not run the request
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # Limit of all incomplete responses together.
+UNREADABLE_STATUS = "unreadable"  # Counts invalid responses, in place of a status code.
+NOT_RUN_STATUSES = (503, 504)  # Only with these can a storage node state that it has not run the request.
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pools that it belongs to; see `ConnectionPools`.
+    """The part of `ConnectionPools` that a connection uses.
 
     Attributes:
-        clock: Returns the time in ms.
-        connections: Number of connections that are up.
-        buffered_bytes: Bytes of incomplete responses.
+        clock: Returns the clock time in milliseconds.
+        connection_count: Number of established connections.
+        buffered_bytes: Bytes of incomplete responses on all connections.
     """
 
     clock: Callable[[], float]
@@ -34,29 +34,29 @@
     buffered_bytes: int
 
     def count_response(self, status: str) -> None:
-        """Count a response by its status."""
+        """Counts a response by its status."""
 
     def release(self, conn: NodeConnection) -> None:
-        """Keep a connection for further attempts, or close it."""
+        """Keeps a connection for further attempts, or closes it."""
 
     def finish_attempt(self, attempt: NodeAttempt, outcome: Outcome, data: bytes = b"") -> None:
-        """End an attempt with its outcome."""
+        """Ends an attempt with its outcome."""
 
 
 class NodeAttempt:
-    """One attempt that is out.
+    """An attempt in flight; its times are clock times in milliseconds.
 
     Attributes:
-        pending: Its request.
-        number: Its number within the request, from 0.
-        node: The storage node that it goes to.
-        deadline_ms: When it times out.
-        begin_by_ms: When its last byte has to be sent, or it is not sent at all.
-        conn: The connection that it is on.
-        timer: Its time-out.
-        task: Makes a connection for it.
-        start_ms: When it began.
-        is_written: Its last byte is with the kernel.
+        pending: The request.
+        number: Number of the attempt within the request, counted from 0.
+        node: The storage node to which the attempt is sent.
+        deadline_ms: Time at which the attempt times out.
+        begin_by_ms: Time by which its last byte must be sent; if it is not, the attempt ends as `NOT_SENT`.
+        conn: The connection on which the attempt is sent, or None before that.
+        deadline_timer: Timer of the deadline, None once the attempt has ended.
+        connect_task: Task that opens a connection for the attempt, or None.
+        start_ms: Time at which the attempt started.
+        is_written: Whether its last byte has been passed to the kernel.
     """
 
     __slots__ = (
@@ -86,14 +86,14 @@
 
 
 class StorageNode:
-    """One storage node of the list.
+    """One storage node of the node list.
 
     Attributes:
-        name: Its id.
-        address: Host and port.
-        idle: Idle connections; the one used last is at the end and used first, so that few stay open.
-        attempts: Number of attempts that are out.
-        is_ready: The list has it as ready for requests.
+        name: Id of the node.
+        address: Host and port of the node.
+        idle_connections: Idle connections; the most recently used is last and reused first, so that few stay open.
+        attempt_count: Number of attempts in flight.
+        is_ready: Whether the node list states that the node is ready for requests.
     """
 
     __slots__ = ("name", "address", "idle_connections", "attempt_count", "is_ready")
@@ -110,8 +110,10 @@
     """One connection to a storage node.
 
     Attributes:
-        attempt: The attempt that is out on it.
-        idle_ms: When it became idle.
+        address: Host and port to which the connection was opened.
+        attempt: The attempt in flight on the connection, or None.
+        idle_since_ms: Clock time at which the connection became idle.
+        poll: Polls the socket for unread data.
         buffered_bytes: Bytes of an incomplete response.
     """
 
@@ -138,24 +140,24 @@
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        """Prepare the connection for attempts."""
+        """Prepares the connection for attempts."""
         self.transport = transport
-        # With no room in the buffer a write goes out at once, and `resume_writing` says when all of it has gone.
+        # A limit of 0 makes the transport write at once, and call `resume_writing` once the kernel has all bytes.
         transport.set_write_buffer_limits(high=0)
         self.owner.connection_count += 1
         self.poll = select.poll()
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def is_current(self) -> bool:
-        """Return whether it leads to where the list has the node, and has it as ready."""
+        """Returns whether the node list states that the node is ready, at the address of this connection."""
         return self.node.is_ready and self.address == self.node.address
 
     def is_usable(self) -> bool:
-        """Return whether it is open and nothing has come on it, by the socket and not by what the loop has read."""
+        """Returns whether the connection is open without unread data, by the state of the socket itself."""
         return not self.transport.is_closing() and not self.poll.poll(0)
 
     def send(self, attempt: NodeAttempt) -> None:
-        """Write an attempt, with the time that is left for it."""
+        """Writes an attempt, with its remaining time in X-Deadline-Ms."""
         self.attempt = attempt
         attempt.conn = self
         remaining_ms = max(1, int(attempt.deadline_ms - self.owner.clock()))
@@ -164,12 +166,12 @@
             attempt.is_written = True
 
     def resume_writing(self) -> None:
-        """Note that all of the attempt has gone."""
+        """Marks the attempt as completely written."""
         if self.attempt is not None and not self.transport.is_closing():
             self.attempt.is_written = True
 
     def data_received(self, data: bytes) -> None:
-        """Read the response of the attempt."""
+        """Reads the response to the attempt."""
         attempt = self.attempt
         if attempt is None:
             self.transport.abort()
@@ -182,7 +184,8 @@
             self.owner.count_response(UNREADABLE_STATUS)
             self.attempt = None
             self.transport.abort()
-            self.owner.finish_attempt(attempt, Outcome.SERVER_ERROR)  # it has run, and its response is of no use
+            # The node has run the attempt, but its response is unusable.
+            self.owner.finish_attempt(attempt, Outcome.SERVER_ERROR)
             return
         if response is None:
             return
@@ -195,14 +198,14 @@
         self.owner.finish_attempt(attempt, outcome_of(response), response.body)
 
     def _set_buffered_bytes(self, size: int) -> None:
-        """Count an incomplete response; all of them together are bounded, whatever length each announces."""
+        """Updates the size of the incomplete response; raises HttpError if all of them together exceed the limit."""
         self.owner.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
         if self.owner.buffered_bytes > MAX_BUFFERED_BYTES:
-            raise HttpError(502, f"more than {MAX_BUFFERED_BYTES} bytes of answers that are not whole yet")
+            raise HttpError(502, f"more than {MAX_BUFFERED_BYTES} bytes of incomplete responses are buffered")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt that is out."""
+        """Ends the attempt in flight, if any."""
         self.owner.connection_count -= 1
         self.owner.buffered_bytes -= self.buffered_bytes
         attempt = self.attempt
@@ -216,7 +219,7 @@
 
 
 def outcome_of(response: HttpResponse) -> Outcome:
-    """Return the outcome that a complete response means."""
+    """Returns the outcome that a complete response stands for."""
     if response.status == 200:
         return Outcome.SUCCEEDED
     if response.status in NOT_RUN_STATUSES and response.header_values(b"x-not-run") == [b"1"]:
--- a/pebblehinge/service/node_list.py
+++ b/pebblehinge/service/node_list.py
@@ -1,4 +1,4 @@
-"""The node list as discovery sends it: JSON objects from the pieces of a stream, and the entries of each. No I/O."""
+"""The node list as discovery sends it: a stream of JSON objects, each with a list of entries. No I/O."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from pebblehinge.platform_settings import ENDPOINT_STATES, PlatformSettingsError, SettingsReader
 from pebblehinge.service.config import parse_address
 
-MAX_OBJECT_BYTES = 4 * 1024 * 1024  # bytes of one object
-STRUCTURAL_BYTES = re.compile(rb'[{}\[\]"\\]')  # all bytes that decide where a value ends
+MAX_OBJECT_BYTES = 4 * 1024 * 1024
+STRUCTURAL_BYTES = re.compile(rb'[{}\[\]"\\]')  # The bytes that determine where a JSON value ends.
 
 
 class NodeListUpdate:
-    """One object of the stream: the complete list, or changes to it.
+    """One object of the stream: the complete node list, or changes to it.
 
     Attributes:
-        version: Version of the list after this update.
+        version: Version of the node list after this update.
         kind: Whether the entries are the complete list or the changed ones.
-        entries: Entries that could be read.
-        addresses: Host and port by node.
-        faults: What was wrong with each entry that could not be read and is left out.
+        entries: The valid entries.
+        addresses: Host and port of each node in `entries`, by its name.
+        entry_errors: The error messages of the invalid entries, which are left out.
 
     Raises:
-        PlatformSettingsError: The object as a whole is not of the expected form.
+        PlatformSettingsError: The object itself, not only one of its entries, is invalid.
     """
 
     __slots__ = ("version", "kind", "entries", "addresses", "entry_errors")
@@ -55,29 +55,37 @@
 
 
 class JsonObjectStream:
-    """JSON objects from the pieces of a stream, each bounded.
+    """Decodes the JSON objects of a stream that arrives in pieces; the size of each object is limited.
 
-    An object mostly takes one line; one that is indented takes several, and ends where its brackets do.
+    An object usually takes one line. One that is indented takes several lines and ends where its outermost bracket is
+    closed.
+
+    Attributes:
+        partial_line: The bytes after the last line break.
+        object_lines: The lines of the incomplete object.
+        object_bytes: Total length of these lines.
+        bracket_depth: Number of brackets that are open in the incomplete object.
+        in_string: Whether the last of these lines ends within a string.
     """
 
     __slots__ = ("partial_line", "object_lines", "object_bytes", "bracket_depth", "in_string")
 
     def __init__(self) -> None:
-        self.partial_line = b""  # of a line that is incomplete
+        self.partial_line = b""
         self._reset()
 
     def _reset(self) -> None:
-        self.object_lines: list[bytes] = []  # lines of an object that is incomplete
-        self.object_bytes = 0  # bytes of them
-        self.bracket_depth = 0  # brackets that are open
-        self.in_string = False  # within a string
+        self.object_lines: list[bytes] = []
+        self.object_bytes = 0
+        self.bracket_depth = 0
+        self.in_string = False
 
     def feed(self, data: bytes) -> list[Any]:
-        """Return the objects that are complete by now, decoded.
+        """Appends received bytes; returns the decoded objects that are complete now.
 
         Raises:
-            HttpError: An object is too long.
-            msgspec.DecodeError: An object is no JSON.
+            HttpError: An object is longer than MAX_OBJECT_BYTES.
+            msgspec.DecodeError: An object is not valid JSON.
         """
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         values = [value for line in lines if (value := self._read_line(line)) is not None]
@@ -86,8 +94,8 @@
         return values
 
     def _read_line(self, line: bytes) -> Any:
-        """Return the object that ends with this line, or None."""
-        if not line.strip():  # a heartbeat between objects, white space within one
+        """Returns the decoded object that ends with this line, or None."""
+        if not line.strip():  # An empty line is a heartbeat between objects, or white space within an object.
             return None
         self.object_lines.append(line)
         self.object_bytes += len(line)
@@ -99,15 +107,15 @@
         return msgspec.json.decode(text)
 
     def _scan(self, line: bytes) -> None:
-        """Follow brackets and quotes through a line."""
-        escaped = -1  # position behind a backslash
+        """Updates `bracket_depth` and `in_string` by the contents of a line."""
+        escaped_position = -1  # The position of a byte that a backslash escapes.
         for match in STRUCTURAL_BYTES.finditer(line):
             position = match.start()
             byte = match.group()
-            if position == escaped:
+            if position == escaped_position:
                 continue
             if byte == b"\\":
-                escaped = position + 1
+                escaped_position = position + 1
             elif byte == b'"':
                 self.in_string = not self.in_string
             elif not self.in_string:
--- a/pebblehinge/service/server.py
+++ b/pebblehinge/service/server.py
@@ -1,4 +1,4 @@
-"""One gateway in service: joins clients, core, storage nodes and discovery, and carries out the core's effects."""
+"""One gateway in service: connects clients, storage nodes and discovery to the request table."""
 
 from __future__ import annotations
 
@@ -26,24 +26,31 @@
 from pebblehinge.service.service_shutdown import ServiceShutdown
 from pebblehinge.service.summary import Summary
 
-CHECK_INTERVAL_S = 0.1  # between checks for connections that have lasted too long
-RESERVED_SOCKETS = 24  # descriptors of the process itself, discovery's connections among them
-NODE_SOCKET_FRACTION = 3 / 8  # of the descriptors, for connections to storage nodes
-INITIAL_LIST_DELAY_MS = 500.0  # with the configured list alone, the gateway is ready after this
-NO_LIST_DELAY_MS = 5000.0  # ... and without any list after this; the platform expects it within 10 s
-SUMMARY_INTERVAL_S = 5.0  # between summaries in the log
-TIMER_ROUNDING_S = 0.0005  # the loop rounds to its grid: without this a timer may fire just before its time
-SEED_MASK = 0x5EED  # the discovery watch draws from another sequence than the scheduler
+CHECK_INTERVAL_S = 0.1  # Time between checks for connections whose time is over.
+RESERVED_SOCKETS = 24  # Descriptors of the process itself, including the connections to discovery.
+NODE_SOCKET_FRACTION = 3 / 8  # Part of the descriptors for connections to storage nodes.
+INITIAL_LIST_DELAY_MS = 500.0  # Time until the gateway is ready with only the configured node list.
+NO_LIST_DELAY_MS = 5000.0  # Time until it is ready without any list; the platform expects readiness within 10 s.
+SUMMARY_INTERVAL_S = 5.0  # Time between summaries in the log.
+TIMER_ROUNDING_S = 0.0005  # Added to delays: the loop rounds times, and a timer might fire just before its time.
+SEED_MASK = 0x5EED  # Gives the discovery watch another random sequence than the scheduler.
 
 
 def make_clock() -> Callable[[], float]:
-    """Return a monotonic clock in ms that began at Unix time."""
+    """Returns a monotonic clock in milliseconds that starts at the Unix time of this call."""
     offset_s = time.time() - time.monotonic()
     return lambda: (time.monotonic() + offset_s) * 1000.0
 
 
 class Service:
-    """One running gateway."""
+    """One running gateway, which carries out the effects of its request table.
+
+    Attributes:
+        has_discovery_list: Whether discovery itself has sent a node list.
+        wake_timer: Timer that wakes the request table, or None.
+        wake_ms: Clock time of that timer, infinite if there is none.
+        stopped_future: Done once the shutdown has finished.
+    """
 
     def __init__(
         self,
@@ -66,7 +73,7 @@
         self.summary = Summary(self.core, self.registry, self.pools)
         rng = random.Random(config.seed ^ SEED_MASK)
         self.watch = DiscoveryWatch(loop, config.discovery_address, rng, self._receive_update, self.log)
-        self.has_discovery_list = False  # discovery itself has sent a list
+        self.has_discovery_list = False
         self.wake_timer: asyncio.TimerHandle | None = None
         self.wake_ms = float("inf")
         self.stopped_future: asyncio.Future[None] = loop.create_future()
@@ -74,23 +81,23 @@
         self._divide_sockets()
 
     def log(self, event: str, **fields: object) -> None:
-        """Write an event to the log."""
+        """Writes an event to the log."""
         self.service_log.write(self.config.name, (self.clock() - self.started_ms) / 1000.0, event, fields)
 
     @property
     def lateness_ms(self) -> float:
-        """For how long what is read now may have been unread."""
+        """How long bytes that are read now may have been unread, in milliseconds."""
         return self.lateness.current_ms
 
     def _divide_sockets(self) -> None:
-        """Divide the descriptors among connections of clients and to storage nodes."""
+        """Divides the descriptors between client connections and connections to storage nodes."""
         self.pools.max_connections = int(self.config.max_sockets * NODE_SOCKET_FRACTION)
         self.listener.max_connections = self.config.max_sockets - self.pools.max_connections - RESERVED_SOCKETS
 
     # ---- start and configuration
 
     async def start(self) -> None:
-        """Listen and begin to follow discovery; raises OSError if the address can't be listened on."""
+        """Starts the listener, the watch of discovery and the timers; raises OSError if it can't listen."""
         if self.config.initial_node_list is not None:
             try:
                 self._apply_node_list(NodeListUpdate(self.config.initial_node_list))
@@ -106,9 +113,9 @@
         gc.freeze()
 
     def is_ready(self) -> bool:
-        """Return whether it listens and has a list: discovery's, or after a while the configured one.
+        """Returns whether the gateway listens and has a node list: discovery's, or after a delay the configured one.
 
-        Without any list it is ready later: requests are rejected with a Retry-After then, which is more than no answer.
+        Without any list it is ready after a longer delay, and rejects requests with Retry-After: better than no answer.
         """
         uptime_ms = self.clock() - self.started_ms
         if not self.listener.is_open or not self.pools.nodes:
@@ -116,26 +123,26 @@
         return self.has_discovery_list or uptime_ms > INITIAL_LIST_DELAY_MS
 
     def reload(self) -> None:
-        """Read the configuration file again (SIGHUP); if it is wrong, the old one stays in force."""
+        """Reads the configuration file again (on SIGHUP); if it is invalid, the current configuration stays."""
         try:
             config = load_config(self.path)
         except PlatformSettingsError as error:
             self.log("new configuration rejected", error=error)
             return
-        old = self.config
+        old_config = self.config
         self.config = config
         self._divide_sockets()
         self.pools.idle_timeout_ms = config.idle_timeout_ms
         self.pools.connect_timeout_ms = config.connect_timeout_ms
-        if config.settings != old.settings:
+        if config.settings != old_config.settings:
             self.core.adopt(self.clock(), config.settings)
         self.watch.change_address(config.discovery_address)
-        if config.listen_address != old.listen_address:
+        if config.listen_address != old_config.listen_address:
             self.log("listen address changes at the next start")
         self.log("configuration reloaded")
 
     def stop(self) -> None:
-        """Close everything at the end of the shutdown; `stopped_future` is done then."""
+        """Closes everything at the end of the shutdown, and completes `stopped_future`."""
         self.listener.close()
         self._log_summary()
         self.log("stopped", open=self.core.open_count)
@@ -144,27 +151,27 @@
         if not self.stopped_future.done():
             self.stopped_future.set_result(None)
 
-    # ---- effects of the core; see `Effects`
+    # ---- effects of the request table; see `Effects`
 
     def send_attempt(self, pending: PendingRequest, node: str, attempt: int, until_ms: float) -> None:
-        """Begin an attempt."""
+        """Starts an attempt."""
         self.pools.send(cast(ClientRequest, pending), node, attempt, until_ms)
 
     def cancel_attempt(self, pending: PendingRequest) -> None:
-        """Cancel the attempt that is out."""
+        """Cancels the attempt in flight."""
         self.pools.cancel(pending.attempt)
 
     def answer(
         self, pending: PendingRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
     ) -> None:
-        """Send the final answer."""
+        """Writes the final answer to the client."""
         self.registry.answer(pending, final, retry_after_ms, data)
 
     def call_discovery(self, call: DiscoveryCall) -> None:
-        """Do nothing: the watch is always open."""
+        """Does nothing, as the watch of discovery is always open."""
 
     def wake_at(self, at_ms: float) -> None:
-        """Have the core woken at a time, or earlier if that was asked for before."""
+        """Schedules a wake-up of the request table, unless an earlier one is scheduled."""
         if at_ms < self.wake_ms:
             if self.wake_timer is not None:
                 self.wake_timer.cancel()
@@ -181,13 +188,13 @@
     # ---- storage nodes, discovery and timers
 
     def can_start_attempt(self, pending: PendingRequest) -> bool:
-        """Return whether an attempt may still be begun for a request."""
+        """Returns whether an attempt may still be started for a request."""
         return self.registry.can_start_attempt(pending)
 
     def end_attempt(
         self, pending: PendingRequest, attempt: int, outcome: Outcome, duration_ms: float, data: bytes
     ) -> None:
-        """Pass the outcome of an attempt to the core."""
+        """Passes the outcome of an attempt to the request table."""
         self.core.ended(self.clock(), pending, attempt, outcome, duration_ms, data)
 
     def _receive_update(self, update: NodeListUpdate) -> None:
@@ -217,14 +224,12 @@
 
 
 async def run(path: str, config: ServiceConfig) -> None:
-    """Serve until SIGTERM or SIGINT and the graceful shutdown that follows; raises OSError if it can't listen."""
+    """Runs a gateway until the shutdown after SIGTERM or SIGINT has finished; raises OSError if it can't listen."""
     loop = asyncio.get_running_loop()
     service = Service(loop, config, path)
     loop.set_exception_handler(
-        lambda _, error_context: service.log(
-            "unhandled error in the event loop",
-            what=error_context["message"],
-            error=repr(error_context.get("exception")),
+        lambda _, context: service.log(
+            "unhandled error in the event loop", what=context["message"], error=repr(context.get("exception"))
         )
     )
     handlers = {
--- a/pebblehinge/service/service_log.py
+++ b/pebblehinge/service/service_log.py
@@ -1,15 +1,15 @@
-"""The log of the gateway in service: lines on standard error, bounded in number."""
+"""The log of the gateway in service: a limited number of lines on standard error."""
 
 from __future__ import annotations
 
 import sys
 
-MAX_LINES = 2000  # of one process, so that its log can't grow for ever
-MAX_VALUE_CHARACTERS = 300  # characters of a field's value
+MAX_LINES = 2000  # Limit for one process, so that its log can't grow without bound.
+MAX_VALUE_CHARACTERS = 300  # Longer field values are cut off.
 
 
 class ServiceLog:
-    """Writes the lines of one process."""
+    """Writes the log lines of one process."""
 
     __slots__ = ("line_count",)
 
@@ -17,7 +17,7 @@
         self.line_count = 0
 
     def write(self, gateway_name: str, uptime_s: float, event: str, fields: dict[str, object]) -> None:
-        """Write an event of the gateway `gateway_name` with its fields, unless the log is full."""
+        """Writes one line with an event and its fields, unless MAX_LINES lines have been written."""
         self.line_count += 1
         if self.line_count > MAX_LINES:
             return
--- a/pebblehinge/service/service_shutdown.py
+++ b/pebblehinge/service/service_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of the gateway in service: what each step does to its parts."""
+"""Carries out the steps of a graceful shutdown on the parts of the gateway in service."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class ShutdownContext(Protocol):
-    """What the shutdown needs of the gateway.
+    """The parts of the gateway that the shutdown uses.
 
     Attributes:
         loop: The event loop.
-        clock: Returns the time in ms.
-        config: The configuration in force.
-        core: The table of requests.
-        registry: The clients' connections.
-        listener: Accepts them.
+        clock: Returns the clock time in milliseconds.
+        config: The current configuration.
+        core: The request table.
+        registry: The registry of client connections.
+        listener: The listening socket.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -35,25 +35,25 @@
 
     @property
     def lateness_ms(self) -> float:
-        """For how long what is read now may have been unread."""
+        """How long bytes that are read now may have been unread, in milliseconds."""
 
     @property
     def log(self) -> Log:
-        """Writes an event to the log."""
+        """The function that writes an event to the log."""
 
     def stop(self) -> None:
-        """Close what is left: nothing is owed any more."""
+        """Closes everything that is still open; no answer is owed any more."""
 
 
 class ServiceShutdown:
-    """Carries out the steps of `Shutdown`, for which it is the `ShutdownEffects`."""
+    """Schedules the steps of `Shutdown` and implements its `ShutdownEffects`."""
 
     def __init__(self, context: ShutdownContext) -> None:
         self.context = context
         self.shutdown = Shutdown(self)
 
     def begin(self) -> None:
-        """Drain: open connections are served as long as there is time to answer, then closed."""
+        """Begins the shutdown: open connections are served while there is time to answer, then closed."""
         context = self.context
         next_step_ms = self.shutdown.begin(context.clock(), context.lateness_ms, context.config.longest_wait_ms)
         if next_step_ms is not None:
@@ -72,22 +72,22 @@
     # ---- effects; see `ShutdownEffects`
 
     def set_answer_deadline(self, deadline_ms: float) -> None:
-        """Have all requests answered by a time."""
+        """Sets the clock time by which all requests must be answered."""
         self.context.registry.is_draining = True
         self.context.core.leaves(self.context.clock(), deadline_ms)
 
     def accept_queued_connections(self) -> bool:
-        """Accept what waits in the listen queue; return whether anything did."""
+        """Accepts connections that wait in the listen queue; returns whether there were any."""
         return self.context.listener.accept_queued_connections()
 
     def close_inactive_connections(self, reject_partial: bool) -> None:
-        """Close connections with nothing open or unread; if `reject_partial`, those with part of a request too."""
+        """Closes connections without an open request or unread data; rejects partial requests if `reject_partial`."""
         self.context.registry.close_inactive_connections(reject_partial)
 
     def count_unanswered_connections(self) -> int:
-        """Return the number of connections on which an answer is, or may be, owed."""
+        """Returns the number of connections that may still owe an answer."""
         return self.context.registry.count_unanswered_connections(self.context.clock())
 
     def finish(self) -> None:
-        """Stop: nothing is owed any more."""
+        """Stops the gateway, which owes no answer any more."""
         self.context.stop()
--- a/pebblehinge/service/socket_state.py
+++ b/pebblehinge/service/socket_state.py
@@ -1,4 +1,4 @@
-"""The state of a socket in the kernel, ahead of what the event loop has read from it."""
+"""Queries the state of a socket in the kernel, which may be ahead of what the event loop has read from it."""
 
 import select
 import socket
@@ -7,23 +7,23 @@
 
 
 def _poll(fileno: int, events: int) -> int:
-    """Return which events are pending on a descriptor, without waiting."""
+    """Returns the events that are pending on a descriptor, without waiting."""
     poll = select.poll()
     poll.register(fileno, events)
     return next((event for _, event in poll.poll(0)), 0)
 
 
 def is_readable(fileno: int) -> bool:
-    """Return whether anything is unread: bytes, the end of the peer's sending, or a connection to accept."""
+    """Returns whether the socket has something to read: bytes, the peer's end of stream, or a connection to accept."""
     return bool(_poll(fileno, select.POLLIN) & select.POLLIN)
 
 
 def is_peer_closed(sock: socket.socket) -> bool:
-    """Return whether the peer has ended its sending or the connection is lost, whatever is unread before that."""
+    """Returns whether the peer has closed its side or the connection is lost, even if unread bytes precede that."""
     events = _poll(sock.fileno(), select.POLLIN | HANGUP_EVENTS)
     if events & HANGUP_EVENTS or not events:
         return bool(events)
-    try:  # a system without POLLRDHUP shows the end only once all before it has been read
+    try:  # Without POLLRDHUP, the end of the stream is visible only once all bytes before it have been read.
         return not sock.recv(1, socket.MSG_PEEK)
     except (BlockingIOError, InterruptedError):
         return False
--- a/pebblehinge/service/summary.py
+++ b/pebblehinge/service/summary.py
@@ -1,4 +1,4 @@
-"""Periodic summary of what has happened, as fields of a log line."""
+"""Periodic summary of the gateway's counters and gauges, as fields of a log line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Summary:
-    """Counters of one gateway, and what they were at the last line."""
+    """Reads the counters and gauges of one gateway; remembers the counters for the next summary."""
 
     __slots__ = ("core", "registry", "pools", "last_counts")
 
@@ -19,7 +19,7 @@
         self.last_counts: dict[str, int] = {}
 
     def increments(self) -> dict[str, int]:
-        """Return by how much each counter has grown since the last call, but for those that have not."""
+        """Returns the increase of each counter since the last call, without the counters that have not changed."""
         counts: dict[str, int] = {
             **self.core.counts.by_label(),
             **{outcome.value: count for outcome, count in self.core.outcome_counts.items()},
@@ -34,7 +34,7 @@
         }
 
     def gauges(self, lateness_ms: float) -> dict[str, object]:
-        """Return the present state; `lateness_ms` is the loop's lateness."""
+        """Returns the current values of the gauges; `lateness_ms` is the lateness of the event loop."""
         return {
             "open": self.core.open_count,
             "in_flight": self.pools.attempt_count,
