--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -23,7 +23,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from config_document import document  # noqa: E402
+from group_settings import settings_text  # noqa: E402
 from config_group import Group  # noqa: E402
 from raft_cluster import Cluster  # noqa: E402
 
@@ -47,7 +47,7 @@
 async def measure_proposals(loop: Any, member_count: int, proposals: int, folder: Path) -> dict[str, float]:
     """Returns the proposals per second and their p99 latency at a group's leader, with 16 small commands in flight."""
     host = f"127.250.{random.randrange(250)}.{random.randrange(1, 250)}"
-    config = loads(document(loopback=host))
+    config = loads(settings_text(loopback=host))
     config.member = {n: b for n, b in list(config.member.items())[:member_count]}
     members = [
         MemberServer(loop, clock_of(loop), config, n, RealDisk(folder / n), Quiet(), i)
@@ -109,17 +109,17 @@
     async def main() -> None:
         for n in range(1, 6):
             await group.start_member(f"g{n}")
-        await group.until(group.leader)
-        ok, reason = await group.propose(document(100, gateways, gateways), 1)
+        await group.wait_until(group.leader)
+        ok, reason = await group.propose(settings_text(100, gateways, gateways), 1)
         assert ok, reason
         for n in range(1, gateways + 1):
-            group.start_head(f"h{n}")
+            group.start_gateway(f"h{n}")
         for serial in range(2, 8):
-            await group.until(lambda s=serial: all((m, v) == ("active", s - 1) for _, m, v in group.acts.values()))
+            await group.wait_until(lambda s=serial: all((m, v) == ("active", s - 1) for _, m, v in group.gateway_states.values()))
             proposed_at = group.clock()
-            ok, reason = await group.propose(document(100 + serial, gateways, gateways), serial)
+            ok, reason = await group.propose(settings_text(100 + serial, gateways, gateways), serial)
             assert ok, reason
-            await group.until(lambda s=serial: all((m, v) == ("active", s) for _, m, v in group.acts.values()))
+            await group.wait_until(lambda s=serial: all((m, v) == ("active", s) for _, m, v in group.gateway_states.values()))
             latencies_ms.append(group.clock() - proposed_at)
 
     group.loop.run_until_complete(main())
@@ -129,7 +129,7 @@
 async def measure_activation_on_sockets(loop: Any, gateways: int, folder: Path) -> dict[str, float]:
     """Returns what `measure_activation` does, in real time: five members with fsync and the gateways on loopback."""
     host, clock = f"127.251.{random.randrange(250)}.{random.randrange(1, 250)}", clock_of(loop)
-    config = loads(document(100, gateways, gateways, host))
+    config = loads(settings_text(100, gateways, gateways, host))
     members = [
         MemberServer(loop, clock, config, n, RealDisk(folder / n), Quiet(), i) for i, n in enumerate(config.member)
     ]
@@ -155,7 +155,7 @@
             [b.listen for b in config.member.values()],
             "propose",
             {
-                "text": document(100 + serial, gateways, gateways, host),
+                "text": settings_text(100 + serial, gateways, gateways, host),
                 "base": serial - 1,
                 "session": "cost",
                 "serial": serial,
--- a/benchmarks/group_kills.py
+++ b/benchmarks/group_kills.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from config_document import document  # noqa: E402
+from group_settings import settings_text  # noqa: E402
 
 from pebblehinge.replicated_config.operator_client import ask_group, ask_member  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
@@ -32,7 +32,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         path = folder / "group.conf"
-        text = document(100, loopback=host)
+        text = settings_text(100, loopback=host)
         path.write_text(text)
         config = loads(text)
         addresses = [b.listen for b in config.member.values()]
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -27,7 +27,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from config_document import document  # noqa: E402
+from group_settings import settings_text  # noqa: E402
 from config_group import Group  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
@@ -114,29 +114,29 @@
 
 def in_virtual_time(heads: int, members: int, versions: int, within_s: float, pause_s: float) -> list[dict[str, Any]]:
     group = Group(1)
-    group.config = loads(document(100, heads, heads))
+    group.config = loads(settings_text(100, heads, heads))
     group.config.member = dict(list(group.config.member.items())[:members])
 
     async def main(found: Counter[str]) -> list[dict[str, Any]]:
         for name in group.config.member:
             await group.start_member(name)
-        await group.until(group.leader)
-        ok, said = await group.propose(document(100, heads, heads), 1)
+        await group.wait_until(group.leader)
+        ok, said = await group.propose(settings_text(100, heads, heads), 1)
         assert ok, said
         for n in range(1, heads + 1):
-            group.start_head(f"h{n}")
+            group.start_gateway(f"h{n}")
 
         def active(number: int) -> int:
-            return sum((m, v) == ("active", number) for _, m, v in group.acts.values())
+            return sum((m, v) == ("active", number) for _, m, v in group.gateway_states.values())
 
-        await group.until(lambda: active(1) == heads, 120.0)
+        await group.wait_until(lambda: active(1) == heads, 120.0)
         await asyncio.sleep(3.0)
         spread = Spread(
             heads,
             group.clock,
             active,
             lambda: max(m.node.raft.log.last_index for m in group.members.values()),
-            lambda n: group.propose(document(100 + n, heads, heads), n),
+            lambda n: group.propose(settings_text(100 + n, heads, heads), n),
             within_s,
             found,
         )
@@ -154,7 +154,7 @@
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     host, clock = f"127.{random.randrange(100, 240)}.{random.randrange(250)}.{random.randrange(1, 250)}", clock_of(loop)
-    config = loads(document(100, heads, heads, host))
+    config = loads(settings_text(100, heads, heads, host))
     config.member = dict(list(config.member.items())[:members])
     acts: dict[str, tuple[str, int]] = {}
 
@@ -167,7 +167,7 @@
 
         async def propose(number: int) -> tuple[bool, str]:
             values = {
-                "text": document(100 + number, heads, heads, host),
+                "text": settings_text(100 + number, heads, heads, host),
                 "base": number - 1,
                 "session": "spread",
                 "serial": number,
--- a/benchmarks/wide_group.py
+++ b/benchmarks/wide_group.py
@@ -18,25 +18,25 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from wide_faults import play  # noqa: E402
+from large_group_faults import run_simulation  # noqa: E402
 
 
 def one(seed: int, heads: int, length_s: float) -> dict[str, Any]:
     began = time.process_time()
     try:
-        group = play(seed, heads, length_s)
+        group = run_simulation(seed, heads, length_s)
     except Exception as error:  # a find is whatever a run ends with
         return {"seed": seed, "fault": f"{type(error).__name__}: {error}", "seconds": time.process_time() - began}
     return {
         "seed": seed,
         "fault": "",
         "seconds": round(time.process_time() - began, 1),
-        "versions": group.active(),
-        "proposed": group.counts["proposed"],
-        "said_yes": len(group.said_yes),
-        "most": round(group.most, 4),
+        "versions": group.active_version(),
+        "proposed": group.event_counts["proposed"],
+        "said_yes": len(group.accepted_names),
+        "most": round(group.peak_utilization, 4),
         "reached_s": round(group.loop.now - 1000.0, 1),
-        "counts": {k: n for k, n in sorted(group.counts.items()) if " " in k},
+        "counts": {k: n for k, n in sorted(group.event_counts.items()) if " " in k},
     }
 
 
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -11,8 +11,8 @@
 import random
 from typing import Any
 
-from config_document import document
-from config_group import Group, on_group
+from group_settings import settings_text
+from config_group import Group, run_with_group
 
 from pebblehinge.wirehost.loop import Process, serve
 
@@ -190,9 +190,9 @@
     ("show", {"version": 9}),
     ("members", {}),
     ("propose", {"text": "nonsense", "base": 1}),
-    ("propose", {"text": document(50), "base": 0}),
-    ("propose", {"text": document(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
-    ("propose", {"text": document(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
+    ("propose", {"text": settings_text(50), "base": 0}),
+    ("propose", {"text": settings_text(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
+    ("propose", {"text": settings_text(50), "base": 1, "author": "ana", "note": "less", "session": "s", "serial": 1}),
     ("diff", {"a": 1, "b": 2}),
     ("diff", {"a": 1, "b": 7}),
     ("rollback", {"version": 1}),
@@ -223,5 +223,5 @@
             answers.append([verb, values, ok, text])
             await asyncio.sleep(2.0)
 
-    on_group(script, seed=3)
+    run_with_group(script, seed=3)
     return answers
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from config_document import document
+from group_settings import settings_text
 from config_group import Group
 
 from pebblehinge.net import Peer
@@ -22,49 +22,49 @@
 
     def __init__(self, heads: int, seed: int = 1) -> None:
         super().__init__(seed)
-        self.heads = [f"h{n}" for n in range(1, heads + 1)]
+        self.gateway_names = [f"h{n}" for n in range(1, heads + 1)]
         self.config = loads(self.text(100))
-        self.sent: Counter[Kind] = Counter()
-        self.made: list[tuple[float, str, str]] = []
+        self.sent_frames: Counter[Kind] = Counter()
+        self.opened_connections: list[tuple[float, str, str]] = []
         self.modes: Counter[str] = Counter()
 
     def text(self, limit: float) -> str:
-        return document(limit, len(self.heads), len(self.heads))
+        return settings_text(limit, len(self.gateway_names), len(self.gateway_names))
 
-    def in_force(self, version: int, *but: str) -> bool:
-        return all(self.acts[h][1:] == ("active", version) for h in self.heads if h not in but)
+    def is_active_everywhere(self, version: int, *but: str) -> bool:
+        return all(self.gateway_states[h][1:] == ("active", version) for h in self.gateway_names if h not in but)
 
-    async def version(self, number: int, *but: str, within: float = 12.0) -> float:
+    async def roll_out(self, number: int, *but: str, within: float = 12.0) -> float:
         """Proposes it and waits until it is in force at all heads that are there; milliseconds."""
         began = self.clock()
         ok, said = await self.propose(self.text(100 + number), number)
         assert ok, said
-        await self.until(lambda: self.in_force(number, *but), within)
+        await self.wait_until(lambda: self.is_active_everywhere(number, *but), within)
         return self.clock() - began
 
 
-def on_fleet(script: Callable[[Fleet], Coroutine[Any, Any, None]], heads: int, seed: int = 1) -> Fleet:
+def run_with_fleet(script: Callable[[Fleet], Coroutine[Any, Any, None]], heads: int, seed: int = 1) -> Fleet:
     """Plays a script once version 1 is in force at all heads, with the parts summed up all the while."""
     fleet = Fleet(heads, seed)
     send, opened = Peer.send, ConfigWatcher.on_connected
 
     def counted(self: Peer, kind: Kind, *values: Any) -> None:
-        fleet.sent[kind] += 1
+        fleet.sent_frames[kind] += 1
         send(self, kind, *values)
 
     def made(self: ConfigWatcher, wire: Any) -> None:
-        fleet.made.append((fleet.clock(), self.application.gateway, wire.address))
+        fleet.opened_connections.append((fleet.clock(), self.application.gateway, wire.address))
         opened(self, wire)
 
     async def main() -> None:
         for name in fleet.config.member:
             await fleet.start_member(name)
-        for name in fleet.heads:
-            fleet.start_head(name)
+        for name in fleet.gateway_names:
+            fleet.start_gateway(name)
             await asyncio.sleep(0.3 / heads)  # each has a beat of its own
-        await fleet.until(fleet.leader)
-        await fleet.version(1)
-        watch = asyncio.ensure_future(fleet.watch())
+        await fleet.wait_until(fleet.leader)
+        await fleet.roll_out(1)
+        watch = asyncio.ensure_future(fleet.monitor_limits())
         await asyncio.sleep(1.0)
         done, _ = await asyncio.wait([watch, asyncio.ensure_future(script(fleet))], return_when=asyncio.FIRST_COMPLETED)
         watch.cancel()
--- a/tests/wide_document.py
+++ b/tests/large_group_settings.py
@@ -4,10 +4,10 @@
 
 import random
 
-MEMBERS = [f"g{n}" for n in range(1, 6)]
-VOLUMES = {"even": "wide", "some": "narrow"}  # volume -> its plan
+MEMBER_NAMES = [f"g{n}" for n in range(1, 6)]
+PLANS_BY_VOLUME = {"even": "wide", "some": "narrow"}  # volume -> its plan
 LIMITS = (60.0, 150.0, 400.0, 1000.0)
-DOCUMENT = """
+SETTINGS_TEMPLATE = """
 profile look {{
     importance 1
     expected 400ms
@@ -45,12 +45,12 @@
 """
 
 
-def document(rng: random.Random, heads: int) -> str:
+def random_settings_text(rng: random.Random, heads: int) -> str:
     """Settings with limits, and heads that a volume comes through, drawn anew."""
     names = [f"h{n}" for n in range(1, heads + 1)]
     through = sorted(rng.sample(names, rng.randint(2, min(30, heads))))
-    text = DOCUMENT.format(
+    text = SETTINGS_TEMPLATE.format(
         wide=rng.choice(LIMITS), narrow=rng.choice(LIMITS), heads=heads, some=len(through), through=" ".join(through)
     )
     text += "".join(f"head {h} {{\n    listen 127.0.0.1:{7000 + i}\n}}\n" for i, h in enumerate(names))
-    return text + "".join(f"member {m} {{\n    listen 127.0.0.1:{6000 + i}\n}}\n" for i, m in enumerate(MEMBERS))
+    return text + "".join(f"member {m} {{\n    listen 127.0.0.1:{6000 + i}\n}}\n" for i, m in enumerate(MEMBER_NAMES))
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from config_document import document, packed
-from config_group import Group, on_group
+from group_settings import settings_text, stored_form
+from config_group import Group, run_with_group
 
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config.lease_granting import RenewalRequest
@@ -16,11 +16,11 @@
 def state_with(*commands: tuple[Any, ...]) -> ConfigState:
     state = ConfigState()
     for index, parts in enumerate(commands, 1):
-        state.apply(Entry(1, index, 1, packed(*parts)))
+        state.apply(Entry(1, index, 1, stored_form(*parts)))
     return state
 
 
-PROPOSED = ("propose", 0, document(), "a", "")
+PROPOSED = ("propose", 0, settings_text(), "a", "")
 
 
 def test_one_entry_holds_what_many_entries_held() -> None:
@@ -30,7 +30,7 @@
     assert many.gateways == one.gateways and len(one.gateways) == 100
     assert ConfigState.restore(one.dump()).dump() == one.dump()
     before = one.revision
-    one.apply(Entry(1, 9, 1, packed("taken_up", dict.fromkeys(heads, 1))))  # nothing new: nothing to reckon from anew
+    one.apply(Entry(1, 9, 1, stored_form("taken_up", dict.fromkeys(heads, 1))))  # nothing new: nothing to reckon from anew
     assert one.revision == before
 
 
@@ -39,7 +39,7 @@
         PROPOSED,
         ("taken_up", {"h1": 1, "h2": 1, "h3": 7}),
         ("activate", 1, {}, 3),
-        ("propose", 1, document(50), "a", ""),
+        ("propose", 1, settings_text(50), "a", ""),
         ("taken_up", {"h1": 2}),
         ("refuse", 2, "h2: no"),
         ("taken_up", {"h1": 1, "h2": 2, "h3": 1}),
@@ -80,7 +80,7 @@
         assert not granting.renewals.awaiting_round and not granting.renewals.in_round  # answered once, and not again
         raft.state.current_term -= 1
 
-    on_group(script)
+    run_with_group(script)
 
 
 def test_a_lease_is_for_heads_alone_whose_word_for_what_is_to_come_is_in_the_log() -> None:
@@ -90,16 +90,16 @@
         async def lease(head: str, acknowledges: int) -> float:
             conn = Conn()
             granting.on_renewal(conn, RenewalRequest(1, head, acknowledges, 1, 0, ""))
-            await g.until(lambda: conn.grants, 1.0)
+            await g.wait_until(lambda: conn.grants, 1.0)
             return conn.grants[0][1]
 
         assert await lease("h1", 1) == 2_000.0
         assert await lease("h1", 0) == 0.0  # it has lost what it acknowledged
         assert await lease("new", 0) == 0.0 and "new" not in g.leader().state.gateways
-        g.kill_head("h4")  # the next version stays pending for as long as its lease runs
-        ok, said = await g.propose(document(40), 2)
+        g.kill_gateway("h4")  # the next version stays pending for as long as its lease runs
+        ok, said = await g.propose(settings_text(40), 2)
         assert ok, said
         assert await lease("h2", 1) == 0.0 and g.leader().state.pending == 2
         assert await lease("new", 2) == 2_000.0 and g.leader().state.gateways["new"].version == 2
 
-    on_group(script)
+    run_with_group(script)
--- a/tests/test_config_commands.py
+++ b/tests/test_config_commands.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from config_document import packed
+from group_settings import stored_form
 
 from pebblehinge.replicated_config.activation import Allowance
 from pebblehinge.replicated_config.commands import (
@@ -34,8 +34,8 @@
 
 @pytest.mark.parametrize(("command", "parts"), STORED, ids=[parts[0] for _, parts in STORED])
 def test_a_command_is_stored_as_ever_and_read_again(command: AnyCommand, parts: tuple[object, ...]) -> None:
-    assert encode_command(command) == packed(*parts)
-    assert decode_command(packed(*parts)) == command
+    assert encode_command(command) == stored_form(*parts)
+    assert decode_command(stored_form(*parts)) == command
 
 
 def test_each_verb_has_one_command() -> None:
@@ -47,7 +47,7 @@
 )
 def test_what_is_no_command_is_refused(parts: tuple[object, ...]) -> None:
     with pytest.raises(msgspec.DecodeError):
-        decode_command(packed(*parts))
+        decode_command(stored_form(*parts))
 
 
 def test_a_result_is_stored_as_its_reason() -> None:
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from config_document import document
+from group_settings import settings_text
 from helpers import LOOPBACK
 
 from pebblehinge.lab.village import Quiet
@@ -16,7 +16,7 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
-TEXT = document(100)
+TEXT = settings_text(100)
 
 
 class Wire:
--- a/tests/test_wide_group.py
+++ b/tests/test_large_group.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from wide_faults import play
-from wide_world import OverLimit
+from large_group_faults import run_simulation
+from large_group import LimitExceededError
 
 from pebblehinge.replicated_config import leases, version_application
 from pebblehinge.replicated_config.activation import transitional_config
@@ -16,10 +16,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_no_sum_of_parts_passes_a_limit_whatever_befalls_heads_and_leaders(seed: int) -> None:
-    group = play(seed, 40, 8.0)
-    assert group.most > 0.99  # the limits were really used
-    assert group.active() >= 4 and group.counts["cut off"] > 40
-    assert group.counts["heads killed"] and group.counts["heads frozen"] + group.counts["heads cut"]
+    group = run_simulation(seed, 40, 8.0)
+    assert group.peak_utilization > 0.99  # the limits were really used
+    assert group.active_version() >= 4 and group.event_counts["cut off"] > 40
+    assert group.event_counts["heads killed"] and group.event_counts["heads frozen"] + group.event_counts["heads cut"]
 
 
 # What holds the sum under the limit: (part of the program, its name, what stands in its place), seed, heads, seconds.
@@ -50,8 +50,8 @@
 @pytest.mark.parametrize("defence", DEFENCES)
 def test_a_sum_over_a_limit_is_seen_where_a_defence_is_gone(defence: str, monkeypatch: pytest.MonkeyPatch) -> None:
     parts, seed, heads, length_s = DEFENCES[defence]
-    play(seed, heads, length_s)
+    run_simulation(seed, heads, length_s)
     for of, name, instead in parts:
         monkeypatch.setattr(of, name, instead)
-    with pytest.raises(OverLimit):
-        play(seed, heads, length_s)
+    with pytest.raises(LimitExceededError):
+        run_simulation(seed, heads, length_s)
--- a/tests/test_lowering.py
+++ b/tests/test_lowering.py
@@ -9,30 +9,30 @@
 
 import asyncio
 
-from config_document import document
-from config_group import Group, on_group
+from group_settings import settings_text
+from config_group import Group, run_with_group
 
 
 def lowered(limit: float, through: int) -> Group:
     """h1 of three is cut off on a limit of 250, of which its floor is 16.7."""
 
     async def script(g: Group) -> None:
-        ok, said = await g.propose(document(250), 2)
+        ok, said = await g.propose(settings_text(250), 2)
         assert ok, said
-        await g.until(lambda: all(act[1:] == ("active", 2) for act in g.acts.values()))
-        g.cut.add("h1")
+        await g.wait_until(lambda: all(act[1:] == ("active", 2) for act in g.gateway_states.values()))
+        g.partitioned_names.add("h1")
         g.loop.net.partition(["h1"], [f"g{n}" for n in range(1, 6)])
-        await g.until(lambda: g.acts["h1"][1] == "cut off")
-        ok, said = await g.propose(document(limit, through), 3)
+        await g.wait_until(lambda: g.gateway_states["h1"][1] == "cut off")
+        ok, said = await g.propose(settings_text(limit, through), 3)
         assert ok, said
         await asyncio.sleep(5.0)
-        waits = g.active() == 2
+        waits = g.active_version() == 2
         g.loop.net.heal(["h1"], [f"g{n}" for n in range(1, 6)])
-        g.cut.clear()
-        await g.until(lambda: all(act[1:] == ("active", 3) for act in g.acts.values()))
+        g.partitioned_names.clear()
+        await g.wait_until(lambda: all(act[1:] == ("active", 3) for act in g.gateway_states.values()))
         g.waited = waits  # type: ignore[attr-defined]
 
-    return on_group(script, 31)
+    return run_with_group(script, 31)
 
 
 def test_a_version_waits_where_those_who_are_careful_have_not_left_enough() -> None:
--- a/tests/test_proposal_queue.py
+++ b/tests/test_proposal_queue.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 import pytest
-from config_document import document
-from config_group import Group, on_group
-from gateway_fleet import Fleet, on_fleet
+from group_settings import settings_text
+from config_group import Group, run_with_group
+from gateway_fleet import Fleet, run_with_fleet
 
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.replicated_config.commands import CommandResult, ProposeVersion
@@ -35,7 +35,7 @@
         def reply(answer: OperatorReply) -> None:
             self.told.append((name, answer.ok, answer.text))
 
-        self.proposals.add(ProposeVersion(0, document(), name, ""), session, 1, reply)
+        self.proposals.add(ProposeVersion(0, settings_text(), name, ""), session, 1, reply)
 
     def commit(self) -> None:
         """The proposal that is under way is applied, and pending from now on."""
@@ -117,7 +117,7 @@
         }
         ok, said = await f.ask("propose", **values)
         assert ok, said
-        await f.until(lambda: all(v >= number and m in ("active", "careful") for _, m, v in f.acts.values()), 12.0)
+        await f.wait_until(lambda: all(v >= number and m in ("active", "careful") for _, m, v in f.gateway_states.values()), 12.0)
         took[number] = f.clock() - began
 
     async def script(f: Fleet) -> None:
@@ -127,27 +127,27 @@
             if gap_s is not None:
                 await asyncio.sleep(gap_s)
             else:
-                await f.until(lambda n=number: any(m.state.newest >= n for m in f.members.values()), 12.0)
+                await f.wait_until(lambda n=number: any(m.state.newest >= n for m in f.members.values()), 12.0)
         for task in waiting:
             await task
-        assert f.in_force(11)
+        assert f.is_active_everywhere(11)
 
-    on_fleet(script, 30)
+    run_with_fleet(script, 30)
     assert len(took) == 10 and max(took.values()) < 12_000
 
 
 def test_a_version_that_stays_pending_is_named_to_who_proposes_beside_it() -> None:
     async def script(g: Group) -> None:
-        g.kill_head("h1")
-        ok, said = await g.propose(document(5), 2)  # less than what h1 may still send: it stays pending
+        g.kill_gateway("h1")
+        ok, said = await g.propose(settings_text(5), 2)  # less than what h1 may still send: it stays pending
         assert ok, said
         began = g.clock()
-        ok, said = await g.ask("propose", text=document(50), base=2, session="x", serial=1, within=4.0)
+        ok, said = await g.ask("propose", text=settings_text(50), base=2, session="x", serial=1, within=4.0)
         assert (ok, said) == (False, "version 2 is being taken up: wait for it")
         assert g.clock() - began < 9_000
         ok, said = await g.ask("forget", head="h1")
         assert ok, said
-        ok, said = await g.ask("propose", text=document(50), base=2, session="x", serial=1)  # as it was asked before
+        ok, said = await g.ask("propose", text=settings_text(50), base=2, session="x", serial=1)  # as it was asked before
         assert ok, said
 
-    on_group(script, 5)
+    run_with_group(script, 5)
--- a/tests/test_replicated_config_processes.py
+++ b/tests/test_replicated_config_processes.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from config_document import document
+from group_settings import settings_text
 from helpers import LOOPBACK
 from test_lab import command
 
@@ -16,7 +16,7 @@
 def test_processes_agree_and_the_command_line_changes_and_shows(tmp_path: Path) -> None:
     host = LOOPBACK.rpartition(".")[0] + ".251"
     path = tmp_path / "group.conf"
-    path.write_text(document(100, 3, loopback=host).replace("lease 2s", "lease 1s"))
+    path.write_text(settings_text(100, 3, loopback=host).replace("lease 2s", "lease 1s"))
     processes: dict[str, subprocess.Popen] = {}
     begun: dict[str, None] = {}
 
@@ -101,7 +101,7 @@
 def test_a_head_process_follows_the_group_and_serves_on_without_it(tmp_path: Path) -> None:
     host = LOOPBACK.rpartition(".")[0] + ".252"
     path = tmp_path / "group.conf"
-    text = document(90, 3, loopback=host).replace("lease 2s", "lease 1s") + "log {\n    form json\n}\n"
+    text = settings_text(90, 3, loopback=host).replace("lease 2s", "lease 1s") + "log {\n    form json\n}\n"
     path.write_text(text)
     running: list[subprocess.Popen] = []
 
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from config_document import applied, packed
+from group_settings import apply_entry, stored_form
 
 from pebblehinge.raft import Entry, EntryKind
 from pebblehinge.replicated_config.application_types import Grant
@@ -49,7 +49,7 @@
 def test_it_is_agreed_on_and_taken_up() -> None:
     text = "\n".join(show(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
     state = ConfigState()
-    assert applied(state, Entry(1, 1, EntryKind.DATA, packed("propose", 0, text, "a", ""))) == ""
+    assert apply_entry(state, Entry(1, 1, EntryKind.DATA, stored_form("propose", 0, text, "a", ""))) == ""
     application = VersionApplication("h1023", 0.25)
     assert application.apply_grant(Grant(application.begin_renewal(0.0), 3000.0, 0, "", 1, state.text(1) or "", {}))
     assert application.rejection is None and application.acknowledged_version == 1
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from click.testing import CliRunner
-from config_document import document
+from group_settings import settings_text
 from config_group import Group
 
 from pebblehinge.cli import main as cli
@@ -29,7 +29,7 @@
     async def run() -> None:
         for n in range(1, 4):
             await group.start_member(f"g{n}")
-        await group.until(group.leader)
+        await group.wait_until(group.leader)
         await script(group)
 
     group.loop.run_until_complete(run())
@@ -44,17 +44,17 @@
 
     async def script(group: Group) -> None:
         for name in ("h1", "h2"):
-            group.start_head(name)
-        ok, said = await group.propose(padded(document(100), LARGE), 1)
+            group.start_gateway(name)
+        ok, said = await group.propose(padded(settings_text(100), LARGE), 1)
         assert ok, said
-        await group.until(lambda: all((m, v) == ("active", 1) for _, m, v in group.acts.values()))
-        group.kill_head("h2")  # its lease holds the next version back, so that two texts are wanted at once
-        ok, said = await group.propose(padded(document(90), LARGE), 2)
+        await group.wait_until(lambda: all((m, v) == ("active", 1) for _, m, v in group.gateway_states.values()))
+        group.kill_gateway("h2")  # its lease holds the next version back, so that two texts are wanted at once
+        ok, said = await group.propose(padded(settings_text(90), LARGE), 2)
         assert ok, said
-        group.start_head("h3")
-        await group.until(lambda: len(group.watchers["h3"].application.texts) == 2)
+        group.start_gateway("h3")
+        await group.wait_until(lambda: len(group.watchers["h3"].application.texts) == 2)
         assert set(map(len, group.watchers["h3"].application.texts.values())) == {LARGE}
-        await group.until(lambda: all(group.acts[h][1:] == ("active", 2) for h in ("h1", "h3")))
+        await group.wait_until(lambda: all(group.gateway_states[h][1:] == ("active", 2) for h in ("h1", "h3")))
         ok, said = await group.ask("diff", a=1, b=2)
         assert ok and "-    limit 100/s" in said
 
@@ -63,18 +63,18 @@
 
 def test_a_text_beyond_the_bound_is_refused_with_both_sizes_and_the_next_one_is_agreed_on() -> None:
     async def script(group: Group) -> None:
-        ok, said = await group.propose(padded(document(100), MAX_TEXT_BYTES + 1), 1)
+        ok, said = await group.propose(padded(settings_text(100), MAX_TEXT_BYTES + 1), 1)
         assert not ok and said == "the version's text has 3,145,729 bytes: expected at most 3,145,728"
-        ok, said = await group.propose(padded(document(100), MAX_TEXT_BYTES), 2)
+        ok, said = await group.propose(padded(settings_text(100), MAX_TEXT_BYTES), 2)
         assert ok and said == "1", said
 
     in_a_group(script)
 
 
 def test_the_command_line_refuses_it_before_it_asks(tmp_path: Path) -> None:
-    (tmp_path / "group.conf").write_text(document())
+    (tmp_path / "group.conf").write_text(settings_text())
     users = "".join(f'user u{n} {{\n    secret "{"x" * 130_000}"\n}}\n' for n in range(26))
-    (tmp_path / "new.conf").write_text(document() + users)
+    (tmp_path / "new.conf").write_text(settings_text() + users)
     got = CliRunner().invoke(
         cli, ["config", "--group", str(tmp_path / "group.conf"), "propose", str(tmp_path / "new.conf")]
     )
--- a/tests/test_version_cache.py
+++ b/tests/test_version_cache.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from config_document import applied, document, packed
+from group_settings import apply_entry, settings_text, stored_form
 from test_faults_in_memory import STRUCK
 
 from pebblehinge.lab.village import play
@@ -33,10 +33,10 @@
 
 
 def test_heads_and_instances_of_one_process_read_a_version_once(reads: list[str]) -> None:
-    text = document(100)
+    text = settings_text(100)
     states = [ConfigState() for _ in range(3)]
     for state in states:
-        assert applied(state, Entry(1, 1, 1, packed("propose", 0, text, "a", ""))) == ""
+        assert apply_entry(state, Entry(1, 1, 1, stored_form("propose", 0, text, "a", ""))) == ""
     applications = [VersionApplication(f"h{n}", 0.2) for n in range(1, 5)]
     for application in applications:
         copy = text.encode().decode()  # as it comes out of a frame: another string of the same characters
@@ -48,7 +48,7 @@
 
 
 def test_few_texts_are_held_and_the_one_least_recently_used_goes(reads: list[str]) -> None:
-    texts = [document(10 + n) for n in range(version_cache.MAX_CACHED_TEXTS + 1)]
+    texts = [settings_text(10 + n) for n in range(version_cache.MAX_CACHED_TEXTS + 1)]
     for n, text in enumerate(texts):
         version_cache.parse_version(text, f"{n}")
         version_cache.parse_version(texts[0], "again")
@@ -59,7 +59,7 @@
 
 
 def test_an_error_is_told_to_each_by_its_own_name(reads: list[str]) -> None:
-    wrong = document() + "volume w {\n    plan nowhere\n}\n"
+    wrong = settings_text() + "volume w {\n    plan nowhere\n}\n"
     for name in ("proposal", "version 7"):
         with pytest.raises(SettingsError, match=f"{name}:.*plan 'nowhere' is not there"):
             version_cache.parse_version(wrong, name)
