--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -23,8 +23,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from group_settings import settings_text  # noqa: E402
 from config_group import Group  # noqa: E402
+from group_settings import settings_text  # noqa: E402
 from raft_cluster import Cluster  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
@@ -115,11 +115,15 @@
         for n in range(1, gateways + 1):
             group.start_gateway(f"h{n}")
         for serial in range(2, 8):
-            await group.wait_until(lambda s=serial: all((m, v) == ("active", s - 1) for _, m, v in group.gateway_states.values()))
+            await group.wait_until(
+                lambda s=serial: all((m, v) == ("active", s - 1) for _, m, v in group.gateway_states.values())
+            )
             proposed_at = group.clock()
             ok, reason = await group.propose(settings_text(100 + serial, gateways, gateways), serial)
             assert ok, reason
-            await group.wait_until(lambda s=serial: all((m, v) == ("active", s) for _, m, v in group.gateway_states.values()))
+            await group.wait_until(
+                lambda s=serial: all((m, v) == ("active", s) for _, m, v in group.gateway_states.values())
+            )
             latencies_ms.append(group.clock() - proposed_at)
 
     group.loop.run_until_complete(main())
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -27,8 +27,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from group_settings import settings_text  # noqa: E402
 from config_group import Group  # noqa: E402
+from group_settings import settings_text  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
--- a/tests/compatibility/conversations.py
+++ b/tests/compatibility/conversations.py
@@ -11,8 +11,8 @@
 import random
 from typing import Any
 
-from group_settings import settings_text
 from config_group import Group, run_with_group
+from group_settings import settings_text
 
 from pebblehinge.wirehost.loop import Process, serve
 
--- a/tests/config_group.py
+++ b/tests/config_group.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from group_settings import RATE_TOLERANCE, settings_text, allowed_rate
+from group_settings import RATE_TOLERANCE, allowed_rate, settings_text
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 import pytest
-from group_settings import settings_text
 from config_group import Group
+from group_settings import settings_text
 
 from pebblehinge.net import Peer
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
--- a/tests/large_group.py
+++ b/tests/large_group.py
@@ -60,7 +60,9 @@
         self.peak_utilization = 0.0  # the highest sum against its limit
         self.violation: LimitExceededError | None = None  # the first time that it was higher
         self.event_counts: Counter[str] = Counter()
-        self.clock_rates = {n: self.rng.uniform(0.977, 1.023) for n in [*MEMBER_NAMES, *self.gateway_names]} if seed % 2 else {}
+        self.clock_rates = (
+            {n: self.rng.uniform(0.977, 1.023) for n in [*MEMBER_NAMES, *self.gateway_names]} if seed % 2 else {}
+        )
 
     # ---- what heads may send
 
@@ -88,7 +90,9 @@
                 self.rate_sums[volume] = math.fsum(self.allowed_rates[volume].values())
                 if self.rate_sums[volume] > room and self.violation is None:
                     by = Counter(self.modes.values()).most_common(6)
-                    self.violation = LimitExceededError(f"{self.loop.now:.3f} s: {volume} {self.rate_sums[volume]:g} of {limit:g}, {by}")
+                    self.violation = LimitExceededError(
+                        f"{self.loop.now:.3f} s: {volume} {self.rate_sums[volume]:g} of {limit:g}, {by}"
+                    )
             self.peak_utilization = max(self.peak_utilization, self.rate_sums[volume] / limit)
 
     async def monitor_limits(self) -> None:
--- a/tests/large_group_faults.py
+++ b/tests/large_group_faults.py
@@ -6,8 +6,8 @@
 import random
 from typing import Any
 
-from large_group_settings import MEMBER_NAMES
 from large_group import CHECK_INTERVAL_S, LargeGroup
+from large_group_settings import MEMBER_NAMES
 
 
 class FaultInjector:
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from group_settings import settings_text, stored_form
 from config_group import Group, run_with_group
+from group_settings import settings_text, stored_form
 
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config.lease_granting import RenewalRequest
@@ -30,7 +30,9 @@
     assert many.gateways == one.gateways and len(one.gateways) == 100
     assert ConfigState.restore(one.dump()).dump() == one.dump()
     before = one.revision
-    one.apply(Entry(1, 9, 1, stored_form("taken_up", dict.fromkeys(heads, 1))))  # nothing new: nothing to reckon from anew
+    one.apply(
+        Entry(1, 9, 1, stored_form("taken_up", dict.fromkeys(heads, 1)))
+    )  # nothing new: nothing to reckon from anew
     assert one.revision == before
 
 
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -72,7 +72,9 @@
         f.kill_member(f.leader().name)
         began = f.clock()
         while f.clock() - began < 4_000:
-            assert all(mode == "active" for _, mode, _ in f.gateway_states.values()), f"{f.clock() - began:.0f} ms after the loss"
+            assert all(mode == "active" for _, mode, _ in f.gateway_states.values()), (
+                f"{f.clock() - began:.0f} ms after the loss"
+            )
             await asyncio.sleep(0.01)
         leader = f.leader()
         there = [at for at, _, address in f.opened_connections if address == leader.config.member[leader.name].listen]
--- a/tests/test_large_group.py
+++ b/tests/test_large_group.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from large_group_faults import run_simulation
 from large_group import LimitExceededError
+from large_group_faults import run_simulation
 
 from pebblehinge.replicated_config import leases, version_application
 from pebblehinge.replicated_config.activation import transitional_config
--- a/tests/test_lowering.py
+++ b/tests/test_lowering.py
@@ -9,8 +9,8 @@
 
 import asyncio
 
-from group_settings import settings_text
 from config_group import Group, run_with_group
+from group_settings import settings_text
 
 
 def lowered(limit: float, through: int) -> Group:
--- a/tests/test_proposal_queue.py
+++ b/tests/test_proposal_queue.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 import pytest
-from group_settings import settings_text
 from config_group import Group, run_with_group
 from gateway_fleet import Fleet, run_with_fleet
+from group_settings import settings_text
 
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.replicated_config.commands import CommandResult, ProposeVersion
@@ -117,7 +117,9 @@
         }
         ok, said = await f.ask("propose", **values)
         assert ok, said
-        await f.wait_until(lambda: all(v >= number and m in ("active", "careful") for _, m, v in f.gateway_states.values()), 12.0)
+        await f.wait_until(
+            lambda: all(v >= number and m in ("active", "careful") for _, m, v in f.gateway_states.values()), 12.0
+        )
         took[number] = f.clock() - began
 
     async def script(f: Fleet) -> None:
@@ -147,7 +149,9 @@
         assert g.clock() - began < 9_000
         ok, said = await g.ask("forget", head="h1")
         assert ok, said
-        ok, said = await g.ask("propose", text=settings_text(50), base=2, session="x", serial=1)  # as it was asked before
+        ok, said = await g.ask(
+            "propose", text=settings_text(50), base=2, session="x", serial=1
+        )  # as it was asked before
         assert ok, said
 
     run_with_group(script, 5)
--- a/tests/test_replicated_config.py
+++ b/tests/test_replicated_config.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 import pytest
-from group_settings import RATE_TOLERANCE, apply_entry, settings_text, stored_form, allowed_rate
 from config_group import Group, run_with_group
+from group_settings import RATE_TOLERANCE, allowed_rate, apply_entry, settings_text, stored_form
 
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config.activation import (
@@ -173,7 +173,9 @@
         began = g.clock()
         ok, said = await g.propose(settings_text(40), 2)
         assert ok, said
-        await g.wait_until(lambda: all((m, v) == ("active", 2) for n, (_, m, v) in g.gateway_states.items() if n != "h1"))
+        await g.wait_until(
+            lambda: all((m, v) == ("active", 2) for n, (_, m, v) in g.gateway_states.items() if n != "h1")
+        )
         # Its lease with the clocks' drift, and one more where a leader came anew; a renewal, the ways, an election.
         assert g.clock() - began < 2 * 2000 * 1.05 + 300 + 4 * 1 + 800
         assert g.gateway_states["h1"][1:] == ("cut off", 1)
@@ -197,7 +199,9 @@
         assert g.active_version() == 1  # 6.7 units a second may still come from h1, for all that the group knows
         ok, said = await g.ask("forget", head="h1")
         assert ok, said
-        await g.wait_until(lambda: all((m, v) == ("active", 2) for n, (_, m, v) in g.gateway_states.items() if n != "h1"))
+        await g.wait_until(
+            lambda: all((m, v) == ("active", 2) for n, (_, m, v) in g.gateway_states.items() if n != "h1")
+        )
 
     run_with_group(script, 5)
 
--- a/tests/test_replicated_config_faults.py
+++ b/tests/test_replicated_config_faults.py
@@ -6,8 +6,8 @@
 import random
 
 import pytest
-from group_settings import settings_text
 from config_group import Group, run_with_group
+from group_settings import settings_text
 
 from pebblehinge.lab.disk import FaultyDisk
 from pebblehinge.lab.village import Quiet
@@ -91,7 +91,9 @@
                 g.loop.net.heal(members + heads, members + heads)
                 g.partitioned_names.clear()
             else:
-                ok, _ = await g.propose(settings_text(rng.choice([20, 60, 100, 250]), rng.randint(2, 4)), serial, within=3.0)
+                ok, _ = await g.propose(
+                    settings_text(rng.choice([20, 60, 100, 250]), rng.randint(2, 4)), serial, within=3.0
+                )
                 serial += 1
             await asyncio.sleep(rng.uniform(0.1, 4.0))
         g.loop.net.heal(members + heads, members + heads)
@@ -102,7 +104,13 @@
         for h in heads:
             if g.gateway_states[h][1] == "dead":
                 g.start_gateway(h)
-        await g.wait_until(lambda: g.active_version() and all((m, v) == ("active", g.active_version()) for _, m, v in g.gateway_states.values()), 60)
+        await g.wait_until(
+            lambda: (
+                g.active_version()
+                and all((m, v) == ("active", g.active_version()) for _, m, v in g.gateway_states.values())
+            ),
+            60,
+        )
         await g.wait_until(lambda: not any(r for r, _ in g.leader().state.reservations.values()))
 
     rng = random.Random(f"{seed}/clocks")
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from click.testing import CliRunner
-from group_settings import settings_text
 from config_group import Group
+from group_settings import settings_text
 
 from pebblehinge.cli import main as cli
 from pebblehinge.replicated_config.size_limits import MAX_TEXT_BYTES
