--- a/pebblehinge/gateway/__init__.py
+++ b/pebblehinge/gateway/__init__.py
@@ -1,7 +1,8 @@
-"""The running gateway of the framed protocol.
+"""The gateway of the framed protocol.
 
-`admission` says what may enter the request table, `node_link` leads to one storage node, `discovery_link` to the
-endpoint list, `server` holds the sockets. Scheduling decisions are in `pebblehinge/decide/` alone.
+`server` runs the gateway and accepts clients, `admission` checks their requests and adds them to the request table,
+`node_link` sends attempts to one storage node, and `discovery_link` receives the endpoint list. All scheduling
+decisions are taken in `pebblehinge/decide/`.
 """
 
 from pebblehinge.gateway.admission import GatewayCore
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Which requests a gateway admits, by its settings; what it admits goes into the request table."""
+"""Admission control: checks requests against the settings and adds those that pass to the request table."""
 
 from __future__ import annotations
 
@@ -12,48 +12,48 @@
 from pebblehinge.wire.frames import APPEND, READ, WRITE
 
 MAX_TIME_LIMIT_MS = 1e9
-"""The greatest patience of a request, in milliseconds: as long as any time that the settings may state."""
+"""The greatest time limit that a client may state for a request, which is also the greatest time in settings."""
 
 CAPTURE_OUTCOME_CLIENT_GONE = 3
-"""How a capture writes a request whose client went away."""
+"""The outcome that a capture records for a request whose client disconnected or cancelled it."""
 
 MAX_QUOTED_CHARS = 60
-"""Characters of a client's wrong name that the text of its answer repeats."""
+"""Limit of the quotation of an invalid name in the reason of a rejection."""
 
 
 class RequestCapture(Protocol):
-    """Records what a gateway admits.
+    """A recorder of the requests that a gateway admitted.
 
     Attributes:
-        is_open: Whether it still records.
+        is_open: Whether the capture still records requests.
     """
 
     is_open: bool
 
     def add(self, *row: Any) -> None:
-        """Records one request that is over."""
+        """Records one request that has ended."""
 
     def flush(self) -> None:
-        """Writes what was recorded."""
+        """Writes the requests recorded so far."""
 
 
 def check_time_limit(time_limit_ms: float) -> None:
-    """Raises RequestRejectedError for a time beyond all that settings may state, or a number that is none."""
+    """Raises RequestRejectedError for a time limit that is NaN or of greater magnitude than `MAX_TIME_LIMIT_MS`."""
     if not abs(time_limit_ms) <= MAX_TIME_LIMIT_MS:
         raise RequestRejectedError(f"{time_limit_ms:g} ms are left: a time of at most {MAX_TIME_LIMIT_MS:g} is taken")
 
 
 class GatewayCore(RequestTable):
-    """The request table of a gateway, with its admission by the settings.
+    """The request table of a gateway, which admits requests by its settings.
 
     Attributes:
         config: The settings in force.
-        block: The settings of this gateway alone.
-        capture: Records each admitted request, if there is one.
+        gateway_settings: The settings of this gateway alone.
+        capture: The recorder of admitted requests, None for none.
     """
 
     def __init__(self, config: Config, gateway_settings: HeadBlock, now: float, effects: Any) -> None:
-        """Takes as `effects` the `Effects` that carry out what is decided, for requests that are `FramedRequest`."""
+        """Creates the table; `effects` implements `Effects` for requests of the class `FramedRequest`."""
         accounting = WaitAccounting() if gateway_settings.accounts else None
         super().__init__(
             config.module_settings(gateway_settings), gateway_settings.seed, now, cast(Effects, effects), accounting
@@ -82,29 +82,29 @@
         length: int,
         data: bytes,
     ) -> FramedRequest | None:
-        """Admits a request, or has it answered at once.
+        """Admits a request, or rejects it with an immediate final answer.
 
         Args:
-            now: The time in milliseconds.
-            origin: The request's `RequestOrigin`.
-            id_: Its number there.
-            trace_id: Names it in all logs.
-            volume: The volume's name.
-            stated_plan: The quota plan that the client names, or None.
-            request_class: The request class, as the settings name it.
-            extent: The extent's name.
-            slot: The placement slot, or -1 for a new extent.
-            units: The request's size in units of the quota.
-            time_limit_ms: The client's patience, in milliseconds.
-            is_retry: Whether it is a retry, or None if that is not said.
-            idempotency_key: The idempotency key, or None for the trace.
-            op: The operation.
-            offset: Where to read or write, in bytes.
-            length: How many bytes.
+            now: Clock time in milliseconds.
+            origin: The `RequestOrigin` that sent the request and receives its answer.
+            id_: Number of the request, unique among the open ones of its origin.
+            trace_id: Identifies the request in logs and records.
+            volume: Name of the volume.
+            stated_plan: Name of the quota plan that the client expects, None if it states none.
+            request_class: Name of the request class in the settings.
+            extent: Name of the extent.
+            slot: Slot of placement, -1 for a new extent.
+            units: Cost of the request, in units.
+            time_limit_ms: Time within which the client needs the answer, in milliseconds.
+            is_retry: Whether the client marked the request as a retry, None if it did not say.
+            idempotency_key: The idempotency key, None to use the trace id.
+            op: The operation, one of those of `pebblehinge.wire.frames`.
+            offset: Start of the range within the extent, in bytes.
+            length: Length of the range, in bytes.
             data: The bytes to write.
 
         Returns:
-            The request, or None if it was rejected and answered.
+            The request, or None if it was rejected.
         """
         pending = FramedRequest()
         pending.origin = origin
@@ -125,7 +125,7 @@
         try:
             quota_plan, set_size = self._check_admission(pending, stated_plan, request_class, time_limit_ms)
         except RequestRejectedError as error:
-            # Nothing of it has gone anywhere, so trying again is harmless whatever its class.
+            # No attempt was sent, so the client may safely retry a request of any class.
             self.counts.not_admitted += 1
             pending.answered = True
             retry_after_ms = self.config.rules.stay_away_max
@@ -146,12 +146,12 @@
         return pending
 
     def apply_config(self, now: float, config: Config) -> None:
-        """Puts new settings in force, for what is admitted from now on and for all that is queued."""
+        """Replaces the settings, for requests admitted from now on and for those that are queued."""
         self.config = config
         self.configure(now, config.module_settings(self.gateway_settings))
 
     def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
-        """Captures a request that is over, by its final answer or (None) since its client left."""
+        """Captures a request that has ended; `final` is None if its client disconnected or cancelled it."""
         if self.capture is not None:
             assert isinstance(pending, FramedRequest)
             self.capture.add(
@@ -174,7 +174,7 @@
     def _check_admission(
         self, pending: FramedRequest, stated_plan: str | None, request_class: str, time_limit_ms: float
     ) -> tuple[str, int]:
-        """Returns the quota plan and the number of gateways of a request's volume; raises RequestRejectedError."""
+        """Returns the quota plan and the set size of the request's volume; raises RequestRejectedError."""
         config = self.config
         if self.stopping and not getattr(pending.origin, "is_internal", False):
             raise RequestRejectedError("this head is stopping: another one takes new accesses")
@@ -183,7 +183,9 @@
         volume = config.volume.get(pending.volume)
         if volume is None:
             raise RequestRejectedError(f"volume {pending.volume[:MAX_QUOTED_CHARS]!r} is not known here")
-        volume_plan = volume.plan.partition("~")[0]  # between versions a volume may have a plan of its own, with less
+        # While a new version of the configuration is activated, a volume may have a reduced plan of its own, whose
+        # name begins with that of its usual plan and "~".
+        volume_plan = volume.plan.partition("~")[0]
         if stated_plan is not None and stated_plan != volume_plan:
             problem = "stands on another plan" if stated_plan in config.plan else "names a plan that is not known here"
             raise RequestRejectedError(f"volume {pending.volume!r} {problem}: {stated_plan[:MAX_QUOTED_CHARS]!r}")
@@ -194,6 +196,7 @@
         return volume.plan, volume.heads
 
     def _check_range_and_capacity(self, pending: FramedRequest) -> None:
+        """Raises RequestRejectedError for an invalid range, or if the table is at one of its limits."""
         limits = self.config.limits
         if pending.op not in (READ, WRITE, APPEND) or pending.offset < 0 or not 0 <= pending.length <= limits.frame:
             raise RequestRejectedError("no read or write of such a place")
--- a/pebblehinge/gateway/buffered_request.py
+++ b/pebblehinge/gateway/buffered_request.py
@@ -1,4 +1,4 @@
-"""A client's request that the journal of a gateway answers."""
+"""A client's request that is answered from the gateway's journal instead of a storage node."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class BufferedOrigin(Protocol):
-    """The connection that a buffered request came by."""
+    """The client connection that a buffered request was received on."""
 
     def deliver_buffered_answer(
         self, id_: int, final: FinalStatus, retry_after_ms: float, reason: str, slot: int, data: bytes
     ) -> None:
-        """Sends the final answer."""
+        """Sends the final answer to the request with this number."""
 
 
 class BufferedRequest:
-    """One client's buffered write, barrier or flush, until it is answered.
+    """A read, write, barrier or flush of a buffered volume, until it is answered.
 
     Attributes:
-        conn: Where it came from.
-        id: Its number there.
-        slot: The placement slot that it named.
-        trace: Names it in all logs.
-        timer: Ends it when its client's patience is over.
-        answered: Whether it has its final answer.
-        volume: For a flush: the volume.
-        up_to: For a flush: the number of the last write that it waits for.
+        origin: The connection that receives the answer.
+        id: Number of the request, unique among the open ones of its origin.
+        slot: Slot of placement that the request named.
+        trace_id: Identifies the request in records.
+        timer: Fails the request when its client's time limit has passed.
+        answered: Whether the request has its final answer.
+        volume: Name of the volume, set for a flush only.
+        up_to: Number of the last write that a flush waits for.
     """
 
     __slots__ = ("origin", "id", "slot", "trace_id", "timer", "answered", "volume", "up_to")
--- a/pebblehinge/gateway/context.py
+++ b/pebblehinge/gateway/context.py
@@ -1,4 +1,4 @@
-"""The running gateway as its parts see it. They are given one and never import it."""
+"""Interfaces through which the parts of a gateway use the running gateway, so that they need not import it."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class BufferedVolumes(Protocol):
-    """The write-back, as a client's connection uses it."""
+    """The part of the write-back that client connections use."""
 
     def is_buffered(self, volume: str) -> bool:
-        """Whether a volume is buffered."""
+        """Returns whether a volume is buffered."""
 
     def try_handle(
         self,
@@ -35,29 +35,31 @@
         length: int,
         data: bytes,
     ) -> bool:
-        """Takes a request, or returns False if it is for the request table."""
+        """Handles a request, or returns False if the request table has to handle it."""
 
     def dirty_writes_of_extent(self, volume: str, extent: str) -> tuple[Write, ...]:
-        """Returns the dirty writes that a read must show."""
+        """Returns the dirty writes that a read must include."""
 
     def overlay_dirty_writes(self, pending: FramedRequest, writes_before_read: tuple[Write, ...], data: bytes) -> bytes:
-        """Returns the bytes of a read with the dirty writes over them."""
+        """Returns the data of a read with the dirty writes applied to it."""
 
 
 class GatewayContext(Protocol):
-    """The running gateway: what its parts share, and what they report to it.
+    """The running gateway: the state that its parts share, and the events that they report to it.
 
     Attributes:
-        clock: The time in milliseconds.
+        loop: The event loop.
+        clock: Returns the clock time in milliseconds.
         config: The settings in force.
-        block: The settings of this gateway alone.
+        gateway_settings: The settings of this gateway alone.
+        name: Name of the gateway.
+        log: The process's log.
         core: The request table.
-        now: The reading of the clock for the frames that are being handled.
-        note: Writes an event to the records.
-        conns: The clients' connections, in the order in which they came.
-        write_back: The write-back, if volumes are buffered.
-        faults: How many clients were cut for what they sent.
-        stopped: Done when the gateway has stopped.
+        now: Clock time in milliseconds, read once for the frames that are being handled.
+        record_event: Writes an event to the event log.
+        client_connections: The client connections in the order in which they were accepted.
+        failed_connection_count: Number of client connections that the gateway has ended with an ERROR.
+        stopped: Completes when the gateway has stopped.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -75,10 +77,10 @@
 
     @property
     def write_back(self) -> BufferedVolumes | None:
-        """The write-back, if volumes are buffered."""
+        """The write-back, None if the gateway has no journal."""
 
     def stop_if_done(self) -> None:
-        """Ends a graceful shutdown when nothing is owed any more."""
+        """Completes a graceful shutdown if all requests and transfers have ended."""
 
     def on_connection_closed(self, connection: Any) -> None:
-        """A client's connection is over."""
+        """Handles the end of a client connection."""
--- a/pebblehinge/gateway/dialer.py
+++ b/pebblehinge/gateway/dialer.py
@@ -1,4 +1,4 @@
-"""Connecting to a storage node: one dial at a time, and how long it may take."""
+"""The dialer of a link to a storage node, which makes one connection attempt at a time, with a deadline."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from pebblehinge.settings.schema import LimitsBlock
 
 MAX_DEADLINE_EXTENSIONS = 3
-"""How often the time to connect is given again if this process was late itself."""
+"""How often the deadline of a dial is extended because the event loop of this process was late."""
 
 MIN_LATE_SHARE = 0.25
-"""The part of the time to connect by which this process must be late for that."""
+"""The least lateness of the event loop that extends the deadline, as a share of the connect timeout."""
 
 
 class Dialer:
-    """Dials one address, and reports a dial that failed.
+    """Dials one address, and reports a failed dial.
 
     Attributes:
-        connecting: The dial that is under way.
-        refusal: Why the last connection failed, where that is known.
+        dial_task: The task of the dial in progress, None for none.
+        failure_reason: Why the last connection or dial failed, empty if unknown.
     """
 
     def __init__(
@@ -32,7 +32,16 @@
         make_peer: Callable[[], Peer],
         on_failure: Callable[[], None],
     ) -> None:
-        """Connects peers that `make_peer` makes; `connect_failed` is called when a dial fails."""
+        """Creates a dialer.
+
+        Args:
+            loop: The event loop.
+            clock: Returns the clock time in milliseconds.
+            address: The address to dial, host:port.
+            limits: Settings that include the connect timeout.
+            make_peer: Creates the peer of a new connection.
+            on_failure: Called when a dial has failed.
+        """
         self.loop = loop
         self.clock = clock
         self.address = address
@@ -41,12 +50,12 @@
         self.on_failure = on_failure
         self.dial_task: asyncio.Task[None] | None = None
         self.failure_reason = ""
-        self._deadline: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self._deadline_ms = 0.0
         self._extensions_left = 0
 
     def connect(self) -> None:
-        """Begins a dial, if none is under way."""
+        """Starts a dial unless one is in progress."""
         if self.dial_task is not None:
             return
         self.failure_reason = ""
@@ -55,21 +64,21 @@
         self._set_deadline()
 
     def close(self) -> None:
-        """Cancels the dial that is under way."""
+        """Cancels the dial in progress, if any."""
         if self.dial_task is not None:
             self.dial_task.cancel()
-        if self._deadline is not None:
-            self._deadline.cancel()
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
 
     def on_connected(self) -> None:
-        """The connection is established, its greeting is over."""
-        if self._deadline is not None:
-            self._deadline.cancel()
-            self._deadline = None
+        """Ends the dial, as its connection is established and the greeting is complete."""
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+            self._deadline_timer = None
         self.dial_task = None
 
     def fail(self, reason: str) -> None:
-        """Ends the dial that is under way, if any."""
+        """Ends the dial in progress, if any, as failed; an earlier `failure_reason` of this dial is kept."""
         task = self.dial_task
         if task is None:
             return
@@ -81,7 +90,7 @@
 
     def _set_deadline(self) -> None:
         self._deadline_ms = self.clock() + self.limits.connect
-        self._deadline = self.loop.call_later(self.limits.connect / 1000.0, self._time_out)
+        self._deadline_timer = self.loop.call_later(self.limits.connect / 1000.0, self._time_out)
 
     async def _dial(self) -> None:
         peer: Peer | None = None
@@ -96,10 +105,11 @@
             raise
 
     def _time_out(self) -> None:
-        """No connection, or no greeting on it: a stopped process may well have its connections accepted.
+        """Fails a dial without a connection, or without a greeting on it, at its deadline.
 
-        If this gateway itself was late (a burst of thousands, a stop by signal), the storage node had no fair chance to
-        be heard: the time is given again, a few times.
+        The greeting is required because the kernel accepts connections for a process that is stopped. If this gateway
+        was late itself (a burst of thousands of connections, a stop by a signal), an answer of the storage node may
+        not have been read yet, so the deadline is extended a few times.
         """
         loop_lag_ms = self.clock() - self._deadline_ms
         if loop_lag_ms > self.limits.connect * MIN_LATE_SHARE and self._extensions_left > 0:
--- a/pebblehinge/gateway/discovery_link.py
+++ b/pebblehinge/gateway/discovery_link.py
@@ -1,4 +1,4 @@
-"""The link to discovery: one connection, kept up; the endpoint lists that come on it are passed on."""
+"""The link to discovery, which maintains one connection and passes on the endpoint lists received on it."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from pebblehinge.wire.kinds import ENDPOINT_ROW
 
 LIST_KINDS = {"changes": ListKind.CHANGES, "whole": ListKind.WHOLE, "failed": ListKind.FAILED}
-"""The kinds of an endpoint list, by their words in LIST frames."""
+"""The kinds of an endpoint list by their names in LIST frames."""
 
 REDIAL_DELAY_RANGE_S = (0.2, 0.6)
-"""The range of the wait before another dial, in seconds."""
+"""The range from which the delay before another dial is drawn."""
 
 MAX_QUOTED_WORD_CHARS, MAX_QUOTED_NAME_CHARS = 20, 60
-"""Characters of a wrong word or its node's name that the text of an error repeats."""
+"""Limits of the quotations of an invalid kind or state and of a storage node's name in an error message."""
 
 EndpointListHandler = Callable[[float, ListKind, list[EndpointEntry], dict[str, str]], None]
-"""Takes the time, the kind of a list, its entries, and the addresses of its storage nodes by name."""
+"""Called with the clock time in milliseconds, the kind of a list, its entries, and the nodes' addresses by name."""
 
 
 class _DiscoveryConnection(Peer):
-    """The connection of a link."""
+    """A connection of a link to discovery."""
 
     ACCEPTED_KINDS = frozenset({Kind.LIST})
 
@@ -35,25 +35,25 @@
         self.link = link
 
     def on_ready(self) -> None:
-        """The greeting is over."""
+        """Reports the completed greeting to the link."""
         self.link.on_connected(self)
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Reports the end of the connection to the link."""
         self.link.on_connection_lost(self)
 
     def on_list(self, token: int, kind: str, rows: list[ENDPOINT_ROW]) -> None:
-        """An endpoint list, whole or its changes."""
+        """Passes an endpoint list, or changes to it, to the link."""
         self.link.on_list(kind, rows)
 
 
 class DiscoveryLink:
-    """The link to discovery.
+    """The link of one gateway to discovery.
 
     Attributes:
-        connection: The connection, while there is one that has greeted.
-        polls: Whether the list is polled (as the settings say); otherwise discovery pushes it.
-        calls: Requests for the list that wait for a connection.
+        connection: The connection whose greeting is complete, None for none.
+        must_request_watch: Whether the scheduler requests the watch; otherwise the link does so on each connection.
+        calls: Requests for a watch that wait for a connection, the last four.
         closed: Whether the link is closed.
     """
 
@@ -66,9 +66,20 @@
         limits: LimitsBlock,
         rng: random.Random,
         on_endpoint_list: EndpointListHandler,
-        is_polling: bool,
+        must_request_watch: bool,
     ) -> None:
-        """Links `gateway` to discovery at `address`; `list_received` is called for each list."""
+        """Creates a link, which dials once `start` is called.
+
+        Args:
+            loop: The event loop.
+            clock: Returns the clock time in milliseconds.
+            gateway: Name of the gateway.
+            address: Address of discovery, host:port.
+            limits: Limits and timeouts of connections.
+            rng: Draws the delays before dials.
+            on_endpoint_list: Called for each list.
+            must_request_watch: Whether the scheduler requests the watch, by `call`.
+        """
         self.loop = loop
         self.clock = clock
         self.gateway = gateway
@@ -76,7 +87,7 @@
         self.limits = limits
         self.rng = rng
         self.on_endpoint_list = on_endpoint_list
-        self.is_polling = is_polling
+        self.must_request_watch = must_request_watch
         self.connection: _DiscoveryConnection | None = None
         self.calls: list[DiscoveryCall] = []
         self.closed = False
@@ -84,11 +95,11 @@
         self._redial_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins a dial."""
+        """Starts a dial."""
         self._dial_task = self.loop.create_task(self._connect())
 
     def call(self, call: DiscoveryCall) -> None:
-        """Asks for the list, at once or when there is a connection."""
+        """Requests the list and its further changes, now or once there is a connection."""
         if self.connection is None:
             self.calls.append(call)
             del self.calls[:-4]
@@ -96,7 +107,7 @@
             self.connection.send(Kind.WATCH, 1)
 
     def close(self) -> None:
-        """Closes the connection, and dials no more."""
+        """Closes the connection and stops dialing."""
         self.closed = True
         if self._dial_task is not None:
             self._dial_task.cancel()
@@ -106,31 +117,34 @@
             self.connection.close()
 
     def on_connected(self, connection: _DiscoveryConnection) -> None:
-        """The greeting is over."""
+        """Requests the watch that the scheduler waits for, or that the link itself requests on each connection."""
         self.connection = connection
-        if not self.is_polling:
+        if not self.must_request_watch:
             connection.send(Kind.WATCH, 1)
         for call in self.calls:
             self.call(call)
         self.calls.clear()
 
     def on_connection_lost(self, connection: _DiscoveryConnection) -> None:
-        """The connection is over. That alone changes nothing: the last list stays in force."""
+        """Schedules another dial; the last list stays in force.
+
+        A scheduler that requests the watch is told that it failed, so that it requests it again.
+        """
         was_connected = self.connection is connection
         self.connection = None
-        if was_connected and self.is_polling and not self.closed:
+        if was_connected and self.must_request_watch and not self.closed:
             self.on_endpoint_list(self.clock(), ListKind.FAILED, [], {})
         self._schedule_redial()
 
     def on_list(self, kind: str, rows: list[ENDPOINT_ROW]) -> None:
-        """An endpoint list has come; raises WireError if it is none."""
+        """Decodes an endpoint list and passes it on; raises WireError if it is invalid."""
         now = self.clock()
         if kind not in LIST_KINDS:
             raise WireError(f"LIST: kind {kind[:MAX_QUOTED_WORD_CHARS]!r}: expected one of {', '.join(LIST_KINDS)}")
         entries: list[EndpointEntry] = []
         addresses: dict[str, str] = {}
         for node, address, state, slot, age_ms in rows:
-            # The list says how long ago a node started: no wall clock of another machine is trusted.
+            # A row states the time since the node's start, as the wall clocks of other machines are not trusted.
             start_ms = max(0.0, now - age_ms) if age_ms >= 0 else 0.0
             entries.append(EndpointEntry(node, _read_state(state, node), slot, start_ms))
             addresses[node] = address
@@ -150,7 +164,7 @@
 
 
 def _read_state(state: str, node: str) -> EndpointState:
-    """Returns an endpoint's state by its word on the wire."""
+    """Returns the endpoint state with this name on the wire; raises WireError if there is none."""
     try:
         return EndpointState(state)
     except ValueError:
--- a/pebblehinge/gateway/effects.py
+++ b/pebblehinge/gateway/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what the request table decides: answers, attempts, timers, calls for the list; and reports back to it."""
+"""The effects of a gateway's request table: answers, attempts, wake-ups, calls to discovery; and the events it gets."""
 
 from __future__ import annotations
 
@@ -20,27 +20,30 @@
 from pebblehinge.settings.schema import Config, HeadBlock
 
 TIMER_SLACK_S = 0.0005
-"""Added to a wake-up's time: the loop rounds to its grid, and would else call just before the time."""
+"""Added to the time of a wake-up, since the loop rounds times to its grid and could call just before the time."""
 
-MAX_LATENCY_US = 60_000_000
+MAX_LATENCY_US = 60_000_000  # longer latencies are not recorded in the histogram
 
 
 class GatewayEffects:
     """The request table of a gateway with its timer, its links to storage nodes and its link to discovery.
 
     Attributes:
-        clock: The time in milliseconds.
+        loop: The event loop.
+        clock: Returns the clock time in milliseconds.
         config: The settings in force.
-        block: The settings of this gateway alone.
-        records: The file of events.
-        note: Writes an event to the records.
-        links: The links in use, by the storage nodes' names.
-        retired: Links to addresses that are no longer listed, with attempts in flight.
-        now: The reading of the clock for what is being handled.
+        name: Name of the gateway.
+        log: The process's log.
+        gateway_settings: The settings of this gateway alone.
+        event_log: The event log.
+        record_event: Writes an event to the event log.
+        links: The links in use, by storage node name.
+        retired_links: Links to former addresses of storage nodes, on which attempts may still be in flight.
+        now: Clock time in milliseconds, read once for the events that are being handled.
         core: The request table.
-        latency: Of succeeded requests, in microseconds.
+        latency_histogram: The latencies of succeeded requests, in microseconds.
         discovery: The link to discovery.
-        wake_timer: Wakes the request table.
+        wake_timer: The timer of the next wake-up of the request table, None for none.
     """
 
     def __init__(
@@ -80,15 +83,15 @@
         self._next_wake_ms = math.inf
 
     def stop_if_done(self) -> None:
-        """Ends a graceful shutdown when nothing is owed any more; called when the last answer is given."""
+        """Completes a graceful shutdown if all requests have ended; called when the last one is answered."""
         raise NotImplementedError
 
-    # ---- called by the request table
+    # ---- effects, called by the request table
 
     def answer(
         self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
     ) -> None:
-        """Sends a request's final answer where it came from."""
+        """Sends the final answer to the origin of the request."""
         pending.origin.deliver_answer(pending, final, retry_after_ms, reason, data)
         now = self.now
         if final is FinalStatus.SUCCEEDED:
@@ -103,28 +106,28 @@
             self.loop.call_soon(self.stop_if_done)
 
     def send_attempt(self, pending: FramedRequest, node: str, attempt_number: int, deadline_ms: float) -> None:
-        """Sends a request's attempt number `attempt` to a storage node; it times out at `until_ms`."""
+        """Sends an attempt, numbered from 0, to a storage node; it times out at clock time `deadline_ms`."""
         link = self.links[node]
         if self.config.log.accesses:
             self.log.info("trip", id=pending.trace_id, n=attempt_number, shelf=node)
         link.send(pending, attempt_number, deadline_ms, self.now)
 
     def cancel_attempt(self, pending: FramedRequest) -> None:
-        """Cancels a request's attempt."""
+        """Cancels the attempt in flight."""
         pending.attempt.link.cancel_attempt(pending)
 
     def wake_at(self, at_ms: float) -> None:
-        """Has the request table woken at a time, or before."""
+        """Schedules a wake-up of the request table, unless an earlier one is scheduled."""
         if at_ms < self._next_wake_ms:
             self._cancel_timer()
             self._next_wake_ms = at_ms
             self.wake_timer = self.loop.call_at(at_ms / 1000.0 + TIMER_SLACK_S, self._wake)
 
     def call_discovery(self, call: DiscoveryCall) -> None:
-        """Asks discovery for its list."""
+        """Sends a call to discovery."""
         self.discovery.call(call)
 
-    # ---- reports to the request table
+    # ---- events, reported to the request table
 
     def _cancel_timer(self) -> None:
         if self.wake_timer is not None:
@@ -150,10 +153,10 @@
         self.log.debug("listed", kind=kind.value, shelfs=len(entries))
         self.core.apply_endpoint_list(now, kind, entries)
         for node in [name for name in self.links if name not in self.core.scheduler.nodes.index]:
-            self.links.pop(node).retire()  # the scheduler has reused its index: nothing of it is in flight
+            self.links.pop(node).retire()  # the scheduler has reused its index, so no attempt is in flight
 
     def _ensure_link(self, node: str, address: str) -> None:
-        """Makes the link to a storage node, unless there is one to that address."""
+        """Creates the link to a storage node, or replaces it if the node has another address."""
         link = self.links.get(node)
         if link is not None and link.address == address:
             return
@@ -170,4 +173,4 @@
 
 
 def _discard_event(*_: Any, **__: Any) -> None:
-    """Takes the events of a gateway without records."""
+    """Discards an event, for a gateway without an event log."""
--- a/pebblehinge/gateway/errors.py
+++ b/pebblehinge/gateway/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the gateway."""
+"""Exceptions of the gateway."""
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """The base of the gateway's errors."""
+    """Base class of the gateway's exceptions."""
 
 
 class RequestRejectedError(GatewayError):
-    """A request that is not admitted. The text goes to its client; trying again is harmless.
+    """The request is not admitted. The message is sent to the client, which may safely retry.
 
     Attributes:
-        stay_ms: How long the client should wait before a retry, in milliseconds, or None for the settings' time.
+        retry_after_ms: The least delay before a retry in milliseconds, None for the longest that the settings allow.
     """
 
     def __init__(self, reason: str, retry_after_ms: float | None = None) -> None:
--- a/pebblehinge/gateway/flush_requests.py
+++ b/pebblehinge/gateway/flush_requests.py
@@ -1,4 +1,4 @@
-"""Flushes of buffered volumes: each waits until all that was confirmed before it is committed."""
+"""Flush requests of buffered volumes, which are answered once all writes before them are written back."""
 
 from __future__ import annotations
 
@@ -11,21 +11,27 @@
 
 
 class FlushRequests:
-    """The flushes that wait."""
+    """The flush requests that are not answered yet."""
 
     def __init__(self, committer: Committer, dirty: DirtyWrites, on_flushed: Callable[[BufferedRequest], None]) -> None:
-        """Calls `succeed` for a flush that waits for nothing any more."""
+        """Creates an empty collection.
+
+        Args:
+            committer: The committer of the journal.
+            dirty: The dirty writes.
+            on_flushed: Called for a flush once all writes that it waits for are written back.
+        """
         self.committer = committer
         self.dirty = dirty
         self.on_flushed = on_flushed
         self.pending_flushes: list[BufferedRequest] = []
 
     def add(self, request: BufferedRequest) -> None:
-        """Adds a flush, with its volume and the number of the last write that it waits for."""
+        """Adds a flush request, whose `volume` and `up_to` must be set."""
         self.pending_flushes.append(request)
 
     def answer_completed(self) -> None:
-        """Answers the flushes that wait for nothing any more."""
+        """Removes the flushes that wait for no write any more or are answered, and calls `on_flushed` for them."""
         remaining = []
         for request in self.pending_flushes:
             if self._is_waiting(request) and not request.answered:
--- a/pebblehinge/gateway/framed_request.py
+++ b/pebblehinge/gateway/framed_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the framed protocol brings it."""
+"""A request of the framed protocol."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 from pebblehinge.core import FinalStatus, PendingRequest
 
 FINAL_STATUS_LABELS = ("honoured", "pushed back", "terminated")
-"""What records, logs and the rsync sessions call the final answers, by their numbers on the wire."""
+"""The names of the final answers in records, logs and rsync sessions, by their numbers on the wire."""
 
 
 class RequestOrigin(Protocol):
-    """Where a request came from, and its final answer goes to."""
+    """The sender of a request, which receives its final answer."""
 
     def deliver_answer(
         self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
     ) -> None:
-        """Takes the final answer."""
+        """Delivers the final answer."""
 
 
 class FramedRequest(PendingRequest):
-    """One request, with what its attempts and its records need.
+    """One request, with the data that its attempts and its records need.
 
     Attributes:
-        origin: The request's `RequestOrigin`.
-        id: The request's number, unique among the open ones of its origin.
-        trace: Names the request in all logs.
-        extent: The extent's name within the volume.
-        slot: The placement slot, or -1 for a new extent.
-        label: The idempotency key.
+        origin: The `RequestOrigin` of the request.
+        id: Number of the request, unique among the open ones of its origin.
+        trace_id: Identifies the request in logs and records.
+        extent: Name of the extent within the volume.
+        slot: Slot of placement, -1 for a new extent.
+        idempotency_key: The idempotency key.
         op: The operation, one of those of `pebblehinge.wire.frames`.
-        offset: Where to read or write in the extent, in bytes.
-        length: How many bytes.
-        plan: The quota plan in force for the volume.
-        profile: The request class, as the settings name it.
-        again: Whether the client says that it is a retry.
+        offset: Start of the range within the extent, in bytes.
+        length: Length of the range, in bytes.
+        quota_plan: Name of the quota plan in force for the volume.
+        request_class: Name of the request class in the settings.
+        is_retry: Whether the client marked the request as a retry.
     """
 
     __slots__ = (
--- a/pebblehinge/gateway/internal_client.py
+++ b/pebblehinge/gateway/internal_client.py
@@ -1,4 +1,4 @@
-"""Requests that a gateway makes itself: for rsync clients, and to commit confirmed writes to their storage nodes."""
+"""Requests that a gateway makes itself: for rsync clients, and to write back confirmed writes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class InternalResult:
-    """How such a request ended.
+    """The final answer to such a request.
 
     Attributes:
-        final: One of `FINAL_WORDS`.
-        stay_ms: How long to wait before a retry, in milliseconds; 0 is no such wish.
-        reason: Why it did not succeed.
+        final: One of `FINAL_STATUS_LABELS`.
+        retry_after_ms: The least delay before a retry in milliseconds, 0 for none.
+        reason: Why the request did not succeed.
         data: The bytes read.
     """
 
@@ -29,19 +29,22 @@
 
 
 class InternalClient:
-    """One more client to the request table.
+    """A client within the gateway's process.
 
-    Its requests are admitted during a graceful shutdown as well: what they belong to was admitted before.
+    Its requests are admitted even during a graceful shutdown, as they belong to transfers or writes that were accepted
+    before it.
 
     Attributes:
-        ids: The number of its last request.
-        waiting: The requests without a result, by their numbers.
+        is_internal: Marks the origin of a request as internal, for admission control.
+        name: Name of the client in records.
+        last_id: Number of its last request.
+        result_futures: The futures of the requests without an answer, by number.
     """
 
     is_internal = True
 
     def __init__(self, context: GatewayContext, name: str) -> None:
-        """Makes requests as `name`, which the records show."""
+        """Creates a client whose requests appear in records under `name`."""
         self.context = context
         self.name = name
         self.last_id = 0
@@ -64,7 +67,7 @@
         data: bytes,
         idempotency_key: str | None,
     ) -> InternalResult:
-        """Makes one request; its arguments are those of `GatewayCore.take`. Cancelled, it is withdrawn."""
+        """Makes one request with the arguments of `GatewayCore.admit`; withdraws it if this call is cancelled."""
         context = self.context
         future: asyncio.Future[InternalResult] = context.loop.create_future()
         self.last_id += 1
@@ -103,7 +106,7 @@
     def deliver_answer(
         self, pending: FramedRequest, final: FinalStatus, retry_after_ms: float, reason: str, data: bytes
     ) -> None:
-        """Takes the final answer to a request."""
+        """Completes the future of the request with its final answer."""
         future = self.result_futures.pop(pending.id, None)
         if future is not None and not future.done():
             future.set_result(InternalResult(FINAL_STATUS_LABELS[final], retry_after_ms, reason, data))
--- a/pebblehinge/gateway/metrics.py
+++ b/pebblehinge/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a gateway for Prometheus: read from its state when scraped, at no cost to a request."""
+"""The Prometheus metrics of a gateway, which are read from its state at each scrape, at no cost to a request."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from pebblehinge.net import parse_address
 
 QUANTILES = (50.0, 99.0, 99.9)
-"""The quantiles of the latency, in per cent."""
+"""The quantiles of the latency that are exported, in per cent."""
 
 
 class GatewayMetrics(Collector):
-    """A collector over one gateway."""
+    """The collector of one gateway's metrics."""
 
     def __init__(self, gateway: GatewayServer) -> None:
         self.gateway = gateway
 
     def collect(self) -> Iterator[Metric]:
-        """Yields all metrics, as they are now."""
+        """Yields all metrics with their present values."""
         yield from self._requests()
         if self.gateway.rsync_listener is not None:
             yield from _transfers(self.gateway.rsync_listener)
@@ -91,7 +91,7 @@
 
 
 def serve_metrics(gateway: GatewayServer, address: str) -> WSGIServer:
-    """Answers scrapes at `address` from a thread of its own; raises OSError if that is taken."""
+    """Serves the metrics by HTTP at `address`, in a thread of its own; raises OSError if the address is in use."""
     registry = CollectorRegistry()
     registry.register(GatewayMetrics(gateway))
     host, port = parse_address(address)
--- a/pebblehinge/gateway/node_connection.py
+++ b/pebblehinge/gateway/node_connection.py
@@ -1,4 +1,4 @@
-"""A gateway's connection to a storage node: what comes on it, and whether it still carries anything."""
+"""The connection of a link to a storage node: dispatches received frames and detects a connection that is broken."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The link that a connection belongs to."""
+    """The part of a link that its connection uses."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
@@ -23,66 +23,66 @@
     connection: NodeConnection | None
 
     def on_connected(self, connection: NodeConnection) -> None:
-        """The greeting is over."""
+        """Handles the completion of the greeting."""
 
     def write_unsent(self) -> None:
-        """Writes what waits."""
+        """Writes the unsent attempts."""
 
     def on_connection_lost(self, connection: NodeConnection) -> None:
-        """The connection is over."""
+        """Handles the end of the connection."""
 
     def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
-        """An attempt has its outcome."""
+        """Handles the outcome of an attempt."""
 
 
 class NodeConnection(Peer):
-    """The connection of a link, from its greeting to its end."""
+    """A connection to a storage node."""
 
     ACCEPTED_KINDS = frozenset({Kind.OUTCOME, Kind.STOPPING})
 
     def __init__(self, link: ConnectionOwner, session: Session) -> None:
         super().__init__(link.loop, session, link.limits.stall, link.limits.keepalive)
         self.link = link
-        self._probe_baseline_s: float | None = None  # when bytes had last come, while a PING is out
+        self._probe_baseline_s: float | None = None  # `last_received_s` at the start of the probe in progress
 
     def on_ready(self) -> None:
-        """The greeting is over."""
+        """Reports the completed greeting to the link."""
         self.link.on_connected(self)
 
     def on_writable(self) -> None:
-        """The storage node reads again."""
+        """Writes the unsent attempts, as the storage node reads again."""
         self.link.write_unsent()
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Reports the end of the connection to the link."""
         self.link.on_connection_lost(self)
 
     def on_rejection(self, reason: str) -> None:
-        """The storage node rejects the connection, or what was sent on it."""
+        """Keeps the reason for which the storage node has rejected the connection, or a frame sent on it."""
         self.link.dialer.failure_reason = reason
 
     def fail(self, reason: str) -> None:
-        """Cuts the connection: what comes from here can't be read any more, so no answer on it can be waited for."""
+        """Aborts the connection: its further bytes can't be decoded, so no outcome on it can be awaited."""
         self.link.dialer.failure_reason = reason
         self.abort()
         self.closed = True
 
     def on_batch_start(self) -> None:
-        """Bytes have come: one reading of the clock serves them all."""
+        """Reads the clock once for all outcomes that were received together."""
         self.link.now = self.link.clock()
 
     def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
-        """An attempt has its outcome."""
+        """Passes the outcome of an attempt to the link."""
         self.link.on_outcome(attempt_id, status, reason, data)
 
     def on_stopping(self, reason: str) -> None:
-        """Nothing follows: the endpoint list says which nodes are draining."""
+        """Ignores the announcement of a shutdown, as the endpoint list states which nodes are draining."""
 
     def probe(self) -> None:
-        """Probes a connection on which an attempt timed out, and cuts it if that stays without an answer.
+        """Probes a connection on which an attempt timed out, and aborts it if nothing is received in reply.
 
-        The cause may be the storage node, or a connection that is cut in the middle and swallows all. A PING is
-        answered by any process that runs; if even that stays out, a new connection is made.
+        The cause of the timeout may be the storage node or a half-open connection, which loses everything sent on it.
+        Every running process answers a PING; without an answer, the connection is replaced by a new one.
         """
         if self._probe_baseline_s is None:
             self._probe_baseline_s = self.last_received_s
--- a/pebblehinge/gateway/node_link.py
+++ b/pebblehinge/gateway/node_link.py
@@ -1,7 +1,7 @@
-"""The link to one storage node: one connection that many attempts share, made when it is needed.
+"""The link to one storage node: a connection that many attempts share, established when it is needed.
 
-What an outcome may say is settled here by what was written: an attempt of which no byte was handed to the socket never
-ran (`CONNECT_FAILED`); from the first byte on it may have run, however the connection ends (`CONNECTION_LOST`).
+If an attempt has no answer, its outcome depends on what was written: an attempt of which no byte was passed to the
+socket never ran (`CONNECT_FAILED`), any other may have run, however the connection ends (`CONNECTION_LOST`).
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from pebblehinge.wire import Kind, Session
 
 TIMEOUT_RECHECK_DELAY_S = 0.001
-"""Seconds between an attempt's time-out and its end, for one more look at the sockets."""
+"""The delay after an attempt's deadline within which the event loop can still read an outcome from the socket."""
 
 OUTCOMES_BY_STATUS = (Outcome.SUCCEEDED, Outcome.SERVER_ERROR, Outcome.OVERLOADED)
 """The outcomes of an attempt, by their numbers in OUTCOME frames."""
 
 
 class AttemptInFlight:
-    """One attempt that has no outcome yet.
+    """An attempt that has no outcome yet.
 
     Attributes:
-        number: Its number on the link.
-        pending: The request that it serves.
-        attempt: Which attempt of the request it is, from 0.
-        until_ms: When it times out.
-        sent_ms: When it was given to the link.
-        timer: Its time-out.
-        link: The link that carries it.
-        rechecked: Whether its time-out has passed, and the sockets were looked at once more.
+        id: Identifies the attempt on the link.
+        pending: The request of the attempt.
+        number: Number of the attempt among those of its request, from 0.
+        deadline_ms: Clock time at which it times out.
+        sent_ms: Clock time at which it was passed to the link.
+        timer: The timer of its deadline.
+        link: The link that sends it.
+        timeout_rechecked: Whether its deadline has passed, and `TIMEOUT_RECHECK_DELAY_S` was granted.
     """
 
     __slots__ = ("id", "pending", "number", "deadline_ms", "sent_ms", "timer", "link", "timeout_rechecked")
@@ -56,25 +56,25 @@
 
 
 class AttemptEndHandler(Protocol):
-    """Takes the outcome of an attempt, once for each and never from within `NodeLink.send`."""
+    """A callback for the outcome of an attempt, called once for each attempt and never from within `NodeLink.send`."""
 
     def __call__(
         self, now: float, pending: FramedRequest, number: int, outcome: Outcome, duration_ms: float, data: bytes, /
     ) -> None:
-        """Called at `now`; `took_ms` is since the attempt was given to the link, `data` are the bytes read."""
+        """Handles the outcome of attempt `number`, `duration_ms` after it was sent; `data` are the bytes read."""
 
 
 class NodeLink:
     """The link to one storage node at one address.
 
     Attributes:
-        node: The storage node's name.
-        address: Its host:port.
-        connection: The connection, while there is one that has greeted.
-        waiting: Attempts of which nothing was written.
-        in_flight: Attempts that may have run, by their numbers.
-        late_outcomes: How many outcomes came for attempts that had ended.
-        retired: Whether the link takes nothing new, and closes when its last attempt has ended.
+        node: Name of the storage node.
+        address: Address of the storage node, host:port.
+        connection: The connection whose greeting is complete, None for none.
+        unsent_attempts: Attempts of which nothing was written yet.
+        in_flight: Attempts that may have run, by id.
+        late_outcome_count: Number of outcomes received for attempts that had ended, or with an unknown status.
+        is_retired: Whether the link gets no new attempts and closes once its last attempt has ended.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         on_attempt_end: AttemptEndHandler,
         record_event: Callable[..., None] | None,
     ) -> None:
-        """Links `gateway` to `node`; `ended` takes outcomes, `note` writes events to the records."""
+        """Creates a link of `gateway` to `node`; `record_event` writes to the event log, None for no events."""
         self.loop = loop
         self.clock = clock
         self.gateway = gateway
@@ -109,7 +109,7 @@
     # ---- operations
 
     def send(self, pending: FramedRequest, attempt_number: int, deadline_ms: float, now: float) -> None:
-        """Sends an attempt, which times out at `until_ms`; it waits if there is no connection yet."""
+        """Sends an attempt, which times out at `deadline_ms`, or queues it until there is a connection."""
         self.last_id += 1
         new_attempt = AttemptInFlight(self.last_id, pending, attempt_number, deadline_ms, now, self)
         new_attempt.timer = self.loop.call_at(deadline_ms / 1000.0, self._time_out, new_attempt)
@@ -122,7 +122,7 @@
             self.dialer.connect()
 
     def cancel_attempt(self, pending: FramedRequest) -> None:
-        """Cancels a request's attempt; the storage node is told, the caller knows the outcome."""
+        """Cancels the attempt of a request, also on the storage node; no outcome is reported."""
         cancelled_attempt: AttemptInFlight = pending.attempt
         cancelled_attempt.timer.cancel()
         if self.in_flight.pop(cancelled_attempt.id, None) is not None:
@@ -132,19 +132,19 @@
             self.unsent_attempts.remove(cancelled_attempt)
 
     def retire(self) -> None:
-        """The storage node has another address: what is in flight here still ends here, then the connection closes."""
+        """Closes the link once its last attempt has ended, since the storage node has another address or is gone."""
         self.is_retired = True
         self._close_if_idle()
 
     def close(self) -> None:
-        """Closes the connection and ends a dial that is under way."""
+        """Closes the connection and cancels a dial in progress."""
         self.is_retired = True
         self.dialer.close()
         if self.connection is not None:
             self.connection.close()
 
     def write_unsent(self) -> None:
-        """Writes what waits, as far as the storage node reads."""
+        """Writes the unsent attempts until the storage node stops reading."""
         now = self.clock()
         while self.unsent_attempts and self.connection is not None and not self.connection.write_paused:
             self._write(self.unsent_attempts.popleft(), now)
@@ -152,8 +152,8 @@
     # ---- called by the connection
 
     def on_connected(self, connection: NodeConnection) -> None:
-        """The greeting is over."""
-        if self.dialer.dial_task is None:  # the dial was given up meanwhile
+        """Adopts a connection whose greeting is complete, and writes the unsent attempts."""
+        if self.dialer.dial_task is None:  # the dial has failed in the meantime
             connection.abort()
             return
         self.dialer.on_connected()
@@ -161,7 +161,7 @@
         self.write_unsent()
 
     def on_connection_lost(self, connection: NodeConnection) -> None:
-        """The connection is over: what was written on it may have run."""
+        """Ends the attempts in flight, which may have run, and reconnects if there are unsent attempts."""
         now = self.clock()
         if self.dialer.dial_task is not None and self.connection is None:
             self.dialer.fail("the connection broke before the greeting")
@@ -177,7 +177,7 @@
             self.dialer.connect()
 
     def on_outcome(self, attempt_id: int, status: int, reason: str, data: bytes) -> None:
-        """An attempt has its outcome. One that has ended before is only counted: its request has its answer."""
+        """Ends an attempt with its outcome; only counts the outcome of an attempt that has ended already."""
         attempt = self.in_flight.pop(attempt_id, None)
         if attempt is None or status >= len(OUTCOMES_BY_STATUS):
             self.late_outcome_count += 1
@@ -224,7 +224,7 @@
 
     def _time_out(self, attempt: AttemptInFlight) -> None:
         if not attempt.timeout_rechecked:
-            # A loop that was held up runs its timers before it reads: the outcome may lie in the socket.
+            # A delayed event loop runs its timers before it reads, so the outcome may be unread in the socket.
             attempt.timeout_rechecked = True
             attempt.timer = self.loop.call_later(TIMEOUT_RECHECK_DELAY_S, self._time_out, attempt)
             return
--- a/pebblehinge/gateway/rsync_listener.py
+++ b/pebblehinge/gateway/rsync_listener.py
@@ -1,4 +1,4 @@
-"""Listens for rsync clients, ends their sessions with the gateway, and makes every block a request of the gateway."""
+"""The rsync listener of a gateway, whose sessions make a request of the gateway for every block that they transfer."""
 
 from __future__ import annotations
 
@@ -16,30 +16,35 @@
 from pebblehinge.settings.schema import Config
 
 LOOP_LAG_CHECK_INTERVAL_S = 0.1
-"""Seconds between two looks at the loop's lateness."""
+"""The interval at which the lag of the event loop is measured."""
 
 LOOP_LAG_DECAY = 0.8
-"""What is left of a lateness at the next look."""
+"""The factor by which an earlier lag decays with each measurement."""
 
 BACKLOG = 1024
-"""Connections not yet accepted."""
+"""Limit of the connections that are not yet accepted."""
 
 
 class RsyncListener:
-    """All rsync sessions of one gateway.
+    """Accepts rsync clients and holds the state that their sessions share.
 
     Attributes:
+        context: The running gateway.
+        loop: The event loop.
+        clock: Returns the clock time in milliseconds.
+        log: The process's log.
         config: The settings in force.
-        sharing: Which transfer's request is next.
-        turns: Grants their turns.
-        keeping: Parts of files that were interrupted, kept for the next try.
-        places: The state of each module that was used, by its name.
-        sessions: The sessions, in the order in which they came.
-        client: Makes their requests.
-        transfers: How many transfers are under way.
-        counts: Transfers by their end, and files saved.
+        rng: Draws challenges, checksum seeds and trace ids.
+        request_scheduler: Selects the transfer whose request is granted next.
+        transfer_scheduler: Lets transfers wait for their requests to be granted.
+        partial_uploads: Parts of interrupted uploads, kept for the client's retry.
+        module_stores: The state of each module in use, by name.
+        sessions: The sessions in the order in which they were accepted.
+        client: Makes the requests of the sessions.
+        transfer_count: Number of transfers in progress.
+        counts: Numbers of transfers by their end, and of files saved.
         stopping: Whether the gateway is shutting down.
-        late_ms: How late the loop has been lately, in milliseconds.
+        loop_lag_ms: Decaying maximum of the lag of the event loop, in milliseconds.
     """
 
     def __init__(self, context: GatewayContext) -> None:
@@ -64,14 +69,14 @@
         self._loop_lag_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listens; raises OSError if the address is taken."""
+        """Starts to accept clients; raises OSError if the address is in use."""
         assert self.context.gateway_settings.rsync is not None
         host, port = parse_address(self.context.gateway_settings.rsync)
         self._server = await self.loop.create_server(lambda: RsyncSession(self), host, port, backlog=BACKLOG)
         self._measure_loop_lag(self.loop.time())
 
     def apply_config(self, config: Config) -> None:
-        """Puts new settings in force; transfers under way go on by the ones that they began with."""
+        """Replaces the settings; transfers in progress continue with those that they began with."""
         self.config = config
         for name in [name for name in self.module_stores if name not in config.module]:
             del self.module_stores[name]
@@ -80,7 +85,7 @@
             module_store.slots = config.volume[config.module[name].volume].slots
 
     def stop(self) -> None:
-        """Accepts no new client; transfers have a while to end, other sessions are closed."""
+        """Stops accepting clients, closes sessions without a module, and ends the others after `rsync.stop`."""
         self.stopping = True
         assert self._server is not None
         self._server.close()
@@ -90,7 +95,7 @@
                 session.close()
 
     def close(self) -> None:
-        """Cuts all sessions."""
+        """Aborts all sessions."""
         for handle in (self._loop_lag_timer, self.transfer_scheduler.timer):
             if handle is not None:
                 handle.cancel()
@@ -98,7 +103,7 @@
             session.abort()
 
     def module_store(self, name: str) -> ModuleStore:
-        """Returns the state of a module."""
+        """Returns the state of a module, which is created when it is first used."""
         module_store = self.module_stores.get(name)
         if module_store is None:
             module_store = self.module_stores[name] = self._new_module_store(name)
@@ -122,7 +127,7 @@
             session.end("this head is stopping: come again, another one takes new transfers")
 
     def _measure_loop_lag(self, expected_s: float) -> None:
-        """Notes how late the loop is: a timer that fires late says how long all else waits, too."""
+        """Measures the lag of the event loop by how late this timer fires, as all other callbacks wait as long."""
         loop_lag_ms = max(0.0, (self.loop.time() - expected_s) * 1000.0)
         self.loop_lag_ms = max(loop_lag_ms, self.loop_lag_ms * LOOP_LAG_DECAY)
         next_s = self.loop.time() + LOOP_LAG_CHECK_INTERVAL_S
--- a/pebblehinge/gateway/rsync_session.py
+++ b/pebblehinge/gateway/rsync_session.py
@@ -1,4 +1,4 @@
-"""One rsync client of a gateway: whether the settings admit it, its transfer, and how that ended."""
+"""The session of one rsync client of a gateway: its access rights, its transfer, and the report of its end."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 from pebblehinge.settings.rsync import ModuleBlock
 from pebblehinge.settings.schema import Config
 
-RECEIVE_AFTER_DISCONNECT_S = 3.0
-"""Seconds in which what a client sent before it went is still taken in."""
+DISCONNECT_GRACE_S = 3.0
+"""How long a session still processes received data after the client disconnected."""
 
 MAX_SECRET_BYTES = 4096
 CHALLENGE_BYTES = 18
 
 HIDDEN = "hidden"
-"""Why a client may not use a module that is shown to it as if it were not there."""
+"""Returned by `admits` for a module that is reported to the client as unknown."""
 
 
 class SessionContext(Protocol):
-    """The listener, as its sessions see it; its attributes are those of `RsyncListener`."""
+    """The part of `RsyncListener` that its sessions use; the attributes are described there."""
 
     loop: asyncio.AbstractEventLoop
     clock: Callable[[], float]
@@ -55,13 +55,14 @@
 
 
 class RsyncSession(StreamProtocol):
-    """One connection, and what its protocol may see of the gateway.
+    """The connection of one rsync client, and the server context that the rsync protocol uses.
 
     Attributes:
-        report: What became of the transfer.
-        task: Runs the protocol.
-        address: The client's address.
-        transfer: The transfer that is under way.
+        listener: The listener that accepted the client.
+        report: The report of the transfer, for logs and metrics.
+        task: The task that runs the rsync protocol.
+        address: IP address of the client, empty if unknown.
+        transfer: The transfer in progress, None for none.
     """
 
     def __init__(self, listener: SessionContext) -> None:
@@ -74,10 +75,10 @@
         self._start_ms = listener.clock()
         self._login_timer: asyncio.TimerHandle | None = None
 
-    # ---- the connection
+    # ---- connection
 
     def connection_made(self, transport: Any) -> None:
-        """The connection is established; it is cut if there are too many."""
+        """Starts the protocol, or aborts the connection if there are too many or the gateway is stopping."""
         super().connection_made(transport)
         listener = self.listener
         peer_address = transport.get_extra_info("peername")
@@ -90,17 +91,17 @@
         self.task = self.loop.create_task(self._serve())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over. What came before is still taken in, and kept for the client's next try."""
+        """Unregisters the session; data received before is still processed, and kept for the client's retry."""
         super().connection_lost(exc)
         listener = self.listener
         listener.sessions.pop(self, None)
         if self.task is not None and not self.task.done():
-            self.loop.call_later(RECEIVE_AFTER_DISCONNECT_S, self.task.cancel)
+            self.loop.call_later(DISCONNECT_GRACE_S, self.task.cancel)
         if listener.stopping:
             self.loop.call_soon(listener.context.stop_if_done)
 
     def end(self, reason: str) -> None:
-        """Ends a transfer with a message that its tool shows."""
+        """Ends the transfer with an error message that the client's rsync prints."""
         self.why = reason
         if self.task is not None:
             self.task.cancel()
@@ -120,7 +121,7 @@
         except RsyncError as error:
             self.report.error = str(error)
             self.report.code = error.code
-        except Exception as error:  # a fault of this program: one transfer ends, the gateway goes on and says where
+        except Exception as error:  # a bug in this program ends one transfer and is logged; the gateway continues
             self.report.error = repr(error)
             self.listener.log.error("fault", error=repr(error), where=traceback.format_exc(limit=-6))
         finally:
@@ -160,11 +161,11 @@
             ms=round(self.listener.clock() - self._start_ms, 1),
         )
 
-    # ---- what the protocol may see
+    # ---- server context of the protocol
 
     @property
     def modules(self) -> dict[str, ModuleBlock]:
-        """The modules of the settings, by their names."""
+        """The modules of the settings, by name."""
         return self.listener.config.module
 
     @property
@@ -173,25 +174,25 @@
         return self.listener.config.rsync.motd
 
     def admits(self, module: str) -> str | None:
-        """Returns `HIDDEN` if this address may not use a module, None if it may."""
-        block = self.modules[module]
+        """Returns None if the client's address may use a module, else `HIDDEN`."""
+        settings = self.modules[module]
         try:
             address = ipaddress.ip_address(self.address)
         except ValueError:
-            return HIDDEN if block.allow or block.deny else None
-        if block.allow and not _is_in_networks(address, block.allow):
+            return HIDDEN if settings.allow or settings.deny else None
+        if settings.allow and not _is_in_networks(address, settings.allow):
             return HIDDEN
-        return HIDDEN if _is_in_networks(address, block.deny) else None
+        return HIDDEN if _is_in_networks(address, settings.deny) else None
 
     def secret(self, user: str) -> bytes | None:
-        """Returns a user's secret, or None if there is no such user or it can't be read."""
-        block = self.listener.config.user.get(user)
-        if block is None:
+        """Returns a user's secret, or None if the user is unknown or the secret can't be read."""
+        settings = self.listener.config.user.get(user)
+        if settings is None:
             return None
-        if block.secret_file is None:
-            return block.secret.encode()
+        if settings.secret_file is None:
+            return settings.secret.encode()
         try:
-            with Path(block.secret_file).open("rb") as file:
+            with Path(settings.secret_file).open("rb") as file:
                 return file.read(MAX_SECRET_BYTES).strip()
         except OSError as error:
             self.listener.log.error("secret", user=user, error=str(error))
@@ -206,10 +207,10 @@
         return self.listener.rng.randrange(1, 1 << 31)
 
     def begin(self, module: str, user: str) -> Transfer | str:
-        """Begins a transfer, or returns why there can be none now."""
-        listener, block = self.listener, self.listener.config.rsync
+        """Begins a transfer and returns it, or the reason why none can begin now."""
+        listener, settings = self.listener, self.listener.config.rsync
         rejection = refusal_reason(
-            listener.transfer_count, block.transfers, listener.stopping, listener.loop_lag_ms > block.lag
+            listener.transfer_count, settings.transfers, listener.stopping, listener.loop_lag_ms > settings.lag
         )
         if rejection is not None:
             return rejection
--- a/pebblehinge/gateway/server.py
+++ b/pebblehinge/gateway/server.py
@@ -1,4 +1,4 @@
-"""The running gateway: its clients, its start, its settings and its graceful shutdown."""
+"""The gateway server: startup, client connections, changes of settings, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from pebblehinge.store.journal import Batch
 
 BACKLOG = 8192
-"""Connections not yet accepted, all clients at once; the kernel may take fewer (net.core.somaxconn)."""
+"""Limit of the connections not yet accepted, for all clients at once; net.core.somaxconn may lower it."""
 
 CAPTURE_FLUSH_S = 1.0
-"""Seconds between two writes of a capture."""
+"""The interval at which a capture is written."""
 
 
 class GatewayServer(GatewayEffects):
-    """A running gateway. Loop, clock and records are handed in; nothing here reads others.
+    """A gateway; it uses no event loop, clock and event log but those passed to it.
 
     Attributes:
-        conns: The clients' connections, in the order in which they came.
-        faults: How many clients were cut for what they sent.
-        rsync_listener: Serves rsync clients, if the settings name an address for them.
-        snapshot_keeper: Saves what the scheduler has learned, if there is a disk for it.
-        write_back: Serves buffered volumes, if there is a disk for their journal.
-        version_shown: The configuration version in force as the console shows it, if the configuration is replicated.
-        stopped: Done when the gateway has stopped.
-        listener: Accepts clients, once started.
+        client_connections: The client connections in the order in which they were accepted.
+        failed_connection_count: Number of client connections that the gateway has ended with an ERROR.
+        rsync_listener: The listener for rsync clients, None unless the settings state an address for it.
+        snapshot_manager: Saves the learned scheduler state, None if there is no disk for it.
+        write_back: Handles requests of buffered volumes, None if there is no disk for their journal.
+        config_status: The version of a replicated configuration and its state, for the console; else empty.
+        stopped: Completes when the gateway has stopped.
+        listener: The listening socket of clients, None before the start.
     """
 
     def __init__(
@@ -50,7 +50,17 @@
         event_log: EventLog | NullEventLog | None = None,
         core: type[GatewayCore] = GatewayCore,
     ) -> None:
-        """Runs as `name` of the settings on `loop`; `clock` returns milliseconds."""
+        """Creates a gateway.
+
+        Args:
+            loop: The event loop.
+            clock: Returns the clock time in milliseconds.
+            config: The settings.
+            name: Name of this gateway in the settings.
+            log: The process's log.
+            event_log: The event log, None for none.
+            core: The class of the request table.
+        """
         super().__init__(loop, clock, config, name, log, event_log, core)
         self.client_connections: dict[ClientConnection, None] = {}
         self.failed_connection_count = 0
@@ -61,21 +71,31 @@
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.listener: asyncio.Server | None = None
 
-    # ---- start
+    # ---- startup
 
     def enable_write_back(self, disk: Disk, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
-        """Before `start`: serves buffered volumes, with a journal on `disk`; `make_durable` appends and syncs."""
+        """Enables buffered volumes; must be called before `start`.
+
+        Args:
+            disk: The folder of the journal.
+            write_batch: Appends a batch to the journal and syncs it.
+        """
         self.write_back = WriteBack(self, disk, write_batch)
 
     def enable_snapshots(
         self, disk: Disk, read_clocks: ReadClocks, run_in_background: BackgroundRunner = run_inline
     ) -> None:
-        """Before `start`: restores what an earlier incarnation learned, and saves what this one learns."""
+        """Restores the learned state of an earlier incarnation, and saves this one's; must be called before `start`."""
         self.snapshot_manager = SnapshotManager(self, disk, read_clocks, run_in_background)
         self.snapshot_manager.restore()
 
     async def start(self) -> None:
-        """Listens and serves; raises OSError if an address is taken, StorageError if the journal can't be read."""
+        """Starts the gateway.
+
+        Raises:
+            OSError: An address is in use.
+            StorageError: The journal can't be read.
+        """
         host, port = parse_address(self.gateway_settings.listen)
         self.listener = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
         if self.write_back is not None:
@@ -91,10 +111,10 @@
             self.snapshot_manager.start_saving()
         self.record_event(self.clock(), "up", role="head", name=self.name)
 
-    # ---- while it runs
+    # ---- operation
 
     def apply_config(self, config: Config) -> None:
-        """Puts new settings in force; addresses stay as they were until a restart."""
+        """Replaces the settings; changed addresses take effect at the next restart."""
         self.config = config
         self.now = self.clock()
         self.core.apply_config(self.now, config)
@@ -102,12 +122,12 @@
             self.rsync_listener.apply_config(config)
 
     def start_capture(self, writer: RequestCapture) -> None:
-        """Captures each request that is admitted from now on."""
+        """Starts to capture the requests that the gateway admits."""
         self.core.capture = writer
         self._flush_capture()
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """A client's connection is over: its open requests are withdrawn."""
+        """Unregisters a client connection and withdraws its open requests."""
         self.client_connections.pop(connection, None)
         now = self.clock()
         for pending in list(connection.open_requests.values()):
@@ -125,12 +145,16 @@
 
     # ---- graceful shutdown
 
-    def stop(self, why: str) -> None:
-        """Accepts nothing new, gives every accepted request its answer within its own time, then is stopped."""
+    def stop(self, reason: str) -> None:
+        """Begins a graceful shutdown: new requests are rejected, and accepted ones get their answers.
+
+        Args:
+            reason: The reason, for the log.
+        """
         if self.core.stopping:
             return
         self.core.stopping = True
-        self.log.info("stopping", why=why, open=self.core.open_count)
+        self.log.info("stopping", why=reason, open=self.core.open_count)
         assert self.listener is not None
         self.listener.close()
         if self.rsync_listener is not None:
@@ -143,7 +167,7 @@
         self.stop_if_done()
 
     def stop_if_done(self) -> None:
-        """Ends the shutdown when nothing is owed any more."""
+        """Completes the shutdown if all requests and transfers have ended and the clients have acknowledged it."""
         if not self._is_drained():
             return
         if self.client_connections:
@@ -163,7 +187,7 @@
         return self.write_back is None or self.write_back.is_drained()
 
     def _stop_waiting_for_clients(self) -> None:
-        """A client that never answers does not hold up the shutdown for ever."""
+        """Treats the shutdown as acknowledged by all clients, so that an unresponsive client can't delay it further."""
         for connection in self.client_connections:
             connection.shutdown_acknowledged = True
         self.stop_if_done()
--- a/pebblehinge/gateway/write_back.py
+++ b/pebblehinge/gateway/write_back.py
@@ -1,7 +1,7 @@
-"""Buffered volumes of a gateway: confirms writes from its journal, commits them to their nodes, shows them to reads.
+"""Write-back of buffered volumes: confirms writes from the journal, writes them back, and includes them in reads.
 
-Decides nothing: `store.writeback_policy` says what is accepted and what is committed when, the scheduler all of a
-request.
+No decision is taken here: `store.writeback_policy` decides which writes are accepted and when they are written back,
+and the scheduler decides on the requests that write them back.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
     Attributes:
         journal: The journal of confirmed writes.
-        committer: Appends to it, several records with one sync.
-        dirty: Writes that are confirmed and not yet committed to their storage nodes.
-        policy: Says when they are.
-        node_committer: Commits them.
-        open: How many requests are owed an answer.
-        counts: Writes by what became of them.
+        committer: Appends records to the journal, several of them with one sync.
+        dirty: Writes that are confirmed and not yet on their storage nodes.
+        policy: Decides which writes are accepted, and when they are written back.
+        write_back_runner: Writes them back.
+        open_count: Number of requests that have no answer yet.
+        counts: Numbers of writes by their end.
     """
 
     def __init__(self, context: GatewayContext, disk: Disk, write_batch: Callable[[Batch], Awaitable[None]]) -> None:
-        """Keeps the journal on `disk`; `make_durable` appends a batch to it and syncs."""
+        """Creates a write-back with its journal on `disk`; `write_batch` appends a batch to it and syncs."""
         self.context = context
         self.loop = context.loop
         self.clock = context.clock
@@ -58,7 +58,7 @@
         )
 
     def recover(self) -> None:
-        """Restores what an earlier incarnation had confirmed; raises StorageError if that can't be read."""
+        """Restores the confirmed writes of earlier incarnations; raises StorageError if the journal can't be read."""
         self.journal.recover()
         now = self.clock()
         records: list[Write | Barrier] = [*self.journal.writes.values(), *self.journal.barriers.values()]
@@ -72,7 +72,7 @@
             self.context.log.info("journal", writes=writes, bytes=size, cut=self.journal.truncated_bytes)
 
     def is_buffered(self, volume: str) -> bool:
-        """Whether a volume is buffered."""
+        """Returns whether a volume is buffered."""
         volume_settings = self.context.config.volume.get(volume)
         return volume_settings is not None and volume_settings.save == "buffered"
 
@@ -93,9 +93,9 @@
         length: int,
         data: bytes,
     ) -> bool:
-        """Takes a request for a buffered volume: a write, a barrier, a flush, or a read that dirty writes cover.
+        """Handles a write, barrier or flush of a buffered volume, or a read whose range dirty writes cover.
 
-        Its arguments are those of `GatewayCore.take`. Returns False if the request is for the request table.
+        The arguments are those of `GatewayCore.admit`. Returns False if the request table has to handle the request.
         """
         now = self.context.now
         if op == READ:
@@ -131,11 +131,11 @@
         return True
 
     def dirty_writes_of_extent(self, volume: str, extent: str) -> tuple[Write, ...]:
-        """Returns dirty writes that a read must show, even if they are committed meanwhile and it did not see them."""
+        """Returns the dirty writes that a read must include, even if it runs before their concurrent write-back."""
         return tuple(self.dirty.extents.get((volume, extent), {}).values())
 
     def overlay_dirty_writes(self, pending: FramedRequest, writes_before_read: tuple[Write, ...], data: bytes) -> bytes:
-        """Returns the bytes of a read with the dirty writes of before it, then those of now, over them."""
+        """Returns the data of a read, overlaid with the writes that were dirty before it and then with those of now."""
         earlier_overlay = DirtyWrites()
         for write in writes_before_read:
             earlier_overlay.add(0.0, write)
@@ -143,11 +143,11 @@
         return self.dirty.overlay(pending.volume, pending.extent, pending.offset, pending.length, data_before)
 
     def start_due_writes(self) -> None:
-        """Starts the commits that are due, and comes again when others are."""
+        """Starts the write-backs that are due, and schedules the next check."""
         self.write_back_runner.start_due_writes()
 
     def stop(self) -> None:
-        """Accepts no new writes; what is dirty is committed for a while, and what is left stays in the journal."""
+        """Rejects new requests and writes back; writes that are dirty after `buffer.stop` ms stay in the journal."""
         self.stopping = True
         for volume in list(self.dirty.volumes):
             self.policy.flush(volume, self.journal.last_number)
@@ -155,7 +155,7 @@
         self.loop.call_later(self.settings.stop / 1000.0, self._on_shutdown_timeout)
 
     def is_drained(self) -> bool:
-        """Whether the gateway may end: nothing is owed, all is committed and recorded, or the time for that is over."""
+        """Returns whether all requests are answered and, until the timeout, all writes recorded as written back."""
         if self.open_count:
             return False
         is_recorded = not self.write_back_runner.written_back_numbers or self.committer.failure is not None
@@ -163,18 +163,18 @@
         return self.write_back_runner.shutdown_timed_out or is_clean
 
     def close(self) -> None:
-        """Cancels what is under way."""
+        """Cancels the write-backs in progress."""
         self.closed = True
         self.write_back_runner.close()
 
     def _on_shutdown_timeout(self) -> None:
         if self.dirty and not self.closed:
-            self.context.log.warning("left in the journal", writes=len(self.dirty), bytes=self.dirty.bytes)
+            self.context.log.warning("writes left in the journal", writes=len(self.dirty), bytes=self.dirty.bytes)
         self.write_back_runner.shutdown_timed_out = True
         self.context.stop_if_done()
 
     def _check_admission(self, now: float, request_class: str, op: int, offset: int, units: float, data: bytes) -> None:
-        """Raises RequestRejectedError for a request that is not accepted."""
+        """Raises RequestRejectedError for a request that is not admitted."""
         config = self.context.config
         if self.stopping:
             raise RequestRejectedError("this head is stopping: another one takes new accesses")
@@ -191,7 +191,7 @@
             raise RequestRejectedError(rejection.reason, rejection.retry_after_ms)
 
     def _flush(self, request: BufferedRequest, volume: str) -> None:
-        """Waits until all is committed that was confirmed, or is being confirmed, by now."""
+        """Answers a flush once all writes that are confirmed, or being confirmed, by now are written back."""
         request.volume = volume
         request.up_to = self.journal.last_number
         self.policy.flush(volume, request.up_to)
@@ -200,7 +200,7 @@
         self.start_due_writes()
 
     def _append(self, request: BufferedRequest, record: Write | Barrier) -> None:
-        """Appends a record to the journal; the request is answered when it is durable."""
+        """Appends a record to the journal, and answers the request when the record is durable."""
         self.committer.add(record, lambda is_durable: self._on_append_result(request, record, is_durable))
         if not self.committer.is_running:
             self.write_back_runner.spawn(self.committer.run())
@@ -209,7 +209,7 @@
         if self.closed:
             return
         if not is_durable:
-            # It may be on the disk or not: that is all that can be said.
+            # The record may or may not be on the disk, so the request may have taken effect.
             self._answer(request, FinalStatus.FAILED, 0.0, str(self.committer.failure), b"")
             return
         if isinstance(record, Barrier):
@@ -221,7 +221,7 @@
         self.start_due_writes()
 
     def _time_out(self, request: BufferedRequest) -> None:
-        """The request's time is up. What it asked for goes on, and is no longer promised."""
+        """Fails a request at its deadline; its write or flush continues, but may or may not complete."""
         self._answer(request, FinalStatus.FAILED, 0.0, "not confirmed in time", b"")
 
     def _succeed(self, request: BufferedRequest) -> None:
@@ -244,7 +244,7 @@
             self.loop.call_soon(self.context.stop_if_done)
 
     def _on_progress(self) -> None:
-        """Something of the commits is no longer under way."""
+        """Answers the flushes that a completed write-back allows, and continues a graceful shutdown."""
         self.flushes.answer_completed()
         if self.stopping:
             self.loop.call_soon(self.context.stop_if_done)
--- a/pebblehinge/gateway/write_back_runner.py
+++ b/pebblehinge/gateway/write_back_runner.py
@@ -1,4 +1,4 @@
-"""Commits confirmed writes to their storage nodes, and records in the journal which are committed."""
+"""Writes confirmed writes back to their storage nodes, and records in the journal which are written back."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from pebblehinge.wire.frames import READ, WRITE
 
 MIN_TIMER_DELAY_MS = 0.5
-"""The least wait until the dirty writes are looked at again, in milliseconds."""
+"""The least delay before the dirty writes are checked again."""
 
 
 class WriteBackRunner:
-    """Commits the dirty writes of a gateway.
+    """Writes back the dirty writes of a gateway.
 
     Attributes:
-        client: Makes its requests.
-        committed: Numbers of writes that are committed, and not yet recorded as done.
-        gave_up: Whether a graceful shutdown has ended it: what is dirty stays in the journal.
-        closed: Whether it was closed.
+        client: Makes the requests to storage nodes.
+        written_back_numbers: Numbers of the writes that are written back but not yet recorded as such in the journal.
+        shutdown_timed_out: Whether the time of a graceful shutdown is over, so that dirty writes stay in the journal.
+        closed: Whether the runner is closed.
     """
 
     def __init__(
@@ -43,7 +43,17 @@
         counts: dict[str, int],
         on_progress: Callable[[], None],
     ) -> None:
-        """Calls `progressed` whenever something is no longer under way, and counts ends in `counts`."""
+        """Creates a runner.
+
+        Args:
+            context: The running gateway.
+            journal: The journal of confirmed writes.
+            committer: Appends records to the journal.
+            dirty: The dirty writes.
+            policy: Decides which writes are written back when.
+            counts: Counters of writes by their end, which the runner increments.
+            on_progress: Called after each write-back and each task of the runner.
+        """
         self.context = context
         self.loop = context.loop
         self.clock = context.clock
@@ -63,7 +73,7 @@
         self._completion_timer: asyncio.TimerHandle | None = None
 
     def start_due_writes(self) -> None:
-        """Starts the writes that are due, and comes again when others are."""
+        """Starts the write-backs that are due, and schedules the next check."""
         if self.shutdown_timed_out or self.closed:
             return
         now = self.clock()
@@ -80,13 +90,13 @@
             )
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Runs a coroutine as a task of its own; a fault in it is logged."""
+        """Runs a coroutine as a separate task; an exception in it is logged."""
         task = self.loop.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(self._on_task_done)
 
     def close(self) -> None:
-        """Cancels what is under way."""
+        """Cancels the timers and the tasks in progress."""
         self.closed = True
         for handle in (self._wake_timer, self._completion_timer):
             if handle is not None:
@@ -103,21 +113,19 @@
         if step is WritebackStep.WRITE:
             result = await self._send_request(write, WRITE, write.data)
             if result.final != FINAL_STATUS_LABELS[FinalStatus.REJECTED]:
-                self.dirty.maybe_applied[write.number] = None  # it may have run, whatever becomes of it
+                self.dirty.maybe_applied[write.number] = None  # unless rejected, a request may have run
         now = self.clock()
         self.dirty.in_flight.pop(write.number, None)
-        already_applied = step is WritebackStep.DONE
+        is_applied = step is WritebackStep.DONE
         final, retry_after_ms = (
-            (FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED], 0.0)
-            if already_applied
-            else (result.final, result.retry_after_ms)
+            (FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED], 0.0) if is_applied else (result.final, result.retry_after_ms)
         )
         if final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]:
             self.policy.record_success(write)
         else:
             self.policy.record_failure(now, write, retry_after_ms)
-        if already_applied or (step is WritebackStep.WRITE and final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]):
-            self.counts["stood already" if already_applied else "landed"] += 1
+        if is_applied or (step is WritebackStep.WRITE and final == FINAL_STATUS_LABELS[FinalStatus.SUCCEEDED]):
+            self.counts["stood already" if is_applied else "landed"] += 1
             self.dirty.remove(write)
             self.written_back_numbers.append(write.number)
             self._schedule_completion()
@@ -149,7 +157,7 @@
             self._completion_timer = self.loop.call_later(self.settings.done / 1000.0, self._record_completion)
 
     def _record_completion(self) -> None:
-        """Records what is committed, so that it is not written again after a crash; then segments may go."""
+        """Records the written-back writes, so that a restart does not repeat them and their segments can be removed."""
         self._completion_timer = None
         if not self.written_back_numbers or self.committer.failure or self.closed:
             return
