--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -1,11 +1,11 @@
-"""Frames by kind that a version costs, and the time until it is in force at the last head, by the number of heads.
+"""Measures the frames that a version costs, and the time until it is active at all gateways.
 
     python benchmarks/version_spread.py [--heads 5 25 50] [--members 5] [--versions 3] [--within 30] [--pause 0]
         [--sockets]
 
-Instances and heads are the program's own classes in one process: in virtual time, where work costs no time and counts
-are the same in every run; with `--sockets` on loopback with real folders, where times are those of this one process.
-Counted at each sender: NEWS, RENEW, GRANT and RAFT frames of all, entries of the log, and connections that were made.
+Members and gateways are the production classes in one process: in virtual time, where computation costs no time and
+counts are the same in every run, or with `--sockets` on loopback with real folders, where times include the computation
+of all of them. Counted are all NEWS, RENEW, GRANT and RAFT frames, log entries, and connections that gateways opened.
 """
 
 from __future__ import annotations
@@ -41,124 +41,136 @@
 from pebblehinge.store.disk import RealDisk  # noqa: E402
 from pebblehinge.wire import Kind  # noqa: E402
 
-COUNTED = (Kind.NEWS, Kind.RENEW, Kind.GRANT, Kind.RAFT)
+COUNTED_KINDS = (Kind.NEWS, Kind.RENEW, Kind.GRANT, Kind.RAFT)
 
 
 @contextmanager
-def counting() -> Iterator[Counter[str]]:
-    """What connections send meanwhile, by kind; "made" are connections of heads."""
-    found: Counter[str] = Counter()
-    send, opened = Peer.send, ConfigWatcher.on_connected
+def count_frames() -> Iterator[Counter[str]]:
+    """Counts the frames that connections send, by kind, and as "made" the connections that gateways open."""
+    counts: Counter[str] = Counter()
+    original_send, original_on_connected = Peer.send, ConfigWatcher.on_connected
 
-    def counted(self: Peer, kind: Kind, *values: Any) -> None:
-        if kind in COUNTED:
-            found[kind.name.lower()] += 1
-        send(self, kind, *values)
+    def count_and_send(self: Peer, kind: Kind, *values: Any) -> None:
+        if kind in COUNTED_KINDS:
+            counts[kind.name.lower()] += 1
+        original_send(self, kind, *values)
 
-    def made(self: ConfigWatcher, wire: Any) -> None:
-        found["made"] += 1
-        opened(self, wire)
+    def count_connection(self: ConfigWatcher, connection: Any) -> None:
+        counts["made"] += 1
+        original_on_connected(self, connection)
 
-    Peer.send, ConfigWatcher.on_connected = counted, made  # type: ignore[method-assign]
+    Peer.send, ConfigWatcher.on_connected = count_and_send, count_connection  # type: ignore[method-assign]
     try:
-        yield found
+        yield counts
     finally:
-        Peer.send, ConfigWatcher.on_connected = send, opened  # type: ignore[method-assign]
+        Peer.send, ConfigWatcher.on_connected = original_send, original_on_connected  # type: ignore[method-assign]
 
 
-class Spread:
-    """Versions one after another, counted. `active` tells how many heads act in full on a version."""
+class Rollout:
+    """Measures versions one after another; `count_active` returns the number of gateways at which one is active."""
 
     def __init__(
         self,
-        heads: int,
+        gateways: int,
         clock: Callable[[], float],
-        active: Callable[[int], int],
-        last: Callable[[], int],
+        count_active: Callable[[int], int],
+        last_index: Callable[[], int],
         propose: Callable[[int], Any],
-        within_s: float,
-        found: Counter[str],
+        timeout_s: float,
+        counts: Counter[str],
     ) -> None:
-        self.heads, self.clock, self.active, self.last, self.propose = heads, clock, active, last, propose
-        self.within_s, self.found = within_s, found
-
-    async def version(self, number: int) -> dict[str, Any]:
-        """From the proposal to the last head in force, or until time is up."""
-        self.found.clear()
-        entries, began = self.last(), self.clock()
-        ok, said = await self.propose(number)
-        told: dict[str, Any] = {"version": number}
+        self.gateways, self.clock, self.count_active, self.last_index, self.propose = (
+            gateways,
+            clock,
+            count_active,
+            last_index,
+            propose,
+        )
+        self.timeout_s, self.counts = timeout_s, counts
+
+    async def measure_version(self, number: int) -> dict[str, Any]:
+        """Returns the costs of a version from its proposal until it is active at all gateways, or the timeout."""
+        self.counts.clear()
+        first_index, proposed_at = self.last_index(), self.clock()
+        ok, reason = await self.propose(number)
+        row: dict[str, Any] = {"version": number}
         if not ok:
-            return {**told, "refused": said, **self.found}
-        while (there := self.active(number)) < self.heads and self.clock() - began < self.within_s * 1000.0:
+            return {**row, "refused": reason, **self.counts}
+        while (
+            active := self.count_active(number)
+        ) < self.gateways and self.clock() - proposed_at < self.timeout_s * 1000.0:
             await asyncio.sleep(0.005)
-        took = self.clock() - began
-        told |= (
-            {"in_force_ms": round(took, 1)} if there == self.heads else {"not_in_force_ms": round(took), "at": there}
+        elapsed_ms = self.clock() - proposed_at
+        row |= (
+            {"in_force_ms": round(elapsed_ms, 1)}
+            if active == self.gateways
+            else {"not_in_force_ms": round(elapsed_ms), "at": active}
         )
-        return {**told, "entries": self.last() - entries, **self.found}
+        return {**row, "entries": self.last_index() - first_index, **self.counts}
 
-    async def rest(self, seconds: float) -> dict[str, Any]:
-        self.found.clear()
+    async def measure_idle(self, seconds: float) -> dict[str, Any]:
+        """Returns the counts per second without proposals."""
+        self.counts.clear()
         await asyncio.sleep(seconds)
-        return {"at_rest": True, **{k: round(v / seconds, 1) for k, v in sorted(self.found.items())}}
+        return {"at_rest": True, **{k: round(v / seconds, 1) for k, v in sorted(self.counts.items())}}
 
-    async def play(self, versions: int, pause_s: float) -> list[dict[str, Any]]:
-        points = []
+    async def run(self, versions: int, pause_s: float) -> list[dict[str, Any]]:
+        """Returns a row for each version, and one for the idle time after them."""
+        rows = []
         for number in range(2, 2 + versions):
-            points.append(await self.version(number))
+            rows.append(await self.measure_version(number))
             await asyncio.sleep(pause_s)
         await asyncio.sleep(2.0)
-        return [*points, await self.rest(5.0)]
+        return [*rows, await self.measure_idle(5.0)]
 
 
-def in_virtual_time(heads: int, members: int, versions: int, within_s: float, pause_s: float) -> list[dict[str, Any]]:
+def run_virtual(gateways: int, members: int, versions: int, timeout_s: float, pause_s: float) -> list[dict[str, Any]]:
     group = Group(1)
-    group.config = loads(settings_text(100, heads, heads))
+    group.config = loads(settings_text(100, gateways, gateways))
     group.config.member = dict(list(group.config.member.items())[:members])
 
-    async def main(found: Counter[str]) -> list[dict[str, Any]]:
+    async def main(counts: Counter[str]) -> list[dict[str, Any]]:
         for name in group.config.member:
             await group.start_member(name)
         await group.wait_until(group.leader)
-        ok, said = await group.propose(settings_text(100, heads, heads), 1)
-        assert ok, said
-        for n in range(1, heads + 1):
+        ok, reason = await group.propose(settings_text(100, gateways, gateways), 1)
+        assert ok, reason
+        for n in range(1, gateways + 1):
             group.start_gateway(f"h{n}")
 
-        def active(number: int) -> int:
+        def count_active(number: int) -> int:
             return sum((m, v) == ("active", number) for _, m, v in group.gateway_states.values())
 
-        await group.wait_until(lambda: active(1) == heads, 120.0)
+        await group.wait_until(lambda: count_active(1) == gateways, 120.0)
         await asyncio.sleep(3.0)
-        spread = Spread(
-            heads,
+        rollout = Rollout(
+            gateways,
             group.clock,
-            active,
+            count_active,
             lambda: max(m.node.raft.log.last_index for m in group.members.values()),
-            lambda n: group.propose(settings_text(100 + n, heads, heads), n),
-            within_s,
-            found,
+            lambda n: group.propose(settings_text(100 + n, gateways, gateways), n),
+            timeout_s,
+            counts,
         )
-        return await spread.play(versions, pause_s)
+        return await rollout.run(versions, pause_s)
 
-    with counting() as found:
-        points = group.loop.run_until_complete(main(found))
+    with count_frames() as counts:
+        rows = group.loop.run_until_complete(main(counts))
     for task in asyncio.all_tasks(group.loop):
         task.cancel()
     group.loop.close()
-    return points
+    return rows
 
 
-def on_sockets(heads: int, members: int, versions: int, within_s: float, pause_s: float) -> list[dict[str, Any]]:
+def run_sockets(gateways: int, members: int, versions: int, timeout_s: float, pause_s: float) -> list[dict[str, Any]]:
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     host, clock = f"127.{random.randrange(100, 240)}.{random.randrange(250)}.{random.randrange(1, 250)}", clock_of(loop)
-    config = loads(settings_text(100, heads, heads, host))
+    config = loads(settings_text(100, gateways, gateways, host))
     config.member = dict(list(config.member.items())[:members])
-    acts: dict[str, tuple[str, int]] = {}
+    gateway_states: dict[str, tuple[str, int]] = {}  # mode and active version
 
-    async def main(found: Counter[str], folder: Path) -> list[dict[str, Any]]:
+    async def main(counts: Counter[str], folder: Path) -> list[dict[str, Any]]:
         servers = [
             MemberServer(loop, clock, config, n, RealDisk(folder / n), Quiet(), i) for i, n in enumerate(config.member)
         ]
@@ -167,7 +179,7 @@
 
         async def propose(number: int) -> tuple[bool, str]:
             values = {
-                "text": settings_text(100 + number, heads, heads, host),
+                "text": settings_text(100 + number, gateways, gateways, host),
                 "base": number - 1,
                 "session": "spread",
                 "serial": number,
@@ -177,38 +189,44 @@
 
         while not any(m.node.is_leader and m.node.raft.commit_index >= m.node.raft.term_start_index for m in servers):
             await asyncio.sleep(0.02)
-        ok, said = await propose(1)
-        assert ok, said
+        ok, reason = await propose(1)
+        assert ok, reason
         watchers = []
         for name in config.head:
             application = VersionApplication(name, config.group.floor)
 
             def adopt(new: Any, mode: str, name: str = name, application: VersionApplication = application) -> None:
-                acts[name] = (mode, application.active)
+                gateway_states[name] = (mode, application.active)
 
             watchers.append(
                 ConfigWatcher(loop, clock, config, application, adopt, (folder / name).write_bytes, Quiet())
             )
             watchers[-1].start()
 
-        def active(number: int) -> int:
-            return sum(v == ("active", number) for v in acts.values())
+        def count_active(number: int) -> int:
+            return sum(state == ("active", number) for state in gateway_states.values())
 
-        began = clock()
-        while active(1) < heads and clock() - began < 60_000:
+        started_at = clock()
+        while count_active(1) < gateways and clock() - started_at < 60_000:
             await asyncio.sleep(0.02)
         await asyncio.sleep(3.0)
-        spread = Spread(
-            heads, clock, active, lambda: max(m.node.raft.log.last_index for m in servers), propose, within_s, found
+        rollout = Rollout(
+            gateways,
+            clock,
+            count_active,
+            lambda: max(m.node.raft.log.last_index for m in servers),
+            propose,
+            timeout_s,
+            counts,
         )
-        points = await spread.play(versions, pause_s)
-        for thing in (*watchers, *servers):
-            thing.close() if isinstance(thing, ConfigWatcher) else thing.stop()
+        rows = await rollout.run(versions, pause_s)
+        for participant in (*watchers, *servers):
+            participant.close() if isinstance(participant, ConfigWatcher) else participant.stop()
         await asyncio.sleep(0.1)
-        return points
+        return rows
 
-    with counting() as found, tempfile.TemporaryDirectory() as folder:
-        return loop.run_until_complete(main(found, Path(folder)))
+    with count_frames() as counts, tempfile.TemporaryDirectory() as folder:
+        return loop.run_until_complete(main(counts, Path(folder)))
 
 
 def main() -> None:
@@ -219,13 +237,13 @@
     parser.add_argument("--within", type=float, default=30.0, help="seconds after which a version is given up")
     parser.add_argument("--pause", type=float, default=0.0, help="seconds between versions")
     parser.add_argument("--sockets", action="store_true")
-    given = parser.parse_args()
-    for heads in given.heads:
-        began = time.monotonic()
-        run = on_sockets if given.sockets else in_virtual_time
-        for point in run(heads, given.members, given.versions, given.within, given.pause):
-            print(json.dumps({"heads": heads, "members": given.members, **point}), flush=True)
-        print(f"# {heads} heads: {time.monotonic() - began:.0f} s", file=sys.stderr, flush=True)
+    options = parser.parse_args()
+    for gateways in options.heads:
+        started_at = time.monotonic()
+        run = run_sockets if options.sockets else run_virtual
+        for row in run(gateways, options.members, options.versions, options.within, options.pause):
+            print(json.dumps({"heads": gateways, "members": options.members, **row}), flush=True)
+        print(f"# {gateways} gateways: {time.monotonic() - started_at:.0f} s", file=sys.stderr, flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/wide_group.py
+++ b/benchmarks/wide_group.py
@@ -1,9 +1,9 @@
-"""Hundreds of heads and five instances struck by chance in virtual time, limits summed at every change.
+"""Runs random faults against a group with hundreds of gateways in virtual time, and checks limits at every change.
 
     python benchmarks/wide_group.py --seeds 1 10 --heads 200 --length 30 --json
 
-Odd seeds have clocks that differ by up to 4.6% of the 5% that are stated. One process; `seconds` are processor time.
-A broken seed is told with its first fault and the program ends with 1.
+With odd seeds the clocks drift apart by up to 4.6%, of the 5% that the settings allow. All runs in one process;
+`seconds` is its CPU time. A failed seed is printed with its first error, and the exit status is 1.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 from large_group_faults import run_simulation  # noqa: E402
 
 
-def one(seed: int, heads: int, length_s: float) -> dict[str, Any]:
-    began = time.process_time()
+def run_seed(seed: int, gateway_count: int, fault_duration_s: float) -> dict[str, Any]:
+    """Runs one seed and returns its row; `fault` is "" if it passed."""
+    started_at = time.process_time()
     try:
-        group = run_simulation(seed, heads, length_s)
-    except Exception as error:  # a find is whatever a run ends with
-        return {"seed": seed, "fault": f"{type(error).__name__}: {error}", "seconds": time.process_time() - began}
+        group = run_simulation(seed, gateway_count, fault_duration_s)
+    except Exception as error:  # any exception fails the seed
+        return {"seed": seed, "fault": f"{type(error).__name__}: {error}", "seconds": time.process_time() - started_at}
     return {
         "seed": seed,
         "fault": "",
-        "seconds": round(time.process_time() - began, 1),
+        "seconds": round(time.process_time() - started_at, 1),
         "versions": group.active_version(),
         "proposed": group.event_counts["proposed"],
         "said_yes": len(group.accepted_names),
@@ -46,24 +47,24 @@
     parser.add_argument("--heads", type=int, default=200)
     parser.add_argument("--length", type=float, default=30.0, help="seconds of faults")
     parser.add_argument("--json", action="store_true")
-    told = parser.parse_args()
-    broken = 0
-    for seed in range(told.seeds[0], told.seeds[0] + told.seeds[1]):
-        row = one(seed, told.heads, told.length)
-        broken += bool(row["fault"])
-        print(json.dumps(row) if told.json else row, flush=True)
+    options = parser.parse_args()
+    failed_seeds = 0
+    for seed in range(options.seeds[0], options.seeds[0] + options.seeds[1]):
+        row = run_seed(seed, options.heads, options.length)
+        failed_seeds += bool(row["fault"])
+        print(json.dumps(row) if options.json else row, flush=True)
     print(
         json.dumps(
             {
-                "heads": told.heads,
-                "length_s": told.length,
-                "seeds": told.seeds[1],
-                "broken": broken,
+                "heads": options.heads,
+                "length_s": options.length,
+                "seeds": options.seeds[1],
+                "broken": failed_seeds,
                 "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0, 1),
             }
         )
     )
-    return 1 if broken else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/group_settings.py
+++ b/tests/group_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the tests of shared configuration agree on, and a head's part of their limit."""
+"""The settings that tests of the replicated configuration propose, and shorthands for commands and allowances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.settings import Config
 
-RATE_TOLERANCE = 1e-4  # a volume that a head may send nothing for has a millionth of a unit a second there
+RATE_TOLERANCE = 1e-4  # units per second; a gateway that may send nothing for a volume has a rate of 1e-6 there
 SETTINGS_TEMPLATE = """
 profile look {{
     importance 1
@@ -27,11 +27,11 @@
 }}
 volume v {{
     plan capped
-    heads {heads}
+    heads {set_size}
     through {through}
 }}
-{blocks}
-{members}
+{gateway_blocks}
+{member_blocks}
 group {{
     lease 2s
     drift 5%
@@ -43,23 +43,39 @@
 
 
 def settings_text(limit: float = 100, set_size: int = 3, gateway_count: int = 4, loopback: str = "127.0.0.1") -> str:
-    every = [f"h{n}" for n in range(1, gateway_count + 1)]
-    blocks = "\n".join(f"head {h} {{\n    listen {loopback}:{7000 + i}\n}}" for i, h in enumerate(every))
-    members = "\n".join(f"member g{n} {{\n    listen {loopback}:{6000 + n}\n}}" for n in range(1, 6))
+    """Returns settings with a volume `v` that is limited to `limit` units per second.
+
+    Args:
+        limit: The limit; the burst is twice as many units.
+        set_size: The number of gateways that share the volume.
+        gateway_count: The number of gateways in the settings, h1 and so on.
+        loopback: The address on which the gateways and the five members listen.
+    """
+    gateway_names = [f"h{n}" for n in range(1, gateway_count + 1)]
+    gateway_blocks = "\n".join(
+        f"head {h} {{\n    listen {loopback}:{7000 + i}\n}}" for i, h in enumerate(gateway_names)
+    )
+    member_blocks = "\n".join(f"member g{n} {{\n    listen {loopback}:{6000 + n}\n}}" for n in range(1, 6))
     return SETTINGS_TEMPLATE.format(
-        limit=limit, burst=2 * limit, heads=set_size, through=" ".join(every[:set_size]), blocks=blocks, members=members
+        limit=limit,
+        burst=2 * limit,
+        set_size=set_size,
+        through=" ".join(gateway_names[:set_size]),
+        gateway_blocks=gateway_blocks,
+        member_blocks=member_blocks,
     )
 
 
-def allowed_rate(config: Config | None, head: str) -> float:
-    return 0.0 if config is None else allowances_of(config, head).get("v", (0.0, 0.0))[0]
+def allowed_rate(config: Config | None, gateway: str) -> float:
+    """Returns the units per second that a gateway may send for volume `v`; 0 without settings."""
+    return 0.0 if config is None else allowances_of(config, gateway).get("v", (0.0, 0.0))[0]
 
 
 def stored_form(*parts: Any) -> bytes:
-    """A command as the log stores it."""
+    """Returns the stored form of a command: a verb and its values."""
     return msgspec.msgpack.encode(parts)
 
 
 def apply_entry(state: ConfigState, entry: Entry) -> str:
-    """Applies an entry; the reason for which it was not done, or "" as the log's sessions have it."""
+    """Applies an entry; returns the stored reason for which its command was rejected, "" for success."""
     return state.apply(entry).stored_reason()
--- a/tests/test_background_persistence.py
+++ b/tests/test_background_persistence.py
@@ -1,4 +1,4 @@
-"""What waits for a disk does not hold a head's loop, and nothing is acknowledged before it lasts."""
+"""Tests that disk writes don't block a gateway's event loop, and that no version is acknowledged before its write."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from pebblehinge.store.background import run_inline, thread_runner
 from pebblehinge.wire import Kind
 
-TEXT = "\n".join(show(STRUCK)) + "\n"
+SETTINGS_TEXT = "\n".join(show(STRUCK)) + "\n"
 
 
-class Wire:
-    """Stands where the connection to an instance is."""
+class FakeConnection:
+    """A watcher's connection to a member; records the renewals that are sent."""
 
     def __init__(self) -> None:
         self.renewals: list[tuple[Any, ...]] = []
@@ -35,129 +35,144 @@
         self.renewals.append(values)
 
     def close(self) -> None:
-        raise AssertionError("there was no reason to close")
+        raise AssertionError("the watcher closed its connection")
 
 
 class Rig:
-    """A watcher whose disk takes as long as the test wants."""
+    """A watcher whose writes to disk end when the test says so."""
 
     def __init__(self) -> None:
-        self.world = VirtualLoop(seed=1)
-        node = self.world.node("h1")
-        self.waiting: list[tuple[Callable[[], Any], Callable[[BaseException | None], None]]] = []
-        self.adopted: list[tuple[float, str]] = []
-        self.kept: list[bytes] = []
+        self.loop = VirtualLoop(seed=1)
+        machine = self.loop.node("h1")
+        self.pending_writes: list[tuple[Callable[[], Any], Callable[[BaseException | None], None]]] = []
+        self.adoptions: list[tuple[float, str]] = []  # the limit of plan basico, and the mode
+        self.persisted_versions: list[bytes] = []
         self.log = Quiet()
         self.watcher = ConfigWatcher(
-            node,
-            lambda: node.time() * 1000.0,
+            machine,
+            lambda: machine.time() * 1000.0,
             STRUCK,
             VersionApplication("h1", 0.2),
-            lambda config, mode: self.adopted.append((config.plan["basico"].limit, mode)),
-            self.kept.append,
+            lambda config, mode: self.adoptions.append((config.plan["basico"].limit, mode)),
+            self.persisted_versions.append,
             self.log,
-            lambda call, done: self.waiting.append((call, done)),
+            lambda call, on_completion: self.pending_writes.append((call, on_completion)),
         )
-        self.wire = Wire()
-        self.watcher.connection = self.wire  # type: ignore[assignment]
+        self.connection = FakeConnection()
+        self.watcher.connection = self.connection  # type: ignore[assignment]
 
     def grant(self, active: int, text: str, lease_ms: float = 60_000.0) -> None:
         self.watcher.renew()
-        self.watcher.on_grant(Grant(self.wire.renewals[-1][0], lease_ms, active, text, 0, "", {}, ""))
+        self.watcher.on_grant(Grant(self.connection.renewals[-1][0], lease_ms, active, text, 0, "", {}, ""))
 
-    def disk(self, error: OSError | None = None) -> None:
-        call, done = self.waiting.pop(0)
+    def finish_write(self, error: OSError | None = None) -> None:
+        call, on_completion = self.pending_writes.pop(0)
         if error is None:
             call()
-        done(error)
+        on_completion(error)
 
-    def acknowledges(self) -> int:
+    def renew_and_get_acknowledgement(self) -> int:
         self.watcher.renew()
-        return self.wire.renewals[-1][2]
+        return self.connection.renewals[-1][2]
 
 
-def test_a_version_is_acted_on_and_acknowledged_when_it_lasts_and_not_before() -> None:
-    """Seen with 24 heads on one disk: each took up a version at once and waited 1 to 2.3 s for its sync inside the
-    loop; no bytes moved meanwhile, connections were cut on both sides, 306 requests lost."""
+def test_a_version_is_applied_and_acknowledged_only_once_it_is_persisted() -> None:
+    """Guards against syncing a version inside the event loop.
+
+    24 gateways on one disk all synced a version at once, which blocked each loop for 1 to 2.3 s: no bytes were moved,
+    connections were closed by both sides, and 306 requests were lost.
+    """
     rig = Rig()
-    rig.grant(1, TEXT)
-    assert rig.adopted == [] and rig.kept == [] and rig.acknowledges() == 0 and len(rig.waiting) == 1
-    rig.grant(1, TEXT)  # the next renewal's answer: one write is on its way already
-    assert len(rig.waiting) == 1
-    rig.disk()
-    assert rig.adopted == [(50.0, "active")] and rig.acknowledges() == 1 and len(rig.kept) == 1
-    rig.grant(2, TEXT.replace("limit 50/s", "limit 20/s"))
-    assert rig.adopted[-1] == (50.0, "active") and rig.acknowledges() == 1
-    rig.disk()
-    assert rig.adopted[-1] == (20.0, "active") and rig.acknowledges() == 2
-    assert VersionApplication.restore("h1", 0.2, rig.kept[-1]).active == 2
-
-
-def test_what_a_disk_refused_is_told_once_and_tried_with_each_renewal() -> None:
+    rig.grant(1, SETTINGS_TEXT)
+    assert (
+        rig.adoptions == []
+        and rig.persisted_versions == []
+        and rig.renew_and_get_acknowledgement() == 0
+        and len(rig.pending_writes) == 1
+    )
+    rig.grant(1, SETTINGS_TEXT)  # answers the next renewal, while the write is in flight
+    assert len(rig.pending_writes) == 1
+    rig.finish_write()
+    assert (
+        rig.adoptions == [(50.0, "active")]
+        and rig.renew_and_get_acknowledgement() == 1
+        and len(rig.persisted_versions) == 1
+    )
+    rig.grant(2, SETTINGS_TEXT.replace("limit 50/s", "limit 20/s"))
+    assert rig.adoptions[-1] == (50.0, "active") and rig.renew_and_get_acknowledgement() == 1
+    rig.finish_write()
+    assert rig.adoptions[-1] == (20.0, "active") and rig.renew_and_get_acknowledgement() == 2
+    assert VersionApplication.restore("h1", 0.2, rig.persisted_versions[-1]).active == 2
+
+
+def test_a_failing_write_is_logged_once_and_retried_with_each_renewal() -> None:
     rig = Rig()
     for _ in range(3):
-        rig.grant(1, TEXT)
-        rig.disk(OSError(28, "No space left on device"))
-    assert len(rig.log.lines) == 1 and rig.adopted == [] and rig.acknowledges() == 0
-    rig.grant(1, TEXT)
-    rig.disk()
-    assert rig.adopted == [(50.0, "active")] and rig.acknowledges() == 1
+        rig.grant(1, SETTINGS_TEXT)
+        rig.finish_write(OSError(28, "No space left on device"))
+    assert len(rig.log.lines) == 1 and rig.adoptions == [] and rig.renew_and_get_acknowledgement() == 0
+    rig.grant(1, SETTINGS_TEXT)
+    rig.finish_write()
+    assert rig.adoptions == [(50.0, "active")] and rig.renew_and_get_acknowledgement() == 1
 
 
-def test_a_feed_that_closed_meanwhile_takes_nothing_up() -> None:
+def test_a_watcher_that_is_closed_during_a_write_applies_nothing() -> None:
     rig = Rig()
-    rig.grant(1, TEXT)
+    rig.grant(1, SETTINGS_TEXT)
     rig.watcher.connection = None
     rig.watcher.close()
-    rig.disk()
-    assert rig.adopted == []
+    rig.finish_write()
+    assert rig.adoptions == []
 
 
-def test_the_loop_goes_on_while_a_disk_takes_its_time() -> None:
-    told: list[Any] = []
-    threads: list[str] = []
+def test_the_event_loop_runs_while_a_thread_writes() -> None:
+    outcomes: list[Any] = []
+    thread_names: list[str] = []
 
-    def slow() -> None:
-        threads.append(threading.current_thread().name)
+    def slow_write() -> None:
+        thread_names.append(threading.current_thread().name)
         time.sleep(0.3)
 
-    def bad() -> None:
+    def failing_write() -> None:
         raise OSError(5, "Input/output error")
 
     async def script() -> None:
-        loop, turns = asyncio.get_running_loop(), 0
-        beside = thread_runner(loop)
-        beside(slow, told.append)
-        while not told:
-            turns += 1
+        loop, iterations = asyncio.get_running_loop(), 0
+        run_in_background = thread_runner(loop)
+        run_in_background(slow_write, outcomes.append)
+        while not outcomes:
+            iterations += 1
             await asyncio.sleep(0.01)
-        assert turns > 5
-        beside(bad, told.append)
-        while len(told) < 2:
+        assert iterations > 5
+        run_in_background(failing_write, outcomes.append)
+        while len(outcomes) < 2:
             await asyncio.sleep(0.01)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(script())
-    assert told[0] is None and "Input/output error" in str(told[1])
-    assert threads != [threading.current_thread().name]
-    run_inline(bad, told.append)
-    run_inline(lambda: None, told.append)
-    assert isinstance(told[2], OSError) and told[3] is None
+    assert outcomes[0] is None and "Input/output error" in str(outcomes[1])
+    assert thread_names != [threading.current_thread().name]
+    run_inline(failing_write, outcomes.append)
+    run_inline(lambda: None, outcomes.append)
+    assert isinstance(outcomes[2], OSError) and outcomes[3] is None
+
 
+def test_the_last_snapshot_of_an_incarnation_is_written_last(tmp_path: Path) -> None:
+    """Guards against an older snapshot that replaces the last one.
 
-def test_the_last_memory_of_a_life_is_the_one_that_stays(tmp_path: Path) -> None:
-    """It is written at the end, in the loop; one of before may still be on its way in a thread."""
+    The last snapshot is written in the loop, while a thread may still be writing the one before it.
+    """
     from pebblehinge.gateway.snapshots import SnapshotKeeper
 
-    order: list[str] = []
+    disk_events: list[str] = []
 
-    class Disk:
+    class SlowDisk:
         def replace(self, name: str, data: bytes) -> None:
-            order.append("begins")
+            disk_events.append("begins")
             time.sleep(0.1)
-            order.append("ends")
+            disk_events.append("ends")
 
-    class House:
+    class FakeContext:
         config, block, name, log = STRUCK, STRUCK.head["h1"], "h1", Quiet()
 
         class core:  # noqa: N801
@@ -172,13 +187,13 @@
 
     threads: list[threading.Thread] = []
 
-    def beside(call: Callable[[], Any], done: Any) -> None:
-        threads.append(threading.Thread(target=run_inline, args=(call, done)))
+    def run_in_background(call: Callable[[], Any], on_completion: Any) -> None:
+        threads.append(threading.Thread(target=run_inline, args=(call, on_completion)))
         threads[-1].start()
 
-    keeper = SnapshotKeeper(House(), Disk(), lambda: (1.0, 1.0, "b"), beside)  # type: ignore[arg-type]
+    keeper = SnapshotKeeper(FakeContext(), SlowDisk(), lambda: (1.0, 1.0, "b"), run_in_background)  # type: ignore[arg-type]
     keeper.save()
     time.sleep(0.02)
     keeper.save(complete=True)
     threads[0].join()
-    assert order == ["begins", "ends"] * 2 and not House.log.lines
+    assert disk_events == ["begins", "ends"] * 2 and not FakeContext.log.lines
--- a/tests/test_config_commands.py
+++ b/tests/test_config_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated configuration as the log stores them: a msgpack array of a verb and its values."""
+"""Tests of the stored form of commands: a msgpack array of a verb and its values."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from pebblehinge.replicated_config.errors import StaleBaseError
 
-STORED: list[tuple[AnyCommand, tuple[object, ...]]] = [
+STORED_FORMS: list[tuple[AnyCommand, tuple[object, ...]]] = [
     (ProposeVersion(3, "text", "ana", "why"), ("propose", 3, "text", "ana", "why")),
     (Acknowledge("h1", 4), ("acknowledge", "h1", 4)),
     (AcknowledgeMany({"h1": 4, "h2": 3}), ("taken_up", {"h1": 4, "h2": 3})),
@@ -32,27 +32,27 @@
 ]
 
 
-@pytest.mark.parametrize(("command", "parts"), STORED, ids=[parts[0] for _, parts in STORED])
-def test_a_command_is_stored_as_ever_and_read_again(command: AnyCommand, parts: tuple[object, ...]) -> None:
+@pytest.mark.parametrize(("command", "parts"), STORED_FORMS, ids=[parts[0] for _, parts in STORED_FORMS])
+def test_a_command_keeps_its_stored_form(command: AnyCommand, parts: tuple[object, ...]) -> None:
     assert encode_command(command) == stored_form(*parts)
     assert decode_command(stored_form(*parts)) == command
 
 
 def test_each_verb_has_one_command() -> None:
-    assert sorted(verb.value for verb in Verb) == sorted(parts[0] for _, parts in STORED)
+    assert sorted(verb.value for verb in Verb) == sorted(parts[0] for _, parts in STORED_FORMS)
 
 
 @pytest.mark.parametrize(
     "parts", [("begin",), ("forget",), ("forget", "h1", "h2"), ("forget", 1), (), ("activate", 1, {"v": (1.0,)}, 2)]
 )
-def test_what_is_no_command_is_refused(parts: tuple[object, ...]) -> None:
+def test_decoding_fails_for_a_stored_form_of_no_command(parts: tuple[object, ...]) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_command(stored_form(*parts))
 
 
 def test_a_result_is_stored_as_its_reason() -> None:
     assert CommandResult().stored_reason() == "" and CommandResult.from_stored("") == CommandResult()
-    failed = CommandResult(StaleBaseError(1, 2))
-    again = CommandResult.from_stored(failed.stored_reason())
-    assert not failed.ok and not again.ok
-    assert str(again.error) == str(failed.error) == "it is based on version 1, the newest is 2: look again"
+    rejection = CommandResult(StaleBaseError(1, 2))
+    restored = CommandResult.from_stored(rejection.stored_reason())
+    assert not rejection.ok and not restored.ok
+    assert str(restored.error) == str(rejection.error) == "it is based on version 1, the newest is 2: look again"
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -1,4 +1,4 @@
-"""A head's way to the group, alone: how many renewals it has out, and what it makes of an answer without a version."""
+"""Tests of a gateway's watcher alone: how often it renews, and what it does after a grant without a version."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
 
-TEXT = settings_text(100)
+SETTINGS_TEXT = settings_text(100)
 
 
-class Wire:
-    """The instance's end."""
+class FakeConnection:
+    """A watcher's connection to a member; records the renewals that are sent."""
 
     address = f"{LOOPBACK}:6001"
 
@@ -37,132 +37,147 @@
 
 
 class Rig:
+    """A watcher with a connection to a member whose grants come from the test."""
+
     def __init__(self) -> None:
-        self.world = VirtualLoop(seed=1)
-        node = self.world.node("h1")
+        self.loop = VirtualLoop(seed=1)
+        machine = self.loop.node("h1")
         application = VersionApplication("h1", 0.2)
         self.watcher = ConfigWatcher(
-            node, lambda: node.time() * 1000.0, loads(TEXT), application, lambda *_: None, lambda _: None, Quiet()
+            machine,
+            lambda: machine.time() * 1000.0,
+            loads(SETTINGS_TEXT),
+            application,
+            lambda *_: None,
+            lambda _: None,
+            Quiet(),
         )
-        self.wire = Wire()
-        self.watcher.connection = self.wire  # type: ignore[assignment]
+        self.connection = FakeConnection()
+        self.watcher.connection = self.connection  # type: ignore[assignment]
 
     def grant(self, active: int = 0, text: str = "", lease_ms: float = 0.0, leader: str = "") -> None:
-        self.watcher.on_grant(Grant(self.wire.renewals[-1][0], lease_ms, active, text, 0, "", {}, leader))
+        self.watcher.on_grant(Grant(self.connection.renewals[-1][0], lease_ms, active, text, 0, "", {}, leader))
 
-    def in_force(self) -> None:
+    def activate_version(self) -> None:
+        """Makes version 1 active, with a lease."""
         self.watcher.renew()
-        self.grant(1, TEXT)
+        self.grant(1, SETTINGS_TEXT)
         self.grant(1, "", 2_000.0)
         assert self.watcher.application.effective_config(self.watcher.clock())[1] == "active"
 
     def run(self, seconds: float) -> int:
-        """Renewals that leave in so long."""
-        before = len(self.wire.renewals)
-        self.world.run_until_complete(sleep(self.world, seconds))
-        return len(self.wire.renewals) - before
+        """Runs for a time; returns the number of renewals that were sent."""
+        renewal_count = len(self.connection.renewals)
+        self.loop.run_until_complete(sleep(self.loop, seconds))
+        return len(self.connection.renewals) - renewal_count
 
 
-async def sleep(world: VirtualLoop, seconds: float) -> None:
-    done = world.create_future()
-    world.call_later(seconds, done.set_result, None)
-    await done
+async def sleep(loop: VirtualLoop, seconds: float) -> None:
+    timeout = loop.create_future()
+    loop.call_later(seconds, timeout.set_result, None)
+    await timeout
 
 
-def test_many_news_while_a_renewal_is_out_make_one_more() -> None:
+def test_many_requests_during_a_renewal_cause_one_further_renewal() -> None:
     rig = Rig()
-    rig.in_force()
-    before = len(rig.wire.renewals)
+    rig.activate_version()
+    renewal_count = len(rig.connection.renewals)
     for _ in range(100):
         rig.watcher.request_renewal()
-    assert len(rig.wire.renewals) == before + 1
+    assert len(rig.connection.renewals) == renewal_count + 1
     rig.grant(1, "", 2_000.0)
-    assert len(rig.wire.renewals) == before + 2  # it may have left before the last of them
+    assert len(rig.connection.renewals) == renewal_count + 2  # the first one was sent before the other requests
     rig.grant(1, "", 2_000.0)
-    assert len(rig.wire.renewals) == before + 2
+    assert len(rig.connection.renewals) == renewal_count + 2
 
 
-def test_what_was_taken_up_is_told_at_once_and_only_that() -> None:
+def test_a_version_is_acknowledged_at_once_and_reservations_are_not() -> None:
     rig = Rig()
     rig.watcher.renew()
-    rig.grant(1, TEXT)
-    assert [r[2] for r in rig.wire.renewals] == [0, 1]
+    rig.grant(1, SETTINGS_TEXT)
+    assert [r[2] for r in rig.connection.renewals] == [0, 1]
     rig.grant(1, "", 2_000.0)
     rig.watcher.renew()
-    rig.watcher.on_grant(
-        Grant(rig.wire.renewals[-1][0], 2_000.0, 1, "", 0, "", {"v": (1.0, 1.0)}, "")
-    )  # set aside: kept, not told
-    assert rig.watcher.application.reservations and len(rig.wire.renewals) == 3
+    rig.watcher.on_grant(Grant(rig.connection.renewals[-1][0], 2_000.0, 1, "", 0, "", {"v": (1.0, 1.0)}, ""))
+    assert rig.watcher.application.reservations and len(rig.connection.renewals) == 3
 
 
-def test_without_progress_it_asks_ever_more_seldom_and_in_one_line() -> None:
-    """Each answer without a lease began another one that asked each tick: 25 a second, times the news."""
+def test_renewals_without_progress_back_off_with_one_timer() -> None:
+    """Guards against a retry loop for each grant without a lease, which renews every tick: 25 per second per event."""
     rig = Rig()
-    rig.in_force()
+    rig.activate_version()
     rig.watcher.renew()
     for _ in range(30):
         rig.grant(1)
-    left = []
+    delays_s = []
     for _ in range(6):
-        before = rig.world.now
+        started_at = rig.loop.now
         while not rig.run(0.005):
-            assert rig.world.now - before < 0.5
-        left.append(rig.world.now - before)
+            assert rig.loop.now - started_at < 0.5
+        delays_s.append(rig.loop.now - started_at)
         rig.grant(1)
-    assert left[0] < 0.06 and left[-1] > 0.2, left
+    assert delays_s[0] < 0.06 and delays_s[-1] > 0.2, delays_s
 
 
-def test_an_instance_that_knows_no_leader_is_left_after_some_answers() -> None:
+def test_the_watcher_disconnects_after_some_grants_that_name_no_leader() -> None:
     rig = Rig()
-    rig.in_force()
+    rig.activate_version()
     rig.watcher.renew()
     for n in range(MAX_LEADERLESS_GRANTS):
-        assert not rig.wire.closed
+        assert not rig.connection.closed
         rig.grant()
         if n < MAX_LEADERLESS_GRANTS - 1:
             assert rig.run(0.5) == 1
-    assert rig.wire.closed
+    assert rig.connection.closed
 
 
 @pytest.mark.parametrize(
-    "leader, closed", [(Wire.address, False), (f"{LOOPBACK}:6002", True)], ids=["itself", "another"]
+    "leader, closed", [(FakeConnection.address, False), (f"{LOOPBACK}:6002", True)], ids=["itself", "another"]
 )
-def test_one_that_names_another_leader_is_left_and_one_that_names_itself_is_not(leader: str, closed: bool) -> None:
+def test_the_watcher_follows_a_redirect_unless_the_member_names_itself(leader: str, closed: bool) -> None:
     rig = Rig()
-    rig.in_force()
+    rig.activate_version()
     rig.watcher.renew()
     rig.grant(leader=leader)
-    assert rig.wire.closed == closed and rig.watcher.dialer.redirect_address == (leader if closed else "")
+    assert rig.connection.closed == closed and rig.watcher.dialer.redirect_address == (leader if closed else "")
     if not closed:
-        assert rig.run(0.5) == 1  # it comes back
+        assert rig.run(0.5) == 1  # it renews again after its backoff
 
 
-def test_a_head_that_is_sent_on_comes_after_a_while_of_its_own() -> None:
+def test_a_redirected_gateway_reconnects_after_a_random_delay() -> None:
     rig = Rig()
-    rig.in_force()
+    rig.activate_version()
     rig.watcher.renew()
     rig.grant(leader=f"{LOOPBACK}:6002")
-    rig.watcher.on_connection_lost(rig.wire)  # type: ignore[arg-type]
+    rig.watcher.on_connection_lost(rig.connection)  # type: ignore[arg-type]
     assert rig.watcher.dialer.task is None and rig.watcher.retry_timer is not None
-    assert rig.world.now < rig.watcher.retry_timer.when() <= rig.world.now + 0.15  # half a beat
+    assert rig.loop.now < rig.watcher.retry_timer.when() <= rig.loop.now + 0.15  # half of the heartbeat's 300 ms
+
 
+def test_a_connection_whose_dial_was_given_up_is_closed() -> None:
+    """Guards against further connections that stay open and are notified of each version.
 
-def test_a_connection_that_comes_after_it_was_given_up_is_closed() -> None:
-    """Seen on loopback with 200 heads in one busy process: 328 connections stood at the leader, each told of news."""
-    rig, late = Rig(), Wire()
-    rig.in_force()
-    rig.watcher.on_connected(late)  # type: ignore[arg-type]
-    assert late.closed and not late.renewals and rig.watcher.connection is rig.wire and not rig.wire.closed
+    On loopback, 200 gateways in one busy process had 328 connections to the leader.
+    """
+    rig, late_connection = Rig(), FakeConnection()
+    rig.activate_version()
+    rig.watcher.on_connected(late_connection)  # type: ignore[arg-type]
+    assert (
+        late_connection.closed
+        and not late_connection.renewals
+        and rig.watcher.connection is rig.connection
+        and not rig.connection.closed
+    )
 
 
-def test_heads_spread_by_their_names_and_alike_in_each_run() -> None:
-    def pause(name: str) -> float:
-        node = VirtualLoop(seed=1).node(name)
+def test_the_random_delays_of_gateways_differ_and_are_the_same_in_each_run() -> None:
+    def first_random_number(name: str) -> float:
+        machine = VirtualLoop(seed=1).node(name)
         application = VersionApplication(name, 0.2)
         return ConfigWatcher(
-            node, node.time, loads(TEXT), application, lambda *_: None, lambda _: None, Quiet()
+            machine, machine.time, loads(SETTINGS_TEXT), application, lambda *_: None, lambda _: None, Quiet()
         ).rng.random()
 
-    drawn = [pause(f"h{n}") for n in range(1, 51)]
-    assert drawn == [pause(f"h{n}") for n in range(1, 51)] and len(set(drawn)) == 50
-    assert min(drawn) < 0.1 and max(drawn) > 0.9
+    numbers = [first_random_number(f"h{n}") for n in range(1, 51)]
+    assert numbers == [first_random_number(f"h{n}") for n in range(1, 51)] and len(set(numbers)) == 50
+    assert min(numbers) < 0.1 and max(numbers) > 0.9
--- a/tests/test_large_group.py
+++ b/tests/test_large_group.py
@@ -1,5 +1,8 @@
-"""Forty heads and five instances struck by chance while versions follow each other: no sum of parts over a limit, all
-come to rest, the group keeps its word. `benchmarks/wide_group.py` plays the same with 200 heads and many seeds."""
+"""Randomized tests of a group with 40 gateways, with faults while versions are proposed.
+
+The sum of the gateways' allowances must never exceed a limit, the group must converge, and its history must hold all
+accepted proposals. `benchmarks/wide_group.py` runs the same with 200 gateways and many seeds.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,23 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_sum_of_parts_passes_a_limit_whatever_befalls_heads_and_leaders(seed: int) -> None:
+def test_sum_of_allowances_never_exceeds_a_limit_with_faults_of_gateways_and_leaders(seed: int) -> None:
     group = run_simulation(seed, 40, 8.0)
-    assert group.peak_utilization > 0.99  # the limits were really used
+    assert group.peak_utilization > 0.99  # the gateways could use nearly the whole limit
     assert group.active_version() >= 4 and group.event_counts["cut off"] > 40
     assert group.event_counts["heads killed"] and group.event_counts["heads frozen"] + group.event_counts["heads cut"]
 
 
-# What holds the sum under the limit: (part of the program, its name, what stands in its place), seed, heads, seconds.
-DEFENCES: dict[str, tuple[list[tuple[Any, str, Any]], int, int, float]] = {
-    "the leader waits for leases": ([(Leases, "expires_at", lambda self, head: 0.0)], 2, 12, 6.0),
-    "heads are careful": (
+# Each safeguard: what disables it (object, attribute, replacement), seed, number of gateways, seconds of faults.
+SAFEGUARDS: dict[str, tuple[list[tuple[Any, str, Any]], int, int, float]] = {
+    "the leader waits until leases expire": ([(Leases, "expires_at", lambda self, gateway: 0.0)], 2, 12, 6.0),
+    "gateways are transitional before an activation": (
         [(version_application, "transitional_config", lambda old, new, gateway, floor: old)],
         2,
         12,
         6.0,
     ),
-    "careful heads leave room for those who are away": (
+    "transitional gateways leave the floor's share to unreachable ones": (
         [
             (
                 version_application,
@@ -47,11 +50,12 @@
 }
 
 
-@pytest.mark.parametrize("defence", DEFENCES)
-def test_a_sum_over_a_limit_is_seen_where_a_defence_is_gone(defence: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    parts, seed, heads, length_s = DEFENCES[defence]
-    run_simulation(seed, heads, length_s)
-    for of, name, instead in parts:
-        monkeypatch.setattr(of, name, instead)
+@pytest.mark.parametrize("safeguard", SAFEGUARDS)
+def test_a_disabled_safeguard_lets_the_sum_exceed_a_limit(safeguard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a check that finds nothing: each safeguard is shown to be necessary."""
+    replacements, seed, gateway_count, fault_duration_s = SAFEGUARDS[safeguard]
+    run_simulation(seed, gateway_count, fault_duration_s)
+    for target, attribute, replacement in replacements:
+        monkeypatch.setattr(target, attribute, replacement)
     with pytest.raises(LimitExceededError):
-        run_simulation(seed, heads, length_s)
+        run_simulation(seed, gateway_count, fault_duration_s)
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the coming size between instances and heads; what is larger is refused before it can block the group."""
+"""Tests of large versions: members and gateways exchange them, and one over the limit is rejected when proposed."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 from pebblehinge.cli import main as cli
 from pebblehinge.replicated_config.size_limits import MAX_TEXT_BYTES
 
-LARGE = 1_400_000  # bytes: more than a frame of `limits frame`, half as much again as the coming size
+# More than the default of `limits.frame`, and 1.5 times the size with 1,024 gateways and 2,048 storage nodes.
+LARGE_TEXT_BYTES = 1_400_000
 
 
-def padded(text: str, size: int) -> str:
-    """The same settings in so many bytes."""
-    while (left := size - len(text)) > 0:
-        text += "#" * min(100_000, left - 1) + "\n"
+def pad(text: str, size: int) -> str:
+    """Returns the same settings with comments up to a number of bytes."""
+    while (missing := size - len(text)) > 0:
+        text += "#" * min(100_000, missing - 1) + "\n"
     return text
 
 
-def in_a_group(script: Any, seed: int = 7) -> None:
+def run_with_members(script: Any, seed: int = 7) -> None:
+    """Runs a script with a group of three running members, without gateways and versions."""
     group = Group(seed)
 
     async def run() -> None:
@@ -39,43 +41,43 @@
     assert not group.loop.caught, group.loop.caught[:1]
 
 
-def test_a_large_version_becomes_active_also_at_a_head_that_lacks_it_and_the_one_before() -> None:
-    """Before, its frames were cut off as too large: the operator heard that no instance could be reached."""
+def test_a_large_version_becomes_active_also_at_a_gateway_that_lacks_the_last_two_versions() -> None:
+    """Guards against frames that exceed the configured limit: the operator was told that no member can be reached."""
 
     async def script(group: Group) -> None:
         for name in ("h1", "h2"):
             group.start_gateway(name)
-        ok, said = await group.propose(padded(settings_text(100), LARGE), 1)
-        assert ok, said
+        ok, reason = await group.propose(pad(settings_text(100), LARGE_TEXT_BYTES), 1)
+        assert ok, reason
         await group.wait_until(lambda: all((m, v) == ("active", 1) for _, m, v in group.gateway_states.values()))
-        group.kill_gateway("h2")  # its lease holds the next version back, so that two texts are wanted at once
-        ok, said = await group.propose(padded(settings_text(90), LARGE), 2)
-        assert ok, said
+        group.kill_gateway("h2")  # its lease delays the next version, so that h3 needs two texts at once
+        ok, reason = await group.propose(pad(settings_text(90), LARGE_TEXT_BYTES), 2)
+        assert ok, reason
         group.start_gateway("h3")
         await group.wait_until(lambda: len(group.watchers["h3"].application.texts) == 2)
-        assert set(map(len, group.watchers["h3"].application.texts.values())) == {LARGE}
+        assert set(map(len, group.watchers["h3"].application.texts.values())) == {LARGE_TEXT_BYTES}
         await group.wait_until(lambda: all(group.gateway_states[h][1:] == ("active", 2) for h in ("h1", "h3")))
-        ok, said = await group.ask("diff", a=1, b=2)
-        assert ok and "-    limit 100/s" in said
+        ok, diff = await group.ask("diff", a=1, b=2)
+        assert ok and "-    limit 100/s" in diff
 
-    in_a_group(script)
+    run_with_members(script)
 
 
-def test_a_text_beyond_the_bound_is_refused_with_both_sizes_and_the_next_one_is_agreed_on() -> None:
+def test_a_text_over_the_limit_is_rejected_with_both_sizes_and_the_next_one_is_accepted() -> None:
     async def script(group: Group) -> None:
-        ok, said = await group.propose(padded(settings_text(100), MAX_TEXT_BYTES + 1), 1)
-        assert not ok and said == "the version's text has 3,145,729 bytes: expected at most 3,145,728"
-        ok, said = await group.propose(padded(settings_text(100), MAX_TEXT_BYTES), 2)
-        assert ok and said == "1", said
+        ok, reply = await group.propose(pad(settings_text(100), MAX_TEXT_BYTES + 1), 1)
+        assert not ok and reply == "the version's text has 3,145,729 bytes: expected at most 3,145,728"
+        ok, reply = await group.propose(pad(settings_text(100), MAX_TEXT_BYTES), 2)
+        assert ok and reply == "1", reply
 
-    in_a_group(script)
+    run_with_members(script)
 
 
-def test_the_command_line_refuses_it_before_it_asks(tmp_path: Path) -> None:
+def test_the_command_line_rejects_a_text_over_the_limit_before_it_connects(tmp_path: Path) -> None:
     (tmp_path / "group.conf").write_text(settings_text())
     users = "".join(f'user u{n} {{\n    secret "{"x" * 130_000}"\n}}\n' for n in range(26))
     (tmp_path / "new.conf").write_text(settings_text() + users)
-    got = CliRunner().invoke(
+    result = CliRunner().invoke(
         cli, ["config", "--group", str(tmp_path / "group.conf"), "propose", str(tmp_path / "new.conf")]
     )
-    assert got.exit_code == 2 and "new.conf: the version's text has 3," in got.output, got.output
+    assert result.exit_code == 2 and "new.conf: the version's text has 3," in result.output, result.output
--- a/tests/test_version_cache.py
+++ b/tests/test_version_cache.py
@@ -1,4 +1,4 @@
-"""A version's text is read once a process, and what was read of it is shared and never altered."""
+"""Tests of the cache of parsed versions: a process parses each text once, and the shared settings are never altered."""
 
 from __future__ import annotations
 
@@ -18,68 +18,68 @@
 
 
 @pytest.fixture(autouse=True)
-def reads(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
-    """The names under which texts were really read, from a process that holds none."""
+def parsed_names(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
+    """Empties the cache, and yields the names under which texts are parsed from now on."""
     names: list[str] = []
 
-    def counted(text: str, name: str) -> Config:
+    def record_and_load(text: str, name: str) -> Config:
         names.append(name)
         return loads(text, name)
 
-    monkeypatch.setattr(version_cache, "loads", counted)
+    monkeypatch.setattr(version_cache, "loads", record_and_load)
     version_cache._cache.clear()
     yield names
     version_cache._cache.clear()
 
 
-def test_heads_and_instances_of_one_process_read_a_version_once(reads: list[str]) -> None:
+def test_gateways_and_members_of_one_process_parse_a_version_once(parsed_names: list[str]) -> None:
     text = settings_text(100)
     states = [ConfigState() for _ in range(3)]
     for state in states:
         assert apply_entry(state, Entry(1, 1, 1, stored_form("propose", 0, text, "a", ""))) == ""
     applications = [VersionApplication(f"h{n}", 0.2) for n in range(1, 5)]
     for application in applications:
-        copy = text.encode().decode()  # as it comes out of a frame: another string of the same characters
+        copy = text.encode().decode()  # an equal string that is another object, as decoded from a frame
         application.apply_grant(Grant(application.begin_renewal(0.0), 1000.0, 1, copy, 0, "", {}))
     leases = Leases(2000.0, 0.05, 0.2, 0.0)
-    assert reads == ["version 1"]
-    assert len({id(t.configs[1]) for t in applications} | {id(leases.config(states[0], 1))}) == 1
-    assert len({id(t.texts[1]) for t in applications}) == 1 and applications[0].texts[1] == text
+    assert parsed_names == ["version 1"]
+    assert len({id(a.configs[1]) for a in applications} | {id(leases.config(states[0], 1))}) == 1
+    assert len({id(a.texts[1]) for a in applications}) == 1 and applications[0].texts[1] == text
 
 
-def test_few_texts_are_held_and_the_one_least_recently_used_goes(reads: list[str]) -> None:
+def test_the_cache_drops_the_least_recently_used_text(parsed_names: list[str]) -> None:
     texts = [settings_text(10 + n) for n in range(version_cache.MAX_CACHED_TEXTS + 1)]
     for n, text in enumerate(texts):
         version_cache.parse_version(text, f"{n}")
         version_cache.parse_version(texts[0], "again")
     assert len(version_cache._cache) == version_cache.MAX_CACHED_TEXTS
-    assert reads == [str(n) for n in range(len(texts))]
+    assert parsed_names == [str(n) for n in range(len(texts))]
     version_cache.parse_version(texts[1], "gone")
-    assert reads[-1] == "gone"
+    assert parsed_names[-1] == "gone"
 
 
-def test_an_error_is_told_to_each_by_its_own_name(reads: list[str]) -> None:
-    wrong = settings_text() + "volume w {\n    plan nowhere\n}\n"
+def test_an_error_names_the_source_of_each_caller(parsed_names: list[str]) -> None:
+    invalid_text = settings_text() + "volume w {\n    plan nowhere\n}\n"
     for name in ("proposal", "version 7"):
         with pytest.raises(SettingsError, match=f"{name}:.*plan 'nowhere' is not there"):
-            version_cache.parse_version(wrong, name)
-    assert reads == ["proposal", "version 7"]
+            version_cache.parse_version(invalid_text, name)
+    assert parsed_names == ["proposal", "version 7"]
 
 
-def test_a_text_that_includes_files_is_read_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_text_that_includes_files_is_parsed_each_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(tmp_path)
-    found = []
+    limits = []
     for limit in (10, 20):
         Path("plan.conf").write_text(f"plan p {{\n    rate 5/s\n    limit {limit}/s\n    burst 20\n}}\n")
-        found.append(version_cache.parse_version("include plan.conf\n", "text").plan["p"].limit)
-    assert found == [10.0, 20.0]
+        limits.append(version_cache.parse_version("include plan.conf\n", "text").plan["p"].limit)
+    assert limits == [10.0, 20.0]
 
 
-def test_nobody_alters_what_was_read_through_a_day(reads: list[str]) -> None:
-    """Heads that take versions up, are careful, cut off and hand them to their core; the leader that sets aside."""
-    village, known = play(STRUCK, "struck", 3, script=[])
-    assert known["faults"] == [] and len(reads) >= 3
-    assert {s.state.active for n, s in village.servers.items() if n in STRUCK.member} != {0}
+def test_cached_settings_are_not_altered_in_a_simulated_day(parsed_names: list[str]) -> None:
+    """Covers all users of the settings: gateways that apply versions, in each mode, and a leader that reserves."""
+    village, results = play(STRUCK, "struck", 3, script=[])
+    assert results["faults"] == [] and len(parsed_names) >= 3
+    assert {server.state.active for name, server in village.servers.items() if name in STRUCK.member} != {0}
     assert len(version_cache._cache) >= 2
-    for parsed in version_cache._cache.values():
-        assert parsed.config == loads(parsed.text, "anew")
+    for entry in version_cache._cache.values():
+        assert entry.config == loads(entry.text, "anew")
