--- a/pebblehinge/lab/check.py
+++ b/pebblehinge/lab/check.py
@@ -1,7 +1,8 @@
-"""The seven rules, judged from the records of clients, shelfs, the list and the lab. Never from a head's account.
+"""Checks the platform's seven rules on the records of clients, storage nodes, discovery and the lab.
 
-Nothing here knows how heads decide. Each rule is given the day's facts and says: kept or broken, how many cases it
-looked at, how near the nearest came (1 is at the edge, above is broken), the first offence.
+What gateways log of themselves is not used, and nothing here depends on how they decide. Each rule is a function of a
+day's facts and returns a `Verdict`: whether the rule was kept, how many cases it applied to, how near the worst case
+came to the bound (1 is the bound, above it the rule is broken), and the first violation.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class DayFacts(Facts):
-    """A day's facts, and what the rules make of them."""
+    """The facts of a day (one run of the lab), and the check of each rule on them, as a method named in `RULES`."""
 
     final_answer = answer_rules.final_answer
     no_double_effect = answer_rules.no_double_effect
@@ -27,5 +28,6 @@
     budget = gateway_rules.budget
 
     def check_rules(self) -> dict[str, Verdict]:
+        """Checks all rules and returns the verdict of each."""
         self.settle_late()
         return {rule: getattr(self, rule)() for rule in RULES}
--- a/pebblehinge/lab/gateway_rules.py
+++ b/pebblehinge/lab/gateway_rules.py
@@ -1,4 +1,4 @@
-"""Rules 6 and 7 from a day's facts: order by key, and the budget of retries."""
+"""Rules 6 and 7, which each gateway keeps for itself: the order of requests for an extent, and the retry budget."""
 
 from __future__ import annotations
 
@@ -10,64 +10,75 @@
 
 
 def order(day: Facts) -> Verdict:
-    """Rule 6: requests of one key at one head run one at a time, in the order in which they came."""
-    v = Verdict()
-    ordered = {name for name, p in day.config.profile.items() if p.in_order}
-    if not ordered:
-        return v
-    settle = day.config.rules.order_settle
-    lines: dict[tuple[str, str, str, int], list[Try]] = defaultdict(list)
-    for a in day.tries.values():
-        if a.op["profile"] in ordered:
-            client = a.id.partition("-")[0]
-            lines[(a.op["head"], a.op["x"], client, a.conn)].append(a)
-    for (head, key, _, _), line in lines.items():
-        line.sort(key=lambda a: a.sent)
-        before: list[Got] = []
-        for a in line:
-            attempts = sorted((g for g in day.attempts.get(a.id, ()) if not g.unseen and not g.late), key=lambda g: g.t)
-            for got in attempts:
-                for b in before:
-                    course = f"{key} by {head}: {a.id} reached {got.shelf} at {got.t - day.begin:.0f} ms, "
-                    course += f"an earlier one's trip came at {b.t - day.begin:.0f} ms"
-                    if b.t > got.t:
-                        v.look(2.0, course)
-                    elif b.said is None or b.said > got.t + 1.0:
-                        # Its outcome was told no earlier than it came; after that the key rests.
-                        v.look(settle / max(1e-3, got.t - b.t + day.transit_ms) if settle else 2.0, course)
+    """Checks rule 6: a gateway runs the ordered requests for an extent one at a time, in order of arrival."""
+    verdict = Verdict()
+    ordered_classes = {name for name, profile in day.config.profile.items() if profile.in_order}
+    if not ordered_classes:
+        return verdict
+    settle_ms = day.config.rules.order_settle
+    queues: dict[tuple[str, str, str, int], list[Try]] = defaultdict(list)
+    for request in day.tries.values():
+        if request.op["profile"] in ordered_classes:
+            client = request.id.partition("-")[0]
+            queues[(request.op["head"], request.op["x"], client, request.conn)].append(request)
+    for (gateway, extent, _, _), queue in queues.items():
+        queue.sort(key=lambda request: request.sent)
+        earlier_attempts: list[Got] = []
+        for request in queue:
+            attempts = sorted(
+                (got for got in day.attempts.get(request.id, ()) if not got.unseen and not got.late),
+                key=lambda got: got.t,
+            )
+            for attempt in attempts:
+                for earlier in earlier_attempts:
+                    history = (
+                        f"{extent} by {gateway}: {request.id} reached {attempt.shelf} at "
+                        f"{attempt.t - day.begin:.0f} ms, "
+                    )
+                    history += f"a trip of an earlier request arrived at {earlier.t - day.begin:.0f} ms"
+                    if earlier.t > attempt.t:
+                        verdict.look(2.0, history)
+                    elif earlier.said is None or earlier.said > attempt.t + 1.0:
+                        # The gateway knew its outcome at the earliest when it arrived, and then has to wait for
+                        # `order-settle` before it sends the next request for the extent.
+                        verdict.look(
+                            settle_ms / max(1e-3, attempt.t - earlier.t + day.transit_ms) if settle_ms else 2.0, history
+                        )
                     else:
-                        v.look(0.0)
-            before = (before + attempts)[-4:]
-    return v
+                        verdict.look(0.0)
+            earlier_attempts = (earlier_attempts + attempts)[-4:]
+    return verdict
 
 
 def budget(day: Facts) -> Verdict:
-    """Rule 7: retries of one head within any window against its few and its share."""
-    v = Verdict()
+    """Checks rule 7: the retries of a gateway within any window against the retry budget."""
+    verdict = Verdict()
     rules = day.config.rules
     if rules.budget_share is None:
-        return v
-    takes: dict[str, list[float]] = defaultdict(list)
-    further: dict[str, list[tuple[float, str]]] = defaultdict(list)
-    for a in day.tries.values():
-        takes[a.op["head"]].append(a.sent)
-    for id_, attempts in day.attempts.items():
-        for got in attempts:
-            if got.n > 0 and not got.late:
-                further[got.head].append((got.t, id_))
-    for head, rows in further.items():
+        return verdict
+    request_times: dict[str, list[float]] = defaultdict(list)
+    retries: dict[str, list[tuple[float, str]]] = defaultdict(list)
+    for request in day.tries.values():
+        request_times[request.op["head"]].append(request.sent)
+    for request_id, attempts in day.attempts.items():
+        for attempt in attempts:
+            if attempt.n > 0 and not attempt.late:
+                retries[attempt.head].append((attempt.t, request_id))
+    for gateway, rows in retries.items():
         rows.sort()
-        taken = sorted(takes[head])
-        times = [t for t, _ in rows]
-        ends = sorted(a for a, _, kind in day.away.get(head, ()) if kind == "down")
-        for i, (t, id_) in enumerate(rows):
-            # One that stood on its way for a while may have been sent earlier: the window is a little shorter.
-            since = t - rules.budget_window + day.transit_ms
-            # A head counts from its own start: it can't know what it did before it was killed.
-            since = max([since, *(at for at in ends if at <= t)])
-            made = i + 1 - bisect.bisect_right(times, since)
-            came = bisect.bisect_right(taken, t) - bisect.bisect_right(taken, since - 2 * day.transit_ms)
-            allowed = rules.budget_free + rules.budget_share * came
-            course = f"{id_} by {head}: {made} further trips in the window, {allowed:.1f} allowed"
-            v.look(made / max(1e-3, allowed), course)
-    return v
+        sorted_request_times = sorted(request_times[gateway])
+        retry_times = [time_ms for time_ms, _ in rows]
+        stop_times = sorted(begin_ms for begin_ms, _, kind in day.away.get(gateway, ()) if kind == "down")
+        for i, (time_ms, request_id) in enumerate(rows):
+            # A retry may have been sent up to the transit time earlier, so the window is that much shorter.
+            since_ms = time_ms - rules.budget_window + day.transit_ms
+            # A gateway that was restarted can't know which retries it sent before it was killed.
+            since_ms = max([since_ms, *(stop_ms for stop_ms in stop_times if stop_ms <= time_ms)])
+            retry_count = i + 1 - bisect.bisect_right(retry_times, since_ms)
+            request_count = bisect.bisect_right(sorted_request_times, time_ms) - bisect.bisect_right(
+                sorted_request_times, since_ms - 2 * day.transit_ms
+            )
+            allowed = rules.budget_free + rules.budget_share * request_count
+            history = f"{request_id} by {gateway}: {retry_count} further trips in the window, {allowed:.1f} allowed"
+            verdict.look(retry_count / max(1e-3, allowed), history)
+    return verdict
