--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -1,13 +1,15 @@
-"""Whether two checkouts decide alike: the drawn runs of the properties, to the bit.
+"""Checks that two checkouts make the same scheduling decisions, to the bit, in the random runs of the property tests.
 
     python benchmarks/same_decisions.py --saved tests/compatibility/decisions.json [--runs 2000]
     python benchmarks/same_decisions.py --against ../other-checkout [--runs 2000]
 
-Each run's every attempt, recall, answer, wake and call to the list, and at its end all that its heads would remember,
-go into a digest; runs are spread over the rules that they are drawn for. For changes that move code and no decision.
+Use it for changes that move code but must change no decision. The digest of a run covers each attempt, cancellation,
+answer, wake-up and call to discovery, and at its end the snapshots of its gateways. The runs are spread evenly over the
+rules that they are made for.
 
-Digests are of values by place: names of classes, fields and enum members do not count, so they hold over renames.
-`--saved` compares with a file that `--save FILE` wrote; `--against` wants a checkout whose names are these.
+Digests are of values by position: names of classes, fields and enum members do not count, so renames don't change
+them. `--saved` compares with a file that `--save FILE` wrote; `--against` needs a checkout with the same names as this
+one.
 """
 
 from __future__ import annotations
@@ -26,12 +28,15 @@
 
 import msgspec
 
-HERE = Path(__file__).resolve().parent.parent
+CHECKOUT = Path(__file__).resolve().parent.parent
 RULES = ("final_answer", "no_double_effect", "drains", "cold", "limits", "order", "budget", "data")
 
 
 def positional_values(value: Any) -> Any:
-    """Plain values by place. An enum's member is its index; a dict's keys are data, and count with their order."""
+    """Returns a value as plain values by position.
+
+    An enum's member counts as its index. The keys of a dict are data and count, with their order.
+    """
     if isinstance(value, Enum):
         return ("member", list(type(value)).index(value))
     if dataclasses.is_dataclass(value):
@@ -44,85 +49,88 @@
         return tuple(positional_values(part) for part in value)
     if value is None or isinstance(value, bool | int | float | str | bytes):
         return value
-    raise TypeError(f"{type(value)} has no values by place")
+    raise TypeError(f"{type(value)} cannot be turned into positional values")
 
 
-def run_digests(runs: int) -> Iterator[tuple[str, int, str, int]]:
-    """For each run its rule, its seed, what was decided, and how many calls that took."""
-    if str(HERE / "tests") not in sys.path:
-        sys.path.insert(1, str(HERE / "tests"))
+def run_digests(run_count: int) -> Iterator[tuple[str, int, str, int]]:
+    """Plays runs; yields the rule, the seed, the digest and the number of scheduler calls of each."""
+    if str(CHECKOUT / "tests") not in sys.path:
+        sys.path.insert(1, str(CHECKOUT / "tests"))
     from random_runs import CONFIG, SLOW_START_CONFIG, random_events
     from simulated_run import SimulatedRun
 
-    class Watched(SimulatedRun):
-        def __init__(self, *given: Any) -> None:
-            self.said, self.calls = hashlib.sha256(), 0
-            super().__init__(*given)
+    class DigestedRun(SimulatedRun):
+        def __init__(self, *arguments: Any) -> None:
+            self.digest, self.call_count = hashlib.sha256(), 0
+            super().__init__(*arguments)
 
-        def _done(self, name: str, life: Any, changes: Any) -> None:
-            self.calls += 1
-            rows = [(a.id, a.attempts, a.cancellations, a.answer) for a in changes.handles]
-            self.note((self.now, name, rows, changes.wake_ms, changes.discovery_calls))
-            super()._done(name, life, changes)
+        def _apply_changes(self, name: str, incarnation: Any, changes: Any) -> None:
+            self.call_count += 1
+            rows = [
+                (request.id, request.attempts, request.cancellations, request.answer) for request in changes.handles
+            ]
+            self.update_digest((self.now, name, rows, changes.wake_ms, changes.discovery_calls))
+            super()._apply_changes(name, incarnation, changes)
 
-        def note(self, what: Any) -> None:
-            self.said.update(repr(positional_values(what)).encode())
+        def update_digest(self, value: Any) -> None:
+            self.digest.update(repr(positional_values(value)).encode())
 
-    for n in range(runs):
+    for n in range(run_count):
         rule, seed = RULES[n % len(RULES)], n // len(RULES)
-        world = Watched(SLOW_START_CONFIG if rule == "cold" else CONFIG, seed, rule)
-        world.play(random_events(seed, rule))
-        for name, life in world.lives.items():
-            world.note((name, life.head.snapshot(world.now)))
-        yield rule, seed, world.said.hexdigest()[:16], world.calls
+        run = DigestedRun(SLOW_START_CONFIG if rule == "cold" else CONFIG, seed, rule)
+        run.play(random_events(seed, rule))
+        for name, incarnation in run.incarnations.items():
+            run.update_digest((name, incarnation.scheduler.snapshot(run.now)))
+        yield rule, seed, run.digest.hexdigest()[:16], run.call_count
 
 
 def group_by_rule(lines: list[str]) -> dict[str, list[str]]:
-    """Printed lines as a saved file has them: for each rule its seeds in order, each a digest and a count of calls."""
-    found: dict[str, list[str]] = {rule: [] for rule in RULES}
+    """Returns printed lines in the form of a saved file: for each rule, by seed, the digest and the number of calls."""
+    rows: dict[str, list[str]] = {rule: [] for rule in RULES}
     for line in lines:
-        rule, _, digest, calls = line.split()
-        found[rule].append(f"{digest} {calls}")
-    return found
+        rule, _, digest, call_count = line.split()
+        rows[rule].append(f"{digest} {call_count}")
+    return rows
 
 
-def saved_lines(saved: dict[str, list[str]], runs: int) -> list[str]:
-    """The other way, as far as it goes."""
+def saved_lines(saved: dict[str, list[str]], run_count: int) -> list[str]:
+    """Returns the content of a saved file as printed lines, of at most so many runs."""
     rows = [(seed, n, rule, row) for n, rule in enumerate(RULES) for seed, row in enumerate(saved[rule])]
-    return [f"{rule} {seed} {row}" for seed, _, rule, row in sorted(rows)][:runs]
+    return [f"{rule} {seed} {row}" for seed, _, rule, row in sorted(rows)][:run_count]
 
 
-def start(checkout: Path, runs: int) -> subprocess.Popen[str]:
-    """A process that prints the lines of a checkout's package."""
+def start(checkout: Path, run_count: int) -> subprocess.Popen[str]:
+    """Starts a process that prints the digests of a checkout."""
     env = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONDONTWRITEBYTECODE": "1", "PYTHONHASHSEED": "0"}
-    command = [sys.executable, "-P", __file__, "--digests", "--runs", str(runs)]
+    command = [sys.executable, "-P", __file__, "--digests", "--runs", str(run_count)]
     return subprocess.Popen(command, env=env, stdout=subprocess.PIPE, text=True)
 
 
-def lines_from(process: subprocess.Popen[str], runs: int) -> list[str]:
+def read_lines(process: subprocess.Popen[str], run_count: int) -> list[str]:
+    """Returns what a process that `start` started has printed; exits if it failed."""
     lines = process.communicate()[0].splitlines()
-    if process.returncode or len(lines) != runs:
-        sys.exit("a side failed")
+    if process.returncode or len(lines) != run_count:
+        sys.exit("the process that computes a checkout's digests failed")
     return lines
 
 
-def compare(here: list[str], there: list[str]) -> int:
-    """Prints how many runs differ, and the first few; the exit status."""
-    other = [a for a, b in zip(here, there, strict=True) if a != b]
-    calls = sum(int(line.split()[-1]) for line in here)
-    print(f"{len(here)} runs, {calls} calls: {len(other)} differ")
-    for line in other[:5]:
+def compare(actual: list[str], expected: list[str]) -> int:
+    """Prints how many runs differ, and the first five of them; returns the exit status."""
+    differing = [ours for ours, theirs in zip(actual, expected, strict=True) if ours != theirs]
+    call_count = sum(int(line.split()[-1]) for line in actual)
+    print(f"{len(actual)} runs, {call_count} calls: {len(differing)} differ")
+    for line in differing[:5]:
         print("  " + " ".join(line.split()[:2]))
-    return 1 if other else 0
+    return 1 if differing else 0
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--against", type=Path, help="another checkout")
-    parser.add_argument("--saved", type=Path, help="digests that --save wrote")
-    parser.add_argument("--save", type=Path, help="write this checkout's")
+    parser.add_argument("--against", type=Path, help="another checkout to compare with")
+    parser.add_argument("--saved", type=Path, help="file of digests that --save wrote, to compare with")
+    parser.add_argument("--save", type=Path, help="file to write the digests of this checkout to")
     parser.add_argument("--runs", type=int, default=2_000)
-    parser.add_argument("--digests", action="store_true", help="print this checkout's own")
+    parser.add_argument("--digests", action="store_true", help="print the digests of this checkout")
     options = parser.parse_args()
     if options.digests:
         for row in run_digests(options.runs):
@@ -134,11 +142,11 @@
         return 0
     if options.saved is not None:
         expected = saved_lines(json.loads(options.saved.read_text()), options.runs)
-        return compare(lines_from(start(HERE, len(expected)), len(expected)), expected)
+        return compare(read_lines(start(CHECKOUT, len(expected)), len(expected)), expected)
     if options.against is None or not (options.against / "pebblehinge").is_dir():
-        parser.error("--saved wants a file, or --against another checkout of this project")
-    both = [start(HERE, options.runs), start(options.against.resolve(), options.runs)]
-    return compare(*(lines_from(process, options.runs) for process in both))
+        parser.error("--saved needs a file, or --against another checkout of this project")
+    processes = [start(CHECKOUT, options.runs), start(options.against.resolve(), options.runs)]
+    return compare(*(read_lines(process, options.runs) for process in processes))
 
 
 if __name__ == "__main__":
--- a/tests/random_runs.py
+++ b/tests/random_runs.py
@@ -1,4 +1,7 @@
-"""Runs of events for the module's properties, drawn from fixed seeds: who, what, with numbers drawn beforehand."""
+"""Random runs of events for the property tests of the scheduler, from fixed seeds.
+
+All random numbers of an event are drawn in advance, so that a failing run stays the same when events are left out.
+"""
 
 from __future__ import annotations
 
@@ -11,22 +14,32 @@
 from pebblehinge.interface import Outcome, Settings
 from pebblehinge.settings.load import loads
 
-RUNS_PER_RULE = 200  # a rule
-GRACE_MS = 80.0  # a wake may be late by so much
-MARK = "profile mark {\nimportance 2\nexpected 300ms\npatience 1s\nrepeat labelled\ngroup cell\nwindow 700ms\n}\n"
-CONFIG_TEXT = BASE_CONFIG.replace("drain-grace", "answer-grace 90ms\ndrain-grace").replace("heads 2", "heads 3") + MARK
-RUNNING = (Outcome.SERVER_ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CANCELLED, Outcome.SUCCEEDED)
+RUNS_PER_RULE = 200
+MAX_WAKE_UP_DELAY_MS = 80.0
+MARK_CLASS_TEXT = (
+    "profile mark {\nimportance 2\nexpected 300ms\npatience 1s\nrepeat labelled\ngroup cell\nwindow 700ms\n}\n"
+)
+CONFIG_TEXT = (
+    BASE_CONFIG.replace("drain-grace", "answer-grace 90ms\ndrain-grace").replace("heads 2", "heads 3") + MARK_CLASS_TEXT
+)
+MAY_HAVE_RUN_OUTCOMES = (
+    Outcome.SERVER_ERROR,
+    Outcome.TIMED_OUT,
+    Outcome.CONNECTION_LOST,
+    Outcome.CANCELLED,
+    Outcome.SUCCEEDED,
+)
 CONFIG = loads(CONFIG_TEXT)
 SLOW_START_CONFIG = loads(
     CONFIG_TEXT.replace("cold-share 30%", "cold-share 12%").replace("multiple 2x", "multiple 1.4x")
 )
-REQUEST_CLASS_NAMES, VOLUMES, NODE_COUNT, HEADS = (
+REQUEST_CLASS_NAMES, QUOTA_PLAN_NAMES, NODE_COUNT, GATEWAYS = (
     ("look", "save", "line", "mark"),
     ("gold", "capped"),
     4,
     ("h1", "h2", "h3"),
 )
-OUTCOMES = {
+OUTCOME_WEIGHTS = {
     "usual": {
         Outcome.SUCCEEDED: 60,
         Outcome.SERVER_ERROR: 8,
@@ -38,52 +51,82 @@
     },
     "well": {Outcome.SUCCEEDED: 100},
 }
-WHAT = ("restart", "restart", "drain", "gone", "back", "moved", "earlier", "unstated", "future")
+# Usual restarts, changes of the state, and restarts with another slot or with a start time that lies in the past, is not
+# stated or lies in the future.
+NODE_EVENTS = ("restart", "restart", "drain", "gone", "back", "moved", "earlier", "unstated", "future")
 
 
 def random_events(seed: int, rule: str, count: int = 150) -> list[tuple[Any, ...]]:
-    """One run: pairs of milliseconds to wait and what happens then."""
+    """Returns the events of one run.
+
+    Each event is a tuple of the milliseconds to wait before it, its name (a method of `SimulatedRun`, without the
+    leading underscore), the gateway, and the method's further arguments.
+    """
     rng = random.Random(f"{seed}/{rule}")
-    pace = {"limits": 6.0, "cold": 4.0, "order": 10.0}.get(rule, 14.0)
-    weights = {"take": 70, "shelf": 5, "tell": 4, "left": 4, "kill": 2, "adopt": 1, "early": 3, "deaf": 3, "twice": 8}
+    mean_wait_ms = {"limits": 6.0, "cold": 4.0, "order": 10.0}.get(rule, 14.0)
+    weights = {
+        "submit": 70,
+        "node": 5,
+        "list": 4,
+        "disconnect": 4,
+        "kill": 2,
+        "replace_settings": 1,
+        "early_wake_up": 3,
+        "delay_wake_ups": 3,
+        "repeat_end": 8,
+    }
     if rule in ("limits", "cold"):
-        weights |= {"take": 200, "kill": 4}
-    found: list[tuple[Any, ...]] = [(0.0, "tell", head, "whole") for head in HEADS]
+        weights |= {"submit": 200, "kill": 4}
+    events: list[tuple[Any, ...]] = [(0.0, "list", gateway, "whole") for gateway in GATEWAYS]
     for _ in range(count * (2 if rule in ("limits", "cold") else 1)):
-        wait, head = rng.expovariate(1.0 / pace), rng.choice(HEADS)
-        what = rng.choices(list(weights), list(weights.values()))[0]
-        if what == "take":
-            odd = rng.random()
-            left = rng.choice((-50.0, 0.0, 1.0, 5.0, 40.0, 390.0, 410.0)) if odd < 0.15 else rng.uniform(300.0, 1500.0)
+        wait_ms, gateway = rng.expovariate(1.0 / mean_wait_ms), rng.choice(GATEWAYS)
+        name = rng.choices(list(weights), list(weights.values()))[0]
+        if name == "submit":
+            draw = rng.random()
+            remaining_ms = (
+                rng.choice((-50.0, 0.0, 1.0, 5.0, 40.0, 390.0, 410.0)) if draw < 0.15 else rng.uniform(300.0, 1500.0)
+            )
             slot = -1 if rng.random() < 0.05 else rng.randrange(NODE_COUNT + (rng.random() < 0.1))
-            profile = "line" if rule == "order" and odd > 0.3 else rng.choice(REQUEST_CLASS_NAMES)
-            volume = "capped" if rule == "limits" and odd > 0.2 else rng.choice(VOLUMES)
-            slot = 0 if rule == "cold" and odd > 0.3 else slot
+            request_class = "line" if rule == "order" and draw > 0.3 else rng.choice(REQUEST_CLASS_NAMES)
+            quota_plan = "capped" if rule == "limits" and draw > 0.2 else rng.choice(QUOTA_PLAN_NAMES)
+            slot = 0 if rule == "cold" and draw > 0.3 else slot
             extent = f"x{rng.randrange(40 if rule == 'cold' else 3)}"
-            rest = (profile, volume, extent, slot, rng.choice((0.5, 1.0, 2.0, 4.0)), left)
-        elif what == "shelf":
-            done = "restart" if rule == "cold" else rng.choice(WHAT)
-            rest = (0 if rule == "cold" else rng.randrange(NODE_COUNT), done, rng.uniform(5.0, 400.0))
-        elif what == "tell":
-            rest = (rng.choice(("whole", "changes", "cached", "failed", "stale")),)
+            arguments = (request_class, quota_plan, extent, slot, rng.choice((0.5, 1.0, 2.0, 4.0)), remaining_ms)
+        elif name == "node":
+            node_event = "restart" if rule == "cold" else rng.choice(NODE_EVENTS)
+            arguments = (0 if rule == "cold" else rng.randrange(NODE_COUNT), node_event, rng.uniform(5.0, 400.0))
+        elif name == "list":
+            arguments = (rng.choice(("whole", "changes", "cached", "failed", "stale")),)
         else:
-            rest = (rng.random(), rng.random() < 0.5)
-        found.append((wait, what, head, *rest))
-    return found
+            arguments = (rng.random(), rng.random() < 0.5)
+        events.append((wait_ms, name, gateway, *arguments))
+    return events
+
 
+def random_attempt_end(seed: int, rule: str, trace: str, number: int) -> tuple[random.Random, Outcome, float]:
+    """Returns how an attempt ends: a random generator for more draws, the outcome, and the duration in milliseconds.
 
-def end_of(seed: int, rule: str, trace: str, n: int) -> tuple[random.Random, Outcome, float]:
-    """How an attempt ends and after how many ms, by what it is, so that a run that is cut down keeps it."""
-    rng = random.Random(f"{seed}/{trace}/{n}")
-    weights = OUTCOMES["well" if rule in ("limits", "cold") else "usual"]
+    It depends on the attempt's trace id and number alone, so it stays the same when events are left out of a run.
+    """
+    rng = random.Random(f"{seed}/{trace}/{number}")
+    weights = OUTCOME_WEIGHTS["well" if rule in ("limits", "cold") else "usual"]
     outcome = rng.choices(list(weights), list(weights.values()))[0]
     return rng, outcome, rng.choice((2.0, 20.0, 60.0, 250.0))
 
 
-class Life:
-    """One head's process."""
+class Incarnation:
+    """One life of a gateway's process.
+
+    Attributes:
+        scheduler: Its scheduler.
+        settings: The scheduler's present settings.
+        wake_up_ms: When the scheduler has to be woken up, None for never.
+        wake_ups_delayed_until_ms: Before this time it is not woken up.
+        requests: All requests submitted to it, by id.
+        slots: Slot of each node by the last endpoint list that it got.
+    """
 
-    def __init__(self, head: Any, settings: Settings) -> None:
-        self.head, self.settings, self.wake, self.deaf_until = head, settings, None, 0.0
-        self.open: dict[int, Request] = {}
-        self.slots: dict[str, int] = {}  # as the list told it
+    def __init__(self, scheduler: Any, settings: Settings) -> None:
+        self.scheduler, self.settings, self.wake_up_ms, self.wake_ups_delayed_until_ms = scheduler, settings, None, 0.0
+        self.requests: dict[int, Request] = {}
+        self.slots: dict[str, int] = {}
