--- a/tests/random_runs.py
+++ b/tests/random_runs.py
@@ -51,8 +51,8 @@
     },
     "well": {Outcome.SUCCEEDED: 100},
 }
-# Usual restarts, changes of the state, and restarts with another slot or with a start time that lies in the past, is not
-# stated or lies in the future.
+# Usual restarts, changes of the state, and restarts with another slot or with a start time that lies in the past, is
+# not stated or lies in the future.
 NODE_EVENTS = ("restart", "restart", "drain", "gone", "back", "moved", "earlier", "unstated", "future")
 
 
--- a/tests/scheduler_helpers.py
+++ b/tests/scheduler_helpers.py
@@ -1,4 +1,4 @@
-"""A decision module alone, and requests for it."""
+"""Helpers of tests that call a scheduler directly, without a gateway."""
 
 from __future__ import annotations
 
@@ -10,39 +10,47 @@
 from pebblehinge.decide import Request, Scheduler
 from pebblehinge.interface import Changes, EndpointEntry, EndpointState, ListKind, Outcome
 
-SAFE = replace(SETTINGS, request_classes=REQUEST_CLASSES, quota_plans=QUOTA_PLANS, slow_start_duration_ms=10.0)
+SHORT_SLOW_START_SETTINGS = replace(
+    SETTINGS, request_classes=REQUEST_CLASSES, quota_plans=QUOTA_PLANS, slow_start_duration_ms=10.0
+)
 
-KEYWORDS = {"profile": "request_class", "plan": "quota_plan"}  # the settings' words: the scheduler's
+# Parameters of `Scheduler.submit`, by the words of the settings that tests use for them.
+PARAMETER_NAMES = {"profile": "request_class", "plan": "quota_plan"}
 
 
-def listed(head: Scheduler, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES) -> Changes:
-    return head.apply_endpoint_list(
-        now, kind, [EndpointEntry(name, EndpointState.READY, slot, started) for name, slot, started in rows]
+def apply_list(
+    scheduler: Scheduler, now: float, *rows: tuple[str, int, float], kind: ListKind = ListKind.CHANGES
+) -> Changes:
+    """Applies an endpoint list of ready nodes, each row a name, a slot and a start time (ms)."""
+    return scheduler.apply_endpoint_list(
+        now, kind, [EndpointEntry(name, EndpointState.READY, slot, started_ms) for name, slot, started_ms in rows]
     )
 
 
-def take(head: Scheduler, now: float, slot: int = 0, **more: Any) -> Request:
-    given: dict[str, Any] = {
+def submit(scheduler: Scheduler, now: float, slot: int = 0, **arguments: Any) -> Request:
+    """Submits a request whose client waits `remaining_ms` more; other arguments are those of `Scheduler.submit`."""
+    values: dict[str, Any] = {
         "extent": None,
         "request_class": "look",
         "quota_plan": "gold",
         "volume": "v",
         "set_size": 1,
         "units": 1.0,
-        "left": 3000.0,
+        "remaining_ms": 3000.0,
     }
-    given |= {KEYWORDS.get(key, key): value for key, value in more.items()}
-    left = given.pop("left")
-    return head.submit(now, 1, slot=slot, deadline_ms=now + left, **given)[0]
+    values |= {PARAMETER_NAMES.get(key, key): value for key, value in arguments.items()}
+    remaining_ms = values.pop("remaining_ms")
+    return scheduler.submit(now, 1, slot=slot, deadline_ms=now + remaining_ms, **values)[0]
 
 
-def went(a: Request) -> bool:
-    attempts, _, _ = a.drain()
+def was_sent(request: Request) -> bool:
+    """Returns whether the scheduler has sent an attempt of a request since the last call."""
+    attempts, _, _ = request.drain()
     return bool(attempts)
 
 
-def served(head: Scheduler, now: float, slot: int, took: float) -> None:
-    """A request goes and is succeeded."""
-    a = take(head, now, slot)
-    assert went(a), "it was to be sent"
-    a.on_attempt_end(now + took, 0, Outcome.SUCCEEDED, True, took)
+def serve_request(scheduler: Scheduler, now: float, slot: int, latency_ms: float) -> None:
+    """Submits a request, checks that it is sent at once, and ends its attempt with success."""
+    request = submit(scheduler, now, slot)
+    assert was_sent(request), "the request was not sent"
+    request.on_attempt_end(now + latency_ms, 0, Outcome.SUCCEEDED, True, latency_ms)
