--- a/tests/test_rule_violations.py
+++ b/tests/test_rule_violations.py
@@ -1,6 +1,7 @@
-"""For each rule a head that breaks it on purpose is caught and named; the same day with a sound head keeps it.
+"""Tests that the checker detects, for each rule, a gateway that breaks it on purpose, and accepts a sound gateway.
 
-The broken heads live here and not in the product. Days run in virtual time: the same verdict every time.
+The broken gateways are defined here and not in the package. Days run in virtual time, so that the verdict is always the
+same.
 """
 
 from __future__ import annotations
@@ -107,40 +108,50 @@
 """
 
 
-class AnswersTwice(GatewayCore):
-    def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        super()._answer(pending, final, stay_ms, reason, data)
-        pending.origin.send(Kind.ANSWER, pending.id, final, stay_ms, reason, pending.slot, data)
+class CoreAnsweringTwice(GatewayCore):
+    """Sends each answer twice."""
 
+    def _answer(self, pending: Any, final: int, retry_after_ms: float, reason: str, data: bytes) -> None:
+        super()._answer(pending, final, retry_after_ms, reason, data)
+        pending.origin.send(Kind.ANSWER, pending.id, final, retry_after_ms, reason, pending.slot, data)
 
-class Forgets(GatewayCore):
-    def _answer(self, pending: Any, final: int, *rest: Any) -> None:
+
+class CoreOmittingAnswers(GatewayCore):
+    """Drops the answers that are due while the number of requests is a multiple of 50."""
+
+    def _answer(self, pending: Any, final: int, *arguments: Any) -> None:
         if self.counts.received % 50 == 0:
             pending.answered = True
             self.open_count -= 1
             pending.origin.open_requests.pop(pending.id, None)
         else:
-            super()._answer(pending, final, *rest)
+            super()._answer(pending, final, *arguments)
 
 
-class SaysHarmless(GatewayCore):
-    """Tells a client that trying again is harmless though the write may have run."""
+class CoreRejectingFailedRequests(GatewayCore):
+    """Rejects requests that failed, which tells clients that a retry is harmless although a write may have run."""
 
-    def _answer(self, pending: Any, final: int, stay_ms: float, reason: str, data: bytes) -> None:
-        super()._answer(pending, 1 if final == 2 else final, stay_ms, reason, data)
+    def _answer(self, pending: Any, final: int, retry_after_ms: float, reason: str, data: bytes) -> None:
+        super()._answer(pending, 1 if final == 2 else final, retry_after_ms, reason, data)
 
 
-class IgnoresDrains(GatewayCore):
+class CoreIgnoringDrains(GatewayCore):
+    """Takes every listed node for ready."""
+
     def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
-        entries = [EndpointEntry(e.node_name, EndpointState.READY, e.slot, e.started_ms) for e in entries]
+        entries = [
+            EndpointEntry(entry.node_name, EndpointState.READY, entry.slot, entry.started_ms) for entry in entries
+        ]
         super().apply_endpoint_list(now, kind, entries)
 
 
-class IgnoresCold(GatewayCore):
-    """Knows of no start, neither from the list nor from broken connections, and holds nothing back."""
+class CoreIgnoringSlowStart(GatewayCore):
+    """Learns of no start of a node, by list or broken connection, and so puts no node into a slow start."""
 
     def apply_endpoint_list(self, now: float, kind: ListKind, entries: list[EndpointEntry]) -> None:
-        super().apply_endpoint_list(now, kind, [EndpointEntry(e.node_name, e.state, e.slot, 0.0) for e in entries])
+        super().apply_endpoint_list(
+            now, kind, [EndpointEntry(entry.node_name, entry.state, entry.slot, 0.0) for entry in entries]
+        )
 
     def on_attempt_end(
         self, now: float, pending: Any, attempt: int, outcome: Outcome, took_ms: float, data: bytes = b""
@@ -150,74 +161,84 @@
         super().on_attempt_end(now, pending, attempt, outcome, took_ms, data)
 
 
-def altered(**changes: Any) -> Any:
-    """A head that was given other settings than the day's: it breaks what they no longer tell it."""
+def with_settings(**changes: Any) -> Any:
+    """Returns a function that changes a gateway's settings, so that it breaks a rule of the day's settings.
+
+    Args:
+        changes: Changed fields by the name of a request class or quota plan, or of the rules.
+    """
 
-    def alter(config: Config) -> Config:
-        profiles = {n: msgspec.structs.replace(p, **changes.get(n, {})) for n, p in config.profile.items()}
-        plans = {n: msgspec.structs.replace(p, **changes.get(n, {})) for n, p in config.plan.items()}
+    def change(config: Config) -> Config:
+        profiles = {
+            name: msgspec.structs.replace(profile, **changes.get(name, {})) for name, profile in config.profile.items()
+        }
+        plans = {name: msgspec.structs.replace(plan, **changes.get(name, {})) for name, plan in config.plan.items()}
         rules = msgspec.structs.replace(config.rules, **changes.get("rules", {}))
         return msgspec.structs.replace(config, profile=profiles, plan=plans, rules=rules)
 
-    return alter
+    return change
 
 
 RESETS = "at 1s resets all by 20% for 4s\n"
-MORE_RESETS = "at 1s resets all by 30% for 4s\n"  # with 20% a head without a budget just stays under it (0.96)
+MORE_RESETS = "at 1s resets all by 30% for 4s\n"  # with 20% a gateway without a retry budget stays just under it (0.96)
+# By title: the rule, the faults of the day, the class of the gateways' core, and the change of their settings.
 VIOLATIONS = {
-    "final_answer, twice": ("final_answer", "", AnswersTwice, None),
-    "final_answer, forgotten": ("final_answer", "", Forgets, None),
-    "no_double_effect, a second trip": ("no_double_effect", RESETS, GatewayCore, altered(save={"repeat": "redoable"})),
-    "no_double_effect, said to be harmless": ("no_double_effect", RESETS, SaysHarmless, None),
-    "drains": ("drains", "at 1s drain s1 for 3s\n", IgnoresDrains, None),
-    "cold": ("cold", "at 2s mass-restart s1 s2 for 300ms\n", IgnoresCold, altered(rules={"warm": 1.0})),
-    "limits": ("limits", "at 1s burst by 4x for 3s\n", GatewayCore, altered(capped={"limit": 0.0})),
-    "order": ("order", "", GatewayCore, altered(line={"in_order": False})),
-    "budget": ("budget", MORE_RESETS, GatewayCore, altered(rules={"budget_share": None})),
+    "final_answer, twice": ("final_answer", "", CoreAnsweringTwice, None),
+    "final_answer, omitted": ("final_answer", "", CoreOmittingAnswers, None),
+    "no_double_effect, retry": ("no_double_effect", RESETS, GatewayCore, with_settings(save={"repeat": "redoable"})),
+    "no_double_effect, rejection": ("no_double_effect", RESETS, CoreRejectingFailedRequests, None),
+    "drains": ("drains", "at 1s drain s1 for 3s\n", CoreIgnoringDrains, None),
+    "cold": ("cold", "at 2s mass-restart s1 s2 for 300ms\n", CoreIgnoringSlowStart, with_settings(rules={"warm": 1.0})),
+    "limits": ("limits", "at 1s burst by 4x for 3s\n", GatewayCore, with_settings(capped={"limit": 0.0})),
+    "order": ("order", "", GatewayCore, with_settings(line={"in_order": False})),
+    "budget": ("budget", MORE_RESETS, GatewayCore, with_settings(rules={"budget_share": None})),
 }
 
 
-def judge(
-    at: str, core: type[GatewayCore], alter: Any, length: str = "6s", seed: int = 3, base: str = BASE_CONFIG
+def play_and_check(
+    faults: str, core: type[GatewayCore], change: Any, length: str = "6s", seed: int = 3, base: str = BASE_CONFIG
 ) -> dict[str, Verdict]:
-    config = loads(f"{base}\nday d {{\nlength {length}\n{at}}}\n")
-    village, known = play(config, "d", seed, head_core=core, head_config=alter(config) if alter else None)
+    """Plays a day with gateways of this core and these changed settings, and returns the verdict of each rule."""
+    config = loads(f"{base}\nday d {{\nlength {length}\n{faults}}}\n")
+    village, known = play(config, "d", seed, head_core=core, head_config=change(config) if change else None)
     assert not known["faults"]
     return village.facts().check_rules()
 
 
-def config_for_rule(rule: str, at: str) -> tuple[str, str]:
-    """The day's troubles and its settings, such that the rule is put to the test."""
-    if rule == "cold":  # many heads, each with little, are what pushes a cold shelf over
+def config_for_rule(rule: str, faults: str) -> tuple[str, str]:
+    """Returns the faults and the settings of a day that put a rule to the test."""
+    if rule == "cold":  # it takes many gateways, each with little load, to overload a node in a slow start
         base = BASE_CONFIG.replace("heads 2", "heads 8").replace("cold-from 30%", "cold-from 12%")
-        return "at 1s burst by 3x for 5s\n" + at, base.replace("multiple 2x", "multiple 1.4x")
-    if rule == "order":  # two runs on one key at once
-        return at, BASE_CONFIG.replace("extents 20", "extents 1")
-    return at, BASE_CONFIG
+        return "at 1s burst by 3x for 5s\n" + faults, base.replace("multiple 2x", "multiple 1.4x")
+    if rule == "order":  # two sequences of requests for the same extent at once
+        return faults, BASE_CONFIG.replace("extents 20", "extents 1")
+    return faults, BASE_CONFIG
 
 
 @pytest.mark.parametrize("case", VIOLATIONS)
-def test_a_head_that_breaks_a_rule_is_caught_and_named(case: str) -> None:
-    rule, at, core, alter = VIOLATIONS[case]
-    at, base = config_for_rule(rule, at)
-    broken = judge(at, core, alter, base=base)
-    assert not broken[rule].kept and broken[rule].offence, case
-    sound = judge(at, GatewayCore, None, base=base)
-    assert all(v.kept for v in sound.values()), {r: v.offence for r, v in sound.items() if not v.kept}
-    assert sound[rule].cases > 0
-    assert set(sound) == set(RULES)
-
-
-def test_the_handle_of_a_request_has_no_second_attempt_out() -> None:
-    """What the core relies on: the module never has two attempts of one request out at once."""
-    seen: list[Request] = []
-
-    class Watches(GatewayCore):
+def test_checker_detects_a_gateway_that_breaks_a_rule(case: str) -> None:
+    rule, faults, core, change = VIOLATIONS[case]
+    faults, base = config_for_rule(rule, faults)
+    broken_verdicts = play_and_check(faults, core, change, base=base)
+    assert not broken_verdicts[rule].kept and broken_verdicts[rule].offence, case
+    sound_verdicts = play_and_check(faults, GatewayCore, None, base=base)
+    assert all(verdict.kept for verdict in sound_verdicts.values()), {
+        name: verdict.offence for name, verdict in sound_verdicts.items() if not verdict.kept
+    }
+    assert sound_verdicts[rule].cases > 0
+    assert set(sound_verdicts) == set(RULES)
+
+
+def test_request_has_at_most_one_attempt_in_flight() -> None:
+    """The gateway core relies on the scheduler never having two attempts of one request in flight."""
+    handles: list[Request] = []
+
+    class CheckingCore(GatewayCore):
         def _apply(self, first: Any, now: float) -> None:
             super()._apply(first, now)
             for pending in self.pending.values():
                 assert (pending.attempt is not None) == pending.handle.attempt_in_flight
-                seen.append(pending.handle)
+                handles.append(pending.handle)
 
-    judge(RESETS, Watches, None, length="3s")
-    assert len(seen) > 1000
+    play_and_check(RESETS, CheckingCore, None, length="3s")
+    assert len(handles) > 1000
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,21 +1,24 @@
-"""Plays the scenarios of tests/scenarios against the decision module.
-
-A scenario is a text file. `name: title` starts a case; `set key=value ...` alters the settings of the case;
-`as TITLE until TIME` begins it like an earlier case of the file, up to a time.
-Then each line is a time in milliseconds, a verb and its values:
-
-    0 list A:0 B:1:draining C:2::-500   the whole list: shelf:slot[:standing[:started]]
-    0 change A:0::100                   changes to it;  `cached` and `failed` likewise
-    5 take 1 x look gold 2 v=vol n=2 s=0 until=2000     id, extent (- for none), profile, plan, units
-                                        (again=1 or 0 where clients mark their repeats)
-    9 end 1 succeeded                    the outcome of a request's last attempt
-    9 left 1                            the client is gone
-    9 restart                           a new head, with the list as it was last
-    700 wait                            every wake asked for until then, in turn
-
-A line `= 1>A, 2 rejected 500` below says exactly what the head did there; with none, it did nothing.
-Attempts read id>shelf (with `until` in brackets where the case says `set show_until=1`), cancellations `1 recall 0`,
-answers `1 rejected STAY` or `1 failed`, list calls `watch`; after `wait` each is led by its time, @MS.
+"""Plays the scenarios of tests/scenarios on a scheduler.
+
+A scenario is a text file. `name: TITLE` starts a case, `set KEY=VALUE ...` changes its settings, and
+`as TITLE until TIME` begins it with the lines of an earlier case of the file up to a time. Each other line is a time in
+milliseconds, a verb and its values:
+
+    0 list A:0 B:1:draining C:2::-500   an endpoint list; each node as name:slot[:state[:start]]
+    0 change A:0::100                   changes to it; `cached` and `failed` likewise
+    5 take 1 x look gold 2 v=vol n=2 s=0 until=2000   submits a request: id, extent (- for none), class, quota plan,
+                                        units, volume, set size, slot, deadline; `again=1` or `again=0` tells whether
+                                        it is a client's retry, where clients mark these
+    9 end 1 honoured                    ends the last attempt of request 1 with this outcome
+    9 begun 1                           its response has started to stream
+    9 left 1                            its client disconnects
+    9 restart                           a new scheduler, with the last endpoint list from the cache
+    700 wait                            makes all wake-ups that are requested until then, in order
+
+A line `= 1>A, 2 pushed back 500` after it states exactly what the scheduler did; without one, it did nothing. An
+attempt is written as id>node (with the deadline in brackets if the case has `set show_until=1`), a cancellation as
+`1 recall 0`, a final answer as `1 pushed back RETRY_AFTER` or `1 terminated`, a call to discovery as `watch`. After
+`wait`, each begins with its time as @MS.
 """
 
 from __future__ import annotations
@@ -40,7 +43,7 @@
 )
 
 FOLDER = Path(__file__).parent / "scenarios"
-KINDS = {"list": ListKind.WHOLE, "cached": ListKind.CACHED, "change": ListKind.CHANGES}
+LIST_KINDS = {"list": ListKind.WHOLE, "cached": ListKind.CACHED, "change": ListKind.CHANGES}
 SETTINGS = Settings(
     request_classes=(),
     quota_plans=(),
@@ -64,19 +67,34 @@
 )
 
 
-def profile(
-    name: str, repeat: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, due: float = 400.0, **more: bool
+def request_class(
+    name: str,
+    idempotency: Idempotency,
+    scope: DeduplicationScope = DeduplicationScope.ALL,
+    latency_objective_ms: float = 400.0,
+    **options: bool,
 ) -> RequestClass:
-    return RequestClass(name, 2.0, due, 3000.0, 0.1, repeat, group, 1000.0, more.get("in_order", False))
+    """Returns a request class with a maximal wait of 3000 ms and a deduplication window of 1000 ms."""
+    return RequestClass(
+        name,
+        2.0,
+        latency_objective_ms,
+        3000.0,
+        0.1,
+        idempotency,
+        scope,
+        1000.0,
+        options.get("in_order", False),
+    )
 
 
 REQUEST_CLASSES = (
-    profile("look", Idempotency.IDEMPOTENT),
-    profile("save", Idempotency.NON_IDEMPOTENT),
-    profile("mark", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
-    profile("markall", Idempotency.IDEMPOTENT_WITH_KEY),
-    profile("bulk", Idempotency.IDEMPOTENT, due=2000.0),
-    profile("line", Idempotency.IDEMPOTENT, in_order=True),
+    request_class("look", Idempotency.IDEMPOTENT),
+    request_class("save", Idempotency.NON_IDEMPOTENT),
+    request_class("mark", Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL),
+    request_class("markall", Idempotency.IDEMPOTENT_WITH_KEY),
+    request_class("bulk", Idempotency.IDEMPOTENT, latency_objective_ms=2000.0),
+    request_class("line", Idempotency.IDEMPOTENT, in_order=True),
 )
 QUOTA_PLANS = (
     QuotaPlan("gold", 20.0, 20.0, 0.0, 0.0, 0.0, 1.0, 1.0),
@@ -85,130 +103,136 @@
 )
 
 
-class Play:
-    """One case: a head, the handles of its requests, and what the last line made it do."""
+class ScenarioRun:
+    """One case: a scheduler, the handles of its requests by id, and its last endpoint list and wake-up time."""
 
     def __init__(self) -> None:
         self.settings = replace(SETTINGS, request_classes=REQUEST_CLASSES, quota_plans=QUOTA_PLANS)
-        self.head: Scheduler | None = None
+        self.scheduler: Scheduler | None = None
         self.handles: dict[int, Request] = {}
         self.entries: dict[str, EndpointEntry] = {}
         self.show_until = False
-        self.wake: float | None = None
+        self.wake_up_ms: float | None = None
 
-    def alter(self, words: list[str]) -> None:
+    def change_settings(self, words: list[str]) -> None:
+        """Applies a line of settings."""
         for word in words:
             key, value = word.split("=")
             if key == "show_until":
                 self.show_until = True
                 continue
-            old = getattr(SETTINGS, key)
-            kind = type(old) if old is not None else float
-            self.settings = replace(self.settings, **{key: kind(float(value))})
-
-    def told(self, changes: Changes, stamp: str = "") -> list[str]:
-        done = []
-        self.wake = changes.wake_ms
+            default = getattr(SETTINGS, key)
+            value_type = type(default) if default is not None else float
+            self.settings = replace(self.settings, **{key: value_type(float(value))})
+
+    def describe(self, changes: Changes, prefix: str = "") -> list[str]:
+        """Returns what a call to the scheduler changed, in the words of the scenarios."""
+        actions = []
+        self.wake_up_ms = changes.wake_ms
         for handle in changes.handles:
             attempts, cancellations, answer = handle.drain()
             for attempt in attempts:
-                until = f" ({attempt.deadline_ms:g})" if self.show_until else ""
-                done.append(f"{stamp}{handle.id}>{attempt.node_name}{until}")
-            done += [f"{stamp}{handle.id} recall {attempt}" for attempt in cancellations]
+                deadline = f" ({attempt.deadline_ms:g})" if self.show_until else ""
+                actions.append(f"{prefix}{handle.id}>{attempt.node_name}{deadline}")
+            actions += [f"{prefix}{handle.id} recall {attempt}" for attempt in cancellations]
             if answer is not None:
-                most = self.settings.max_retry_after_ms
-                spread = most / 2 <= answer.retry_after_ms <= most  # drawn; written as the most
-                stay = f" {most if spread else answer.retry_after_ms:g}" if answer.retry_after_ms else ""
-                done.append(f"{stamp}{handle.id} {answer.kind.value}{stay}")
-        return done + [f"{stamp}{call.value}" for call in changes.discovery_calls]
+                max_ms = self.settings.max_retry_after_ms
+                is_random = max_ms / 2 <= answer.retry_after_ms <= max_ms  # drawn from this range; shown as its maximum
+                retry_after = f" {max_ms if is_random else answer.retry_after_ms:g}" if answer.retry_after_ms else ""
+                actions.append(f"{prefix}{handle.id} {answer.kind.value}{retry_after}")
+        return actions + [f"{prefix}{call.value}" for call in changes.discovery_calls]
 
     def step(self, now: float, verb: str, words: list[str]) -> list[str]:
-        first: list[str] = []
-        if self.head is None or verb == "restart":
-            self.head, self.handles = Scheduler(self.settings, 7, now), {}
-            first = self.told(self.head.start(now))
+        """Plays one line, and returns what the scheduler did."""
+        start_actions: list[str] = []
+        if self.scheduler is None or verb == "restart":
+            self.scheduler, self.handles = Scheduler(self.settings, 7, now), {}
+            start_actions = self.describe(self.scheduler.start(now))
             if verb == "restart":
-                return first + self.told(
-                    self.head.apply_endpoint_list(now, ListKind.CACHED, list(self.entries.values()))
+                return start_actions + self.describe(
+                    self.scheduler.apply_endpoint_list(now, ListKind.CACHED, list(self.entries.values()))
                 )
         if verb == "wait":
-            done = []
-            while self.wake is not None and self.wake <= now:
-                at = self.wake
-                done += self.told(self.head.on_wake_up(at), f"@{at:g} ")
-            return done
+            actions = []
+            while self.wake_up_ms is not None and self.wake_up_ms <= now:
+                time_ms = self.wake_up_ms
+                actions += self.describe(self.scheduler.on_wake_up(time_ms), f"@{time_ms:g} ")
+            return actions
         if verb == "failed":
-            return self.told(self.head.apply_endpoint_list(now, ListKind.FAILED, []))
-        if verb in KINDS:
+            return self.describe(self.scheduler.apply_endpoint_list(now, ListKind.FAILED, []))
+        if verb in LIST_KINDS:
             entries = []
             for word in words:
-                shelf, slot, *more = word.split(":")
-                standing = EndpointState(more[0]) if more and more[0] else EndpointState.READY
-                entries.append(EndpointEntry(shelf, standing, int(slot), float(more[1]) if len(more) > 1 else 0.0))
-            self.entries.update({e.node_name: e for e in entries})
-            return first + self.told(self.head.apply_endpoint_list(now, KINDS[verb], entries))
+                node, slot, *options = word.split(":")
+                state = EndpointState(options[0]) if options and options[0] else EndpointState.READY
+                entries.append(EndpointEntry(node, state, int(slot), float(options[1]) if len(options) > 1 else 0.0))
+            self.entries.update({entry.node_name: entry for entry in entries})
+            return start_actions + self.describe(self.scheduler.apply_endpoint_list(now, LIST_KINDS[verb], entries))
         if verb == "take":
-            more = dict(w.split("=") for w in words[5:])
-            id_, extent = int(words[0]), None if words[1] == "-" else words[1]
-            request, changes = self.head.submit(
+            options = dict(word.split("=") for word in words[5:])
+            request_id, extent = int(words[0]), None if words[1] == "-" else words[1]
+            request, changes = self.scheduler.submit(
                 now,
-                id_,
+                request_id,
                 extent,
                 words[2],
                 words[3],
-                more.get("v", "vol"),
-                int(more.get("n", 1)),
-                int(more.get("s", 0)),
+                options.get("v", "vol"),
+                int(options.get("n", 1)),
+                int(options.get("s", 0)),
                 float(words[4]),
-                float(more.get("until", now + 3000)),
-                bool(int(more["again"])) if "again" in more else None,
+                float(options.get("until", now + 3000)),
+                bool(int(options["again"])) if "again" in options else None,
             )
-            self.handles[id_] = request
-            return self.told(changes)
+            self.handles[request_id] = request
+            return self.describe(changes)
         handle = self.handles[int(words[0])]
         if verb == "left":
-            return self.told(handle.on_client_disconnect(now))
+            return self.describe(handle.on_client_disconnect(now))
         if verb == "begun":
-            return self.told(handle.on_response_start(now))
+            return self.describe(handle.on_response_start(now))
         assert verb == "end", f"unknown verb {verb}"
         outcome = Outcome(words[1])
-        over = outcome is Outcome.SUCCEEDED or handle.closed
-        return self.told(handle.on_attempt_end(now, handle.attempt_count - 1, outcome, over, now - handle.sent_ms))
+        answered = outcome is Outcome.SUCCEEDED or handle.closed
+        return self.describe(
+            handle.on_attempt_end(now, handle.attempt_count - 1, outcome, answered, now - handle.sent_ms)
+        )
 
 
-def cases() -> list:
-    found: list[tuple[str, list[tuple[int, str]]]] = []
+def read_cases() -> list:
+    """Reads all cases; returns test parameters, each the numbered lines of a case."""
+    cases: list[tuple[str, list[tuple[int, str]]]] = []
     for path in sorted(FOLDER.glob("*.txt")):
         for number, text in enumerate(path.read_text().splitlines(), 1):
             line = text.split("#")[0].strip()
             if line.startswith("name:"):
-                found.append((f"{path.stem}: {line[5:].strip()}", []))
+                cases.append((f"{path.stem}: {line[5:].strip()}", []))
             elif line.startswith("as "):
-                title, until = line[3:].split(" until ")
-                start = dict(found)[f"{path.stem}: {title}"]
+                title, end_ms = line[3:].split(" until ")
+                base_lines = dict(cases)[f"{path.stem}: {title}"]
                 later = [
                     n
-                    for n, (_, text) in enumerate(start)
-                    if text[0].isdigit() and float(text.split()[0]) >= float(until)
+                    for n, (_, text) in enumerate(base_lines)
+                    if text[0].isdigit() and float(text.split()[0]) >= float(end_ms)
                 ]
-                found[-1][1].extend(start[: later[0]])
+                cases[-1][1].extend(base_lines[: later[0]])
             elif line:
-                found[-1][1].append((number, line))
-    return [pytest.param(lines, id=title) for title, lines in found]
+                cases[-1][1].append((number, line))
+    return [pytest.param(lines, id=title) for title, lines in cases]
 
 
-@pytest.mark.parametrize("lines", cases())
+@pytest.mark.parametrize("lines", read_cases())
 def test_scenario(lines: list[tuple[int, str]]) -> None:
-    play, said, where = Play(), [], 0
+    run, actions, line_number = ScenarioRun(), [], 0
     for number, line in [*lines, (0, "end")]:
         if line.startswith("="):
-            wanted = [part.strip() for part in line[1:].split(",")]
-            assert said == wanted, f"line {where}"
-            said = []
+            expected = [part.strip() for part in line[1:].split(",")]
+            assert actions == expected, f"line {line_number}"
+            actions = []
             continue
-        assert said == [], f"line {where}: nothing was expected"
+        assert actions == [], f"line {line_number}: no action was expected"
         if line.startswith("set "):
-            play.alter(line.split()[1:])
+            run.change_settings(line.split()[1:])
         elif line != "end":
             time, verb, *words = line.split()
-            said, where = play.step(float(time), verb, words), number
+            actions, line_number = run.step(float(time), verb, words), number
