--- a/benchmarks/slopes_head.py
+++ b/benchmarks/slopes_head.py
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
 from helpers import LOOPBACK  # noqa: E402
-from service_rig import CONFIG, SETTINGS, Client, Discovery, ask, entry, listing  # noqa: E402
+from service_rig import CONFIG, SETTINGS, Client, ScriptedDiscovery, build_request, entry, listing  # noqa: E402
 from slopes import Child, on_core_ms  # noqa: E402
 
 SOCKETS = 16_384  # told to the head: of these a quarter may be clients with nothing open, three eighths shelfs'
@@ -22,9 +22,9 @@
     """A head as a process, and the discovery that it watches, which is here."""
 
     async def start(self, folder: str, shelfs: int, address: Callable[[int], int]) -> Head:
-        self.discovery = Discovery()
+        self.discovery = ScriptedDiscovery()
         await self.discovery.start()
-        self.discovery.list = listing(1, *(entry(f"s{i}", address(i), i) for i in range(shelfs)))
+        self.discovery.node_list = listing(1, *(entry(f"s{i}", address(i), i) for i in range(shelfs)))
         with_port = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
         self.port = with_port.sockets[0].getsockname()[1]
         with_port.close()
@@ -48,7 +48,7 @@
             try:
                 client = await self.client()
                 client.write(HEALTH.replace(b"live", b"ready"))
-                if (await client.answer()).status == 200 and self.discovery.asked:
+                if (await client.next_answer()).status == 200 and self.discovery.received_requests:
                     client.transport.close()
                     break
             except OSError:
@@ -69,7 +69,7 @@
     async def _pulse(self) -> None:
         """Discovery's empty line, by which a head knows that its watch stands."""
         while True:
-            for conn in [c for c in self.discovery.conns if not c.lost]:
+            for conn in [c for c in self.discovery.peers if not c.is_closed]:
                 conn.write(b"1\r\n\n\r\n")
             await asyncio.sleep(2.0)
 
@@ -86,7 +86,7 @@
             if asks:
                 for client in some:
                     client.write(HEALTH)
-                await asyncio.gather(*(client.answer() for client in some))
+                await asyncio.gather(*(client.next_answer() for client in some))
         return found
 
     async def at_rest(self, seconds: float) -> float:
@@ -106,12 +106,12 @@
             for n in numbers:
                 # The answers are counted by hand: the rig's own wait looks every few milliseconds.
                 had = len(client.answers)
-                client.write(ask(shard=n % shards, Cookie=f"block={n % 9973:016x}"))
+                client.write(build_request(shard=n % shards, Cookie=f"block={n % 9973:016x}"))
                 while len(client.answers) == had:
                     await asyncio.sleep(0)
                 succeeded += client.answers[-1].status == 200
                 client.answers.clear()
-                client.seen = 0
+                client.read_count = 0
 
         await asyncio.gather(*(one(c) for c in clients))
         return (on_core_ms(self.child.pid) - before) / requests, succeeded
--- a/benchmarks/slopes_service.py
+++ b/benchmarks/slopes_service.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
-from service_rig import Shelf, entry, listing  # noqa: E402
+from service_rig import ScriptedNode, entry, listing  # noqa: E402
 from slopes import Point, on_core_ms, point, resident_kib  # noqa: E402
 from slopes_head import Head  # noqa: E402
 
@@ -40,7 +40,7 @@
                     clients = await head.clients(count, asks)
                     held = resident_kib(head.child.pid)
                     rest = await head.at_rest(REST_S if asks else 0.5)
-                    stay = sum(not c.lost for c in clients)
+                    stay = sum(not c.is_closed for c in clients)
                     for client in clients:
                         client.transport.abort()
                 kind = "has asked" if asks else "silent"
@@ -66,18 +66,18 @@
         for count in (30, 300) if small else (30, 300, 600, 1000, 1500, 2000):
             head = await Head().start(folder, count, lambda i: 1 + i)
             with head:
-                watch = next(c for c in head.discovery.conns if not c.lost)
+                watch = next(c for c in head.discovery.peers if not c.is_closed)
                 held, rest = resident_kib(head.child.pid), await head.at_rest(REST_S)
-                size = len(json.dumps(head.discovery.list)) + 1
+                size = len(json.dumps(head.discovery.node_list)) + 1
                 wholes, changes, times = 0.0, 0.0, 10
                 for n in range(times):
                     before = on_core_ms(head.child.pid)
-                    watch.tell({**head.discovery.list, "version": 2 + n})
+                    watch.send_list({**head.discovery.node_list, "version": 2 + n})
                     await asyncio.sleep(0.3)
                     wholes += on_core_ms(head.child.pid) - before - 0.3 * rest
                 for n in range(times):
                     before = on_core_ms(head.child.pid)
-                    watch.tell(listing(100 + n, entry("s1", 2, 1, ("Terminating", "Ready")[n % 2]), full=False))
+                    watch.send_list(listing(100 + n, entry("s1", 2, 1, ("Terminating", "Ready")[n % 2]), full=False))
                     await asyncio.sleep(0.1)
                     changes += on_core_ms(head.child.pid) - before - 0.1 * rest
                 after = resident_kib(head.child.pid)
@@ -104,7 +104,7 @@
     async def script(folder: str) -> list[Point]:
         found, peers = [], []
         for _ in range(300 if small else 2000):
-            peers.append(Shelf())
+            peers.append(ScriptedNode())
             await peers[-1].start()
         for count in (30, 300) if small else (30, 300, 600, 1000, 1500, 2000):
             head = await Head().start(folder, count, lambda i: peers[i].port)
@@ -113,14 +113,14 @@
                 first = resident_kib(head.child.pid)
                 dials, well = await head.run(clients, count, count)
                 held = resident_kib(head.child.pid)
-                up = sum(not conn.lost for peer in peers[:count] for conn in peer.conns)
+                up = sum(not conn.is_closed for peer in peers[:count] for conn in peer.peers)
                 await asyncio.sleep(1.0)
                 rest = await head.at_rest(REST_S)
                 cost, succeeded = await head.run(clients, REQUESTS, count)
                 after = resident_kib(head.child.pid)
             for peer in peers:
-                peer.conns.clear()
-                peer.asked.clear()
+                peer.peers.clear()
+                peer.received_requests.clear()
             found.append(
                 point(
                     {"shelfs": count},
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -51,67 +51,67 @@
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
     "settings": SETTINGS,
 }
-ids = iter(range(1, 1 << 30))
+request_ids = iter(range(1, 1 << 30))
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class ShelfPeer(asyncio.Protocol):
+class NodePeer(asyncio.Protocol):
     """A connection to a scripted shelf; `does` of the shelf says what it makes of a request."""
 
-    def __init__(self, shelf: Shelf) -> None:
-        self.shelf, self.requests, self.lost = shelf, RequestParser(), False
+    def __init__(self, node: ScriptedNode) -> None:
+        self.node, self.parser, self.is_closed = node, RequestParser(), False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.shelf.conns.append(self)
+        self.node.peers.append(self)
 
     def data_received(self, data: bytes) -> None:
-        self.requests.feed(data)
-        while (request := self.requests.next()) is not None:
-            self.shelf.asked.append((self, request))
-            self.shelf.does(self, request)
+        self.parser.feed(data)
+        while (request := self.parser.next()) is not None:
+            self.node.received_requests.append((self, request))
+            self.node.handle_request(self, request)
 
     def write(self, data: bytes) -> None:
         self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
 
 
-class Shelf:
+class ScriptedNode:
     def __init__(self) -> None:
-        self.conns: list[ShelfPeer] = []
-        self.asked: list[tuple[ShelfPeer, HttpRequest]] = []
-        self.does: Callable[[ShelfPeer, HttpRequest], None] = lambda conn, request: conn.write(OK)
+        self.peers: list[NodePeer] = []
+        self.received_requests: list[tuple[NodePeer, HttpRequest]] = []
+        self.handle_request: Callable[[NodePeer, HttpRequest], None] = lambda conn, request: conn.write(OK)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: ShelfPeer(self), LOOPBACK, 0)
+        self.server = await loop.create_server(lambda: NodePeer(self), LOOPBACK, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
 
-class DiscoveryPeer(ShelfPeer):
-    def tell(self, told: dict[str, Any]) -> None:
+class DiscoveryPeer(NodePeer):
+    def send_list(self, told: dict[str, Any]) -> None:
         line = json.dumps(told).encode() + b"\n"
         self.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-class Discovery(Shelf):
+class ScriptedDiscovery(ScriptedNode):
     """Answers each watch with a list that the test has set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.list: dict[str, Any] = {}
-        self.does = self.watched
+        self.node_list: dict[str, Any] = {}
+        self.handle_request = self.answer_watch
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: DiscoveryPeer(self), LOOPBACK, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def watched(self, conn: Any, request: HttpRequest) -> None:
+    def answer_watch(self, conn: Any, request: HttpRequest) -> None:
         conn.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        conn.tell(self.list)
+        conn.send_list(self.node_list)
 
 
 def entry(name: str, port: int, cell: int, state: str = "Ready", started: float = 0) -> dict[str, Any]:
@@ -135,20 +135,20 @@
     """A head in service with two shelfs and discovery."""
 
     async def start(self, sockets: int = 256, **changes: Any) -> Rig:
-        self.shelfs, self.discovery = [Shelf(), Shelf()], Discovery()
-        for peer in (*self.shelfs, self.discovery):
+        self.storage_nodes, self.discovery = [ScriptedNode(), ScriptedNode()], ScriptedDiscovery()
+        for peer in (*self.storage_nodes, self.discovery):
             await peer.start()
-        self.discovery.list = listing(1, *(entry(f"s{i}", s.port, i) for i, s in enumerate(self.shelfs)))
+        self.discovery.node_list = listing(1, *(entry(f"s{i}", s.port, i) for i, s in enumerate(self.storage_nodes)))
         config = read_config(json.dumps({**CONFIG, "limits": {"sockets": sockets}}).encode())
         config = dataclasses.replace(
             config, listen_address=(LOOPBACK, 0), discovery_address=(LOOPBACK, self.discovery.port), **changes
         )
-        self.head = Service(asyncio.get_running_loop(), config, "/nowhere")
-        self.head.log = lambda event, **facts: None  # type: ignore[method-assign]
-        await self.head.start()
-        assert self.head.listener.socket is not None
-        self.port = self.head.listener.socket.getsockname()[1]
-        await until(lambda: len(self.head.core.scheduler.nodes.node_at_slot) == 2)
+        self.gateway = Service(asyncio.get_running_loop(), config, "/nowhere")
+        self.gateway.log = lambda event, **facts: None  # type: ignore[method-assign]
+        await self.gateway.start()
+        assert self.gateway.listener.socket is not None
+        self.port = self.gateway.listener.socket.getsockname()[1]
+        await until(lambda: len(self.gateway.core.scheduler.nodes.node_at_slot) == 2)
         return self
 
     async def client(self) -> Client:
@@ -156,18 +156,18 @@
         await asyncio.get_running_loop().create_connection(lambda: client, LOOPBACK, self.port)
         return client
 
-    def address(self, shelf: int) -> tuple[str, int]:
-        return LOOPBACK, self.shelfs[shelf].port
+    def address(self, node: int) -> tuple[str, int]:
+        return LOOPBACK, self.storage_nodes[node].port
 
-    async def ask(self, data: bytes) -> HttpResponse:
+    async def fetch(self, data: bytes) -> HttpResponse:
         client = await self.client()
         client.write(data)
-        return await client.answer()
+        return await client.next_answer()
 
 
 class Client(asyncio.Protocol):
     def __init__(self) -> None:
-        self.responses, self.answers, self.lost, self.seen = ResponseParser(), [], False, 0
+        self.responses, self.answers, self.is_closed, self.read_count = ResponseParser(), [], False, 0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -181,20 +181,20 @@
             self.answers.append(answer)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
 
-    async def answer(self) -> HttpResponse:
-        self.seen += 1
-        await until(lambda: len(self.answers) >= self.seen)
-        return self.answers[self.seen - 1]
+    async def next_answer(self) -> HttpResponse:
+        self.read_count += 1
+        await until(lambda: len(self.answers) >= self.read_count)
+        return self.answers[self.read_count - 1]
 
 
-def ask(kind: str = "look", shard: int = 0, body: bytes = b"", **headers: str | None) -> bytes:
+def build_request(kind: str = "look", shard: int = 0, body: bytes = b"", **headers: str | None) -> bytes:
     """A request in the protocol's form; headers (underscores for hyphens) replace its own, None leaves one out."""
     method, path = ("PUT" if kind == "save" else "GET"), f"/{kind}/x?a=1"
     fields: dict[str, str | None] = {
         "Host": "service.internal",
-        "X-Request-Id": f"{next(ids):016x}",
+        "X-Request-Id": f"{next(request_ids):016x}",
         "X-Class": kind,
         "X-Plan": "gold",
         "Cookie": "block=7f3a9c21e0b4d655",
@@ -209,21 +209,21 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def on_rig(script: Callable[[Rig], Coroutine[Any, Any, None]], sockets: int = 256, **changes: Any) -> None:
-    async def whole() -> None:
+def run_on_rig(script: Callable[[Rig], Coroutine[Any, Any, None]], sockets: int = 256, **changes: Any) -> None:
+    async def run() -> None:
         rig = await Rig().start(sockets, **changes)
         try:
             await asyncio.wait_for(script(rig), 20.0)
         finally:
-            rig.head.watch.stop()
+            rig.gateway.watch.stop()
 
-    uvloop.run(whole())
+    uvloop.run(run())
 
 
-def answers(data: bytes, close: bool = False) -> Callable[[ShelfPeer, HttpRequest], None]:
-    def does(conn: ShelfPeer, request: HttpRequest) -> None:
+def respond_with(data: bytes, close: bool = False) -> Callable[[NodePeer, HttpRequest], None]:
+    def handle_request(conn: NodePeer, request: HttpRequest) -> None:
         conn.write(data)
         if close:
             conn.transport.close()
 
-    return does
+    return handle_request
--- a/tests/life_world.py
+++ b/tests/shutdown_simulation.py
@@ -9,7 +9,7 @@
 import random
 from typing import Any
 
-from service_rig import CONFIG, SETTINGS, ask, entry, listing
+from service_rig import CONFIG, SETTINGS, build_request, entry, listing
 
 from pebblehinge.core import FinalStatus, PendingRequest, RequestTable
 from pebblehinge.decide import NEVER_RAN_OUTCOMES
@@ -38,13 +38,13 @@
 
     def __init__(self, world: World, number: int, pace: int) -> None:
         self.world, self.number, self.pace = world, number, pace
-        self.unread, self.out, self.shut, self.lost = b"", b"", False, False
+        self.unread, self.out, self.shut, self.is_closed = b"", b"", False, False
         self.goes_ms = math.inf  # when its client ends its sending and goes
         self.whole, self.halves, self.answers, self.got = 0, b"", 0, ResponseParser()
         self.conn: ClientConnection | None = None
 
     def write(self, data: bytes) -> None:
-        if self.lost:
+        if self.is_closed:
             return
         assert not self.shut, "an answer behind the end"
         self.out += data
@@ -53,13 +53,13 @@
         self.shut = True
 
     def is_closing(self) -> bool:
-        return self.lost
+        return self.is_closed
 
     def abort(self) -> None:
         assert not self.out or self.gone(), "an answer was cut off"
-        if not self.lost and self.gone():
+        if not self.is_closed and self.gone():
             self.world.call_soon(self.ends)
-        self.lost = True
+        self.is_closed = True
 
     def get_write_buffer_size(self) -> int:
         return len(self.out)
@@ -71,7 +71,7 @@
         """Its end is read behind all that it sent, and its connection is lost."""
         assert self.conn is not None
         self.conn.eof_received()
-        self.lost, self.out = True, b""
+        self.is_closed, self.out = True, b""
         self.conn.connection_lost(None)
 
     def get_extra_info(self, name: str) -> Wire:
@@ -80,9 +80,9 @@
     def fileno(self) -> int:
         return self.number
 
-    def asks(self, data: bytes, whole: int) -> None:
-        if not self.shut and not self.lost and not self.gone():
-            self.unread, self.whole = self.unread + data, self.whole + whole
+    def asks(self, data: bytes, run: int) -> None:
+        if not self.shut and not self.is_closed and not self.gone():
+            self.unread, self.whole = self.unread + data, self.whole + run
 
     def completes(self) -> None:
         if not self.shut:
@@ -90,7 +90,7 @@
             self.halves = b""
 
     def turn(self) -> None:
-        if self.conn is None or self.lost:
+        if self.conn is None or self.is_closed:
             return
         if self.gone() and not self.unread:
             self.ends()
@@ -102,8 +102,8 @@
         self.out = self.out[self.pace :]
         while self.got.next() is not None:
             self.answers += 1
-        if self.shut and not self.out and not self.lost:
-            self.lost = True
+        if self.shut and not self.out and not self.is_closed:
+            self.is_closed = True
             assert self.conn is not None
             self.conn.connection_lost(None)
 
@@ -136,7 +136,7 @@
         self.at(self.now, lambda: what(*args))
 
     # what the core has done
-    def send_attempt(self, pending: PendingRequest, shelf: str, attempt: int, until_ms: float) -> None:
+    def send_attempt(self, pending: PendingRequest, node: str, attempt: int, until_ms: float) -> None:
         pending.attempt = token = object()
         if not self.registry.can_start_attempt(pending):
             self.never += 1
@@ -229,7 +229,7 @@
 
     def request(self) -> bytes:
         kind, patience = self.rng.choice(("look", "look", "save")), self.rng.choice((300, 900, 9000))
-        return ask(kind, self.rng.randrange(2), X_Deadline_Ms=str(patience))
+        return build_request(kind, self.rng.randrange(2), X_Deadline_Ms=str(patience))
 
     def play(self) -> None:
         for _ in range(25):
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -11,7 +11,7 @@
 
 import pytest
 from helpers import LOOPBACK, until
-from service_rig import OK, SETTINGS, Rig, ShelfPeer, ask, on_rig
+from service_rig import OK, SETTINGS, NodePeer, Rig, build_request, run_on_rig
 from test_service_life import connect, slow_reader, status
 
 from pebblehinge.http1 import HttpRequest
@@ -29,12 +29,12 @@
 
 
 def at_rest(rig: Rig) -> bool:
-    head, registry = rig.head, rig.head.registry
+    gateway, registry = rig.gateway, rig.gateway.registry
     held = (
-        head.core.open_count,
-        head.core.pending,
+        gateway.core.open_count,
+        gateway.core.pending,
         registry.open_request_ids,
-        head.pools.attempt_count,
+        gateway.pools.attempt_count,
         registry.active_group,
         registry.incomplete_group,
         registry.idle_group,
@@ -56,39 +56,41 @@
         monkeypatch.setattr(socket_state, "HANGUP_EVENTS", 0)
 
     async def script(rig: Rig) -> None:
-        assert (await rig.ask(ask())).status == 200  # a connection to the shelf is up: nothing has to be waited for
+        assert (
+            await rig.fetch(build_request())
+        ).status == 200  # a connection to the shelf is up: nothing has to be waited for
         for _ in range(10):
             raw = connect(rig)  # it waits in the listen queue
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             raw.setblocking(False)
             try:
-                raw.send(ask() + b"x" * behind)
+                raw.send(build_request() + b"x" * behind)
             except BlockingIOError:
                 pass
             ends(raw, how)
             await asyncio.sleep(0.01)
-            await until(lambda: rig.head.registry.connection_count <= 1 and not rig.head.core.open_count)
-        assert len(rig.shelfs[0].asked) == 1
-        assert rig.head.core.counts.client_gone == rig.head.core.counts.received - 1
+            await until(lambda: rig.gateway.registry.connection_count <= 1 and not rig.gateway.core.open_count)
+        assert len(rig.storage_nodes[0].received_requests) == 1
+        assert rig.gateway.core.counts.client_gone == rig.gateway.core.counts.received - 1
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_one_that_sends_much_ahead_and_goes_is_seen_at_once() -> None:
     """Past a bound reading was paused, and the end behind it not seen: its request went on, and others that waited."""
 
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = lambda conn, request: None
+        rig.storage_nodes[0].handle_request = lambda conn, request: None
         client = await rig.client()
-        client.write(ask(X_Deadline_Ms="1900"))
-        await until(lambda: rig.shelfs[0].asked)
-        client.write(ask() * 3 + b"x" * 4 * client_connection.MAX_PIPELINED_BYTES)
+        client.write(build_request(X_Deadline_Ms="1900"))
+        await until(lambda: rig.storage_nodes[0].received_requests)
+        client.write(build_request() * 3 + b"x" * 4 * client_connection.MAX_PIPELINED_BYTES)
         client.transport.write_eof()
-        await until(lambda: rig.head.core.counts.client_gone == 1, 1.5)
-        await until(lambda: rig.shelfs[0].conns[0].lost, 1.5)
-        assert len(rig.shelfs[0].asked) == 1 and at_rest(rig)
+        await until(lambda: rig.gateway.core.counts.client_gone == 1, 1.5)
+        await until(lambda: rig.storage_nodes[0].peers[0].is_closed, 1.5)
+        assert len(rig.storage_nodes[0].received_requests) == 1 and at_rest(rig)
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_further_attempts_end_with_their_client() -> None:
@@ -96,9 +98,9 @@
 
     async def script(rig: Rig) -> None:
         raw = connect(rig)
-        held: list[ShelfPeer] = []
-        rig.shelfs[0].does = lambda conn, request: held.append(conn)
-        raw.sendall(ask())
+        held: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
+        raw.sendall(build_request())
         await until(lambda: held)
         raw.close()
         held[0].write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
@@ -106,7 +108,7 @@
         await asyncio.sleep(0.05)
         assert len(held) == 1
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_one_that_does_not_read_and_ends_its_sending_is_gone_before_its_connection_is() -> None:
@@ -114,21 +116,21 @@
 
     async def script(rig: Rig) -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-        rig.shelfs[0].does = lambda conn, request: conn.write(large)
-        rig.shelfs[1].does = lambda conn, request: None
+        rig.storage_nodes[0].handle_request = lambda conn, request: conn.write(large)
+        rig.storage_nodes[1].handle_request = lambda conn, request: None
         raw, conn = await slow_reader(rig)
-        raw.sendall(ask() + ask(shard=1, X_Deadline_Ms="1900"))
-        await until(lambda: rig.shelfs[0].asked)
-        await until(lambda: rig.shelfs[1].asked)
+        raw.sendall(build_request() + build_request(shard=1, X_Deadline_Ms="1900"))
+        await until(lambda: rig.storage_nodes[0].received_requests)
+        await until(lambda: rig.storage_nodes[1].received_requests)
         assert conn.transport.get_write_buffer_size()
         raw.shutdown(socket.SHUT_WR)
-        await until(lambda: rig.head.core.open_count == 0 and not rig.head.registry.open_request_ids, 1.5)
-        assert rig.head.registry.connection_count == 1
-        await until(lambda: rig.shelfs[1].conns[0].lost)
+        await until(lambda: rig.gateway.core.open_count == 0 and not rig.gateway.registry.open_request_ids, 1.5)
+        assert rig.gateway.registry.connection_count == 1
+        await until(lambda: rig.storage_nodes[1].peers[0].is_closed)
         raw.close()
-        await until(lambda: rig.head.registry.connection_count == 0)
+        await until(lambda: rig.gateway.registry.connection_count == 0)
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_a_burst_of_clients_that_leave_gives_back_all_that_they_held(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -144,40 +146,40 @@
     async def script(rig: Rig) -> None:
         callers = [connect(rig) for _ in range(30)]
         for raw in callers:
-            raw.sendall(ask(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
-        await until(lambda: rig.head.core.counts.received == 30)
-        sent = len(rig.shelfs[0].asked)
+            raw.sendall(build_request(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
+        await until(lambda: rig.gateway.core.counts.received == 30)
+        sent = len(rig.storage_nodes[0].received_requests)
         stay = callers[-2:]
         for raw in callers[:-2]:
             raw.close()
-        await until(lambda: rig.head.core.open_count <= 2)
+        await until(lambda: rig.gateway.core.open_count <= 2)
         assert [await status(raw) for raw in stay] == [b"200", b"200"]
-        assert len(rig.shelfs[0].asked) <= sent + 3
-        assert not rig.head.core.pending and not rig.head.core.scheduler.dispatcher.limits.extent_queues.queues
-        assert not any(rig.head.core.scheduler.nodes.queues) and not any(rig.head.core.scheduler.nodes.in_flight)
+        assert len(rig.storage_nodes[0].received_requests) <= sent + 3
+        assert not rig.gateway.core.pending and not rig.gateway.core.scheduler.dispatcher.limits.extent_queues.queues
+        assert not any(rig.gateway.core.scheduler.nodes.queues) and not any(rig.gateway.core.scheduler.nodes.in_flight)
 
-    on_rig(script, settings=read_settings(platform_settings))
+    run_on_rig(script, settings=read_settings(platform_settings))
 
 
 def test_a_client_that_goes_as_its_answer_comes_is_settled_once() -> None:
     """Both in one turn of the loop, in either order."""
 
     async def script(rig: Rig) -> None:
-        held: list[ShelfPeer] = []
-        rig.shelfs[0].does = lambda conn, request: held.append(conn)
+        held: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
         for first in ("answer", "end") * 5:
             raw = connect(rig)
-            raw.sendall(ask())
+            raw.sendall(build_request())
             await until(lambda: held)
             conn = held.pop()
             acts = {"answer": lambda c=conn: c.write(OK), "end": lambda r=raw: r.close()}
             for act in sorted(acts, key=lambda name, f=first: name != f):
                 acts[act]()
             await until(lambda: at_rest(rig))
-        counts = rig.head.core.counts
+        counts = rig.gateway.core.counts
         assert counts.succeeded + counts.client_gone == 10 == counts.received and counts.failed == 0
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_one_that_asks_for_health_and_never_reads_is_bounded_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -198,16 +200,16 @@
             except OSError:
                 break
             for conn in (
-                *rig.head.registry.idle_group,
-                *rig.head.registry.closing_group,
-                *rig.head.registry.incomplete_group,
+                *rig.gateway.registry.idle_group,
+                *rig.gateway.registry.closing_group,
+                *rig.gateway.registry.incomplete_group,
             ):
                 most = max(most, len(conn.parser.buffer) + conn.transport.get_write_buffer_size())
             await asyncio.sleep(0.005)
         assert most < 2_000_000
-        await until(lambda: rig.head.registry.connection_count == 0)
+        await until(lambda: rig.gateway.registry.connection_count == 0)
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_a_look_at_a_socket_tells_its_end_from_what_lies_before() -> None:
@@ -226,14 +228,14 @@
     """The look at the client's socket costs nobody an answer, whatever it sent ahead."""
 
     async def script(rig: Rig) -> None:
-        def does(conn: ShelfPeer, request: HttpRequest) -> None:
+        def handle_request(conn: NodePeer, request: HttpRequest) -> None:
             conn.write(OK)
 
-        rig.shelfs[0].does = does
+        rig.storage_nodes[0].handle_request = handle_request
         client = await rig.client()
-        client.write(ask() + ask() + ask())
-        assert [(await client.answer()).status for _ in range(3)] == [
+        client.write(build_request() + build_request() + build_request())
+        assert [(await client.next_answer()).status for _ in range(3)] == [
             200
-        ] * 3 and rig.head.registry.skipped_attempt_count == 0
+        ] * 3 and rig.gateway.registry.skipped_attempt_count == 0
 
-    on_rig(script)
+    run_on_rig(script)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,9 +9,9 @@
 
 import pytest
 import uvloop
-from gate import Gate
+from gated_loop import GatedLoop
 from helpers import LOOPBACK, until
-from service_rig import Discovery, entry, listing
+from service_rig import ScriptedDiscovery, entry, listing
 from test_discovery_drawn import DAMAGED, HEAD, chunk
 
 from pebblehinge.http1 import HttpError, HttpRequest
@@ -25,10 +25,10 @@
 
     async def start(self, gated: bool = False) -> Seen:
         loop = asyncio.get_running_loop()
-        self.peer, self.told, self.said = Discovery(), [], []  # type: ignore[var-annotated]
+        self.peer, self.told, self.said = ScriptedDiscovery(), [], []  # type: ignore[var-annotated]
         await self.peer.start()
-        self.peer.list = listing(1, entry("s0", 5, 0))
-        self.loop: Any = Gate(loop) if gated else loop
+        self.peer.node_list = listing(1, entry("s0", 5, 0))
+        self.loop: Any = GatedLoop(loop) if gated else loop
         self.watch = DiscoveryWatch(
             self.loop,
             (LOOPBACK, self.peer.port),
@@ -44,14 +44,14 @@
 
 
 def on_sockets(script: Any, gated: bool = False) -> None:
-    async def whole() -> None:
+    async def run() -> None:
         seen = await Seen().start(gated)
         try:
             await asyncio.wait_for(script(seen), 10.0)
         finally:
             seen.watch.stop()
 
-    uvloop.run(whole())
+    uvloop.run(run())
 
 
 def test_a_list_that_comes_before_its_connection_is_handed_over_counts() -> None:
@@ -61,7 +61,7 @@
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
         assert seen.told[0].version == 1
-        seen.loop.opens.set()
+        seen.loop.release_event.set()
         await until(lambda: seen.watch.connect_task is None)
         assert len(seen.watch.connections) == 1
 
@@ -71,10 +71,10 @@
 def test_a_connection_that_ends_before_it_is_handed_over_is_made_anew() -> None:
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
-        seen.peer.conns[0].transport.abort()
+        seen.peer.peers[0].transport.abort()
         await until(lambda: not seen.watch.connections)
-        seen.loop.opens.set()
-        await until(lambda: len(seen.peer.conns) == 2 and seen.watch.connections)
+        seen.loop.release_event.set()
+        await until(lambda: len(seen.peer.peers) == 2 and seen.watch.connections)
 
     on_sockets(script, gated=True)
 
@@ -86,14 +86,14 @@
 
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
-        (old,), seen.peer.does = seen.peer.conns, lambda conn, request: conn.write(HEAD)
+        (old,), seen.peer.handle_request = seen.peer.peers, lambda conn, request: conn.write(HEAD)
         await asyncio.sleep(0.25)
         seen.watch.check_silence()
-        await until(lambda: len(seen.peer.conns) == 2 and len(seen.watch.connections) == 2)
-        old.tell(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
+        await until(lambda: len(seen.peer.peers) == 2 and len(seen.watch.connections) == 2)
+        old.send_list(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
         await until(lambda: seen.watch.newest_version == 2)
-        seen.peer.conns[1].tell(listing(3, entry("s0", 5, 0, "Gone"), full=False))
-        await until(lambda: seen.watch.newest_version == 3 and old.lost)
+        seen.peer.peers[1].send_list(listing(3, entry("s0", 5, 0, "Gone"), full=False))
+        await until(lambda: seen.watch.newest_version == 3 and old.is_closed)
         old_watch = seen.watch.connections
         assert len(old_watch) == 1
 
@@ -108,9 +108,9 @@
         text = json.dumps(listing(2, entry(odd, 5, 0), entry("s2", 5, 1)), indent=indent).encode() + b"\n\n"
         text += json.dumps(listing(3, entry("s3", 5, 2), full=False), indent=indent).encode() + b"\n"
         for at in range(0, len(text), 5):
-            seen.peer.conns[0].write(chunk(text[at : at + 5]))
+            seen.peer.peers[0].write(chunk(text[at : at + 5]))
         await until(lambda: seen.watch.newest_version == 3)
-        assert set(seen.standings()) == {"s0", odd, "s2", "s3"} and len(seen.peer.conns) == 1
+        assert set(seen.standings()) == {"s0", odd, "s2", "s3"} and len(seen.peer.peers) == 1
 
     on_sockets(script)
 
@@ -133,11 +133,11 @@
         def damaged(conn: Any, request: HttpRequest) -> None:
             conn.write(HEAD + chunk(DAMAGED))
 
-        good, seen.peer.does = seen.peer.does, damaged
-        seen.peer.conns[0].write(chunk(DAMAGED))
-        await until(lambda: len(seen.peer.conns) > 4)
+        good, seen.peer.handle_request = seen.peer.handle_request, damaged
+        seen.peer.peers[0].write(chunk(DAMAGED))
+        await until(lambda: len(seen.peer.peers) > 4)
         assert len(seen.told) == 1 and len(seen.said) == 1
-        seen.peer.does, seen.peer.list = good, listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating"))
+        seen.peer.handle_request, seen.peer.node_list = good, listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating"))
         await until(lambda: seen.watch.newest_version == 2)
         assert seen.standings() == {"s0": "draining"}
 
@@ -149,19 +149,19 @@
 
     async def script(seen: Seen) -> None:
         await until(lambda: seen.told)
-        seen.peer.conns[0].tell(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
+        seen.peer.peers[0].send_list(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
         await until(lambda: seen.watch.newest_version == 7)
-        seen.peer.list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
-        seen.peer.conns[0].tell(listing(4, entry("s0", 5, 0), full=False))
+        seen.peer.node_list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
+        seen.peer.peers[0].send_list(listing(4, entry("s0", 5, 0), full=False))
         await until(lambda: seen.watch.newest_version == 5)
-        assert seen.peer.asked[-1][1].target == b"/registry/instances?stream=1"
+        assert seen.peer.received_requests[-1][1].target == b"/registry/instances?stream=1"
         assert seen.standings() == {"s0": "draining", "s1": "ready", "s2": "ready"}
         # A new start of it, or a later word, is another matter; and a version that skips is none.
-        seen.peer.conns[-1].tell(listing(6, entry("s0", 5, 0, started=9.0), full=False))
+        seen.peer.peers[-1].send_list(listing(6, entry("s0", 5, 0, started=9.0), full=False))
         await until(lambda: seen.watch.newest_version == 6)
         assert seen.standings()["s0"] == "ready"
-        seen.peer.conns[-1].tell(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
-        seen.peer.conns[-1].tell(listing(22, entry("s1", 5, 1), full=False))
+        seen.peer.peers[-1].send_list(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
+        seen.peer.peers[-1].send_list(listing(22, entry("s1", 5, 1), full=False))
         await until(lambda: seen.watch.newest_version == 22)
         assert seen.standings()["s1"] == "ready"
 
@@ -186,16 +186,16 @@
             await until(lambda: seen.watch.connections)
         else:
             await until(lambda: seen.told)
-            seen.peer.does = lambda conn, request: None
-            seen.peer.conns[0].transport.abort()
-            await until(lambda: len(seen.peer.conns) == 2)
-        there = Discovery()
+            seen.peer.handle_request = lambda conn, request: None
+            seen.peer.peers[0].transport.abort()
+            await until(lambda: len(seen.peer.peers) == 2)
+        there = ScriptedDiscovery()
         await there.start()
-        there.list = listing(4, entry("s0", 5, 0, "Terminating"))
+        there.node_list = listing(4, entry("s0", 5, 0, "Terminating"))
         seen.watch.change_address((LOOPBACK, there.port))
-        if isinstance(seen.loop, Gate):
-            seen.loop.opens.set()
+        if isinstance(seen.loop, GatedLoop):
+            seen.loop.release_event.set()
         await until(lambda: seen.watch.newest_version == 4)
-        await until(lambda: len(seen.watch.connections) == 1 and all(c.lost for c in seen.peer.conns))
+        await until(lambda: len(seen.watch.connections) == 1 and all(c.is_closed for c in seen.peer.peers))
 
     on_sockets(script, gated=when == "while a connection is made")
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from life_world import World
+from shutdown_simulation import World
 
 from pebblehinge.service import client_connection
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -16,7 +16,7 @@
 
 import pytest
 from helpers import LOOPBACK
-from service_rig import CONFIG, SETTINGS, Client, Shelf, ask, entry, listing
+from service_rig import CONFIG, SETTINGS, Client, ScriptedNode, build_request, entry, listing
 
 from pebblehinge.service import early_signals
 
@@ -64,11 +64,11 @@
     try:
         await asyncio.get_running_loop().create_connection(lambda: client, LOOPBACK, port)
         client.write(data)
-        return await client.answer()
+        return await client.next_answer()
     except (OSError, AssertionError):
         return None
     finally:
-        if client.seen:
+        if client.read_count:
             client.transport.abort()
 
 
@@ -87,13 +87,13 @@
     heads: Heads, silent: str
 ) -> None:
     async def script() -> None:
-        shelf = Shelf()
-        await shelf.start()
-        ports = [heads.start(silent, listing(1, entry("s0", shelf.port, 0)))[1] for _ in range(12)]
+        node = ScriptedNode()
+        await node.start()
+        ports = [heads.start(silent, listing(1, entry("s0", node.port, 0)))[1] for _ in range(12)]
         took = await asyncio.gather(*(ready(port) for port in ports))
         assert max(took) < WITHIN_S, took
-        answers = await asyncio.gather(*(asks(port, ask()) for port in ports))
-        assert [a.status for a in answers] == [200] * 12 and len(shelf.asked) == 12
+        answers = await asyncio.gather(*(asks(port, build_request()) for port in ports))
+        assert [a.status for a in answers] == [200] * 12 and len(node.received_requests) == 12
 
     asyncio.run(script())
 
@@ -107,7 +107,7 @@
     async def script() -> None:
         _, port = heads.start(silent, known)
         assert await ready(port) < WITHIN_S
-        answer = await asks(port, ask())
+        answer = await asks(port, build_request())
         assert answer.status == 503 and answer.header_values(b"retry-after")
 
     asyncio.run(script())
@@ -134,10 +134,10 @@
     """SIGHUP killed a process that had not come to set its handler."""
 
     async def script() -> None:
-        shelf = Shelf()
-        await shelf.start()
+        node = ScriptedNode()
+        await node.start()
         how = while_it_loads(signal.SIGHUP)
-        process, port = heads.start(silent, listing(1, entry("s0", shelf.port, 0)), how)
+        process, port = heads.start(silent, listing(1, entry("s0", node.port, 0)), how)
         assert await ready(port) < WITHIN_S and process.poll() is None
 
     asyncio.run(script())
@@ -147,14 +147,14 @@
     """It comes up, serves what clients ask for as long as any head that ends, and ends with status 0."""
 
     async def script() -> None:
-        shelf = Shelf()
-        await shelf.start()
+        node = ScriptedNode()
+        await node.start()
         how = while_it_loads(signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)
-        process, port = heads.start(silent, listing(1, entry("s0", shelf.port, 0)), how)
+        process, port = heads.start(silent, listing(1, entry("s0", node.port, 0)), how)
         until = time.monotonic() + WITHIN_S
         answer = None
         while answer is None and time.monotonic() < until:
-            answer = await asks(port, ask())
+            answer = await asks(port, build_request())
         assert answer.status == 200
         assert await asyncio.to_thread(process.wait, WITHIN_S) == 0
 
--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -10,7 +10,7 @@
 import time
 
 from helpers import LOOPBACK, until
-from service_rig import SETTINGS, Rig, ask, entry, listing, on_rig
+from service_rig import SETTINGS, Rig, build_request, entry, listing, run_on_rig
 
 from pebblehinge.platform_settings import read_settings
 from pebblehinge.service.client_connection import ClientConnection
@@ -22,21 +22,21 @@
 
     async def script(rig: Rig) -> None:
         client, began = await rig.client(), time.monotonic()
-        client.write(ask())
-        await client.answer()
-        rig.head.shutdown.begin()
+        client.write(build_request())
+        await client.next_answer()
+        rig.gateway.shutdown.begin()
         await asyncio.sleep(0.3)
-        assert (await rig.ask(ask())).status == 200  # new connections still come
-        client.write(ask())
-        assert (await client.answer()).status == 200 and not client.lost
-        rig.shelfs[0].does = lambda conn, r: None
-        client.write(ask(X_Deadline_Ms="9000"))
-        await client.answer()  # in time for the kill, whatever the client would have waited
-        await rig.head.stopped_future
-        assert 0.5 < time.monotonic() - began < 1.2 and client.lost
-        assert rig.head.core.open_count == 0 and client.answers[-1].status == 503
+        assert (await rig.fetch(build_request())).status == 200  # new connections still come
+        client.write(build_request())
+        assert (await client.next_answer()).status == 200 and not client.is_closed
+        rig.storage_nodes[0].handle_request = lambda conn, r: None
+        client.write(build_request(X_Deadline_Ms="9000"))
+        await client.next_answer()  # in time for the kill, whatever the client would have waited
+        await rig.gateway.stopped_future
+        assert 0.5 < time.monotonic() - began < 1.2 and client.is_closed
+        assert rig.gateway.core.open_count == 0 and client.answers[-1].status == 503
 
-    on_rig(script, longest_wait_ms=400.0)
+    run_on_rig(script, longest_wait_ms=400.0)
 
 
 class ScriptedEffects:
@@ -90,20 +90,20 @@
     head ended over it. One out is given up by what its attempt may have done."""
 
     async def script(rig: Rig) -> None:
-        for shelf in rig.shelfs:
-            shelf.does = lambda conn, r: None
+        for node in rig.storage_nodes:
+            node.handle_request = lambda conn, r: None
         kinds = ["look"] * 6 + ["save"]
         callers = [await rig.client() for _ in kinds]
         for client, kind in zip(callers, kinds, strict=True):
-            client.write(ask(kind, shard=1 if kind == "save" else 0, X_Deadline_Ms="9000"))
-        await until(lambda: rig.head.core.open_count == 7 and len(rig.shelfs[0].asked) == 4)
+            client.write(build_request(kind, shard=1 if kind == "save" else 0, X_Deadline_Ms="9000"))
+        await until(lambda: rig.gateway.core.open_count == 7 and len(rig.storage_nodes[0].received_requests) == 4)
         began = time.monotonic()
-        rig.head.shutdown.begin()
-        await rig.head.stopped_future
-        assert rig.head.core.open_count == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
-        assert [(await client.answer()).status for client in callers] == [503] * 6 + [502]
+        rig.gateway.shutdown.begin()
+        await rig.gateway.stopped_future
+        assert rig.gateway.core.open_count == 0 and 0.5 < time.monotonic() - began < 1.08  # before the kill, at 1.1 s
+        assert [(await client.next_answer()).status for client in callers] == [503] * 6 + [502]
 
-    on_rig(script, longest_wait_ms=400.0, settings=SLOW)
+    run_on_rig(script, longest_wait_ms=400.0, settings=SLOW)
 
 
 def connect(rig: Rig) -> socket.socket:
@@ -117,8 +117,8 @@
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     raw.connect((LOOPBACK, rig.port))
-    await until(lambda: rig.head.registry.incomplete_group)
-    (conn,) = rig.head.registry.incomplete_group
+    await until(lambda: rig.gateway.registry.incomplete_group)
+    (conn,) = rig.gateway.registry.incomplete_group
     conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return raw, conn
 
@@ -135,39 +135,39 @@
         silent, kept, half = [connect(rig) for _ in range(3)]
         ahead = await rig.client()
         for raw in (silent, kept, half):
-            raw.sendall(ask())
+            raw.sendall(build_request())
             assert await status(raw) == b"200"
-        rig.shelfs[0].does = lambda conn, r: None
-        rig.head.shutdown.begin()
-        request = ask(X_Deadline_Ms="9000")
+        rig.storage_nodes[0].handle_request = lambda conn, r: None
+        rig.gateway.shutdown.begin()
+        request = build_request(X_Deadline_Ms="9000")
         half.sendall(request[:40])
-        ahead.write(ask(X_Deadline_Ms="9000") + ask() + ask())
+        ahead.write(build_request(X_Deadline_Ms="9000") + build_request() + build_request())
         await asyncio.sleep(0.8)  # from 0.85 s on the head closes what is quiet
         queued = connect(rig)
-        for raw, data in ((queued, ask()), (kept, ask()), (half, request[40:])):
+        for raw, data in ((queued, build_request()), (kept, build_request()), (half, request[40:])):
             raw.sendall(data)
         time.sleep(0.1)
-        rig.head.shutdown._step()  # one long turn: all of it lies unread when the head begins to close
-        await rig.head.stopped_future
+        rig.gateway.shutdown._step()  # one long turn: all of it lies unread when the head begins to close
+        await rig.gateway.stopped_future
         assert await status(silent) == b""
         assert [await status(raw) for raw in (queued, kept, half)] == [b"503"] * 3
-        assert [(await ahead.answer()).status for _ in range(3)] == [503] * 3
+        assert [(await ahead.next_answer()).status for _ in range(3)] == [503] * 3
 
-    on_rig(script, longest_wait_ms=400.0, settings=SLOW)
+    run_on_rig(script, longest_wait_ms=400.0, settings=SLOW)
 
 
 def test_what_comes_while_the_last_is_closed_is_answered() -> None:
     async def script(rig: Rig) -> None:
-        rig.head.shutdown.begin()
+        rig.gateway.shutdown.begin()
         await asyncio.sleep(0.8)
         time.sleep(0.1)
         raw = connect(rig)
-        raw.sendall(ask())
-        rig.head.shutdown._step()  # nothing but what waits in the listen queue is left
-        await rig.head.stopped_future
+        raw.sendall(build_request())
+        rig.gateway.shutdown._step()  # nothing but what waits in the listen queue is left
+        await rig.gateway.stopped_future
         assert await status(raw) in (b"200", b"503")
 
-    on_rig(script, longest_wait_ms=400.0)
+    run_on_rig(script, longest_wait_ms=400.0)
 
 
 def test_a_close_does_not_take_the_answer_along() -> None:
@@ -175,7 +175,7 @@
 
     async def script(rig: Rig) -> None:
         raw = socket.create_connection((LOOPBACK, rig.port))
-        raw.sendall(ask(Connection="close") + b"x" * 200_000)
+        raw.sendall(build_request(Connection="close") + b"x" * 200_000)
         await asyncio.sleep(0.3)
         raw.settimeout(1.0)
         got = b""
@@ -183,9 +183,9 @@
             got += piece
         assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"ok")
         raw.close()
-        await until(lambda: rig.head.registry.connection_count == 0)
+        await until(lambda: rig.gateway.registry.connection_count == 0)
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_what_runs_in_service_loads_nothing_of_the_other_fronts() -> None:
@@ -204,27 +204,29 @@
     """Client ids, volumes, extents, shelfs and connections are new for ever on a long day."""
 
     async def script(rig: Rig) -> None:
-        head = rig.head
+        gateway = rig.gateway
         for n in range(60):
             client = await rig.client()
-            client.write(ask(shard=0, X_IO=f"volume={n:016x},units=2,shard=0,hosts=1", Cookie=f"block={n:016x}"))
-            assert (await client.answer()).status == 200
+            client.write(
+                build_request(shard=0, X_IO=f"volume={n:016x},units=2,shard=0,hosts=1", Cookie=f"block={n:016x}")
+            )
+            assert (await client.next_answer()).status == 200
             client.transport.abort()
-            new = entry(f"n{n}", rig.shelfs[0].port, 0)
-            old = entry(f"n{n - 1}" if n else "s0", rig.shelfs[0].port, 0, "Gone")
-            rig.discovery.conns[0].tell(listing(2 + n, old, new, full=False))
-            await until(lambda n=n: f"n{n}" in head.pools.nodes)
-        await until(lambda: head.registry.connection_count == 0)
-        registry = head.registry
-        assert len(head.pools.nodes) == 2 and len(head.core.scheduler.nodes.names) <= 4
+            new = entry(f"n{n}", rig.storage_nodes[0].port, 0)
+            old = entry(f"n{n - 1}" if n else "s0", rig.storage_nodes[0].port, 0, "Gone")
+            rig.discovery.peers[0].send_list(listing(2 + n, old, new, full=False))
+            await until(lambda n=n: f"n{n}" in gateway.pools.nodes)
+        await until(lambda: gateway.registry.connection_count == 0)
+        registry = gateway.registry
+        assert len(gateway.pools.nodes) == 2 and len(gateway.core.scheduler.nodes.names) <= 4
         assert not (
-            head.core.pending
+            gateway.core.pending
             or registry.open_request_ids
             or registry.incomplete_group
             or registry.idle_group
             or registry.active_group
             or registry.closing_group
         )
-        await until(lambda: head.pools.connection_count <= 1)
+        await until(lambda: gateway.pools.connection_count <= 1)
 
-    on_rig(script)
+    run_on_rig(script)
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -10,7 +10,19 @@
 
 import pytest
 from helpers import LOOPBACK, until
-from service_rig import CONFIG, OK, SETTINGS, Discovery, Rig, Shelf, ShelfPeer, ask, entry, listing, on_rig
+from service_rig import (
+    CONFIG,
+    OK,
+    SETTINGS,
+    NodePeer,
+    Rig,
+    ScriptedDiscovery,
+    ScriptedNode,
+    build_request,
+    entry,
+    listing,
+    run_on_rig,
+)
 from test_service_life import connect
 
 from pebblehinge.http1 import HttpRequest
@@ -26,18 +38,18 @@
     """The loop runs its timers first: an answer that lay in the socket in time once counted as timed out."""
 
     async def script(rig: Rig) -> None:
-        def does(conn: ShelfPeer, request: HttpRequest) -> None:
+        def handle_request(conn: NodePeer, request: HttpRequest) -> None:
             conn.write(OK)
             time.sleep(0.4)  # the head's loop, too: the attempt's time is up before the answer is read
 
-        rig.shelfs[0].does = does
-        await rig.ask(ask("save", 0, b"abc", X_Deadline_Ms="200"))
+        rig.storage_nodes[0].handle_request = handle_request
+        await rig.fetch(build_request("save", 0, b"abc", X_Deadline_Ms="200"))
         assert (
-            rig.head.core.outcome_counts[Outcome.TIMED_OUT] == 0
-            and rig.head.core.outcome_counts[Outcome.SUCCEEDED] == 1
+            rig.gateway.core.outcome_counts[Outcome.TIMED_OUT] == 0
+            and rig.gateway.core.outcome_counts[Outcome.SUCCEEDED] == 1
         )
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 @pytest.mark.parametrize("where", ["between turns", "in a timer"])
@@ -45,69 +57,71 @@
     """Lateness was measured after what it had delayed was read, and cut at 100 ms."""
 
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = lambda conn, r: None
+        rig.storage_nodes[0].handle_request = lambda conn, r: None
         raw = connect(rig)
-        await until(lambda: rig.head.registry.connection_count == 1)
+        await until(lambda: rig.gateway.registry.connection_count == 1)
 
         def long_turn() -> None:
-            raw.sendall(ask(X_Deadline_Ms="900"))
+            raw.sendall(build_request(X_Deadline_Ms="900"))
             time.sleep(0.4)
 
         loop = asyncio.get_running_loop()
         loop.call_soon(long_turn) if where == "between turns" else loop.call_later(0.001, long_turn)
-        await until(lambda: rig.head.core.pending)
-        (pending,) = rig.head.core.pending.values()
+        await until(lambda: rig.gateway.core.pending)
+        (pending,) = rig.gateway.core.pending.values()
         assert 300.0 < pending.handle.deadline_ms - pending.arrived_ms < 520.0
         await asyncio.sleep(0.1)
-        assert rig.head.lateness_ms < 100.0
+        assert rig.gateway.lateness_ms < 100.0
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_the_watch_goes_on_from_the_last_version_and_takes_up_changes() -> None:
     async def script(rig: Rig) -> None:
-        (watch,) = rig.discovery.conns
-        new = Shelf()
+        (watch,) = rig.discovery.peers
+        new = ScriptedNode()
         await new.start()
-        watch.tell(listing(2, entry("s0", rig.shelfs[0].port, 0, "Terminating"), full=False))
-        await until(lambda: 0 not in rig.head.core.scheduler.nodes.node_at_slot)
-        assert (await rig.ask(ask())).status == 503 and not rig.shelfs[0].asked
+        watch.send_list(listing(2, entry("s0", rig.storage_nodes[0].port, 0, "Terminating"), full=False))
+        await until(lambda: 0 not in rig.gateway.core.scheduler.nodes.node_at_slot)
+        assert (await rig.fetch(build_request())).status == 503 and not rig.storage_nodes[0].received_requests
         broken = {**entry("s9", 1, 0), "addr": "nowhere"}
         watch.write(b"1\r\n\n\r\n")  # an empty line
-        watch.tell(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
-        await until(lambda: 0 in rig.head.core.scheduler.nodes.node_at_slot)
-        assert (await rig.ask(ask())).status == 200 and len(new.asked) == 1
-        assert "s0" not in rig.head.pools.nodes
-        rig.discovery.list = listing(4, entry("s2", new.port, 0), entry("s1", rig.shelfs[1].port, 1))
+        watch.send_list(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
+        await until(lambda: 0 in rig.gateway.core.scheduler.nodes.node_at_slot)
+        assert (await rig.fetch(build_request())).status == 200 and len(new.received_requests) == 1
+        assert "s0" not in rig.gateway.pools.nodes
+        rig.discovery.node_list = listing(4, entry("s2", new.port, 0), entry("s1", rig.storage_nodes[1].port, 1))
         watch.transport.abort()
-        await until(lambda: rig.head.watch.resume_version == 4)
-        assert rig.discovery.asked[-1][1].target == b"/registry/instances?stream=1&index=3"
+        await until(lambda: rig.gateway.watch.resume_version == 4)
+        assert rig.discovery.received_requests[-1][1].target == b"/registry/instances?stream=1&index=3"
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_an_address_that_changes_is_used_and_the_old_connections_are_not() -> None:
     async def script(rig: Rig) -> None:
-        await rig.ask(ask())
-        moved = Shelf()
+        await rig.fetch(build_request())
+        moved = ScriptedNode()
         await moved.start()
-        rig.discovery.conns[0].tell(listing(2, entry("s0", moved.port, 0), full=False))
-        await until(lambda: rig.shelfs[0].conns[0].lost)
-        assert (await rig.ask(ask())).status == 200 and len(moved.asked) == 1
+        rig.discovery.peers[0].send_list(listing(2, entry("s0", moved.port, 0), full=False))
+        await until(lambda: rig.storage_nodes[0].peers[0].is_closed)
+        assert (await rig.fetch(build_request())).status == 200 and len(moved.received_requests) == 1
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_more_than_a_thousand_shelfs_and_heads_are_no_limit() -> None:
     async def script(rig: Rig) -> None:
-        port = rig.shelfs[1].port
-        rig.discovery.conns[0].tell(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
-        await until(lambda: len(rig.head.core.scheduler.nodes.node_at_slot) == 1500)
-        assert len(rig.head.pools.nodes) == 1500
+        port = rig.storage_nodes[1].port
+        rig.discovery.peers[0].send_list(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
+        await until(lambda: len(rig.gateway.core.scheduler.nodes.node_at_slot) == 1500)
+        assert len(rig.gateway.pools.nodes) == 1500
         io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
-        assert (await rig.ask(ask(X_IO=io))).status == 200 and len(rig.shelfs[1].asked) == 1
+        assert (await rig.fetch(build_request(X_IO=io))).status == 200 and len(
+            rig.storage_nodes[1].received_requests
+        ) == 1
 
-    on_rig(script, slot_count=1500)
+    run_on_rig(script, slot_count=1500)
 
 
 def test_starts_are_told_on_the_heads_own_clock_and_what_can_not_be_read_is_left_out() -> None:
@@ -121,60 +135,60 @@
         NodeListUpdate([1, 2])
 
     async def script(rig: Rig) -> None:
-        assert abs(rig.head.clock() - time.time() * 1000.0) < 200.0
+        assert abs(rig.gateway.clock() - time.time() * 1000.0) < 200.0
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_before_discovery_answers_the_known_list_serves_and_readiness_waits() -> None:
     async def script(rig: Rig) -> None:
-        port = rig.shelfs[0].port
+        port = rig.storage_nodes[0].port
         known = dataclasses.replace(
-            rig.head.config, initial_node_list=listing(1, entry("s0", port, 0)), discovery_address=(LOOPBACK, 1)
+            rig.gateway.config, initial_node_list=listing(1, entry("s0", port, 0)), discovery_address=(LOOPBACK, 1)
         )
-        head = Service(rig.head.loop, known)
-        head.log = lambda event, **facts: None  # type: ignore[method-assign]
-        await head.start()
-        assert head.listener.socket is not None and not head.is_ready()
-        rig.port = head.listener.socket.getsockname()[1]
-        assert (await rig.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 503
-        assert (await rig.ask(ask())).status == 200
-        await until(head.is_ready)
-        assert (await rig.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 200
-        head.watch.stop()
+        gateway = Service(rig.gateway.loop, known)
+        gateway.log = lambda event, **facts: None  # type: ignore[method-assign]
+        await gateway.start()
+        assert gateway.listener.socket is not None and not gateway.is_ready()
+        rig.port = gateway.listener.socket.getsockname()[1]
+        assert (await rig.fetch(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 503
+        assert (await rig.fetch(build_request())).status == 200
+        await until(gateway.is_ready)
+        assert (await rig.fetch(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")).status == 200
+        gateway.watch.stop()
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_a_new_configuration_moves_discovery_and_drops_nothing(tmp_path: Path) -> None:
     async def script(rig: Rig) -> None:
-        held: list[ShelfPeer] = []
-        rig.shelfs[0].does = lambda conn, r: held.append(conn)
+        held: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, r: held.append(conn)
         client = await rig.client()
-        client.write(ask())
+        client.write(build_request())
         await until(lambda: held)
-        other, (old,) = Discovery(), rig.discovery.conns
+        other, (old,) = ScriptedDiscovery(), rig.discovery.peers
         await other.start()
-        other.list = listing(5, *rig.discovery.list["servers"])
+        other.node_list = listing(5, *rig.discovery.node_list["servers"])
         file = tmp_path / "config.json"
-        rig.head.path = str(file)
+        rig.gateway.path = str(file)
         for text in ("", "{", json.dumps({**CONFIG, "seed": "no"}), json.dumps({**CONFIG, "limits": {}})):
             file.write_text(text)
-            before = rig.head.config
-            rig.head.reload()
-            assert rig.head.config is before
+            before = rig.gateway.config
+            rig.gateway.reload()
+            assert rig.gateway.config is before
         settings = {**SETTINGS, "classes": [{**c, "on_time_s": 0.3} for c in SETTINGS["classes"]]}
         file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{other.port}", "settings": settings}))
-        rig.head.reload()
-        await until(lambda: rig.head.watch.resume_version == 5 and old.lost)
+        rig.gateway.reload()
+        await until(lambda: rig.gateway.watch.resume_version == 5 and old.is_closed)
         assert (
-            rig.head.core.scheduler.settings.request_classes["look"].latency_objective_ms == 300.0
-            and rig.head.config.max_sockets == 256
+            rig.gateway.core.scheduler.settings.request_classes["look"].latency_objective_ms == 300.0
+            and rig.gateway.config.max_sockets == 256
         )
         held[0].write(OK)
-        assert (await client.answer()).status == 200
+        assert (await client.next_answer()).status == 200
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 BROKEN = {
--- a/tests/test_service_settings.py
+++ b/tests/test_service_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import until
-from service_rig import SETTINGS, Rig, answers, ask, on_rig
+from service_rig import SETTINGS, Rig, build_request, respond_with, run_on_rig
 
 from pebblehinge.decide import dispatch, request, valuation
 from pebblehinge.platform_settings import read_settings
@@ -26,8 +26,8 @@
     }
 
     async def script(rig: Rig) -> None:
-        config = dataclasses.replace(rig.head.config, settings=read_settings(other))
-        second = Service(rig.head.loop, config)
+        config = dataclasses.replace(rig.gateway.config, settings=read_settings(other))
+        second = Service(rig.gateway.loop, config)
         second.log = lambda event, **facts: None  # type: ignore[method-assign]
         await second.start()
         await until(lambda: second.pools.nodes)
@@ -35,17 +35,19 @@
         first_port, second_port = rig.port, second.listener.socket.getsockname()[1]
         for _ in range(3):  # the second's limit is its own, its store empty: nothing goes
             rig.port = first_port
-            assert (await rig.ask(ask())).status == 200
+            assert (await rig.fetch(build_request())).status == 200
             rig.port = second_port
-            assert (await rig.ask(ask(X_Deadline_Ms="150"))).status == 503
+            assert (await rig.fetch(build_request(X_Deadline_Ms="150"))).status == 503
         rig.port = first_port
-        rig.shelfs[0].does = answers(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        asked = len(rig.shelfs[0].asked)
-        assert (await rig.ask(ask("save", 0, b"abc"))).status == 502  # non-idempotent here, whatever it is there
-        assert len(rig.shelfs[0].asked) == asked + 1
+        rig.storage_nodes[0].handle_request = respond_with(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        request_count = len(rig.storage_nodes[0].received_requests)
+        assert (
+            await rig.fetch(build_request("save", 0, b"abc"))
+        ).status == 502  # non-idempotent here, whatever it is there
+        assert len(rig.storage_nodes[0].received_requests) == request_count + 1
         second.watch.stop()
 
-    on_rig(script)
+    run_on_rig(script)
 
 
 def test_full_tables_drop_nothing_that_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -55,18 +57,18 @@
     monkeypatch.setattr(valuation, "MAX_CACHE_ENTRIES", 4)
 
     async def script(rig: Rig) -> None:
-        rig.head.core.scheduler.dispatcher.extents.max_rows = 4
+        rig.gateway.core.scheduler.dispatcher.extents.max_rows = 4
         callers = [await rig.client() for _ in range(40)]
         for n, client in enumerate(callers):
             io = f"volume={n:016x},units=2,shard=0,hosts=1"
-            client.write(ask(X_IO=io, Cookie=f"block={n:016x}", X_Deadline_Ms="1900"))
+            client.write(build_request(X_IO=io, Cookie=f"block={n:016x}", X_Deadline_Ms="1900"))
         for client in callers:
-            assert (await client.answer()).status in (200, 503)
-        head = rig.head
+            assert (await client.next_answer()).status in (200, 503)
+        gateway = rig.gateway
         assert (
-            not head.core.pending
-            and not any(head.core.scheduler.nodes.queues)
-            and len(head.core.scheduler.dispatcher.extents) <= 4
+            not gateway.core.pending
+            and not any(gateway.core.scheduler.nodes.queues)
+            and len(gateway.core.scheduler.dispatcher.extents) <= 4
         )
 
-    on_rig(script)
+    run_on_rig(script)
