--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -98,7 +98,7 @@
 """
 
 
-def config(more: str = "", fleet: str = FLEET) -> Config:
+def make_config(more: str = "", fleet: str = FLEET) -> Config:
     return loads(fleet + more, loopback=LOOPBACK)
 
 
@@ -130,55 +130,55 @@
 class Attempt:
     """One attempt as a scripted shelf got it."""
 
-    def __init__(self, conn: ScriptConn, values: tuple[Any, ...]) -> None:
-        self.conn = conn
+    def __init__(self, connection: ScriptedConnection, values: tuple[Any, ...]) -> None:
+        self.connection = connection
         self.number, self.id, self.attempt, self.extent, self.op = values[:5]
-        self.label, self.left_ms, self.data = values[8], values[9], values[10]
+        self.label, self.remaining_ms, self.data = values[8], values[9], values[10]
 
     def answer(self, status: int = 0, data: bytes = b"") -> None:
-        self.conn.send(Kind.OUTCOME, self.number, status, "", data)
+        self.connection.send(Kind.OUTCOME, self.number, status, "", data)
 
 
-class ScriptConn(Peer):
+class ScriptedConnection(Peer):
     ACCEPTED_KINDS = frozenset({Kind.TRIP, Kind.RECALL})
 
-    def __init__(self, shelf: ScriptShelf) -> None:
-        super().__init__(shelf.loop, Session("shelf", shelf.name, 1 << 20, 64, dialed=False), 5000.0)
-        self.shelf = shelf
+    def __init__(self, node: ScriptedNode) -> None:
+        super().__init__(node.loop, Session("shelf", node.name, 1 << 20, 64, dialed=False), 5000.0)
+        self.node = node
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        self.shelf.conns.append(self)
+        self.node.connections.append(self)
 
     def on_trip(self, *values: Any) -> None:
         attempt = Attempt(self, values)
-        self.shelf.attempts.append(attempt)
-        self.shelf.does(attempt)
+        self.node.attempts.append(attempt)
+        self.node.on_attempt(attempt)
 
     def on_recall(self, number: int) -> None:
-        self.shelf.recalled.append(number)
+        self.node.recalled_numbers.append(number)
 
 
-class ScriptShelf:
+class ScriptedNode:
     """A shelf that does with each attempt what the test says; it answers at once if nothing else is said."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, slot: int, address: str) -> None:
         self.loop, self.name, self.slot, self.address = loop, name, slot, address
         self.attempts: list[Attempt] = []
-        self.recalled: list[int] = []
-        self.conns: list[ScriptConn] = []
-        self.does: Callable[[Attempt], None] = Attempt.answer
+        self.recalled_numbers: list[int] = []
+        self.connections: list[ScriptedConnection] = []
+        self.on_attempt: Callable[[Attempt], None] = Attempt.answer
         self.server: Any = None
 
     async def start(self) -> None:
         host, port = parse_address(self.address)
-        self.server = await self.loop.create_server(lambda: ScriptConn(self), host, port)
+        self.server = await self.loop.create_server(lambda: ScriptedConnection(self), host, port)
 
     def crash(self) -> None:
         self.server.close()
-        for conn in self.conns:
+        for conn in self.connections:
             conn.abort()
-        self.conns.clear()
+        self.connections.clear()
 
 
 class Rig:
@@ -186,38 +186,38 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self.loop, self.config, self.clock = loop, config, clock_of(loop)
-        self.listing = DiscoveryServer(loop, self.clock, config, Quiet())
-        self.shelfs = [ScriptShelf(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
-        self.head: GatewayServer
+        self.discovery = DiscoveryServer(loop, self.clock, config, Quiet())
+        self.nodes = [ScriptedNode(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
+        self.gateway: GatewayServer
         self.clients: list[Client] = []
 
     async def start(self, core: type[GatewayCore] = GatewayCore) -> Rig:
-        await self.listing.start()
-        for shelf in self.shelfs:
-            await shelf.start()
-            self.listing.registry.register(self.clock(), shelf.name, shelf.address, shelf.slot, -1.0, True)
-        self.listing.publish()
-        await self.start_head(core)
+        await self.discovery.start()
+        for node in self.nodes:
+            await node.start()
+            self.discovery.registry.register(self.clock(), node.name, node.address, node.slot, -1.0, True)
+        self.discovery.publish()
+        await self.start_gateway(core)
         return self
 
-    async def start_head(self, core: type[GatewayCore] = GatewayCore) -> None:
-        self.head = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
-        await self.head.start()
-        await until(lambda: len(self.head.core.scheduler.nodes.node_at_slot) == len(self.shelfs))
+    async def start_gateway(self, core: type[GatewayCore] = GatewayCore) -> None:
+        self.gateway = GatewayServer(self.loop, self.clock, self.config, "h1", Quiet(), core=core)
+        await self.gateway.start()
+        await until(lambda: len(self.gateway.core.scheduler.nodes.node_at_slot) == len(self.nodes))
 
-    def kill_head(self) -> None:
+    def kill_gateway(self) -> None:
         """As SIGKILL does: the system closes its sockets, nothing is said."""
-        self.head.listener.close()
-        self.head.discovery.close()
-        for conn in self.head.client_connections:
+        self.gateway.listener.close()
+        self.gateway.discovery.close()
+        for conn in self.gateway.client_connections:
             conn.on_disconnect = lambda exc: None  # type: ignore[method-assign]
             conn.abort()
-        for link in self.head.links.values():
+        for link in self.gateway.links.values():
             link.on_attempt_end = lambda *_: None
             if link.connection is not None:
                 link.connection.abort()
-        if self.head.wake_timer is not None:
-            self.head.wake_timer.cancel()
+        if self.gateway.wake_timer is not None:
+            self.gateway.wake_timer.cancel()
 
     async def client(self, **more: Any) -> Client:
         client = await connect(self.config.head["h1"].listen, loop=self.loop, **more)
@@ -227,20 +227,20 @@
     async def stop(self) -> None:
         for client in self.clients:
             client.close()
-        if not self.head.stopped.done():
-            self.head.stop("the test is over")
-            await asyncio.wait_for(self.head.stopped, 5.0)
-        self.listing.stop()
-        for shelf in self.shelfs:
-            shelf.crash()
+        if not self.gateway.stopped.done():
+            self.gateway.stop("the test is over")
+            await asyncio.wait_for(self.gateway.stopped, 5.0)
+        self.discovery.stop()
+        for node in self.nodes:
+            node.crash()
         await asyncio.sleep(0.02)
 
 
-def on_rig(script: Callable[[Rig], Coroutine[Any, Any, Any]], more: str = "", fleet: str = FLEET) -> Any:
+def run_with_rig(script: Callable[[Rig], Coroutine[Any, Any, Any]], more: str = "", fleet: str = FLEET) -> Any:
     """Plays a test on a rig and takes the rig down."""
 
     async def main(loop: asyncio.AbstractEventLoop) -> Any:
-        rig = await Rig(loop, config(more, fleet)).start()
+        rig = await Rig(loop, make_config(more, fleet)).start()
         try:
             return await script(rig)
         finally:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import FLEET, Rig, on_rig
+from helpers import FLEET, Rig, run_with_rig
 from random_runs import CONFIG
 from scheduler_helpers import SAFE, listed, served, take, went
 from test_core_properties import Origin, RecordingEffects
@@ -174,7 +174,7 @@
     """Seen: a link, a line of the console and a desk of the accounts for each name ever listed."""
 
     async def script(rig: Rig) -> None:
-        head, view = rig.head, GatewayView(rig.head)
+        head, view = rig.gateway, GatewayView(rig.gateway)
         for n in range(60):
             rows = [EndpointEntry(f"n{n + i}", EndpointState.READY, i, 0.0) for i in range(2)]
             head._on_list(rig.clock(), ListKind.WHOLE, rows, {e.node_name: "127.0.0.1:1" for e in rows})
@@ -183,7 +183,7 @@
             view.snapshot()
         assert max(len(head.links), len(view.health_by_node), len(head.core.wait_accounting.nodes)) < 12
 
-    on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
+    run_with_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
 
 def test_a_call_that_gives_up_all_that_a_shelf_holds_costs_in_step_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 import pytest
-from helpers import FLEET, LOOPBACK, Rig, on_rig, until
+from helpers import FLEET, LOOPBACK, Rig, run_with_rig, until
 
 from pebblehinge.console import Console
 from pebblehinge.console import server as console_server
@@ -23,7 +23,7 @@
     """Runs a test script with a gateway, its console and an HTTP session."""
 
     async def main(rig: Rig) -> None:
-        console = Console(rig.head, ADDRESS, token)
+        console = Console(rig.gateway, ADDRESS, token)
         await console.start()
         try:
             async with aiohttp.ClientSession() as session:
@@ -31,7 +31,7 @@
         finally:
             await console.stop()
 
-    on_rig(main, settings)
+    run_with_rig(main, settings)
 
 
 async def read_snapshots(session: aiohttp.ClientSession, count: int) -> list[dict[str, Any]]:
@@ -50,7 +50,7 @@
 def test_state_and_reports_contain_counts_health_and_reasons() -> None:
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         assert "accounts yes" in await (await session.get(URL + "/why/v")).text()
-        rig.head.core.wait_accounting = WaitAccounting()
+        rig.gateway.core.wait_accounting = WaitAccounting()
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK_OPTIONS)).succeeded
         result = await client.read("v", "x", 1, slot=9, **LOOK_OPTIONS)
@@ -59,8 +59,8 @@
         assert state["counts"]["honoured"] == 1 and state["refused_because"] == {"its shelf is not listed": 1}
         assert [(node["name"], node["health"]) for node in state["shelfs"]] == [("s1", "well"), ("s2", "well")]
         assert [volume["name"] for volume in state["volumes"]] == ["v"]
-        rig.shelfs[0].crash()
-        await until(lambda: rig.head.links["s1"].connection is None)
+        rig.nodes[0].crash()
+        await until(lambda: rig.gateway.links["s1"].connection is None)
         for _ in range(3):
             await client.read("v", "x", 1, slot=0, **LOOK_OPTIONS)
         row = json.loads(await (await session.get(URL + "/shelf/s1")).read())
@@ -80,7 +80,7 @@
         await until(lambda: console.viewers)
         client = await rig.client()
         await asyncio.sleep(0.6)
-        rig.shelfs[1].crash()
+        rig.nodes[1].crash()
         for _ in range(8):
             await client.read("v", "x", 1, slot=1, **LOOK_OPTIONS)
             await asyncio.sleep(0.05)
@@ -166,8 +166,8 @@
         assert any(reason in result.reason for result in results if result.status == "pushed back"), [
             result.reason for result in results
         ]
-        assert set(rig.head.core.reason_counts) and sum(rig.head.core.reason_counts.values()) == sum(
+        assert set(rig.gateway.core.reason_counts) and sum(rig.gateway.core.reason_counts.values()) == sum(
             not result.succeeded for result in results
         )
 
-    on_rig(script, "", FLEET)
+    run_with_rig(script, "", FLEET)
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -6,7 +6,7 @@
 import os
 
 import pytest
-from helpers import FLEET, LOOPBACK, Rig, on_rig, until
+from helpers import FLEET, LOOPBACK, Rig, run_with_rig, until
 from raw_frames import LOOK_OPTIONS, NO_ANSWER, SAVE_OPTIONS, encode_hello, open_raw_connection, read_remaining_frames
 
 from pebblehinge.client import connect
@@ -19,7 +19,7 @@
         clients = []
         for _ in range(20):
             clients += await asyncio.gather(*(rig.client(timeout_ms=10_000) for _ in range(100)))
-        assert len(rig.head.client_connections) == 2000
+        assert len(rig.gateway.client_connections) == 2000
         requests = [
             client.read("v", f"x{i}", 1, request_class="look", slot=i % 2, units=1.0, timeout_ms=8000.0)
             for i, client in enumerate(clients)
@@ -28,10 +28,10 @@
         assert len(results) == 2000 and {result.status for result in results} <= {"honoured", "pushed back"}
         # The burst delays the event loop while the first connection to a storage node is opened. The node was then
         # taken for unreachable, and all later requests were rejected.
-        assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] == 0
+        assert rig.gateway.core.outcome_counts[Outcome.CONNECT_FAILED] == 0
         assert (await clients[7].read("v", "calm", 1, **LOOK_OPTIONS)).succeeded
 
-    on_rig(script, fleet=FLEET.replace("keepalive 500ms", "keepalive 5s"))
+    run_with_rig(script, fleet=FLEET.replace("keepalive 500ms", "keepalive 5s"))
 
 
 def test_connection_above_the_limit_is_rejected_with_the_reason() -> None:
@@ -42,7 +42,7 @@
             await connect(rig.config.head["h1"].listen, loop=rig.loop)
         assert (await first.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
 
-    on_rig(script, fleet=FLEET.replace("stall 1s", "stall 1s\n    connections 2"))
+    run_with_rig(script, fleet=FLEET.replace("stall 1s", "stall 1s\n    connections 2"))
 
 
 def test_frames_received_byte_by_byte_are_decoded() -> None:
@@ -62,7 +62,7 @@
         assert [kind for kind, _ in frames] == [Kind.HELLO, Kind.ANSWER] and frames[1][1][:2] == (1, 0)
         writer.close()
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
         assert (await other_client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         writer.close()
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 def test_gateway_serves_requests_after_random_bytes() -> None:
@@ -104,7 +104,7 @@
             writer.close()
         assert (await (await rig.client()).read("v", "x", 1, **LOOK_OPTIONS)).succeeded
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 def test_client_without_greeting_or_answers_to_pings_is_disconnected() -> None:
@@ -115,14 +115,14 @@
         writer.write(encode_hello())
         frames = await read_remaining_frames(reader)  # never answers the PING
         assert [kind for kind, _ in frames][:2] == [Kind.HELLO, Kind.PING]
-        await until(lambda: not rig.head.client_connections)
+        await until(lambda: not rig.gateway.client_connections)
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 def test_client_that_does_not_read_is_throttled_and_then_disconnected() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = lambda attempt: attempt.answer(data=b"z" * 900_000)
+        rig.nodes[0].on_attempt = lambda attempt: attempt.answer(data=b"z" * 900_000)
         reader, writer = await open_raw_connection(rig)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(encode_hello())
@@ -133,15 +133,15 @@
                 )
             )
             await asyncio.sleep(0.01)
-        await until(lambda: any(client_connection.write_paused for client_connection in rig.head.client_connections))
-        connection = next(iter(rig.head.client_connections))
+        await until(lambda: any(client_connection.write_paused for client_connection in rig.gateway.client_connections))
+        connection = next(iter(rig.gateway.client_connections))
         assert connection.transport.get_write_buffer_size() < 40 * 900_000
-        await until(lambda: not rig.head.client_connections, 6.0)
-        await until(lambda: not rig.head.core.pending)
-        assert rig.head.core.open_count == 0 and rig.head.core.payload_bytes == 0
+        await until(lambda: not rig.gateway.client_connections, 6.0)
+        await until(lambda: not rig.gateway.core.pending)
+        assert rig.gateway.core.open_count == 0 and rig.gateway.core.payload_bytes == 0
         writer.close()
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 @pytest.mark.parametrize(
@@ -161,14 +161,14 @@
         arguments = {"volume": "v", "extent": "x", "operation": 0, "length": 1, **LOOK_OPTIONS, **options}
         result = await client.request(**arguments)
         assert result.status == "pushed back" and reason in result.reason and 200.0 <= result.retry_after_ms <= 400.0
-        assert not rig.shelfs[0].attempts
+        assert not rig.nodes[0].attempts
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 def test_open_requests_and_their_bytes_are_limited() -> None:
     async def script(rig: Rig) -> None:
-        rig.shelfs[0].does = NO_ANSWER
+        rig.nodes[0].on_attempt = NO_ANSWER
         client = await rig.client()
         pending = [client.read("v", f"x{i}", 1, **LOOK_OPTIONS) for i in range(12)]
         results = await asyncio.gather(*pending)
@@ -176,7 +176,7 @@
         large_write = await client.write("v", "x", b"1" * 5000, **SAVE_OPTIONS)
         assert "bytes of accesses are held" in large_write.reason
 
-    on_rig(script, fleet=FLEET.replace("stall 1s", "stall 1s\n    accesses 8\n    bytes 4096B"))
+    run_with_rig(script, fleet=FLEET.replace("stall 1s", "stall 1s\n    accesses 8\n    bytes 4096B"))
 
 
 def test_settings_change_keeps_queued_requests() -> None:
@@ -189,12 +189,12 @@
         await asyncio.sleep(0.01)
         config = rig.config
         config.plan["capped"].limit, config.plan["capped"].burst = 100.0, 100.0
-        rig.head.apply_config(config)
+        rig.gateway.apply_config(config)
         result = await queued
         assert result.succeeded and result.duration_ms < 400
-        assert rig.head.core.scheduler.settings.quota_plans["capped"].limit_rate == 100.0
+        assert rig.gateway.core.scheduler.settings.quota_plans["capped"].limit_rate == 100.0
 
-    on_rig(script)
+    run_with_rig(script)
 
 
 def test_listening_on_an_address_in_use_raises_oserror() -> None:
@@ -207,4 +207,4 @@
             await second_gateway.start()
         assert LOOPBACK in rig.config.head["h1"].listen
 
-    on_rig(script)
+    run_with_rig(script)
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import Rig, on_rig, until
+from helpers import Rig, run_with_rig, until
 from prometheus_client import CollectorRegistry
 from raw_frames import LOOK_OPTIONS, NO_ANSWER
 
@@ -31,11 +31,11 @@
     async def script(rig: Rig) -> None:
         client = await rig.client()
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
-        rig.shelfs[0].does = NO_ANSWER
+        rig.nodes[0].on_attempt = NO_ANSWER
         client.read("v", "y", 1, **LOOK_OPTIONS)
-        await until(lambda: len(rig.shelfs[0].attempts) == 2)
+        await until(lambda: len(rig.nodes[0].attempts) == 2)
         registry = CollectorRegistry()
-        registry.register(GatewayMetrics(rig.head))
+        registry.register(GatewayMetrics(rig.gateway))
         assert [metric.name for metric in registry.collect()] == METRIC_NAMES
         sample = registry.get_sample_value
         assert sample("pebblehinge_accesses_total", {"end": "taken"}) == 2.0
@@ -48,4 +48,4 @@
         assert sample("pebblehinge_latency_seconds_count") == 1.0
         assert (sample("pebblehinge_latency_quantile_seconds", {"quantile": "0.5"}) or 0.0) > 0.0
 
-    on_rig(script)
+    run_with_rig(script)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import FLEET, Rig, config, on_rig, until
+from helpers import FLEET, Rig, make_config, run_with_rig, until
 
 from pebblehinge.decide import Scheduler
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
@@ -18,7 +18,7 @@
 
 def learned(seed: int = 1, now: float = 10_000.0) -> Scheduler:
     """A head that has seen two shelfs, one of them slow."""
-    head = Scheduler(config("", FLEET).module_settings(config("", FLEET).head["h1"]), seed, 0.0)
+    head = Scheduler(make_config("", FLEET).module_settings(make_config("", FLEET).head["h1"]), seed, 0.0)
     head.start(0.0)
     head.apply_endpoint_list(
         0.0,
@@ -36,7 +36,7 @@
 
 
 def life(state: Any, age: float, whole: bool = False, now: float = 50_000.0) -> Scheduler:
-    settings_ = config("", FLEET)
+    settings_ = make_config("", FLEET)
     head = Scheduler(settings_.module_settings(settings_.head["h1"]), 2, now)
     head.restore(now, state, age, whole)
     head.apply_endpoint_list(
@@ -132,16 +132,16 @@
         disk = FaultyDisk(random.Random(1))
 
         async def start() -> GatewayServer:
-            head = rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+            head = rig.gateway = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
             head.enable_snapshots(disk, lambda: (rig.clock(), rig.clock(), "b"))
             await head.start()
-            await until(lambda: len(head.core.scheduler.nodes.node_at_slot) == len(rig.shelfs))
+            await until(lambda: len(head.core.scheduler.nodes.node_at_slot) == len(rig.nodes))
             return head
 
-        rig.kill_head()
+        rig.kill_gateway()
         await asyncio.sleep(0.02)
         head = await start()
-        rig.shelfs[1].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
+        rig.nodes[1].on_attempt = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
         client = await rig.client()
         for n in range(12):
             await client.write("v", f"x{n}", b"1", request_class="look", slot=n % 2, units=1.0, timeout_ms=1000.0)
@@ -157,4 +157,4 @@
         none = await start()
         assert not any(none.core.scheduler.nodes.mean_latency_ms) and none.log.lines[0][2]["why"] == "it is damaged"
 
-    on_rig(script)
+    run_with_rig(script)
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from helpers import FLEET, Rig, config, on_rig, until
+from helpers import FLEET, Rig, make_config, run_with_rig, until
 
 from pebblehinge.gateway.write_back import WriteBack
 from pebblehinge.lab.disk import FaultyDisk
@@ -61,14 +61,14 @@
     from pebblehinge.gateway import GatewayServer
     from pebblehinge.lab.village import Quiet
 
-    rig.kill_head()
+    rig.kill_gateway()
     await asyncio.sleep(0.02)
-    rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
-    rig.head.enable_write_back(disk.disk, disk.lasts)
-    await rig.head.start()
-    await until(lambda: len(rig.head.core.scheduler.nodes.node_at_slot) == len(rig.shelfs))
-    assert rig.head.write_back is not None
-    return rig.head.write_back
+    rig.gateway = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+    rig.gateway.enable_write_back(disk.disk, disk.lasts)
+    await rig.gateway.start()
+    await until(lambda: len(rig.gateway.core.scheduler.nodes.node_at_slot) == len(rig.nodes))
+    assert rig.gateway.write_back is not None
+    return rig.gateway.write_back
 
 
 WHERE = {"request_class": "save", "slot": 0, "units": 1.0, "timeout_ms": 1000.0}
@@ -88,14 +88,14 @@
         assert seen == [("extra", str(900 + n), "pushed back") for n in range(4)]
         assert (await client.write("b", "x", b"hello", **WHERE)).succeeded
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_a_write_is_confirmed_from_the_journal_and_read_back_before_it_lands() -> None:
     async def script(rig: Rig) -> None:
         disk = OnDisk()
         back = await buffered(rig, disk)
-        rig.shelfs[0].does = lambda attempt: None  # takes, never answers
+        rig.nodes[0].on_attempt = lambda attempt: None  # takes, never answers
         client = await rig.client()
         got = await client.write("b", "x", b"hello", **WHERE)
         assert got.succeeded
@@ -103,13 +103,13 @@
         assert (await client.barrier("b", request_class="save", timeout_ms=500.0)).succeeded
         got = await client.flush_volume("b", request_class="save", timeout_ms=300.0)
         assert got.status == "terminated"  # it does not stand there, and is not said to
-        rig.shelfs[0].does = lambda attempt: attempt.answer(0, b"" if attempt.op else b"other")
+        rig.nodes[0].on_attempt = lambda attempt: attempt.answer(0, b"" if attempt.op else b"other")
         await until(lambda: not len(back.dirty), 8.0)
         assert (await client.flush_volume("b", request_class="save", timeout_ms=300.0)).succeeded
-        landed = [t for t in rig.shelfs[0].attempts if t.op == 1]
+        landed = [t for t in rig.nodes[0].attempts if t.op == 1]
         assert landed[-1].data == b"hello" and landed[-1].label.startswith("wb.")
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_a_disk_that_fails_confirms_nothing_and_the_head_says_so() -> None:
@@ -126,7 +126,7 @@
         assert got.status == "pushed back" and "buffers no more" in got.reason
         assert (await client.write("v", "q", b"4", **WHERE)).succeeded  # other volumes go on
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_a_sync_that_takes_longer_than_its_client_waits_is_not_claimed() -> None:
@@ -142,53 +142,53 @@
         await asyncio.sleep(0.05)
         assert client.open_requests == {} and (await client.write("b", "y", b"2", **WHERE)).succeeded
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_a_full_buffer_refuses_and_a_stop_brings_all_to_the_shelfs() -> None:
     async def script(rig: Rig) -> None:
         back = await buffered(rig, OnDisk())
-        rig.shelfs[0].does = lambda attempt: None
+        rig.nodes[0].on_attempt = lambda attempt: None
         client = await rig.client()
         ends = [await client.write("b", f"x{n}", b"z" * 20_000, **WHERE) for n in range(5)]
         assert [e.status for e in ends] == ["honoured"] * 3 + ["pushed back"] * 2
         assert "wait for their shelfs" in ends[-1].reason
         assert len(back.dirty) == 3
-        rig.head.stop("the test says so")
-        rig.loop.call_later(0.2, lambda: [attempt.answer() for attempt in rig.shelfs[0].attempts])
-        rig.shelfs[0].does = lambda attempt: attempt.answer()
+        rig.gateway.stop("the test says so")
+        rig.loop.call_later(0.2, lambda: [attempt.answer() for attempt in rig.nodes[0].attempts])
+        rig.nodes[0].on_attempt = lambda attempt: attempt.answer()
         began = rig.clock()
-        await asyncio.wait_for(rig.head.stopped, 8.0)
+        await asyncio.wait_for(rig.gateway.stopped, 8.0)
         assert not len(back.dirty) and not back.write_back_runner.written_back_numbers
         assert rig.clock() - began < 2000.0  # once all is noted it ends, and not with its grace
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_a_write_that_was_buffered_before_its_plan_changed_lands_by_the_new_one() -> None:
     async def script(rig: Rig) -> None:
         back = await buffered(rig, OnDisk())
-        rig.shelfs[0].does = lambda attempt: None
+        rig.nodes[0].on_attempt = lambda attempt: None
         client = await rig.client()
         assert (await client.write("b", "x", b"1", **WHERE)).succeeded
-        new = config(BUFFERED.replace("volume b {\n    plan gold", "volume b {\n    plan capped"), FLEET)
-        rig.head.apply_config(new)
-        for attempt in rig.shelfs[0].attempts:
+        new = make_config(BUFFERED.replace("volume b {\n    plan gold", "volume b {\n    plan capped"), FLEET)
+        rig.gateway.apply_config(new)
+        for attempt in rig.nodes[0].attempts:
             attempt.answer()
-        rig.shelfs[0].does = lambda attempt: attempt.answer()
+        rig.nodes[0].on_attempt = lambda attempt: attempt.answer()
         ends = [await client.write("b", f"y{n}", b"2", **WHERE) for n in range(30)]
         assert all(e.succeeded for e in ends)  # confirming costs no units
         began = rig.clock()
         await until(lambda: not len(back.dirty), 10.0)
         # Ten units a second and a store that began empty: each write-back was counted there, once.
         assert rig.clock() - began > 1500.0
-        assert len([t for t in rig.shelfs[0].attempts if t.op == 1]) == 31
+        assert len([t for t in rig.nodes[0].attempts if t.op == 1]) == 31
 
-    on_rig(script, BUFFERED)
+    run_with_rig(script, BUFFERED)
 
 
 def test_settings_of_buffered_volumes_are_checked() -> None:
     bad = BUFFERED.replace("back bring", "back save\n    heads 2")
     with pytest.raises(SettingsError) as raised:
-        config(bad, FLEET)
+        make_config(bad, FLEET)
     assert "is buffered, back 'save'" in str(raised.value) and "through 2 heads" in str(raised.value)
