--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from helpers import FLEET, Rig, on_rig
+from helpers import FLEET, Rig, run_with_rig
 from random_runs import CONFIG
 from scheduler_helpers import SHORT_SLOW_START_SETTINGS, apply_list, serve_request, submit, was_sent
 from test_core_properties import Origin, RecordingEffects
@@ -194,7 +194,7 @@
     """A link, a line of the console and an entry of the wait accounting were kept for each name ever listed."""
 
     async def script(rig: Rig) -> None:
-        gateway, view = rig.head, GatewayView(rig.head)
+        gateway, view = rig.gateway, GatewayView(rig.gateway)
         for n in range(60):
             rows = [EndpointEntry(f"n{n + i}", EndpointState.READY, i, 0.0) for i in range(2)]
             gateway._on_list(rig.clock(), ListKind.WHOLE, rows, {row.node_name: "127.0.0.1:1" for row in rows})
@@ -203,7 +203,7 @@
             view.snapshot()
         assert max(len(gateway.links), len(view.health_by_node), len(gateway.core.wait_accounting.nodes)) < 12
 
-    on_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
+    run_with_rig(script, fleet=FLEET + "head h1 {\naccounts yes\n}\n")
 
 
 def test_cost_of_giving_up_all_requests_of_a_node_is_linear(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import FLEET, Rig, config, on_rig, until
+from helpers import FLEET, Rig, make_config, run_with_rig, until
 
 from pebblehinge.decide import Scheduler
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
@@ -18,7 +18,7 @@
 
 def trained_scheduler(seed: int = 1, now: float = 10_000.0) -> Scheduler:
     """Returns a scheduler that has served requests at two nodes, one of them slow."""
-    scheduler = Scheduler(config("", FLEET).module_settings(config("", FLEET).head["h1"]), seed, 0.0)
+    scheduler = Scheduler(make_config("", FLEET).module_settings(make_config("", FLEET).head["h1"]), seed, 0.0)
     scheduler.start(0.0)
     scheduler.apply_endpoint_list(
         0.0,
@@ -39,7 +39,7 @@
 
 def restored_scheduler(state: Any, age_ms: float, is_complete: bool = False, now: float = 50_000.0) -> Scheduler:
     """Returns a scheduler that was restored from a snapshot's state, with the same two nodes listed."""
-    settings_ = config("", FLEET)
+    settings_ = make_config("", FLEET)
     scheduler = Scheduler(settings_.module_settings(settings_.head["h1"]), 2, now)
     scheduler.restore(now, state, age_ms, is_complete)
     scheduler.apply_endpoint_list(
@@ -147,16 +147,16 @@
         disk = FaultyDisk(random.Random(1))
 
         async def start() -> GatewayServer:
-            gateway = rig.head = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
+            gateway = rig.gateway = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
             gateway.enable_snapshots(disk, lambda: (rig.clock(), rig.clock(), "b"))
             await gateway.start()
-            await until(lambda: len(gateway.core.scheduler.nodes.node_at_slot) == len(rig.shelfs))
+            await until(lambda: len(gateway.core.scheduler.nodes.node_at_slot) == len(rig.nodes))
             return gateway
 
-        rig.kill_head()
+        rig.kill_gateway()
         await asyncio.sleep(0.02)
         gateway = await start()
-        rig.shelfs[1].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
+        rig.nodes[1].on_attempt = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
         client = await rig.client()
         for n in range(12):
             await client.write("v", f"x{n}", b"1", request_class="look", slot=n % 2, units=1.0, timeout_ms=1000.0)
@@ -177,4 +177,4 @@
             and without_snapshot.log.lines[0][2]["why"] == "it is damaged"
         )
 
-    on_rig(script)
+    run_with_rig(script)
