--- a/benchmarks/caps_sizes.py
+++ b/benchmarks/caps_sizes.py
@@ -11,7 +11,7 @@
 from pebblehinge.console.view import GatewayView
 from pebblehinge.decide import MAX_CACHE_ENTRIES, Scheduler
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
-from pebblehinge.settings import Config, show
+from pebblehinge.settings import Config, render_settings
 from pebblehinge.settings.load import loads
 from pebblehinge.settings.policy import VolumeBlock
 from pebblehinge.settings.schema import HeadBlock, ShelfBlock
@@ -59,10 +59,10 @@
     it consists. `named` volumes name all heads in `through`, by names as short as `h1024`."""
 
     def grown(**blocks: Any) -> int:
-        return len("\n".join(show(Config(**blocks)))) - empty
+        return len("\n".join(render_settings(Config(**blocks)))) - empty
 
-    empty = len("\n".join(show(Config())))
-    whole = len("\n".join(show(loads(SETTINGS))))
+    empty = len("\n".join(render_settings(Config())))
+    whole = len("\n".join(render_settings(loads(SETTINGS))))
     whole += heads * grown(head={"h1024": HeadBlock(listen="10.200.100.100:7001", seed=1024)})
     whole += shelfs * grown(shelf={"s2048": ShelfBlock(listen="10.200.100.100:12048", slot=2047)})
     whole += volumes * grown(volume={"vol-2000": VolumeBlock(plan="g", heads=3, through=["h1022", "h1023", "h1024"])})
@@ -84,7 +84,7 @@
 @functools.cache
 def view_bytes(shelfs: int = SHELFS) -> int:
     """A console's rows of shelfs, as one look sends them to each viewer."""
-    module = Scheduler(loads(SETTINGS).module_settings(HeadBlock()), 1, 0.0)
+    module = Scheduler(loads(SETTINGS).scheduler_settings(HeadBlock()), 1, 0.0)
     module.apply_endpoint_list(
         0.0, ListKind.WHOLE, [EndpointEntry(f"shelf-{n}", EndpointState.READY, n, 0.0) for n in range(shelfs)]
     )
--- a/benchmarks/plan_truth.py
+++ b/benchmarks/plan_truth.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.load import Draw
 from pebblehinge.lab.trials import AWAY_MS, WINDOW_S, fleet_of, read
 from pebblehinge.lab.village import play
-from pebblehinge.settings import Config, ScheduledFault, show
+from pebblehinge.settings import Config, ScheduledFault, render_settings
 from pebblehinge.settings.load import loads
 
 
@@ -80,7 +80,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "d.conf"
         bare = msgspec.structs.replace(config, head={}, shelf={})
-        path.write_text("\n".join(show(bare)) + "\n")
+        path.write_text("\n".join(render_settings(bare)) + "\n")
         done = subprocess.run(
             [sys.executable, "-m", "pebblehinge", "lab", "day", str(path), "--json", "--quiet", "--seed", str(seed)],
             capture_output=True,
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -13,7 +13,7 @@
 
 from fault_days import text_of  # noqa: E402
 
-from pebblehinge.settings import Config, show  # noqa: E402
+from pebblehinge.settings import Config, render_settings  # noqa: E402
 
 REAL_HEADS, REAL_SHELFS = 5, 8
 SHARED = "everywhere-1"  # the volume whose limit is split over all heads
@@ -67,4 +67,4 @@
         plans["everywhere"] = msgspec.structs.replace(plans["everywhere"], limit=limit, burst=limit)
         basico = self.config.plan["basico"]
         plans["basico"] = msgspec.structs.replace(basico, limit=round(basico.limit * self.rng.uniform(0.8, 1.0), 3))
-        return "\n".join(show(msgspec.structs.replace(self.config, plan=plans))) + "\n"
+        return "\n".join(render_settings(msgspec.structs.replace(self.config, plan=plans))) + "\n"
--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -18,7 +18,7 @@
 
 from pebblehinge import __version__
 from pebblehinge.event_log import EventLog, EventLogError, NullEventLog
-from pebblehinge.settings import Config, SettingsError, load, show
+from pebblehinge.settings import Config, SettingsError, load, render_settings
 from pebblehinge.settings.schema import LogBlock
 
 Logger = structlog.typing.FilteringBoundLogger
@@ -156,7 +156,7 @@
     """Check a settings file; all faults are told at once."""
     config = read_settings(file)
     if show_it:
-        click.echo("\n".join(show(config)))
+        click.echo("\n".join(render_settings(config)))
     else:
         click.echo(f"{file}: sound")
 
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -31,7 +31,7 @@
     run,
     until_told,
 )
-from pebblehinge.settings import Config, load, show
+from pebblehinge.settings import Config, load, render_settings
 
 
 @main.command()
@@ -135,7 +135,7 @@
 
 def resolved_text(file: str) -> str:
     """Returns a file's settings as one text, includes resolved."""
-    return "\n".join(show(load(file))) + "\n"
+    return "\n".join(render_settings(load(file))) + "\n"
 
 
 @config_group.command(name="show")
--- a/pebblehinge/gateway/admission.py
+++ b/pebblehinge/gateway/admission.py
@@ -56,7 +56,7 @@
         """Creates the table; `effects` implements `Effects` for requests of the class `FramedRequest`."""
         accounting = WaitAccounting() if gateway_settings.accounts else None
         super().__init__(
-            config.module_settings(gateway_settings), gateway_settings.seed, now, cast(Effects, effects), accounting
+            config.scheduler_settings(gateway_settings), gateway_settings.seed, now, cast(Effects, effects), accounting
         )
         self.config = config
         self.gateway_settings = gateway_settings
@@ -148,7 +148,7 @@
     def apply_config(self, now: float, config: Config) -> None:
         """Replaces the settings, for requests admitted from now on and for those that are queued."""
         self.config = config
-        self.configure(now, config.module_settings(self.gateway_settings))
+        self.configure(now, config.scheduler_settings(self.gateway_settings))
 
     def on_request_end(self, pending: PendingRequest, final: FinalStatus | None, now: float) -> None:
         """Captures a request that has ended; `final` is None if its client disconnected or cancelled it."""
--- a/pebblehinge/gateway/snapshots.py
+++ b/pebblehinge/gateway/snapshots.py
@@ -36,7 +36,7 @@
         self.disk = disk
         self.read_clocks = read_clocks
         self.run_in_background = run_in_background
-        self.settings_hash = memory.hash_settings(context.config.module_settings(context.gateway_settings))
+        self.settings_hash = memory.hash_settings(context.config.scheduler_settings(context.gateway_settings))
         self._write_lock = threading.Lock()  # keeps an earlier snapshot from replacing the last one of an incarnation
 
     def restore(self) -> None:
@@ -57,7 +57,7 @@
     def save(self, complete: bool = False) -> None:
         """Saves the present scheduler state; `complete` states that nothing is sent to storage nodes afterwards."""
         context = self.context
-        self.settings_hash = memory.hash_settings(context.config.module_settings(context.gateway_settings))
+        self.settings_hash = memory.hash_settings(context.config.scheduler_settings(context.gateway_settings))
         state = context.core.scheduler.snapshot(context.clock())
         snapshot = memory.Snapshot(context.name, self.settings_hash, *self.read_clocks(), complete, state)
 
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -16,7 +16,7 @@
 from pebblehinge.lab.faults.player import Ground
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.stage import Stage
-from pebblehinge.settings import Config, show
+from pebblehinge.settings import Config, render_settings
 
 
 def monotonic_ms() -> float:
@@ -56,7 +56,7 @@
         self.lives: dict[str, int] = {}
         self.state = folder / "state"  # a folder for each head and instance
         self.struck = ProcessGround(self, loop, names_of(config), seed, folder / "copies")
-        (folder / "day.conf").write_text("\n".join(show(config)) + "\n")
+        (folder / "day.conf").write_text("\n".join(render_settings(config)) + "\n")
 
     def _command(self, role: list[str], name: str, *more: str) -> list[str]:
         base = [*role, str(self.path)]
--- a/pebblehinge/lab/proposer.py
+++ b/pebblehinge/lab/proposer.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from pebblehinge.replicated_config.operator_client import ask_group
-from pebblehinge.settings import Config, show
+from pebblehinge.settings import Config, render_settings
 
 WITHIN_S = 2.0  # for one question while the group may be struck
 AT_THE_END_S = 15.0
@@ -34,8 +34,8 @@
     def _around(self) -> tuple[list[str], list[str]]:
         """The settings of a thousand heads take most of a second to write, and only their plans change."""
         if self.around is None:
-            rest = show(msgspec.structs.replace(self.config, plan={}))
-            whole = show(self.config)
+            rest = render_settings(msgspec.structs.replace(self.config, plan={}))
+            whole = render_settings(self.config)
             at = next((i for i, (a, b) in enumerate(zip(rest, whole, strict=False)) if a != b), len(rest))
             self.around = (rest[:at], rest[at:])
         return self.around
@@ -46,7 +46,7 @@
         lines = [*before]
         for name, plan in self.config.plan.items():
             fresh = msgspec.structs.replace(plan, limit=round(plan.limit * share, 3)) if plan.limit else plan
-            lines += [f"plan {name} {{", *show(fresh, "    "), "}"]
+            lines += [f"plan {name} {{", *render_settings(fresh, "    "), "}"]
         return "\n".join([*lines, *after]) + "\n"
 
     async def propose(self) -> None:
--- a/pebblehinge/lab/search.py
+++ b/pebblehinge/lab/search.py
@@ -13,7 +13,7 @@
 
 from pebblehinge.lab.verdict import summary
 from pebblehinge.lab.village import VillageError, play
-from pebblehinge.settings import Config, ScheduledFault, show
+from pebblehinge.settings import Config, ScheduledFault, render_settings
 from pebblehinge.settings.scheduled_faults import FAULT_KINDS
 from pebblehinge.settings.schema import DayBlock
 
@@ -127,7 +127,7 @@
     lines = [f"# Found by search from {source}, seed {find.seed}: service {find.service:.3f}"]
     lines += [f"# {line}" for line in find.why.splitlines()[:4]]
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text("\n".join([*lines, *show(with_troubles(config, find.troubles, length))]) + "\n")
+    path.write_text("\n".join([*lines, *render_settings(with_troubles(config, find.troubles, length))]) + "\n")
 
 
 def _one(job: tuple[Config, int, float]) -> Find:
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/village.py
@@ -25,7 +25,7 @@
 from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.server import MemberServer
-from pebblehinge.settings import Config, show
+from pebblehinge.settings import Config, render_settings
 from pebblehinge.storage_node import Contents, StorageNodeServer
 
 _encode = msgspec.json.Encoder().encode
@@ -203,7 +203,7 @@
     def write(self, folder: Path) -> None:
         """The records as files, as processes would have left them."""
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "day.conf").write_text("\n".join(show(self.config)) + "\n")
+        (folder / "day.conf").write_text("\n".join(render_settings(self.config)) + "\n")
         for name, data in self.captures.items():
             (folder / f"{name}.capture").write_bytes(data)
         for name, notes in self.notes.items():
--- a/pebblehinge/settings/__init__.py
+++ b/pebblehinge/settings/__init__.py
@@ -6,7 +6,7 @@
 
 from pebblehinge.settings.errors import SettingsError
 from pebblehinge.settings.load import load
-from pebblehinge.settings.rendering import show
+from pebblehinge.settings.rendering import render_settings
 from pebblehinge.settings.schema import Config, ScheduledFault
 
-__all__ = ["Config", "ScheduledFault", "SettingsError", "load", "show"]
+__all__ = ["Config", "ScheduledFault", "SettingsError", "load", "render_settings"]
--- a/pebblehinge/settings/builder.py
+++ b/pebblehinge/settings/builder.py
@@ -15,15 +15,15 @@
 from pebblehinge.settings.policy import VolumeBlock
 from pebblehinge.settings.scheduled_faults import parse_scheduled_fault
 from pebblehinge.settings.stand_ins import ScheduledFault
-from pebblehinge.settings.values import parse_value, shape_of, unwrap
+from pebblehinge.settings.values import block_schema, parse_value, unwrap
 
 MAX_VOLUMES = 100_000
 """Volumes in one `volumes` block."""
 
-VOLUMES = "volumes"
+VOLUMES_DIRECTIVE = "volumes"
 """The directive that states many volumes alike."""
 
-NAME_TYPE = get_type_hints(VolumeBlock, include_extras=True)["plan"]
+NAME_ANNOTATION = get_type_hints(VolumeBlock, include_extras=True)["plan"]
 BlockPath = tuple[str, ...]
 """The directives and names that lead to a block or a directive, from the outside in."""
 
@@ -50,12 +50,12 @@
         self.positions: dict[BlockPath, Position] = {}
 
     def build(
-        self, kind: type[AnyBlock], statements: list[Statement], path: BlockPath, position: Position
+        self, block_type: type[AnyBlock], statements: list[Statement], path: BlockPath, position: Position
     ) -> AnyBlock | None:
         """A block of a kind.
 
         Args:
-            kind: Its type.
+            block_type: Its type.
             statements: What is in it.
             path: Of the block; empty for the whole file.
             position: Where it begins.
@@ -63,26 +63,26 @@
         Returns:
             The block, or None where it lacks a value that it needs; the problem is reported.
         """
-        shape = shape_of(kind)
+        schema = block_schema(block_type)
         values: dict[str, Any] = {}
         for statement in statements:
             name = statement.name.text
-            if not path and name == VOLUMES:
+            if not path and name == VOLUMES_DIRECTIVE:
                 self._add_volumes(statement, values)
                 continue
-            field = shape.fields.get(name)
+            field = schema.fields.get(name)
             if field is None:
-                near = difflib.get_close_matches(name, shape.fields, 1)
-                expected = f"{near[0]} (the nearest known one)" if near else expect_one_of(shape.fields)
+                nearest = difflib.get_close_matches(name, schema.fields, 1)
+                expected = f"{nearest[0]} (the nearest known one)" if nearest else expect_one_of(schema.fields)
                 self._report(statement.name.position, f"unknown directive {name!r}", expected)
                 continue
-            self._add_directive(statement, field, shape.annotations[field.name], values, (*path, name))
-        missing = [name for name, field in shape.fields.items() if field.name not in values and field.required]
-        stated = {statement.name.text for statement in statements}  # a wrong directive was reported already
+            self._add_directive(statement, field, schema.annotations[field.name], values, (*path, name))
+        missing = [name for name, field in schema.fields.items() if field.name not in values and field.required]
+        stated_names = {statement.name.text for statement in statements}  # a wrong directive was reported already
         for name in missing:
-            if name not in stated:
+            if name not in stated_names:
                 self._report(position, f"{' '.join(path) or 'the file'} has no {name!r}", f"a line {name} ...")
-        return None if missing else kind(**values)
+        return None if missing else block_type(**values)
 
     def _report(self, position: Position, found: str, expected: str) -> None:
         self.problems.append(Problem(position, found, expected))
@@ -91,27 +91,27 @@
         self, statement: Statement, field: FieldInfo, annotation: Any, values: dict[str, Any], path: BlockPath
     ) -> None:
         """Adds what a directive states to the values of its block."""
-        kind = unwrap(annotation).kind
-        if get_origin(kind) is dict:
-            self._add_named_blocks(statement, get_args(kind)[1], values.setdefault(field.name, {}), path)
-        elif get_origin(kind) is list and get_args(kind)[0] is ScheduledFault:
+        base_type = unwrap(annotation).base_type
+        if get_origin(base_type) is dict:
+            self._add_named_blocks(statement, get_args(base_type)[1], values.setdefault(field.name, {}), path)
+        elif get_origin(base_type) is list and get_args(base_type)[0] is ScheduledFault:
             fault = parse_scheduled_fault(statement, self._report)
             if fault is not None:
                 values.setdefault(field.name, []).append(fault)
-        elif isinstance(kind, type) and issubclass(kind, Struct):
-            self._add_block(statement, field, kind, values, path)
+        elif isinstance(base_type, type) and issubclass(base_type, Struct):
+            self._add_block(statement, field, base_type, values, path)
         else:
             self._add_value(statement, field, annotation, values, path)
 
     def _add_block(
-        self, statement: Statement, field: FieldInfo, kind: type[Struct], values: dict[str, Any], path: BlockPath
+        self, statement: Statement, field: FieldInfo, block_type: type[Struct], values: dict[str, Any], path: BlockPath
     ) -> None:
         name = statement.name
         if statement.block is None or statement.args:
             self._report(name.position, f"{name.text!r} with no block", f"{name.text} {{")
         elif self._is_first(statement, field, values, path):
             self.positions[path] = name.position
-            block = self.build(kind, statement.block, path, name.position)
+            block = self.build(block_type, statement.block, path, name.position)
             if block is not None:
                 values[field.name] = block
 
@@ -138,7 +138,7 @@
         return False
 
     def _add_named_blocks(
-        self, statement: Statement, kind: type[Struct], blocks: dict[str, Any], path: BlockPath
+        self, statement: Statement, block_type: type[Struct], blocks: dict[str, Any], path: BlockPath
     ) -> None:
         """Adds a block under each of the names that a directive states."""
         directive = statement.name.text
@@ -153,19 +153,19 @@
                 self._report(word.position, f"a second {directive} {word.text!r}", expected)
                 continue
             try:
-                parse_value(NAME_TYPE, [word])
+                parse_value(NAME_ANNOTATION, [word])
             except InvalidValueError as error:
                 self._report(word.position, f"{directive} {word.text!r}", str(error))
                 continue
             self.positions[inner_path] = word.position
-            block = self.build(kind, statement.block, inner_path, word.position)
+            block = self.build(block_type, statement.block, inner_path, word.position)
             if block is not None:
                 blocks[word.text] = block
 
     def _add_volumes(self, statement: Statement, values: dict[str, Any]) -> None:
         """Adds what `volumes PREFIX COUNT { ... }` states: PREFIX-1 to PREFIX-COUNT, all alike."""
         if statement.block is None or len(statement.args) != 2 or not statement.args[1].text.isdigit():
-            self._report(statement.name.position, f"{VOLUMES!r}", f"{VOLUMES} PREFIX COUNT {{")
+            self._report(statement.name.position, f"{VOLUMES_DIRECTIVE!r}", f"{VOLUMES_DIRECTIVE} PREFIX COUNT {{")
             return
         prefix, count_word = statement.args
         count = int(count_word.text)
--- a/pebblehinge/settings/checks.py
+++ b/pebblehinge/settings/checks.py
@@ -7,12 +7,12 @@
 
 from pebblehinge.settings.builder import BlockPath, expect_one_of
 from pebblehinge.settings.lines import Position, Problem
-from pebblehinge.settings.module_checks import FRAME_OVERHEAD, find_module_problems
+from pebblehinge.settings.module_checks import FRAME_OVERHEAD_BYTES, find_module_problems
 from pebblehinge.settings.policy import ProfileBlock, VolumeBlock
 from pebblehinge.settings.schema import Config
 from pebblehinge.settings.stand_ins import MixBlock
 
-MIN_FRAME = 4096
+MIN_FRAME_BYTES = 4096
 SETTINGS_START = Position("settings", 1, 1)
 """Where a problem is if nobody knows."""
 
@@ -44,15 +44,15 @@
             self._check_mix(name, mix)
         self._check_storage_nodes()
         if (self.config.head or self.config.fleet) and not any(path[0] == "profile" for path in self.positions):
-            start = next(iter(self.positions.values()))
-            self._report(start, "heads with no profile", "at least one profile block")
+            file_start = next(iter(self.positions.values()))
+            self._report(file_start, "heads with no profile", "at least one profile block")
         for name, module in self.config.module.items():
             for problem in find_module_problems(self.config, module, self._is_stated):
                 position = self.positions.get(("module", name, problem.directive)) or self._position("module", name)
                 self._report(position, problem.found, problem.expected)
         self._check_copies()
         self._check_users()
-        if self.config.limits.frame < MIN_FRAME:
+        if self.config.limits.frame < MIN_FRAME_BYTES:
             found = f"a frame of {self.config.limits.frame} bytes"
             self._report(self._position("limits", "frame"), found, "at least 4KiB")
 
@@ -115,7 +115,7 @@
         if mix.units[1] > largest:
             position = self._position("mix", name, "units")
             self._report(position, f"up to {mix.units[1]:g} units", f"at most the {largest:g} that the rules name")
-        if mix.bytes + FRAME_OVERHEAD > self.config.limits.frame:
+        if mix.bytes + FRAME_OVERHEAD_BYTES > self.config.limits.frame:
             position = self._position("mix", name, "bytes")
             self._report(position, f"{mix.bytes} bytes", "less than the limit of a frame")
 
--- a/pebblehinge/settings/lines.py
+++ b/pebblehinge/settings/lines.py
@@ -16,7 +16,7 @@
 MAX_DEPTH = 16
 """Of includes and of blocks within each other."""
 
-EXCERPT = 20
+MAX_EXCERPT_LENGTH = 20
 """Characters that a problem repeats of what it found."""
 
 
@@ -91,20 +91,20 @@
 
 
 def _read_file(
-    result: ParseResult, path: Path, target: list[Statement], asked_at: Position, ancestors: tuple[Path, ...]
+    result: ParseResult, path: Path, target: list[Statement], include_at: Position, ancestors: tuple[Path, ...]
 ) -> None:
     """Reads a file into `target`; `ancestors` are the files that include it, `asked_at` is where the last one does."""
     resolved = path.resolve()
     if resolved in ancestors or len(ancestors) >= MAX_DEPTH:
-        result.problems.append(Problem(asked_at, f"{path} includes itself", "files that end somewhere"))
+        result.problems.append(Problem(include_at, f"{path} includes itself", "files that end somewhere"))
         return
     try:
         text = path.read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
-        result.problems.append(Problem(asked_at, f"{path} holds byte {error.start} that is no UTF-8", "UTF-8 text"))
+        result.problems.append(Problem(include_at, f"{path} holds byte {error.start} that is no UTF-8", "UTF-8 text"))
         return
     except OSError as error:
-        result.problems.append(Problem(asked_at, f"{path} can't be read ({error.strerror})", "a readable file"))
+        result.problems.append(Problem(include_at, f"{path} can't be read ({error.strerror})", "a readable file"))
         return
     result.files.append(str(path))
     _LineReader(result, path, target, (*ancestors, resolved)).read(text)
@@ -123,8 +123,8 @@
 
     def read(self, text: str) -> None:
         """Reads the file's text, up to blocks that are too deep within each other."""
-        for number, line in enumerate(text.split("\n"), 1):
-            self._read_line(number, line)
+        for line_number, line in enumerate(text.split("\n"), 1):
+            self._read_line(line_number, line)
             if len(self.open_blocks) > MAX_DEPTH:
                 return
         for block in self.open_blocks:
@@ -134,24 +134,24 @@
     def _report(self, position: Position, found: str, expected: str) -> None:
         self.result.problems.append(Problem(position, found, expected))
 
-    def _read_line(self, number: int, line: str) -> None:
+    def _read_line(self, line_number: int, line: str) -> None:
         if len(line) > MAX_LINE_LENGTH:
             found = f"a line of {len(line)} characters"
-            self._report(Position(self.file, number, 1), found, f"at most {MAX_LINE_LENGTH}")
+            self._report(Position(self.file, line_number, 1), found, f"at most {MAX_LINE_LENGTH}")
             return
         try:
             tokens = parse_line(line)
         except UnexpectedInput as error:
-            self.result.problems.append(_syntax_problem(error, self.file, number, line))
+            self.result.problems.append(_syntax_problem(error, self.file, line_number, line))
             if line.split("#")[0].rstrip().endswith("{"):  # so that the block's end is not a second fault
-                self.open_blocks.append(Statement(Word("", Position(self.file, number, 1)), [], []))
+                self.open_blocks.append(Statement(Word("", Position(self.file, line_number, 1)), [], []))
             return
         if not tokens:
             return
         if tokens[0].type == "CLOSE":
-            self._close_block(Position(self.file, number, tokens[0].column or 1))
+            self._close_block(Position(self.file, line_number, tokens[0].column or 1))
         else:
-            self._add_statement(number, tokens)
+            self._add_statement(line_number, tokens)
 
     def _close_block(self, position: Position) -> None:
         if self.open_blocks:
@@ -159,10 +159,10 @@
         else:
             self._report(position, "} with no block open", "a directive")
 
-    def _add_statement(self, number: int, tokens: list[Token]) -> None:
+    def _add_statement(self, line_number: int, tokens: list[Token]) -> None:
         opens_block = tokens[-1].type == "OPEN"
         words = [
-            Word(unquote(token), Position(self.file, number, token.column or 1))
+            Word(unquote(token), Position(self.file, line_number, token.column or 1))
             for token in tokens[: -1 if opens_block else None]
         ]
         statement = Statement(words[0], words[1:], [] if opens_block else None)
@@ -188,14 +188,14 @@
         _read_file(self.result, self.path.parent / file.text, target, file.position, self.ancestors)
 
 
-def _syntax_problem(error: UnexpectedInput, file: str, number: int, line: str) -> Problem:
+def _syntax_problem(error: UnexpectedInput, file: str, line_number: int, line: str) -> Problem:
     column = error.column if error.column and error.column > 0 else len(line) + 1
-    position = Position(file, number, column)
+    position = Position(file, line_number, column)
     if isinstance(error, UnexpectedCharacters):
         rest = line[column - 1 :]
         if rest.startswith('"'):
             return Problem(position, "a quote that is not closed", 'a closing " on this line')
-        found = f"{rest[:EXCERPT]!r}"
+        found = f"{rest[:MAX_EXCERPT_LENGTH]!r}"
     else:
         found = f"{str(getattr(error, 'token', ''))!r}"
     return Problem(position, found, "a directive, its values, and { only at the line's end")
--- a/pebblehinge/settings/load.py
+++ b/pebblehinge/settings/load.py
@@ -24,28 +24,28 @@
     Raises:
         SettingsError: The file has faults; all of them are named.
     """
-    return _finish(read_file(Path(path)), loopback)
+    return _build_config(read_file(Path(path)), loopback)
 
 
 def loads(text: str, name: str = "text", loopback: str | None = None) -> Config:
     """Reads settings from a text; as `load`, with `name` in place of the file's in faults."""
-    return _finish(read_text(text, name), loopback)
+    return _build_config(read_text(text, name), loopback)
 
 
-def _finish(result: ParseResult, loopback: str | None) -> Config:
+def _build_config(result: ParseResult, loopback: str | None) -> Config:
     builder = BlockBuilder(result.problems)
     start = Position(result.files[0] if result.files else "text", 1, 1)
     config = builder.build(Config, result.statements, (), start)
     if config is not None:
         CrossChecks(config, result.problems, builder.positions).check()
     if result.problems or config is None:
-        raise SettingsError(sorted(result.problems, key=_order))
+        raise SettingsError(sorted(result.problems, key=_sort_key))
     if config.fleet is not None:
         _expand_fleet(config, config.fleet, loopback or config.fleet.loopback)
     return config
 
 
-def _order(problem: Problem) -> tuple[str, int, int]:
+def _sort_key(problem: Problem) -> tuple[str, int, int]:
     position = problem.position
     return position.file, position.line, position.column
 
--- a/pebblehinge/settings/module_checks.py
+++ b/pebblehinge/settings/module_checks.py
@@ -10,8 +10,8 @@
 from pebblehinge.settings.rsync import ModuleBlock
 from pebblehinge.settings.schema import Config
 
-MIN_BLOCK = 4096
-FRAME_OVERHEAD = 1024
+MIN_BLOCK_BYTES = 4096
+FRAME_OVERHEAD_BYTES = 1024
 """Bytes of a frame that data can't use."""
 
 
@@ -40,7 +40,7 @@
         if user not in config.user and not is_stated("user", user):
             expected = expect_one_of(config.user) if config.user else "a block for it"
             yield ModuleProblem("users", f"user {user!r} is not there", expected)
-    if module.block < MIN_BLOCK or module.block + FRAME_OVERHEAD > config.limits.frame:
+    if module.block < MIN_BLOCK_BYTES or module.block + FRAME_OVERHEAD_BYTES > config.limits.frame:
         expected = "at least 4KiB, and less than the limit of a frame"
         yield ModuleProblem("block", f"blocks of {module.block} bytes", expected)
     if module.ahead < module.block:
--- a/pebblehinge/settings/policy.py
+++ b/pebblehinge/settings/policy.py
@@ -6,7 +6,7 @@
 
 from msgspec import field
 
-from pebblehinge.settings.units import Block, Count, Ms, Name, Part, Rate, Times, Units, Whole
+from pebblehinge.settings.units import Block, Count, Factor, Fraction, Ms, Name, NonNegativeInt, Rate, Units
 
 
 class ProfileBlock(Block):
@@ -16,7 +16,7 @@
     expected: Ms
     patience: Ms
     repeat: Literal["redoable", "labelled", "irreversible"]
-    late_share: Part = 0.0
+    late_share: Fraction = 0.0
     group: Literal["all", "zone", "cell"] = "all"
     window: Ms = 0.0
     in_order: bool = False
@@ -31,7 +31,7 @@
     burst: Units = 0.0  # units that may go at once, where there is a limit
     slack: Units = 0.0
     weight: Units = 1.0
-    worth: Times = 1.0
+    worth: Factor = 1.0
 
 
 class VolumeBlock(Block):
@@ -39,7 +39,7 @@
 
     plan: Name
     heads: Count = 1  # through how many heads its accesses come
-    slots: list[Whole] = field(default_factory=list)  # where its data lies; none: the load tool draws
+    slots: list[NonNegativeInt] = field(default_factory=list)  # where its data lies; none: the load tool draws
     through: list[Name] = field(default_factory=list)  # the heads by name; none: the load tool draws
     spread: Count = 2  # how many slots the load tool draws
     save: Literal["through", "buffered"] = "through"  # a write is confirmed at the shelf, or in the head's journal
@@ -51,12 +51,12 @@
 
     drain_grace: Ms = 500.0
     answer_grace: Ms = 100.0
-    cold_share: Part = 0.3
+    cold_share: Fraction = 0.3
     warm: Ms = 10_000.0
-    fall_multiple: Times = 2.0
+    fall_multiple: Factor = 2.0
     fall_window: Ms = 1_000.0
     order_settle: Ms = 0.0
-    budget_share: Part | None = None  # none: no budget is stated
+    budget_share: Fraction | None = None  # none: no budget is stated
     budget_free: Units = 0.0
     budget_window: Ms = 5_000.0
     try_limit: Count = 3
@@ -65,5 +65,5 @@
     marks_repeats: bool = True
     mean_units: Units = 2.0
     most_units: Units = 6.0
-    share_worth: Part = 0.35
-    spare_worth: Part = 0.05
+    share_worth: Fraction = 0.35
+    spare_worth: Fraction = 0.05
--- a/pebblehinge/settings/rendering.py
+++ b/pebblehinge/settings/rendering.py
@@ -13,11 +13,11 @@
 
 INDENT = "    "
 SCALED_UNITS = ("ms", "%", "size")
-QUOTED = frozenset(' \t"{}#\\')
+CHARACTERS_TO_QUOTE = frozenset(' \t"{}#\\')
 """Characters that a word has only in quotes."""
 
 
-def show(config: Struct, indent: str = "") -> list[str]:
+def render_settings(config: Struct, indent: str = "") -> list[str]:
     """What is in force, as lines that `load` reads again; values that are defaults are marked."""
     lines: list[str] = []
     hints = get_type_hints(type(config), include_extras=True)
@@ -34,7 +34,7 @@
     if isinstance(value, dict):
         return [line for key, block in value.items() for line in _render_block(f"{name} {key}", block)]
     field_type = unwrap(hint)
-    if get_origin(field_type.kind) is list and get_args(field_type.kind)[0] is ScheduledFault:
+    if get_origin(field_type.base_type) is list and get_args(field_type.base_type)[0] is ScheduledFault:
         return [_render_fault(fault) for fault in value]
     if value is None or value == []:
         return [f"# {name} none (default)"]
@@ -44,7 +44,7 @@
 
 
 def _render_block(start: str, block: Struct) -> list[str]:
-    return [f"{start} {{", *show(block, INDENT), "}"]
+    return [f"{start} {{", *render_settings(block, INDENT), "}"]
 
 
 def _render_value(value: Any, unit: str) -> str:
@@ -57,11 +57,11 @@
     if isinstance(value, list):
         return " ".join(_render_value(item, "") for item in value)
     if unit in SCALED_UNITS or isinstance(value, float):
-        return _render_figure(value, unit)
+        return _render_number(value, unit)
     return _render_word(str(value))
 
 
-def _render_figure(value: float, unit: str) -> str:
+def _render_number(value: float, unit: str) -> str:
     if unit == "ms":
         return f"{value / 1000:g}s" if value >= 1000 and value % 1000 == 0 else f"{value:g}ms"
     if unit == "%":
@@ -72,7 +72,7 @@
 
 
 def _render_word(text: str) -> str:
-    if text and not QUOTED & set(text):
+    if text and not CHARACTERS_TO_QUOTE & set(text):
         return text
     return '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
--- a/pebblehinge/settings/rsync.py
+++ b/pebblehinge/settings/rsync.py
@@ -4,7 +4,7 @@
 
 from msgspec import field
 
-from pebblehinge.settings.units import Block, Count, Ms, Name, Path, Size, Whole
+from pebblehinge.settings.units import Block, Count, Ms, Name, NonNegativeInt, Path, Size
 
 
 class RsyncBlock(Block):
@@ -43,7 +43,7 @@
     max_size: Size = 1 << 34
     max_files: Count = 100_000
     max_list: Size = 64 << 20  # memory of one transfer's list of files, about 100 bytes and its name each
-    max_delete: Whole = 1_000
+    max_delete: NonNegativeInt = 1_000
 
 
 class UserBlock(Block):
--- a/pebblehinge/settings/scheduled_faults.py
+++ b/pebblehinge/settings/scheduled_faults.py
@@ -12,7 +12,7 @@
 from pebblehinge.settings.errors import InvalidValueError
 from pebblehinge.settings.lines import Position, Statement, Word
 from pebblehinge.settings.stand_ins import ScheduledFault
-from pebblehinge.settings.values import is_plain, number
+from pebblehinge.settings.values import is_decimal, parse_number
 
 CLAUSES = ("by", "every", "for")
 """The words after which a figure follows."""
@@ -21,7 +21,7 @@
 GATEWAY = "head"
 LOAD = "load"
 DISCOVERY = "list"
-Report = Callable[[Position, str, str], None]
+ReportProblem = Callable[[Position, str, str], None]
 """Takes a problem: its position, what was found, and what was expected."""
 
 
@@ -77,7 +77,7 @@
 """The kinds of faults by their words in the settings."""
 
 
-def parse_scheduled_fault(statement: Statement, report: Report) -> ScheduledFault | None:
+def parse_scheduled_fault(statement: Statement, report: ReportProblem) -> ScheduledFault | None:
     """The fault that `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]` states.
 
     Args:
@@ -90,12 +90,12 @@
     time, name, *rest = statement.args
     kind = FAULT_KINDS.get(name.text)
     if kind is None:
-        near = difflib.get_close_matches(name.text, FAULT_KINDS, 1)
-        expected = f"{near[0]} (the nearest known one)" if near else "one of " + ", ".join(FAULT_KINDS)
+        nearest = difflib.get_close_matches(name.text, FAULT_KINDS, 1)
+        expected = f"{nearest[0]} (the nearest known one)" if nearest else "one of " + ", ".join(FAULT_KINDS)
         report(name.position, f"unknown trouble {name.text!r}", expected)
         return None
     try:
-        at_ms = _figure(time, "at")
+        begin_ms = _parse_clause_number(time, "at")
         targets, clauses = _split_clauses(rest)
     except _WordError as error:
         report(error.word.position, repr(error.word.text), str(error))
@@ -105,7 +105,7 @@
         report(name.position, *problem)
         return None
     return ScheduledFault(
-        at=at_ms,
+        at=begin_ms,
         name=name.text,
         target=targets,
         by=clauses.get("by"),
@@ -131,23 +131,23 @@
         if word.text not in CLAUSES:
             targets.append(word.text)
             continue
-        figure = next(remaining, None)
-        if figure is None:
+        number_word = next(remaining, None)
+        if number_word is None:
             raise _WordError(word, f"a figure after {word.text}")
-        clauses[word.text] = _figure(figure, word.text)
+        clauses[word.text] = _parse_clause_number(number_word, word.text)
     return targets, clauses
 
 
-def _figure(word: Word, clause: str) -> float:
+def _parse_clause_number(word: Word, clause: str) -> float:
     """The figure of a clause, a time but for `by`, which may be a share, a factor or a time; raises _WordError."""
     unit = "ms"
     if clause == "by":
         if word.text.endswith("%"):
             unit = "%"
-        elif word.text.endswith("x") or is_plain(word.text):
+        elif word.text.endswith("x") or is_decimal(word.text):
             unit = "x"
     try:
-        return number(word.text, unit)
+        return parse_number(word.text, unit)
     except InvalidValueError as error:
         raise _WordError(word, str(error)) from None
 
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -27,13 +27,13 @@
     Address,
     Block,
     Count,
+    Fraction,
     Ms,
     MsRange,
     Name,
-    Part,
+    NonNegativeInt,
     Path,
     Size,
-    Whole,
 )
 
 __all__ = [
@@ -89,7 +89,7 @@
 
     listen: Address = "127.0.0.1:7000"
     metrics: Address | None = None
-    seed: Whole = 1
+    seed: NonNegativeInt = 1
     step: Ms = 2.0  # grid of the module's clock
     answer_margin: Ms = 20.0  # taken off a client's patience for the way back
     accounts: bool = False  # who waited for whom: costs a fifth of a core's rate
@@ -121,8 +121,8 @@
 
     id: Name = "pebblehinge"  # instances of another group are not talked to
     lease: Ms = 3_000.0
-    drift: Part = 0.05  # by how much clocks may run apart
-    floor: Part = 0.25  # of its part of a limit, for a head without a lease
+    drift: Fraction = 0.05  # by how much clocks may run apart
+    floor: Fraction = 0.25  # of its part of a limit, for a head without a lease
     renew: Ms = 500.0
     tick: Ms = 50.0
     election: Count = 10  # in ticks, at least; each wait is drawn up to twice that
@@ -170,43 +170,43 @@
     user: dict[str, UserBlock] = field(default_factory=dict)
     records: Path | None = None
 
-    def module_settings(self, head: HeadBlock) -> Settings:
+    def scheduler_settings(self, head: HeadBlock) -> Settings:
         """What the decision module is handed at its start."""
-        r = self.rules
+        rules = self.rules
         return Settings(
             request_classes=tuple(
                 RequestClass(
                     name,
-                    p.importance,
-                    p.expected,
-                    p.patience,
-                    p.late_share,
-                    Idempotency(p.repeat),
-                    DeduplicationScope(p.group),
-                    p.window,
-                    p.in_order,
+                    profile.importance,
+                    profile.expected,
+                    profile.patience,
+                    profile.late_share,
+                    Idempotency(profile.repeat),
+                    DeduplicationScope(profile.group),
+                    profile.window,
+                    profile.in_order,
                 )
-                for name, p in self.profile.items()
+                for name, profile in self.profile.items()
             ),
             quota_plans=tuple(
-                QuotaPlan(name, p.rate, p.reserve, p.limit, p.burst, p.slack, p.weight, p.worth)
-                for name, p in self.plan.items()
+                QuotaPlan(name, plan.rate, plan.reserve, plan.limit, plan.burst, plan.slack, plan.weight, plan.worth)
+                for name, plan in self.plan.items()
             ),
-            mean_units=r.mean_units,
-            max_units=r.most_units,
-            share_value=r.share_worth,
-            excess_value=r.spare_worth,
+            mean_units=rules.mean_units,
+            max_units=rules.most_units,
+            share_value=rules.share_worth,
+            excess_value=rules.spare_worth,
             must_request_watch=self.listing.mode == "ask",
-            clients_mark_retries=r.marks_repeats,
-            cancellation_allowed=r.recall,
-            max_retry_after_ms=r.stay_away_max,
-            max_attempts=r.try_limit,
+            clients_mark_retries=rules.marks_repeats,
+            cancellation_allowed=rules.recall,
+            max_retry_after_ms=rules.stay_away_max,
+            max_attempts=rules.try_limit,
             clock_resolution_ms=head.step,
-            slow_start_initial_share=r.cold_share,
-            slow_start_duration_ms=r.warm,
-            slow_start_failure_multiple=r.fall_multiple,
-            order_settle_ms=r.order_settle,
-            retry_budget_share=r.budget_share,
-            retry_budget_min_retries=r.budget_free,
-            retry_budget_window_ms=r.budget_window,
+            slow_start_initial_share=rules.cold_share,
+            slow_start_duration_ms=rules.warm,
+            slow_start_failure_multiple=rules.fall_multiple,
+            order_settle_ms=rules.order_settle,
+            retry_budget_share=rules.budget_share,
+            retry_budget_min_retries=rules.budget_free,
+            retry_budget_window_ms=rules.budget_window,
         )
--- a/pebblehinge/settings/stand_ins.py
+++ b/pebblehinge/settings/stand_ins.py
@@ -10,15 +10,15 @@
     Address,
     Block,
     Count,
+    Factor,
+    FactorRange,
+    Fraction,
     Ms,
     MsRange,
     Name,
-    Part,
+    NonNegativeInt,
     Rate,
     Size,
-    Times,
-    TimesRange,
-    Whole,
 )
 
 
@@ -26,28 +26,28 @@
     """kind NAME { ... }: a kind of stand-in shelf."""
 
     cores: Count = 2
-    speed: TimesRange = (1.0, 1.0)
+    speed: FactorRange = (1.0, 1.0)
     unit_work: Ms = 20.0  # work of one unit at speed 1
-    noise: Part = 0.2
+    noise: Fraction = 0.2
     slots: Count = 3  # accesses in work for each core
     queue: Count = 40  # waiting for each core
-    cold_from: Part = 0.35
+    cold_from: Fraction = 0.35
     cold: Ms = 8_000.0
-    remembers: Whole = 2
-    seek: Part = 0.55  # work saved on a remembered extent
-    defer: Part = 0.35  # of a write's work, put off
+    remembers: NonNegativeInt = 2
+    seek: Fraction = 0.55  # work saved on a remembered extent
+    defer: Fraction = 0.35  # of a write's work, put off
     flush: Ms = 2_500.0
     pause: Ms = 0.0
     pause_every: Ms = 5_000.0
-    thrash: Part = 0.2
-    errors: Part = 0.0
+    thrash: Fraction = 0.2
+    errors: Fraction = 0.0
 
 
 class ShelfBlock(Block):
     """shelf NAME { ... }: one stand-in shelf."""
 
     listen: Address = "127.0.0.1:7200"
-    slot: Whole = 0
+    slot: NonNegativeInt = 0
     rack: Name = "r1"
     zone: Name = "z1"
     kind: Name = "plain"
@@ -68,10 +68,10 @@
 class MixBlock(Block):
     """mix PROFILE { ... }: how the load uses a profile."""
 
-    share: Part
+    share: Fraction
     write: bool = False
-    units: TimesRange = (1.0, 4.0)
-    run: TimesRange = (1.0, 3.0)  # accesses in a row on one extent
+    units: FactorRange = (1.0, 4.0)
+    run: FactorRange = (1.0, 3.0)  # accesses in a row on one extent
     gap: MsRange = (1.0, 8.0)  # thinktime between them
     bytes: Size = 1024
 
@@ -81,15 +81,15 @@
 
     rate: Rate = 100.0
     processes: Count = 2
-    retries: Whole = 1
+    retries: NonNegativeInt = 1
     backoff: Ms = 100.0
-    honours: Part = 0.8  # share of clients that keep away for as long as they are told
-    surge: TimesRange = (4.0, 10.0)  # of a volume's rate
+    honours: Fraction = 0.8  # share of clients that keep away for as long as they are told
+    surge: FactorRange = (4.0, 10.0)  # of a volume's rate
     surge_every: Ms = 10_000.0  # in the mean, over all volumes; 0: none
     surge_for: MsRange = (2_000.0, 5_000.0)
     extents: Count = 200  # for each volume
-    impatient: Part = 0.0
-    ramp: Times = 1.0  # rate at the day's end against its beginning
+    impatient: Fraction = 0.0
+    ramp: Factor = 1.0  # rate at the day's end against its beginning
 
 
 class CopiesBlock(Block):
@@ -98,10 +98,10 @@
     module: Name
     rate: Annotated[float, Meta(gt=0, le=1e6, extra={"unit": "/s"})] = 5.0  # transfers begun
     members: Count = 20  # each with a folder of its own, one transfer at a time
-    files: TimesRange = (1.0, 4.0)  # altered between two pushes
+    files: FactorRange = (1.0, 4.0)  # altered between two pushes
     size: Annotated[tuple[float, float], Meta(extra={"unit": "size"})] = (200.0, 65536.0)
-    push: Part = 0.6
-    cuts: Part = 0.1  # share of tries whose connection is cut at some byte
+    push: Fraction = 0.6
+    cuts: Fraction = 0.1  # share of tries whose connection is cut at some byte
     tries: Count = 5
     again: Ms = 800.0
     patience: Ms = 30_000.0
@@ -132,5 +132,5 @@
 
     length: Ms = 30_000.0
     settle: Ms = 3_000.0  # before the load begins
-    goal: Part = 0.0  # the service that the day must reach
+    goal: Fraction = 0.0  # the service that the day must reach
     at: list[ScheduledFault] = field(default_factory=list)
--- a/pebblehinge/settings/values.py
+++ b/pebblehinge/settings/values.py
@@ -15,15 +15,15 @@
 from pebblehinge.settings.errors import InvalidValueError
 from pebblehinge.settings.lines import Word
 
-TIMES = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+MS_BY_SUFFIX = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
 """Milliseconds by suffix; longer suffixes come before those that they end in."""
 
-SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1000, "MB": 10**6, "GB": 10**9}
+BYTES_BY_SUFFIX = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1000, "MB": 10**6, "GB": 10**9}
 """Bytes by suffix."""
 
-SIZE_SUFFIXES = sorted(SIZES, key=len, reverse=True)
+SIZE_SUFFIXES = sorted(BYTES_BY_SUFFIX, key=len, reverse=True)
 BOOLEANS = {"yes": True, "no": False}
-EXPECTED = {
+EXPECTED_BY_UNIT = {
     "ms": "a time such as 400ms, 1.5s or 2m",
     "size": "a size such as 512B, 4KiB or 1MiB",
     "x": "a factor such as 10x",
@@ -34,7 +34,7 @@
 """What a figure is to be, by its unit."""
 
 
-def number(text: str, unit: str) -> float:
+def parse_number(text: str, unit: str) -> float:
     """A figure with its unit: times in milliseconds, sizes in bytes (a whole number), shares as parts of 1.
 
     Args:
@@ -46,9 +46,9 @@
     """
     try:
         if unit == "ms":
-            return _time_ms(text)
+            return _parse_time_ms(text)
         if unit == "size":
-            return _size(text)
+            return _parse_size(text)
         if unit == "%" and text.endswith("%"):
             return float(text[:-1]) / 100.0
         value = float(text.removesuffix(unit))
@@ -56,29 +56,29 @@
             raise ValueError(text)
         return value
     except (ValueError, OverflowError):
-        raise InvalidValueError(EXPECTED[unit]) from None
+        raise InvalidValueError(EXPECTED_BY_UNIT[unit]) from None
 
 
-def is_plain(text: str) -> bool:
+def is_decimal(text: str) -> bool:
     """Whether a word is digits with at most one point."""
     return bool(text) and all(c.isdigit() or c == "." for c in text) and text.count(".") <= 1
 
 
-def _time_ms(text: str) -> float:
-    for suffix, milliseconds in TIMES.items():
-        figure = text.removesuffix(suffix)
-        if figure != text and is_plain(figure):
-            return float(figure) * milliseconds
+def _parse_time_ms(text: str) -> float:
+    for suffix, milliseconds in MS_BY_SUFFIX.items():
+        number_text = text.removesuffix(suffix)
+        if number_text != text and is_decimal(number_text):
+            return float(number_text) * milliseconds
     if float(text) != 0:
         raise ValueError(text)
     return 0.0
 
 
-def _size(text: str) -> int:
+def _parse_size(text: str) -> int:
     for suffix in SIZE_SUFFIXES:
-        figure = text.removesuffix(suffix)
-        if figure != text and is_plain(figure):
-            return int(float(figure) * SIZES[suffix])
+        number_text = text.removesuffix(suffix)
+        if number_text != text and is_decimal(number_text):
+            return int(float(number_text) * BYTES_BY_SUFFIX[suffix])
     return int(text)
 
 
@@ -92,7 +92,7 @@
         optional: Whether the value may be none.
     """
 
-    kind: Any
+    base_type: Any
     unit: str
     expected: str
     optional: bool
@@ -127,29 +127,29 @@
         InvalidValueError: The arguments aren't what the type wants.
     """
     field = unwrap(hint)
-    if get_origin(field.kind) is list:
+    if get_origin(field.base_type) is list:
         return _parse_list(hint, field, [arg.text for arg in args])
     if len(args) != 1:
         raise InvalidValueError("one value" if not args else f"one value, not {len(args)}")
     text = args[0].text
     if field.optional and text == "none":
         return None
-    if get_origin(field.kind) is Literal:
-        return _parse_choice(get_args(field.kind), text)
-    if get_origin(field.kind) is tuple:
+    if get_origin(field.base_type) is Literal:
+        return _parse_choice(get_args(field.base_type), text)
+    if get_origin(field.base_type) is tuple:
         return _parse_range(text, field.unit)
-    if field.kind is bool:
+    if field.base_type is bool:
         return _parse_boolean(text)
-    if field.kind is float:
-        return _convert(number(text, field.unit), hint, EXPECTED[field.unit])
-    if field.kind is int:
+    if field.base_type is float:
+        return _convert(parse_number(text, field.unit), hint, EXPECTED_BY_UNIT[field.unit])
+    if field.base_type is int:
         return _parse_integer(hint, field, text)
     return _convert(text, hint, field.expected or "a word")
 
 
 def _parse_list(hint: Any, field: FieldType, texts: list[str]) -> Any:
-    item = unwrap(get_args(field.kind)[0])
-    if item.kind is not int:
+    item = unwrap(get_args(field.base_type)[0])
+    if item.base_type is not int:
         return _convert(texts, hint, item.expected or "names")
     if not all(text.isdigit() for text in texts):
         raise InvalidValueError("whole numbers")
@@ -169,9 +169,9 @@
 
 
 def _parse_range(text: str, unit: str) -> tuple[float, float]:
-    low_text, dots, high_text = text.partition("..")
-    low = number(low_text, unit)
-    high = number(high_text if dots else low_text, unit)
+    low_text, separator, high_text = text.partition("..")
+    low = parse_number(low_text, unit)
+    high = parse_number(high_text if separator else low_text, unit)
     if low > high:
         raise InvalidValueError("a range from the smaller to the larger, such as 2..5")
     return low, high
@@ -179,7 +179,7 @@
 
 def _parse_integer(hint: Any, field: FieldType, text: str) -> Any:
     if field.unit:
-        return _convert(int(number(text, field.unit)), hint, EXPECTED[field.unit])
+        return _convert(int(parse_number(text, field.unit)), hint, EXPECTED_BY_UNIT[field.unit])
     if not text.isdigit():
         raise InvalidValueError("a whole number")
     return _convert(int(text), hint, "a whole number")
@@ -194,7 +194,7 @@
         raise InvalidValueError(expected if "matching" in detail else f"{expected} ({detail})") from None
 
 
-class BlockShape(NamedTuple):
+class BlockSchema(NamedTuple):
     """What a block may hold: its fields by directive, and the annotations of the fields by their names."""
 
     fields: dict[str, FieldInfo]
@@ -202,7 +202,7 @@
 
 
 @functools.cache
-def shape_of(kind: type[Struct]) -> BlockShape:
+def block_schema(block_type: type[Struct]) -> BlockSchema:
     """The shape of a kind of block; cached, since a file may have twenty thousand blocks of a kind."""
-    fields = {field.name.replace("_", "-"): field for field in struct_fields(kind)}
-    return BlockShape(fields, get_type_hints(kind, include_extras=True))
+    fields = {field.name.replace("_", "-"): field for field in struct_fields(block_type)}
+    return BlockSchema(fields, get_type_hints(block_type, include_extras=True))
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -77,7 +77,7 @@
 
 def learned(config: Config) -> Scheduler:
     """A decision module that has learned latencies, think times, what a limit has left and retries."""
-    head = Scheduler(config.module_settings(config.head["h1"]), 1, 0.0)
+    head = Scheduler(config.scheduler_settings(config.head["h1"]), 1, 0.0)
     head.start(0.0)
     head.apply_endpoint_list(0.0, ListKind.WHOLE, _fleet())
     for n in range(40):
@@ -95,7 +95,7 @@
 
 def rebuilt(config: Config, state: dict[str, Any]) -> Scheduler:
     """A later life that took up what was kept."""
-    head = Scheduler(config.module_settings(config.head["h1"]), 2, 8_000.0)
+    head = Scheduler(config.scheduler_settings(config.head["h1"]), 2, 8_000.0)
     head.restore(8_000.0, state, 1_000.0, True)
     head.apply_endpoint_list(8_000.0, ListKind.WHOLE, _fleet())
     return head
--- a/tests/compatibility/test_settings_mark.py
+++ b/tests/compatibility/test_settings_mark.py
@@ -19,7 +19,7 @@
 
 
 def handed(config: Config) -> Settings:
-    return config.module_settings(next(iter(config.head.values())))
+    return config.scheduler_settings(next(iter(config.head.values())))
 
 
 def marks() -> dict[str, str]:
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -83,7 +83,7 @@
     config = load(str(ROOT / "examples" / "head.conf"))
     found = memory.decode(data)
     assert plain(found) == expected["values"]
-    assert memory.hash_settings(config.module_settings(config.head["h1"])) == expected["settings"]
+    assert memory.hash_settings(config.scheduler_settings(config.head["h1"])) == expected["settings"]
     assert plain(rebuilt(config, found.state).snapshot(9_000.0)) == expected["later"]
     name, mark, *times, _ = expected["values"]
     assert memory.encode(memory.Snapshot(name, mark, *times, learned(config).snapshot(5_000.0))) == data
--- a/tests/compatibility/write_fixtures.py
+++ b/tests/compatibility/write_fixtures.py
@@ -98,7 +98,7 @@
     })  # fmt: skip
 
     config = load(str(ROOT / "examples" / "head.conf"))
-    mark = memory.hash_settings(config.module_settings(config.head["h1"]))
+    mark = memory.hash_settings(config.scheduler_settings(config.head["h1"]))
     head = learned(config)
     kept = memory.Snapshot("h1", mark, *MEMORY, head.snapshot(5_000.0))
     (FIXTURES / "memory").write_bytes(memory.encode(kept))
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -79,7 +79,7 @@
         )
 
     def _start(self, name: str, memory: dict[str, Any] | None) -> None:
-        settings = self.config.module_settings(self.config.head["h1"])
+        settings = self.config.scheduler_settings(self.config.head["h1"])
         head = self.kind(settings, self.seed + self.order, self.now)
         life = self.lives[name] = Life(head, settings)
         if memory is not None:
--- a/tests/test_background_persistence.py
+++ b/tests/test_background_persistence.py
@@ -17,11 +17,11 @@
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.version_application import VersionApplication
-from pebblehinge.settings import show
+from pebblehinge.settings import render_settings
 from pebblehinge.store.background import run_inline, thread_runner
 from pebblehinge.wire import Kind
 
-SETTINGS_TEXT = "\n".join(show(STRUCK)) + "\n"
+SETTINGS_TEXT = "\n".join(render_settings(STRUCK)) + "\n"
 
 
 class FakeConnection:
--- a/tests/test_caps.py
+++ b/tests/test_caps.py
@@ -14,7 +14,7 @@
 from caps_points import ENOUGH, LOW, NAMED, RAISED, faults  # noqa: E402
 from caps_sizes import version_text  # noqa: E402
 
-from pebblehinge.settings import Config, show  # noqa: E402
+from pebblehinge.settings import Config, render_settings  # noqa: E402
 from pebblehinge.settings.load import loads  # noqa: E402
 from pebblehinge.settings.policy import VolumeBlock  # noqa: E402
 from pebblehinge.settings.schema import HeadBlock, ShelfBlock  # noqa: E402
@@ -65,4 +65,4 @@
         "plan g {\n rate 20/s\n limit 50/s\n burst 20\n}\n"
     )
     whole = Config(profile=base.profile, plan=base.plan, head=heads, shelf=shelfs, volume=volumes)
-    assert abs(len("\n".join(show(whole))) - version_text(20, 30, 40)) < 10
+    assert abs(len("\n".join(render_settings(whole))) - version_text(20, 30, 40)) < 10
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -12,10 +12,10 @@
 from pebblehinge.lab.proposer import broken_word
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.version_application import VersionApplication
-from pebblehinge.settings import show
+from pebblehinge.settings import render_settings
 from pebblehinge.settings.load import loads
 
-TEXT = "\n".join(show(STRUCK)) + "\n"
+TEXT = "\n".join(render_settings(STRUCK)) + "\n"
 
 
 def agreed(village: Any) -> tuple[list[str], list[str]]:
--- a/tests/test_lab_at_size.py
+++ b/tests/test_lab_at_size.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.lab.proposer import Proposer
 from pebblehinge.lab.virtual import VirtualLoop
-from pebblehinge.settings import Config, show
+from pebblehinge.settings import Config, render_settings
 
 
 def whole_text(config: Config, share: float) -> str:
@@ -19,7 +19,7 @@
         name: msgspec.structs.replace(plan, limit=round(plan.limit * share, 3)) if plan.limit else plan
         for name, plan in config.plan.items()
     }
-    return "\n".join(show(msgspec.structs.replace(config, plan=plans))) + "\n"
+    return "\n".join(render_settings(msgspec.structs.replace(config, plan=plans))) + "\n"
 
 
 def test_the_operators_text_is_the_settings_written_out() -> None:
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -9,7 +9,7 @@
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.state_machine import ConfigState
 from pebblehinge.replicated_config.version_application import VersionApplication
-from pebblehinge.settings import SettingsError, show
+from pebblehinge.settings import SettingsError, render_settings
 from pebblehinge.settings.load import loads
 
 HEADS = 1024
@@ -39,15 +39,15 @@
     names = [f"h{n:04d}".ljust(100, "x") for n in range(HEADS)]  # as long as names may be
     config = loads(through_all(names))
     assert config.volume["v"].through == names
-    lines = show(config)
+    lines = render_settings(config)
     assert max(map(len, lines)) > 100 * HEADS
     again = loads("\n".join(lines))
     assert again.volume == config.volume and list(again.head) == names
-    assert show(again) == lines
+    assert render_settings(again) == lines
 
 
 def test_it_is_agreed_on_and_taken_up() -> None:
-    text = "\n".join(show(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
+    text = "\n".join(render_settings(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
     state = ConfigState()
     assert apply_entry(state, Entry(1, 1, EntryKind.DATA, stored_form("propose", 0, text, "a", ""))) == ""
     application = VersionApplication("h1023", 0.25)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -18,7 +18,7 @@
 
 def learned(seed: int = 1, now: float = 10_000.0) -> Scheduler:
     """A head that has seen two shelfs, one of them slow."""
-    head = Scheduler(config("", FLEET).module_settings(config("", FLEET).head["h1"]), seed, 0.0)
+    head = Scheduler(config("", FLEET).scheduler_settings(config("", FLEET).head["h1"]), seed, 0.0)
     head.start(0.0)
     head.apply_endpoint_list(
         0.0,
@@ -37,7 +37,7 @@
 
 def life(state: Any, age: float, whole: bool = False, now: float = 50_000.0) -> Scheduler:
     settings_ = config("", FLEET)
-    head = Scheduler(settings_.module_settings(settings_.head["h1"]), 2, now)
+    head = Scheduler(settings_.scheduler_settings(settings_.head["h1"]), 2, now)
     head.restore(now, state, age, whole)
     head.apply_endpoint_list(
         now,
--- a/tests/test_wire_and_settings.py
+++ b/tests/test_wire_and_settings.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pebblehinge.settings import SettingsError, load, show
+from pebblehinge.settings import SettingsError, load, render_settings
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import FrameDecoder, Kind, Session, WireError, encode
 
@@ -146,13 +146,13 @@
         quoted = text.replace("\\", "\\\\").replace('"', '\\"')
         config = loads(f'rsync {{\n    motd "{quoted}"\n}}\n')
         assert config.rsync.motd == text
-        assert loads("\n".join(show(config))).rsync.motd == text
+        assert loads("\n".join(render_settings(config))).rsync.motd == text
 
 
 def test_what_is_shown_reads_back_the_same(tmp_path: Path) -> None:
     for path in sorted(Path("pebblehinge/lab/days").glob("[!_]*.conf")):
-        shown = show(load(path))
-        assert show(loads("\n".join(shown))) == shown
+        shown = render_settings(load(path))
+        assert render_settings(loads("\n".join(shown))) == shown
     assert any(line.endswith("# default") for line in shown)
 
 
