--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -115,7 +115,7 @@
 
     def _start_gateway(self, name: str, snapshot: dict[str, Any] | None) -> None:
         """Starts a gateway's process, with the snapshot of an earlier one if there is any."""
-        settings = self.config.module_settings(self.config.head["h1"])
+        settings = self.config.scheduler_settings(self.config.head["h1"])
         scheduler = self.scheduler_type(settings, self.seed + self.event_count, self.now)
         incarnation = self.incarnations[name] = Incarnation(scheduler, settings)
         if snapshot is not None:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -18,7 +18,7 @@
 
 def trained_scheduler(seed: int = 1, now: float = 10_000.0) -> Scheduler:
     """Returns a scheduler that has served requests at two nodes, one of them slow."""
-    scheduler = Scheduler(make_config("", FLEET).module_settings(make_config("", FLEET).head["h1"]), seed, 0.0)
+    scheduler = Scheduler(make_config("", FLEET).scheduler_settings(make_config("", FLEET).head["h1"]), seed, 0.0)
     scheduler.start(0.0)
     scheduler.apply_endpoint_list(
         0.0,
@@ -40,7 +40,7 @@
 def restored_scheduler(state: Any, age_ms: float, is_complete: bool = False, now: float = 50_000.0) -> Scheduler:
     """Returns a scheduler that was restored from a snapshot's state, with the same two nodes listed."""
     settings_ = make_config("", FLEET)
-    scheduler = Scheduler(settings_.module_settings(settings_.head["h1"]), 2, now)
+    scheduler = Scheduler(settings_.scheduler_settings(settings_.head["h1"]), 2, now)
     scheduler.restore(now, state, age_ms, is_complete)
     scheduler.apply_endpoint_list(
         now,
