--- a/benchmarks/console_load.py
+++ b/benchmarks/console_load.py
@@ -89,7 +89,7 @@
     took: list[float] = []
 
     async def one(n: int, due: float) -> None:
-        got = await client.read("v", f"x{n % 500}", 1, request_class="look", slot=n % 2, units=1.0, timeout_ms=2000.0)
+        got = await client.read("v", f"x{n % 500}", 1, profile="look", slot=n % 2, units=1.0, patience_ms=2000.0)
         took.append((loop.time() - due) * 1000.0 if got.succeeded else 2000.0)
 
     begin, tasks = loop.time() + 0.05, []
--- a/benchmarks/rsync_cost.py
+++ b/benchmarks/rsync_cost.py
@@ -136,7 +136,7 @@
 
         async def one(at: int) -> None:
             async with turn:
-                more = {"request_class": "look", "slot": (at // BLOCK) % 4, "units": 2.0, "timeout_ms": 20_000.0}
+                more = {"profile": "look", "slot": (at // BLOCK) % 4, "units": 2.0, "patience_ms": 20_000.0}
                 name = f"b{at}"
                 if write:
                     got = await client.write("plain", name, data[at : at + BLOCK], **more)
@@ -185,10 +185,10 @@
         took = []
         for n in range(count):
             got = await client.write(
-                "plain", f"s{n}", b"x" * 1000, request_class="save", slot=n % 4, units=1.0, timeout_ms=5000.0
+                "plain", f"s{n}", b"x" * 1000, profile="save", slot=n % 4, units=1.0, patience_ms=5000.0
             )
             assert got.succeeded
-            took.append(got.duration_ms)
+            took.append(got.took_ms)
             await asyncio.sleep(0.01)
         return took
 
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -51,13 +51,13 @@
             k += 1
             start_s = time.perf_counter()
             result = await client.write(
-                volume, f"{n}-{k}", b"x" * 1024, request_class="save", slot=(n + k) % 3, units=1.0, timeout_ms=3000.0
+                volume, f"{n}-{k}", b"x" * 1024, profile="save", slot=(n + k) % 3, units=1.0, patience_ms=3000.0
             )
             if result.succeeded:
                 latencies_s.append(time.perf_counter() - start_s)
             else:
                 rejected += 1
-                await asyncio.sleep(max(0.005, result.retry_after_ms / 1000.0))
+                await asyncio.sleep(max(0.005, result.stay_ms / 1000.0))
 
     await asyncio.gather(*(run_writer(n) for n in range(count)))
     client.close()
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -131,7 +131,7 @@
         for write in found.writes:
             outcome, reply = await bring(client, write, profile)
             if outcome is Bringing.FAILED:
-                click.echo(f"write {write.number} could not be brought: {reply.status} {reply.reason}", err=True)
+                click.echo(f"write {write.number} could not be brought: {reply.final} {reply.reason}", err=True)
                 return 1
             brought += outcome is Bringing.BROUGHT
         client.close()
@@ -167,10 +167,10 @@
             write.extent,
             len(write.data),
             offset=write.offset,
-            request_class=profile,
+            profile=profile,
             slot=write.slot,
             units=write.units,
-            timeout_ms=PATIENCE_MS,
+            patience_ms=PATIENCE_MS,
         )
 
     async def rewrite() -> Result:
@@ -179,11 +179,11 @@
             write.extent,
             write.data,
             offset=write.offset,
-            idempotency_key=f"wb.{write.idempotency_key}.{write.number}",
-            request_class=profile,
+            label=f"wb.{write.idempotency_key}.{write.number}",
+            profile=profile,
             slot=write.slot,
             units=write.units,
-            timeout_ms=PATIENCE_MS,
+            patience_ms=PATIENCE_MS,
         )
 
     for _ in range(ATTEMPTS):
@@ -194,5 +194,5 @@
             reply = await rewrite()
             if reply.succeeded:
                 return Bringing.BROUGHT, reply
-        await asyncio.sleep(max(SHORTEST_PAUSE_S, reply.retry_after_ms / 1000.0))
+        await asyncio.sleep(max(SHORTEST_PAUSE_S, reply.stay_ms / 1000.0))
     return Bringing.FAILED, reply
--- a/pebblehinge/client/__init__.py
+++ b/pebblehinge/client/__init__.py
@@ -1,8 +1,8 @@
 """Client library: requests over one connection to a gateway, each of which ends with exactly one `Result`.
 
 client = await connect("127.0.0.1:7000", name="office")
-result = await client.write("vol-1", "tender/42", b"...", request_class="bid-save", slot=3, units=2, timeout_ms=4000)
-if result.status == "pushed back": ...   # a retry is safe, after result.retry_after_ms
+result = await client.write("vol-1", "tender/42", b"...", profile="bid-save", slot=3, units=2, patience_ms=4000)
+if result.final == "pushed back": ...   # a retry is safe, after result.stay_ms
 """
 
 from pebblehinge.client.connection import Client
--- a/pebblehinge/client/connection.py
+++ b/pebblehinge/client/connection.py
@@ -32,7 +32,9 @@
 
 
 class Client(Peer):
-    """Connection that carries many requests at once, opened by `pebblehinge.client.connect`.
+    """Connection that carries many requests at once.
+
+    It is opened by `pebblehinge.client.connect`, whose docstring explains the constructor's parameters.
 
     Attributes:
         open_requests: The requests without a result, by their ids.
@@ -47,14 +49,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         name: str,
-        max_frame_bytes: int,
-        max_streams: int,
+        limit: int,
+        streams: int,
         stall_ms: float,
         role: str = "client",
         observer: Observer | None = None,
         keepalive_ms: float = KEEPALIVE_MS,
     ) -> None:
-        super().__init__(loop, Session(role, name, max_frame_bytes, max_streams, dialed=True), stall_ms, keepalive_ms)
+        super().__init__(loop, Session(role, name, limit, streams, dialed=True), stall_ms, keepalive_ms)
         self.name = name
         self.observer = observer
         self.open_requests: dict[int, _OpenRequest] = {}
@@ -87,7 +89,7 @@
         now_s = self.loop.time()
         for request in list(self.open_requests.values()):
             request.timer.cancel()
-            self._end(request, Result(LOST, reason=self.close_reason, duration_ms=(now_s - request.sent_s) * 1000.0))
+            self._end(request, Result(LOST, reason=self.close_reason, took_ms=(now_s - request.sent_s) * 1000.0))
         self.open_requests.clear()
 
     def on_stopping(self, reason: str) -> None:
@@ -118,17 +120,17 @@
         volume: str,
         extent: str,
         *,
-        request_class: str,
-        operation: int,
+        profile: str,
+        op: int,
         slot: int,
         units: float,
-        timeout_ms: float,
+        patience_ms: float,
         offset: int = 0,
         length: int = 0,
         data: bytes = b"",
-        quota_plan: str | None = None,
-        idempotency_key: str | None = None,
-        is_retry: bool | None = None,
+        plan: str | None = None,
+        label: str | None = None,
+        again: bool | None = None,
         trace: str = "",
     ) -> asyncio.Future[Result]:
         """Sends one request.
@@ -136,17 +138,17 @@
         Args:
             volume: The volume's name.
             extent: The extent's name, 1 to 500 characters.
-            request_class: The request class, as the settings name it.
-            operation: One of the operations in `pebblehinge.wire.frames`.
+            profile: The request class, as the settings name it.
+            op: One of the operations in `pebblehinge.wire.frames`.
             slot: The placement slot that stores the extent, or -1 for a new extent.
             units: The request's size in units of the quota.
-            timeout_ms: How long the client waits for the answer, in milliseconds.
+            patience_ms: How long the client waits for the answer, in milliseconds.
             offset: Offset in the extent at which to read or write, in bytes.
             length: Number of bytes to read or write.
             data: The bytes to write.
-            quota_plan: The quota plan, or None for that of the volume.
-            idempotency_key: The idempotency key, or None to use the trace.
-            is_retry: Whether this is a retry, or None if that is unknown.
+            plan: The quota plan, or None for that of the volume.
+            label: The idempotency key, or None to use the trace.
+            again: Whether this is a retry, or None if that is unknown.
             trace: Id of the request in all logs; by default the client's name and a number.
 
         Returns:
@@ -158,22 +160,22 @@
             return future
         id_ = next(self._ids)
         trace = trace or f"{self.name}-{id_}"
-        timer = self.loop.call_later(timeout_ms / 1000.0, self._time_out, id_)
+        timer = self.loop.call_later(patience_ms / 1000.0, self._time_out, id_)
         self.open_requests[id_] = _OpenRequest(future, self.loop.time(), trace, timer)
         future.add_done_callback(lambda result_future: self.cancel(id_) if result_future.cancelled() else None)
         if self.observer is not None:
             self.observer("sent", id=trace)
-        values = (extent, slot, units, timeout_ms, is_retry, idempotency_key, operation, offset, length, data)
-        self.send(Kind.TAKE, id_, trace, volume, quota_plan, request_class, *values)
+        values = (extent, slot, units, patience_ms, again, label, op, offset, length, data)
+        self.send(Kind.TAKE, id_, trace, volume, plan, profile, *values)
         return future
 
     def read(self, volume: str, extent: str, length: int, **options: Any) -> asyncio.Future[Result]:
         """Reads from an extent; `options` are those of `request`."""
-        return self.request(volume, extent, operation=READ, length=length, **options)
+        return self.request(volume, extent, op=READ, length=length, **options)
 
     def write(self, volume: str, extent: str, data: bytes, **options: Any) -> asyncio.Future[Result]:
         """Writes to an extent; `options` are those of `request`."""
-        return self.request(volume, extent, operation=WRITE, data=data, length=len(data), **options)
+        return self.request(volume, extent, op=WRITE, data=data, length=len(data), **options)
 
     def barrier(self, volume: str, **options: Any) -> asyncio.Future[Result]:
         """Orders writes of a buffered volume; `options` are those of `request`.
@@ -181,14 +183,14 @@
         If it succeeds, all writes of the volume that were confirmed before it are committed before those confirmed
         after it.
         """
-        return self.request(volume, NO_EXTENT, operation=BARRIER, units=1.0, slot=0, **options)
+        return self.request(volume, NO_EXTENT, op=BARRIER, units=1.0, slot=0, **options)
 
     def flush_volume(self, volume: str, **options: Any) -> asyncio.Future[Result]:
         """Flushes a buffered volume; `options` are those of `request`.
 
         If it succeeds, the storage nodes have all writes of the volume that were confirmed before it.
         """
-        return self.request(volume, NO_EXTENT, operation=FLUSH, units=1.0, slot=0, **options)
+        return self.request(volume, NO_EXTENT, op=FLUSH, units=1.0, slot=0, **options)
 
     def cancel(self, id_: int) -> None:
         """Cancels a request, so that the gateway sends no answer to it; does nothing if it has ended."""
@@ -204,7 +206,7 @@
         if request is not None:
             self._send_cancel(id_)
             duration_ms = (self.loop.time() - request.sent_s) * 1000.0
-            self._end(request, Result(TIMED_OUT, duration_ms=duration_ms))
+            self._end(request, Result(TIMED_OUT, took_ms=duration_ms))
 
     def _send_cancel(self, id_: int) -> None:
         self.send(Kind.CANCEL, id_)
@@ -214,7 +216,7 @@
 
     def _end(self, request: _OpenRequest, result: Result) -> None:
         if self.observer is not None:
-            duration_ms = round(result.duration_ms, 3)
-            self.observer("answer", id=request.trace, final=result.status, stay=result.retry_after_ms, took=duration_ms)
+            duration_ms = round(result.took_ms, 3)
+            self.observer("answer", id=request.trace, final=result.final, stay=result.stay_ms, took=duration_ms)
         if not request.future.done():
             request.future.set_result(result)
--- a/pebblehinge/client/establish.py
+++ b/pebblehinge/client/establish.py
@@ -14,10 +14,10 @@
     *,
     name: str = "client",
     loop: asyncio.AbstractEventLoop | None = None,
-    max_frame_bytes: int = 1 << 20,
-    max_streams: int = 512,
+    limit: int = 1 << 20,
+    streams: int = 512,
     stall_ms: float = 10_000.0,
-    timeout_ms: float = 2_000.0,
+    within_ms: float = 2_000.0,
     role: str = "client",
     observer: Observer | None = None,
     keepalive_ms: float = KEEPALIVE_MS,
@@ -28,10 +28,10 @@
         address: The gateway's address, as `host:port`.
         name: The client's name in logs.
         loop: The event loop, by default the running one.
-        max_frame_bytes: The greatest length of a frame that the client accepts.
-        max_streams: Number of requests that may be open at once.
+        limit: The greatest length of a frame that the client accepts, in bytes.
+        streams: Number of requests that may be open at once.
         stall_ms: How long the gateway may not read before the connection is aborted, in milliseconds.
-        timeout_ms: How long connecting may take, with the greeting, in milliseconds.
+        within_ms: How long connecting may take, with the greeting, in milliseconds.
         role: The role in the greeting.
         observer: Called with each event of the client's requests.
         keepalive_ms: Milliseconds of silence after which a PING is sent; after three times that the connection is
@@ -46,13 +46,13 @@
         AddressError: `address` is invalid.
     """
     loop = loop or asyncio.get_running_loop()
-    deadline = loop.time() + timeout_ms / 1000.0
-    client = Client(loop, name, max_frame_bytes, max_streams, stall_ms, role, observer, keepalive_ms)
+    deadline = loop.time() + within_ms / 1000.0
+    client = Client(loop, name, limit, streams, stall_ms, role, observer, keepalive_ms)
     try:
         async with asyncio.timeout_at(deadline):
             await dial(loop, client, address)
             await client.handshake
     except TimeoutError:
         client.abort()
-        raise TimeoutError(f"{address}: no greeting within {timeout_ms:g} ms") from None
+        raise TimeoutError(f"{address}: no greeting within {within_ms:g} ms") from None
     return client
--- a/pebblehinge/client/result.py
+++ b/pebblehinge/client/result.py
@@ -19,22 +19,22 @@
     """Result of one request.
 
     Attributes:
-        status: `SUCCEEDED`, `REJECTED`, `FAILED`, `LOST` or `TIMED_OUT`.
-        retry_after_ms: How long to wait at least before a retry, in milliseconds; 0 if the gateway asks for no delay.
+        final: `SUCCEEDED`, `REJECTED`, `FAILED`, `LOST` or `TIMED_OUT`.
+        stay_ms: How long to wait at least before a retry, in milliseconds; 0 if the gateway asks for no delay.
         reason: Why the request did not succeed, as a text for people.
         slot: The placement slot that served the request, or -1.
         data: The bytes that were read.
-        duration_ms: Time from sending the request to its end, in milliseconds.
+        took_ms: Time from sending the request to its end, in milliseconds.
     """
 
-    status: str
-    retry_after_ms: float = 0.0
+    final: str
+    stay_ms: float = 0.0
     reason: str = ""
     slot: int = -1
     data: bytes = b""
-    duration_ms: float = 0.0
+    took_ms: float = 0.0
 
     @property
     def succeeded(self) -> bool:
         """Whether the request was executed."""
-        return self.status == SUCCEEDED
+        return self.final == SUCCEEDED
--- a/pebblehinge/client/retry.py
+++ b/pebblehinge/client/retry.py
@@ -28,33 +28,33 @@
     backoff_ms: float = 100.0
     idempotency: str = IDEMPOTENT
 
-    def retry_delay_ms(self, attempt_count: int, result: Result, remaining_ms: float, jitter: float) -> float | None:
+    def next_ms(self, attempts: int, last: Result, left_ms: float, draw: float) -> float | None:
         """Returns the delay before the next attempt in milliseconds, or None if there should be no further attempt.
 
         Args:
-            attempt_count: Number of attempts so far.
-            result: The result of the last attempt.
-            remaining_ms: Time until the caller's deadline, in milliseconds.
-            jitter: A random number from [0, 1), which varies the backoff.
+            attempts: Number of attempts so far.
+            last: The result of the last attempt.
+            left_ms: Time until the caller's deadline, in milliseconds.
+            draw: A random number from [0, 1), which varies the backoff.
         """
-        if result.succeeded or attempt_count > self.max_retries or remaining_ms <= 0:
+        if last.succeeded or attempts > self.max_retries or left_ms <= 0:
             return None
-        if not self._is_safe_to_retry(result):
+        if not self._is_safe_to_retry(last):
             return None
-        backoff_ms = self.backoff_ms * 2 ** (attempt_count - 1) * (0.5 + jitter)
-        delay_ms = max(result.retry_after_ms, backoff_ms)
-        return delay_ms if delay_ms < remaining_ms else None
+        backoff_ms = self.backoff_ms * 2 ** (attempts - 1) * (0.5 + draw)
+        delay_ms = max(last.stay_ms, backoff_ms)
+        return delay_ms if delay_ms < left_ms else None
 
     def _is_safe_to_retry(self, result: Result) -> bool:
-        if result.status == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
+        if result.final == LOST and self.idempotency == IDEMPOTENT_WITH_KEY:
             return False  # the client can't know whether the key's scope and window still apply
-        return result.status == REJECTED or self.idempotency == IDEMPOTENT
+        return result.final == REJECTED or self.idempotency == IDEMPOTENT
 
 
 async def with_retries(
     attempt: Callable[[int, float], Awaitable[Result]],
     policy: RetryPolicy,
-    timeout_ms: float,
+    patience_ms: float,
     loop: asyncio.AbstractEventLoop,
     rng: random.Random,
 ) -> tuple[Result, int]:
@@ -63,19 +63,19 @@
     Args:
         attempt: Called with the number of the attempt, from 0, and the time until the deadline in milliseconds.
         policy: Number and delays of retries.
-        timeout_ms: Time for all attempts together, in milliseconds.
+        patience_ms: Time for all attempts together, in milliseconds.
         loop: The event loop, whose clock is used.
         rng: Source of the jitter.
 
     Returns:
         The last result, and the number of attempts.
     """
-    deadline = loop.time() + timeout_ms / 1000.0
+    deadline = loop.time() + patience_ms / 1000.0
     attempt_count = 0
     while True:
         result = await attempt(attempt_count, (deadline - loop.time()) * 1000.0)
         attempt_count += 1
-        delay_ms = policy.retry_delay_ms(attempt_count, result, (deadline - loop.time()) * 1000.0, rng.random())
+        delay_ms = policy.next_ms(attempt_count, result, (deadline - loop.time()) * 1000.0, rng.random())
         if delay_ms is None:
             return result, attempt_count
         await asyncio.sleep(delay_ms / 1000.0)
--- a/pebblehinge/lab/clients.py
+++ b/pebblehinge/lab/clients.py
@@ -62,8 +62,8 @@
                         self.config.head[head].listen,
                         name=f"{self.name}",
                         loop=self.loop,
-                        max_frame_bytes=limits.frame,
-                        max_streams=limits.streams,
+                        limit=limits.frame,
+                        streams=limits.streams,
                         keepalive_ms=limits.keepalive,
                         observer=lambda e, **v: self.records.note(self.clock(), e, **v),
                     )
@@ -180,15 +180,15 @@
             future = client.request(
                 ask.volume,
                 ask.extent,
-                request_class=ask.profile,
-                operation=ask.op,
+                profile=ask.profile,
+                op=ask.op,
                 slot=ask.slot,
                 units=units,
-                timeout_ms=left_ms,
+                patience_ms=left_ms,
                 length=ask.size,
                 data=data,
-                is_retry=tries > 0,
-                idempotency_key=op if profile.repeat == "labelled" else None,
+                again=tries > 0,
+                label=op if profile.repeat == "labelled" else None,
                 trace=f"{op}.{tries}",
             )
             if early is not None:
@@ -197,14 +197,14 @@
                     future.cancel()
                     return Result("left")
             result = await future
-            if not honours and result.retry_after_ms:
-                return Result(result.status, 0.0, result.reason, result.slot, result.data, result.duration_ms)
+            if not honours and result.stay_ms:
+                return Result(result.final, 0.0, result.reason, result.slot, result.data, result.took_ms)
             return result
 
         patience = profile.patience - (self.clock() - at_ms)
         result, tries = await with_retries(attempt, retries, patience, self.loop, self.rng)
         now = self.clock()
-        final = CONNECT_FAILED if result.reason == CONNECT_FAILED else result.status
+        final = CONNECT_FAILED if result.reason == CONNECT_FAILED else result.final
         self.done[final] = self.done.get(final, 0) + 1
         self.records.note(now, "done", op=op, final=final, tries=tries, took=round(now - at_ms, 3))
 
--- a/pebblehinge/lab/crash/processes.py
+++ b/pebblehinge/lab/crash/processes.py
@@ -50,7 +50,7 @@
             if client is None or client.closed or client.failed:
                 try:
                     address = self.config.head["h1"].listen
-                    client = await connect(address, name=writer.name, loop=loop, timeout_ms=500.0)
+                    client = await connect(address, name=writer.name, loop=loop, within_ms=500.0)
                 except OSError:
                     await asyncio.sleep(0.01)
                     continue
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -78,7 +78,7 @@
         while self.clock() < until_ms:
             if client is None or client.closed or client.failed:
                 try:
-                    client = await connect(self.config.head["h1"].listen, name=writer.name, loop=node, timeout_ms=500.0)
+                    client = await connect(self.config.head["h1"].listen, name=writer.name, loop=node, within_ms=500.0)
                 except OSError:
                     await asyncio.sleep(0.02)
                     continue
--- a/pebblehinge/lab/crash/writers.py
+++ b/pebblehinge/lab/crash/writers.py
@@ -48,12 +48,12 @@
         books, what = self.books, self.rng.random()
         if what < 0.04:
             began = books.event()
-            got = await client.barrier("bids", request_class="save", timeout_ms=2000.0)
+            got = await client.barrier("bids", profile="save", patience_ms=2000.0)
             if got.succeeded:
                 books.barriers.append((began, books.event()))
         elif what < 0.08:
             before = [label for label in books.confirmed]
-            got = await client.flush_volume("bids", request_class="save", timeout_ms=2500.0)
+            got = await client.flush_volume("bids", profile="save", patience_ms=2500.0)
             if got.succeeded:
                 books.flushes += 1
                 stands = held() if held is not None else {}
@@ -71,12 +71,12 @@
                 data,
                 offset=offset,
                 slot=slot,
-                idempotency_key=label,
-                request_class="save",
+                label=label,
+                profile="save",
                 units=1.0,
-                timeout_ms=2000.0,
+                patience_ms=2000.0,
             )
             if got.succeeded:
                 books.confirmed[label] = books.event()
-            elif got.status != "pushed back":
+            elif got.final != "pushed back":
                 books.unknown[label] = None
--- a/tests/raw_frames.py
+++ b/tests/raw_frames.py
@@ -9,8 +9,8 @@
 from pebblehinge.wire import FrameDecoder, Kind, encode
 
 NO_ANSWER = lambda attempt: None  # noqa: E731
-LOOK_OPTIONS = dict(request_class="look", slot=0, units=2.0, timeout_ms=2000.0)
-SAVE_OPTIONS = dict(request_class="save", slot=0, units=2.0, timeout_ms=1200.0)
+LOOK_OPTIONS = dict(profile="look", slot=0, units=2.0, patience_ms=2000.0)
+SAVE_OPTIONS = dict(profile="save", slot=0, units=2.0, patience_ms=1200.0)
 
 
 async def open_raw_connection(rig: Rig) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
 
 ADDRESS = f"{LOOPBACK}:7300"
 URL = f"http://{ADDRESS}"
-LOOK_OPTIONS = {"request_class": "look", "units": 1.0, "timeout_ms": 1500.0}
+LOOK_OPTIONS = {"profile": "look", "units": 1.0, "patience_ms": 1500.0}
 
 
 def run_with_console(script: Any, settings: str = "", token: str = "") -> None:
@@ -54,7 +54,7 @@
         client = await rig.client()
         assert (await client.read("v", "x", 1, slot=0, **LOOK_OPTIONS)).succeeded
         result = await client.read("v", "x", 1, slot=9, **LOOK_OPTIONS)
-        assert result.status == "pushed back" and result.reason == "its shelf is not listed"
+        assert result.final == "pushed back" and result.reason == "its shelf is not listed"
         state = json.loads(await (await session.get(URL + "/state")).read())
         assert state["counts"]["honoured"] == 1 and state["refused_because"] == {"its shelf is not listed": 1}
         assert [(node["name"], node["health"]) for node in state["shelfs"]] == [("s1", "well"), ("s2", "well")]
@@ -139,7 +139,7 @@
             for n in range(300):
                 result = await client.read("v", f"x{n}", 1, slot=n % 2, **LOOK_OPTIONS)
                 assert result.succeeded
-                durations_ms.append(result.duration_ms)
+                durations_ms.append(result.took_ms)
                 await asyncio.sleep(0.004)
             return sorted(durations_ms)[len(durations_ms) * 95 // 100]
 
@@ -157,13 +157,13 @@
     run_with_console(script)
 
 
-@pytest.mark.parametrize("reason, volume, timeout_ms, units", [("its plan's limit", "c", 300.0, 6.0)])
-def test_rejections_name_the_reason_of_the_delay(reason: str, volume: str, timeout_ms: float, units: float) -> None:
+@pytest.mark.parametrize("reason, volume, patience_ms, units", [("its plan's limit", "c", 300.0, 6.0)])
+def test_rejections_name_the_reason_of_the_delay(reason: str, volume: str, patience_ms: float, units: float) -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        options = {"request_class": "look", "slot": 0, "units": units, "timeout_ms": timeout_ms}
+        options = {"profile": "look", "slot": 0, "units": units, "patience_ms": patience_ms}
         results = [await client.read(volume, f"x{n}", 1, **options) for n in range(4)]
-        assert any(reason in result.reason for result in results if result.status == "pushed back"), [
+        assert any(reason in result.reason for result in results if result.final == "pushed back"), [
             result.reason for result in results
         ]
         assert set(rig.head.core.reason_counts) and sum(rig.head.core.reason_counts.values()) == sum(
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -112,9 +112,9 @@
 
 
 def test_clients_try_again_only_where_it_is_harmless() -> None:
-    lost, back, ended = Result("lost"), Result("pushed back", retry_after_ms=300.0), Result("terminated")
+    lost, back, ended = Result("lost"), Result("pushed back", stay_ms=300.0), Result("terminated")
     save, look = RetryPolicy(1, 100.0, "irreversible"), RetryPolicy(1, 100.0, "redoable")
-    assert save.retry_delay_ms(1, lost, 1000.0, 0.5) is None and save.retry_delay_ms(1, ended, 1000.0, 0.5) is None
-    assert save.retry_delay_ms(1, back, 1000.0, 0.5) == 300.0
-    assert look.retry_delay_ms(1, lost, 1000.0, 0.5) == 100.0 and look.retry_delay_ms(2, lost, 1000.0, 0.5) is None
-    assert look.retry_delay_ms(1, back, 200.0, 0.5) is None  # no patience left by then
+    assert save.next_ms(1, lost, 1000.0, 0.5) is None and save.next_ms(1, ended, 1000.0, 0.5) is None
+    assert save.next_ms(1, back, 1000.0, 0.5) == 300.0
+    assert look.next_ms(1, lost, 1000.0, 0.5) == 100.0 and look.next_ms(2, lost, 1000.0, 0.5) is None
+    assert look.next_ms(1, back, 200.0, 0.5) is None  # no patience left by then
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -18,14 +18,14 @@
     async def script(rig: Rig) -> None:
         clients = []
         for _ in range(20):
-            clients += await asyncio.gather(*(rig.client(timeout_ms=10_000) for _ in range(100)))
+            clients += await asyncio.gather(*(rig.client(within_ms=10_000) for _ in range(100)))
         assert len(rig.head.client_connections) == 2000
         requests = [
-            client.read("v", f"x{i}", 1, request_class="look", slot=i % 2, units=1.0, timeout_ms=8000.0)
+            client.read("v", f"x{i}", 1, profile="look", slot=i % 2, units=1.0, patience_ms=8000.0)
             for i, client in enumerate(clients)
         ]
         results = await asyncio.gather(*requests)
-        assert len(results) == 2000 and {result.status for result in results} <= {"honoured", "pushed back"}
+        assert len(results) == 2000 and {result.final for result in results} <= {"honoured", "pushed back"}
         # The burst delays the event loop while the first connection to a storage node is opened. The node was then
         # taken for unreachable, and all later requests were rejected.
         assert rig.head.core.outcome_counts[Outcome.CONNECT_FAILED] == 0
@@ -147,20 +147,20 @@
 @pytest.mark.parametrize(
     ("options", "reason"),
     [
-        ({"request_class": "nothing"}, "profile 'nothing' is not known"),
+        ({"profile": "nothing"}, "profile 'nothing' is not known"),
         ({"volume": "w"}, "volume 'w' is not known"),
-        ({"quota_plan": "tin"}, "a plan that is not known"),
-        ({"quota_plan": "capped"}, "stands on another plan"),
+        ({"plan": "tin"}, "a plan that is not known"),
+        ({"plan": "capped"}, "stands on another plan"),
         ({"units": 7.0}, "at most 6"),
-        ({"operation": 5}, "no read or write"),
+        ({"op": 5}, "no read or write"),
     ],
 )
 def test_invalid_request_is_rejected_with_the_reason(options: dict, reason: str) -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        arguments = {"volume": "v", "extent": "x", "operation": 0, "length": 1, **LOOK_OPTIONS, **options}
+        arguments = {"volume": "v", "extent": "x", "op": 0, "length": 1, **LOOK_OPTIONS, **options}
         result = await client.request(**arguments)
-        assert result.status == "pushed back" and reason in result.reason and 200.0 <= result.retry_after_ms <= 400.0
+        assert result.final == "pushed back" and reason in result.reason and 200.0 <= result.stay_ms <= 400.0
         assert not rig.shelfs[0].attempts
 
     on_rig(script)
@@ -182,7 +182,7 @@
 def test_settings_change_keeps_queued_requests() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
-        options = dict(request_class="look", slot=0, units=6.0, timeout_ms=2000.0)
+        options = dict(profile="look", slot=0, units=6.0, patience_ms=2000.0)
         await asyncio.sleep(1.3)
         assert (await client.read("c", "x", 1, **options)).succeeded
         queued = client.read("c", "y", 1, **options)  # waits for 6 tokens at 10 per second
@@ -191,7 +191,7 @@
         config.plan["capped"].limit, config.plan["capped"].burst = 100.0, 100.0
         rig.head.apply_config(config)
         result = await queued
-        assert result.succeeded and result.duration_ms < 400
+        assert result.succeeded and result.took_ms < 400
         assert rig.head.core.scheduler.settings.quota_plans["capped"].limit_rate == 100.0
 
     on_rig(script)
--- a/tests/test_running_gateway.py
+++ b/tests/test_running_gateway.py
@@ -20,7 +20,7 @@
         )
         client = await rig.client()
         got = await client.read("v", "x", 100, **LOOK_OPTIONS)
-        assert (got.status, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
+        assert (got.final, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
         assert (await client.write("v", "y", b"abc", **SAVE_OPTIONS)).succeeded
         assert [t.data for t in rig.shelfs[0].attempts] == [b"", b"abc"]
 
@@ -53,7 +53,7 @@
         rig.shelfs[0].does = NO_ANSWER
         client = await rig.client()
         got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "terminated" and got.duration_ms < 1200.0
+        assert got.final == "terminated" and got.took_ms < 1200.0
         assert len(rig.shelfs[0].attempts) == 1
 
     on_rig(script)
@@ -68,7 +68,7 @@
         rig.shelfs[0].attempts[0].answer()
         await until(lambda: rig.head.links["s1"].late_outcome_count == 1)
         await asyncio.sleep(0.05)
-        assert got.status == "terminated" and "extra" not in extra
+        assert got.final == "terminated" and "extra" not in extra
 
     on_rig(script)
 
@@ -83,10 +83,10 @@
         rig.shelfs[0].does = half
         client = await rig.client()
         got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "terminated"  # half an outcome is none: it may have run
+        assert got.final == "terminated"  # half an outcome is none: it may have run
         rig.shelfs[0].crash()
         got = await client.write("v", "x", b"2", **SAVE_OPTIONS)
-        assert got.status == "pushed back" and 200.0 <= got.retry_after_ms <= 400.0  # no connection: it never ran
+        assert got.final == "pushed back" and 200.0 <= got.stay_ms <= 400.0  # no connection: it never ran
         assert len(rig.shelfs[0].attempts) == 1
 
     on_rig(script)
@@ -102,7 +102,7 @@
         mute = await rig.loop.create_server(asyncio.Protocol, host, int(port))
         client = await rig.client()
         got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "pushed back" and 200 < got.duration_ms < 600
+        assert got.final == "pushed back" and 200 < got.took_ms < 600
         mute.close()
 
     on_rig(script)
@@ -128,12 +128,12 @@
         lost = client.write("v", "x", b"1", **SAVE_OPTIONS)
         await until(lambda: rig.shelfs[0].attempts)
         rig.kill_head()
-        assert (await lost).status == "lost"
+        assert (await lost).final == "lost"
         await rig.start_head()  # nothing of before is assumed: the request is not known here
         assert rig.head.core.open_count == 0
         rig.shelfs[0].does = Attempt.answer
         again = await rig.client()
-        got = await again.write("v", "x", b"1", is_retry=True, **SAVE_OPTIONS)
+        got = await again.write("v", "x", b"1", again=True, **SAVE_OPTIONS)
         assert got.succeeded and len(rig.shelfs[0].attempts) == 2
 
     on_rig(script)
@@ -149,10 +149,10 @@
         rig.head.stop("SIGTERM")
         await until(lambda: client.stopping)
         with pytest.raises(OSError):
-            await connect(rig.config.head["h1"].listen, loop=rig.loop, timeout_ms=300)
-        refused = await client.read("v", "z", 1, request_class="look", slot=1, units=1.0, timeout_ms=500.0)
-        assert refused.status == "pushed back" and "stopping" in refused.reason
-        finals = [(await p).status for p in pending]
+            await connect(rig.config.head["h1"].listen, loop=rig.loop, within_ms=300)
+        refused = await client.read("v", "z", 1, profile="look", slot=1, units=1.0, patience_ms=500.0)
+        assert refused.final == "pushed back" and "stopping" in refused.reason
+        finals = [(await p).final for p in pending]
         assert set(finals) <= {"pushed back", "terminated"} and len(finals) == 7
         await asyncio.wait_for(rig.head.stopped, 5.0)
 
@@ -167,7 +167,7 @@
         await until(lambda: rig.head.client_connections)
         rig.head.stop("SIGTERM")
         got = await client.read("v", "x", 1, **LOOK_OPTIONS)  # written before STOPPING was read
-        assert got.status == "pushed back" and "stopping" in got.reason
+        assert got.final == "pushed back" and "stopping" in got.reason
         await asyncio.wait_for(rig.head.stopped, 5.0)
 
     on_rig(script)
@@ -179,7 +179,7 @@
         rig.listing.control("list-wrong", {"shelf": "s1"})
         await until(lambda: 0 not in rig.head.core.scheduler.nodes.node_at_slot)
         got = await client.read("v", "x", 1, **LOOK_OPTIONS)
-        assert got.status == "pushed back" and not rig.shelfs[0].attempts
+        assert got.final == "pushed back" and not rig.shelfs[0].attempts
         rig.listing.control("list-wrong", {"shelf": "s1", "off": 1})
         await until(lambda: 0 in rig.head.core.scheduler.nodes.node_at_slot)
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
@@ -214,7 +214,7 @@
         conn = rig.shelfs[0].conns[0]
         conn.session.feed = lambda data: None  # type: ignore[method-assign]
         lost = await client.read("v", "x", 1, **LOOK_OPTIONS)
-        assert lost.status == "pushed back"
+        assert lost.final == "pushed back"
         await until(lambda: rig.head.links["s1"].connection is None)
         await asyncio.sleep(0.3)
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
@@ -232,6 +232,6 @@
         first = client.read("v", "x", 1, **LOOK_OPTIONS)
         monkeypatch.setattr(time, "time", lambda: wall + 86_400.0)
         got = await first
-        assert got.succeeded and 40 < got.duration_ms < 400
+        assert got.succeeded and 40 < got.took_ms < 400
 
     on_rig(script)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -144,7 +144,7 @@
         rig.shelfs[1].does = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
         client = await rig.client()
         for n in range(12):
-            await client.write("v", f"x{n}", b"1", request_class="look", slot=n % 2, units=1.0, timeout_ms=1000.0)
+            await client.write("v", f"x{n}", b"1", profile="look", slot=n % 2, units=1.0, patience_ms=1000.0)
         client.close()
         head.stop("the test says so")
         await asyncio.wait_for(head.stopped, 5.0)
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -71,7 +71,7 @@
     return rig.head.write_back
 
 
-WHERE = {"request_class": "save", "slot": 0, "units": 1.0, "timeout_ms": 1000.0}
+WHERE = {"profile": "save", "slot": 0, "units": 1.0, "patience_ms": 1000.0}
 
 
 def test_a_time_that_is_no_number_is_refused_at_the_door_and_the_connection_goes_on() -> None:
@@ -100,12 +100,12 @@
         got = await client.write("b", "x", b"hello", **WHERE)
         assert got.succeeded
         assert (await client.read("b", "x", 5, **WHERE)).data == b"hello"
-        assert (await client.barrier("b", request_class="save", timeout_ms=500.0)).succeeded
-        got = await client.flush_volume("b", request_class="save", timeout_ms=300.0)
-        assert got.status == "terminated"  # it does not stand there, and is not said to
+        assert (await client.barrier("b", profile="save", patience_ms=500.0)).succeeded
+        got = await client.flush_volume("b", profile="save", patience_ms=300.0)
+        assert got.final == "terminated"  # it does not stand there, and is not said to
         rig.shelfs[0].does = lambda attempt: attempt.answer(0, b"" if attempt.op else b"other")
         await until(lambda: not len(back.dirty), 8.0)
-        assert (await client.flush_volume("b", request_class="save", timeout_ms=300.0)).succeeded
+        assert (await client.flush_volume("b", profile="save", patience_ms=300.0)).succeeded
         landed = [t for t in rig.shelfs[0].attempts if t.op == 1]
         assert landed[-1].data == b"hello" and landed[-1].label.startswith("wb.")
 
@@ -120,10 +120,10 @@
         assert (await client.write("b", "x", b"1", **WHERE)).succeeded
         disk.fail = True
         got = await client.write("b", "y", b"2", **WHERE)
-        assert got.status == "terminated" and "No space left" in got.reason
+        assert got.final == "terminated" and "No space left" in got.reason
         disk.fail = False
         got = await client.write("b", "z", b"3", **WHERE)
-        assert got.status == "pushed back" and "buffers no more" in got.reason
+        assert got.final == "pushed back" and "buffers no more" in got.reason
         assert (await client.write("v", "q", b"4", **WHERE)).succeeded  # other volumes go on
 
     on_rig(script, BUFFERED)
@@ -135,8 +135,8 @@
         await buffered(rig, disk)
         disk.hold = rig.loop.create_future()
         client = await rig.client()
-        got = await client.write("b", "x", b"1", **{**WHERE, "timeout_ms": 200.0})
-        assert got.status == "terminated" and got.duration_ms < 250.0
+        got = await client.write("b", "x", b"1", **{**WHERE, "patience_ms": 200.0})
+        assert got.final == "terminated" and got.took_ms < 250.0
         disk.hold.set_result(None)
         disk.hold = None
         await asyncio.sleep(0.05)
@@ -151,7 +151,7 @@
         rig.shelfs[0].does = lambda attempt: None
         client = await rig.client()
         ends = [await client.write("b", f"x{n}", b"z" * 20_000, **WHERE) for n in range(5)]
-        assert [e.status for e in ends] == ["honoured"] * 3 + ["pushed back"] * 2
+        assert [e.final for e in ends] == ["honoured"] * 3 + ["pushed back"] * 2
         assert "wait for their shelfs" in ends[-1].reason
         assert len(back.dirty) == 3
         rig.head.stop("the test says so")
