--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -159,7 +159,7 @@
         rig.nodes[1].on_attempt = lambda attempt: rig.loop.call_later(0.05, attempt.answer) and None
         client = await rig.client()
         for n in range(12):
-            await client.write("v", f"x{n}", b"1", request_class="look", slot=n % 2, units=1.0, timeout_ms=1000.0)
+            await client.write("v", f"x{n}", b"1", profile="look", slot=n % 2, units=1.0, patience_ms=1000.0)
         client.close()
         gateway.stop("the test stops it")
         await asyncio.wait_for(gateway.stopped, 5.0)
