--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests share: small settings, a rig of a head with shelfs that do as a test says, on loopback."""
+"""Helpers of the gateway's tests: small settings, and a gateway with scripted storage nodes on loopback addresses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind, Session
 
-LOOPBACK = f"127.99.{os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"  # no other test run of this machine's
+LOOPBACK = f"127.99.{os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"  # differs between the test runs of a machine
 FLEET = """
 rules {
     cold-share 30%
@@ -98,19 +98,20 @@
 """
 
 
-def make_config(more: str = "", fleet: str = FLEET) -> Config:
-    return loads(fleet + more, loopback=LOOPBACK)
+def make_config(extra: str = "", fleet: str = FLEET) -> Config:
+    """Returns the settings that `fleet` and `extra` state, on this test run's loopback address."""
+    return loads(fleet + extra, loopback=LOOPBACK)
 
 
-def run(main: Callable[[asyncio.AbstractEventLoop], Coroutine[Any, Any, Any]], limit: float = 30.0) -> Any:
-    """Runs a test's coroutine on the loop that the program uses."""
+def run(main: Callable[[asyncio.AbstractEventLoop], Coroutine[Any, Any, Any]], timeout_s: float = 30.0) -> Any:
+    """Runs a coroutine on the event loop that the processes use; fails on an unhandled error of the loop."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    faults: list[dict[str, Any]] = []
-    loop.set_exception_handler(lambda _, context: faults.append(context))
+    loop_errors: list[dict[str, Any]] = []
+    loop.set_exception_handler(lambda _, context: loop_errors.append(context))
     try:
-        result = loop.run_until_complete(asyncio.wait_for(main(loop), limit))
-        assert not faults, faults
+        result = loop.run_until_complete(asyncio.wait_for(main(loop), timeout_s))
+        assert not loop_errors, loop_errors
         return result
     finally:
         for task in asyncio.all_tasks(loop):
@@ -119,16 +120,16 @@
         loop.close()
 
 
-async def until(what: Callable[[], Any], limit: float = 5.0) -> None:
-    """Waits for something to become true."""
-    end = asyncio.get_running_loop().time() + limit
-    while not what():
-        assert asyncio.get_running_loop().time() < end, "it did not happen in time"
+async def until(condition: Callable[[], Any], timeout_s: float = 5.0) -> None:
+    """Waits until a condition holds; fails after `timeout_s` seconds."""
+    deadline_s = asyncio.get_running_loop().time() + timeout_s
+    while not condition():
+        assert asyncio.get_running_loop().time() < deadline_s, "the condition did not hold in time"
         await asyncio.sleep(0.005)
 
 
 class Attempt:
-    """One attempt as a scripted shelf got it."""
+    """One attempt that a scripted storage node has received."""
 
     def __init__(self, connection: ScriptedConnection, values: tuple[Any, ...]) -> None:
         self.connection = connection
@@ -160,12 +161,12 @@
 
 
 class ScriptedNode:
-    """A shelf that does with each attempt what the test says; it answers at once if nothing else is said."""
+    """A storage node that passes each attempt to the test's `on_attempt`; by default it answers at once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, slot: int, address: str) -> None:
         self.loop, self.name, self.slot, self.address = loop, name, slot, address
         self.attempts: list[Attempt] = []
-        self.recalled_numbers: list[int] = []
+        self.recalled_numbers: list[int] = []  # of the attempts that the gateway has cancelled
         self.connections: list[ScriptedConnection] = []
         self.on_attempt: Callable[[Attempt], None] = Attempt.answer
         self.server: Any = None
@@ -176,18 +177,18 @@
 
     def crash(self) -> None:
         self.server.close()
-        for conn in self.connections:
-            conn.abort()
+        for connection in self.connections:
+            connection.abort()
         self.connections.clear()
 
 
 class Rig:
-    """One head, the node list, and two scripted shelfs at slots 0 and 1."""
+    """A gateway, the discovery server, and two scripted storage nodes at slots 0 and 1."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self.loop, self.config, self.clock = loop, config, clock_of(loop)
         self.discovery = DiscoveryServer(loop, self.clock, config, Quiet())
-        self.nodes = [ScriptedNode(loop, n, b.slot, b.listen) for n, b in config.shelf.items()]
+        self.nodes = [ScriptedNode(loop, name, block.slot, block.listen) for name, block in config.shelf.items()]
         self.gateway: GatewayServer
         self.clients: list[Client] = []
 
@@ -206,12 +207,12 @@
         await until(lambda: len(self.gateway.core.scheduler.nodes.node_at_slot) == len(self.nodes))
 
     def kill_gateway(self) -> None:
-        """As SIGKILL does: the system closes its sockets, nothing is said."""
+        """Ends the gateway as SIGKILL does: its sockets close, and no frame is sent."""
         self.gateway.listener.close()
         self.gateway.discovery.close()
-        for conn in self.gateway.client_connections:
-            conn.on_disconnect = lambda exc: None  # type: ignore[method-assign]
-            conn.abort()
+        for connection in self.gateway.client_connections:
+            connection.on_disconnect = lambda exc: None  # type: ignore[method-assign]
+            connection.abort()
         for link in self.gateway.links.values():
             link.on_attempt_end = lambda *_: None
             if link.connection is not None:
@@ -219,8 +220,8 @@
         if self.gateway.wake_timer is not None:
             self.gateway.wake_timer.cancel()
 
-    async def client(self, **more: Any) -> Client:
-        client = await connect(self.config.head["h1"].listen, loop=self.loop, **more)
+    async def client(self, **options: Any) -> Client:
+        client = await connect(self.config.head["h1"].listen, loop=self.loop, **options)
         self.clients.append(client)
         return client
 
@@ -228,7 +229,7 @@
         for client in self.clients:
             client.close()
         if not self.gateway.stopped.done():
-            self.gateway.stop("the test is over")
+            self.gateway.stop("the test has ended")
             await asyncio.wait_for(self.gateway.stopped, 5.0)
         self.discovery.stop()
         for node in self.nodes:
@@ -236,11 +237,11 @@
         await asyncio.sleep(0.02)
 
 
-def run_with_rig(script: Callable[[Rig], Coroutine[Any, Any, Any]], more: str = "", fleet: str = FLEET) -> Any:
-    """Plays a test on a rig and takes the rig down."""
+def run_with_rig(script: Callable[[Rig], Coroutine[Any, Any, Any]], extra: str = "", fleet: str = FLEET) -> Any:
+    """Runs a test script with a started rig, and stops the rig afterwards."""
 
     async def main(loop: asyncio.AbstractEventLoop) -> Any:
-        rig = await Rig(loop, make_config(more, fleet)).start()
+        rig = await Rig(loop, make_config(extra, fleet)).start()
         try:
             return await script(rig)
         finally:
