--- a/tests/test_running_gateway.py
+++ b/tests/test_running_gateway.py
@@ -1,4 +1,4 @@
-"""The running head on sockets: requests, shelfs that fail, stops, lists."""
+"""A gateway on sockets: requests, failures of storage nodes, shutdown, changes of the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from pebblehinge.wire import Kind, encode
 
 
-def test_reads_and_writes_reach_the_shelf_and_come_back() -> None:
+def test_reads_and_writes_reach_the_storage_node_and_are_answered() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = lambda attempt: attempt.answer(
             data=b"" if attempt.op else b"bytes of " + attempt.extent.encode()
         )
         client = await rig.client()
-        got = await client.read("v", "x", 100, **LOOK_OPTIONS)
-        assert (got.status, got.data, got.slot) == ("honoured", b"bytes of v/x", 0)
+        result = await client.read("v", "x", 100, **LOOK_OPTIONS)
+        assert (result.status, result.data, result.slot) == ("honoured", b"bytes of v/x", 0)
         assert (await client.write("v", "y", b"abc", **SAVE_OPTIONS)).succeeded
-        assert [t.data for t in rig.nodes[0].attempts] == [b"", b"abc"]
+        assert [attempt.data for attempt in rig.nodes[0].attempts] == [b"", b"abc"]
 
     run_with_rig(script)
 
 
-def test_client_that_disconnects_with_a_write_out_is_left_and_nothing_goes_again() -> None:
+def test_write_whose_client_disconnects_is_cancelled_and_not_retried() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = NO_ANSWER
         client = await rig.client()
@@ -41,76 +41,77 @@
             and rig.gateway.core.payload_bytes == 0
         )
         assert rig.nodes[0].recalled_numbers == [rig.nodes[0].attempts[0].number]
-        rig.nodes[0].attempts[0].answer()  # an answer to nobody
-        other = await rig.client()
+        rig.nodes[0].attempts[0].answer()  # its request has ended
+        other_client = await rig.client()
         rig.nodes[0].on_attempt = Attempt.answer
-        assert (await other.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
+        assert (await other_client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
         assert len(rig.nodes[0].attempts) == 2 and rig.gateway.links["s1"].late_outcome_count == 1
 
     run_with_rig(script)
 
 
-def test_silent_shelf_ends_an_non_idempotent_write_once_terminated_in_its_own_time() -> None:
+def test_non_idempotent_write_to_an_unresponsive_node_fails_once_within_its_timeout() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = NO_ANSWER
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "terminated" and got.duration_ms < 1200.0
+        result = await client.write("v", "x", b"1", **SAVE_OPTIONS)
+        assert result.status == "terminated" and result.duration_ms < 1200.0
         assert len(rig.nodes[0].attempts) == 1
 
     run_with_rig(script)
 
 
-def test_an_answer_after_the_final_answer_is_dropped() -> None:
+def test_outcome_after_the_final_answer_is_dropped() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = NO_ANSWER
-        extra: list[str] = []
-        client = await rig.client(observer=lambda event, **_: extra.append(event))
-        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
+        events: list[str] = []
+        client = await rig.client(observer=lambda event, **_: events.append(event))
+        result = await client.write("v", "x", b"1", **SAVE_OPTIONS)
         rig.nodes[0].attempts[0].answer()
         await until(lambda: rig.gateway.links["s1"].late_outcome_count == 1)
         await asyncio.sleep(0.05)
-        assert got.status == "terminated" and "extra" not in extra
+        assert result.status == "terminated" and "extra" not in events
 
     run_with_rig(script)
 
 
-def test_reset_after_half_a_frame_may_have_run_and_an_unwritten_attempt_never_did() -> None:
+def test_write_fails_after_a_partial_outcome_and_is_rejected_if_never_sent() -> None:
     async def script(rig: Rig) -> None:
-        def half(attempt: Attempt) -> None:
+        def send_partial_outcome(attempt: Attempt) -> None:
             frame = encode(Kind.OUTCOME, attempt.number, 0, "", b"x" * 100)
             attempt.connection.transport.write(frame[:50])
             attempt.connection.loop.call_later(0.02, attempt.connection.abort)
 
-        rig.nodes[0].on_attempt = half
+        rig.nodes[0].on_attempt = send_partial_outcome
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "terminated"  # half an outcome is none: it may have run
+        result = await client.write("v", "x", b"1", **SAVE_OPTIONS)
+        assert result.status == "terminated"  # without a whole outcome, the write may have been applied
         rig.nodes[0].crash()
-        got = await client.write("v", "x", b"2", **SAVE_OPTIONS)
-        assert got.status == "pushed back" and 200.0 <= got.retry_after_ms <= 400.0  # no connection: it never ran
+        result = await client.write("v", "x", b"2", **SAVE_OPTIONS)
+        # There was no connection, so the write was never sent.
+        assert result.status == "pushed back" and 200.0 <= result.retry_after_ms <= 400.0
         assert len(rig.nodes[0].attempts) == 1
 
     run_with_rig(script)
 
 
-def test_connection_accepted_but_never_greeted_counts_as_never_run() -> None:
-    """A stopped process has its connections accepted by the system: no greeting, so no byte of a request went."""
+def test_attempt_on_a_connection_without_a_greeting_counts_as_never_sent() -> None:
+    """The kernel accepts connections for a stopped process; without its greeting, no request is sent to it."""
 
     async def script(rig: Rig) -> None:
-        shelf = rig.nodes[0]
-        shelf.server.close()
-        host, _, port = shelf.address.rpartition(":")
-        mute = await rig.loop.create_server(asyncio.Protocol, host, int(port))
+        node = rig.nodes[0]
+        node.server.close()
+        host, _, port = node.address.rpartition(":")
+        silent_server = await rig.loop.create_server(asyncio.Protocol, host, int(port))
         client = await rig.client()
-        got = await client.write("v", "x", b"1", **SAVE_OPTIONS)
-        assert got.status == "pushed back" and 200 < got.duration_ms < 600
-        mute.close()
+        result = await client.write("v", "x", b"1", **SAVE_OPTIONS)
+        assert result.status == "pushed back" and 200 < result.duration_ms < 600
+        silent_server.close()
 
     run_with_rig(script)
 
 
-def test_shelf_restarted_untold_between_two_attempts() -> None:
+def test_read_after_an_unannounced_restart_of_the_storage_node_succeeds() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
@@ -123,25 +124,25 @@
     run_with_rig(script)
 
 
-def test_head_killed_with_a_write_out_and_the_retry_comes_to_the_restarted_one() -> None:
+def test_retry_of_a_write_in_flight_when_the_gateway_was_killed_succeeds_after_its_restart() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = NO_ANSWER
         client = await rig.client()
-        lost = client.write("v", "x", b"1", **SAVE_OPTIONS)
+        lost_write = client.write("v", "x", b"1", **SAVE_OPTIONS)
         await until(lambda: rig.nodes[0].attempts)
         rig.kill_gateway()
-        assert (await lost).status == "lost"
-        await rig.start_gateway()  # nothing of before is assumed: the request is not known here
+        assert (await lost_write).status == "lost"
+        await rig.start_gateway()  # the new gateway does not know the request
         assert rig.gateway.core.open_count == 0
         rig.nodes[0].on_attempt = Attempt.answer
-        again = await rig.client()
-        got = await again.write("v", "x", b"1", is_retry=True, **SAVE_OPTIONS)
-        assert got.succeeded and len(rig.nodes[0].attempts) == 2
+        new_client = await rig.client()
+        result = await new_client.write("v", "x", b"1", is_retry=True, **SAVE_OPTIONS)
+        assert result.succeeded and len(rig.nodes[0].attempts) == 2
 
     run_with_rig(script)
 
 
-def test_stop_while_a_shelf_is_silent_gives_every_request_its_answer_first() -> None:
+def test_shutdown_while_a_storage_node_is_unresponsive_answers_every_request_first() -> None:
     async def script(rig: Rig) -> None:
         rig.nodes[0].on_attempt = NO_ANSWER
         client = await rig.client()
@@ -152,36 +153,36 @@
         await until(lambda: client.stopping)
         with pytest.raises(OSError):
             await connect(rig.config.head["h1"].listen, loop=rig.loop, timeout_ms=300)
-        refused = await client.read("v", "z", 1, request_class="look", slot=1, units=1.0, timeout_ms=500.0)
-        assert refused.status == "pushed back" and "stopping" in refused.reason
-        finals = [(await p).status for p in pending]
-        assert set(finals) <= {"pushed back", "terminated"} and len(finals) == 7
+        rejected = await client.read("v", "z", 1, request_class="look", slot=1, units=1.0, timeout_ms=500.0)
+        assert rejected.status == "pushed back" and "stopping" in rejected.reason
+        final_statuses = [(await request).status for request in pending]
+        assert set(final_statuses) <= {"pushed back", "terminated"} and len(final_statuses) == 7
         await asyncio.wait_for(rig.gateway.stopped, 5.0)
 
     run_with_rig(script)
 
 
-def test_request_sent_while_the_stop_is_on_its_way_is_answered_not_lost() -> None:
-    """A head with nothing open closed at once and lost what its client had just sent: found by rolling-release."""
+def test_request_sent_before_the_shutdown_notice_arrives_is_answered() -> None:
+    """A gateway without open requests used to close at once and lose a request just sent, as in a rolling release."""
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
         await until(lambda: rig.gateway.client_connections)
         rig.gateway.stop("SIGTERM")
-        got = await client.read("v", "x", 1, **LOOK_OPTIONS)  # written before STOPPING was read
-        assert got.status == "pushed back" and "stopping" in got.reason
+        result = await client.read("v", "x", 1, **LOOK_OPTIONS)  # written before STOPPING was read
+        assert result.status == "pushed back" and "stopping" in result.reason
         await asyncio.wait_for(rig.gateway.stopped, 5.0)
 
     run_with_rig(script)
 
 
-def test_list_that_calls_a_live_shelf_gone_is_obeyed_and_the_shelf_comes_back() -> None:
+def test_live_node_that_the_endpoint_list_calls_gone_is_not_used_until_it_is_listed_again() -> None:
     async def script(rig: Rig) -> None:
         client = await rig.client()
         rig.discovery.control("list-wrong", {"shelf": "s1"})
         await until(lambda: 0 not in rig.gateway.core.scheduler.nodes.node_at_slot)
-        got = await client.read("v", "x", 1, **LOOK_OPTIONS)
-        assert got.status == "pushed back" and not rig.nodes[0].attempts
+        result = await client.read("v", "x", 1, **LOOK_OPTIONS)
+        assert result.status == "pushed back" and not rig.nodes[0].attempts
         rig.discovery.control("list-wrong", {"shelf": "s1", "off": 1})
         await until(lambda: 0 in rig.gateway.core.scheduler.nodes.node_at_slot)
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
@@ -189,34 +190,34 @@
     run_with_rig(script)
 
 
-def test_an_answer_that_crosses_its_clients_leaving_is_no_second_answer() -> None:
-    """Found by search: the client counted it as one, though the head had not read the CANCEL yet."""
+def test_answer_that_crosses_a_cancellation_is_not_counted_as_a_second_answer() -> None:
+    """The client used to count it as one, although the gateway had not read the CANCEL yet."""
 
     async def script(rig: Rig) -> None:
-        noted: list[str] = []
+        events: list[str] = []
         rig.nodes[0].on_attempt = NO_ANSWER
-        client = await rig.client(observer=lambda event, **_: noted.append(event))
-        future = client.read("v", "x", 1, **LOOK_OPTIONS)
+        client = await rig.client(observer=lambda event, **_: events.append(event))
+        request = client.read("v", "x", 1, **LOOK_OPTIONS)
         await until(lambda: rig.nodes[0].attempts)
         rig.nodes[0].attempts[0].answer()
         await until(lambda: rig.gateway.core.counts.succeeded == 1)
-        future.cancel()
+        request.cancel()
         await asyncio.sleep(0.05)
-        assert "extra" not in noted and not client.open_requests
+        assert "extra" not in events and not client.open_requests
 
     run_with_rig(script)
 
 
-def test_a_connection_that_swallows_all_is_made_anew_at_the_first_silence() -> None:
-    """Found by search: half-open connections stood until the keep-alive, 15 s, and every attempt on them was lost."""
+def test_half_open_connection_is_replaced_after_the_first_timeout() -> None:
+    """Half-open connections used to stay until the keep-alive ended them, 15 s, and every attempt on them was lost."""
 
     async def script(rig: Rig) -> None:
         client = await rig.client()
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
-        conn = rig.nodes[0].connections[0]
-        conn.session.feed = lambda data: None  # type: ignore[method-assign]
-        lost = await client.read("v", "x", 1, **LOOK_OPTIONS)
-        assert lost.status == "pushed back"
+        connection = rig.nodes[0].connections[0]
+        connection.session.feed = lambda data: None  # type: ignore[method-assign]
+        rejected = await client.read("v", "x", 1, **LOOK_OPTIONS)
+        assert rejected.status == "pushed back"
         await until(lambda: rig.gateway.links["s1"].connection is None)
         await asyncio.sleep(0.3)
         assert (await client.read("v", "x", 1, **LOOK_OPTIONS)).succeeded
@@ -225,15 +226,15 @@
     run_with_rig(script)
 
 
-def test_wall_clock_that_jumps_moves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_jumps_of_the_wall_clock_do_not_affect_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     async def script(rig: Rig) -> None:
-        wall = time.time()
-        monkeypatch.setattr(time, "time", lambda: wall - 86_400.0)
+        wall_time_s = time.time()
+        monkeypatch.setattr(time, "time", lambda: wall_time_s - 86_400.0)
         rig.nodes[0].on_attempt = lambda attempt: rig.loop.call_later(0.05, attempt.answer)
         client = await rig.client()
-        first = client.read("v", "x", 1, **LOOK_OPTIONS)
-        monkeypatch.setattr(time, "time", lambda: wall + 86_400.0)
-        got = await first
-        assert got.succeeded and 40 < got.duration_ms < 400
+        request = client.read("v", "x", 1, **LOOK_OPTIONS)
+        monkeypatch.setattr(time, "time", lambda: wall_time_s + 86_400.0)
+        result = await request
+        assert result.succeeded and 40 < result.duration_ms < 400
 
     run_with_rig(script)
