--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,7 @@
-"""Confirmed writes stand once whenever a head dies; each defence taken out is seen."""
+"""Crashes of a gateway with write-back: confirmed writes are applied exactly once, and the crash rounds detect defects.
+
+Some tests remove one safeguard of the gateway; the verdict of the crash rounds must then report the damage.
+"""
 
 from __future__ import annotations
 
@@ -22,19 +25,20 @@
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_confirmed_writes_stand_once_whenever_the_head_dies(block: int) -> None:
-    told = verdict.summed([virtual.one(seed, 2) for seed in range(3 * block, 3 * block + 3)])
-    assert verdict.sound(told) and told["confirmed"] > 500, told
+def test_confirmed_writes_are_applied_exactly_once_whenever_the_gateway_crashes(block: int) -> None:
+    totals = verdict.summed([virtual.one(seed, 2) for seed in range(3 * block, 3 * block + 3)])
+    assert verdict.sound(totals) and totals["confirmed"] > 500, totals
 
 
-class NoSync(FaultyDisk):
-    """Says that it synced."""
+class NoSyncDisk(FaultyDisk):
+    """A disk that reports a sync without syncing."""
 
     def sync(self, name: str) -> None:
         pass
 
 
-def broken(seeds: range, disk: type[FaultyDisk] = FaultyDisk) -> dict[str, Any]:
+def run_until_unsound(seeds: range, disk: type[FaultyDisk] = FaultyDisk) -> dict[str, Any]:
+    """Runs a crash round for each seed up to the first with a violation, and returns the totals."""
     rounds = []
     for seed in seeds:
         try:
@@ -46,50 +50,52 @@
     return verdict.summed(rounds)
 
 
-def test_without_fsync_confirmed_writes_are_lost_and_that_is_seen() -> None:
-    told = broken(range(10), NoSync)
-    assert told["missing"] or told["claimed_wrongly"] or told["fault"], told
+def test_lost_writes_without_fsync_are_detected() -> None:
+    totals = run_until_unsound(range(10), NoSyncDisk)
+    assert totals["missing"] or totals["claimed_wrongly"] or totals["fault"], totals
 
 
-def test_an_answer_before_the_commit_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Committer.add
+def test_confirmation_before_the_commit_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_add = Committer.add
 
-    def early(self: Committer, record: Any, told: Any) -> None:
+    def confirm_early(self: Committer, record: Any, on_result: Any) -> None:
         if isinstance(record, Write):
-            told(True)
-            told = lambda lasts: None  # noqa: E731
-        real(self, record, told)
+            on_result(True)
+            on_result = lambda is_durable: None  # noqa: E731
+        original_add(self, record, on_result)
 
-    monkeypatch.setattr(Committer, "add", early)
-    told = broken(range(10))
-    assert told["missing"] or told["claimed_wrongly"], told
+    monkeypatch.setattr(Committer, "add", confirm_early)
+    totals = run_until_unsound(range(10))
+    assert totals["missing"] or totals["claimed_wrongly"], totals
 
 
-def test_a_replay_without_a_look_and_without_labels_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_double_writes_by_a_replay_without_read_back_and_deduplication_are_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(
-        "pebblehinge.gateway.write_back_runner.next_step", lambda write, risky, read_back: WritebackStep.WRITE
+        "pebblehinge.gateway.write_back_runner.next_step", lambda write, maybe_applied, read_back: WritebackStep.WRITE
     )
     monkeypatch.setattr("pebblehinge.storage_node.contents.Contents.is_applied", lambda self, label, now, window: False)
-    assert broken(range(10))["doubled"]
+    assert run_until_unsound(range(10))["doubled"]
 
 
-def test_barriers_that_are_forgotten_are_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lost_barriers_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(DirtyWrites, "add_barrier", lambda self, barrier: None)
-    assert broken(range(10))["order_broken"]
+    assert run_until_unsound(range(10))["order_broken"]
 
 
-def test_heads_are_killed_as_processes() -> None:
-    done = subprocess.run(
+def test_no_confirmed_write_is_lost_when_gateway_processes_are_killed() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "pebblehinge", "lab", "crash", "--rounds", "2", "--json", "--quiet"],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    told = json.loads(done.stdout)
-    assert done.returncode == 0 and told["confirmed"] > 20 and told["missing"] == 0, told
+    totals = json.loads(completed.stdout)
+    assert completed.returncode == 0 and totals["confirmed"] > 20 and totals["missing"] == 0, totals
 
 
-def test_a_folder_is_looked_at_exported_and_verified(tmp_path: Any) -> None:
+def test_journal_folder_can_be_inspected_exported_and_verified(tmp_path: Any) -> None:
     disk = RealDisk(tmp_path / "h1")
     journal = Journal(disk)
     journal.recover()
@@ -97,18 +103,20 @@
     disk.append(batch.file_name, batch.data)
     disk.close()
 
-    def ask(*words: str) -> tuple[int, str]:
-        done = subprocess.run([sys.executable, "-m", "pebblehinge", "store", *words], capture_output=True, text=True)
-        return done.returncode, done.stdout
+    def run_store(*arguments: str) -> tuple[int, str]:
+        completed = subprocess.run(
+            [sys.executable, "-m", "pebblehinge", "store", *arguments], capture_output=True, text=True
+        )
+        return completed.returncode, completed.stdout
 
-    code, said = ask("inspect", str(tmp_path / "h1"), "--json")
-    assert code == 0 and json.loads(said)["live"] == 1 and json.loads(said)["live_bytes"] == 5
-    assert ask("verify", str(tmp_path / "h1"))[0] == 0
-    assert ask("export", str(tmp_path / "h1"), str(tmp_path / "out"))[0] == 0
+    exit_code, output = run_store("inspect", str(tmp_path / "h1"), "--json")
+    assert exit_code == 0 and json.loads(output)["live"] == 1 and json.loads(output)["live_bytes"] == 5
+    assert run_store("verify", str(tmp_path / "h1"))[0] == 0
+    assert run_store("export", str(tmp_path / "h1"), str(tmp_path / "out"))[0] == 0
     assert (tmp_path / "out" / "v" / "a%2Fb").read_bytes() == b"\0\0hello"
-    raw = bytearray((tmp_path / "h1" / batch.file_name).read_bytes())
-    raw[40] ^= 1
-    (tmp_path / "h1" / batch.file_name).write_bytes(bytes(raw) + raw[HEADER.size :][:0])
+    segment = bytearray((tmp_path / "h1" / batch.file_name).read_bytes())
+    segment[40] ^= 1
+    (tmp_path / "h1" / batch.file_name).write_bytes(bytes(segment) + segment[HEADER.size :][:0])
     (tmp_path / "h1" / segment_name(9)).write_bytes(b"")
-    code, said = ask("verify", str(tmp_path / "h1"))
-    assert code == 1 and "byte 22" in said
+    exit_code, output = run_store("verify", str(tmp_path / "h1"))
+    assert exit_code == 1 and "byte 22" in output
