--- a/tests/test_sized_fleet.py
+++ b/tests/test_sized_fleet.py
@@ -1,4 +1,4 @@
-"""Laboratory and console at the coming size: addresses of 2,048 shelfs, and looks that tell of them all."""
+"""Lab, console and wait accounting at the target size: 1,024 gateways, 2,048 storage nodes, 2,000 volumes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wait_accounting import OTHERS, WaitAccounting
 
-SHELFS = 2048
-FILE = f"""\
+STORAGE_NODES = 2048
+SETTINGS = f"""\
 profile look {{
     importance 1
     expected 400ms
@@ -29,36 +29,37 @@
 }}
 fleet {{
     heads 1024
-    shelfs {SHELFS}
+    shelfs {STORAGE_NODES}
 }}
 """
 
 
-def test_no_release_of_a_shelf_has_the_address_of_another() -> None:
-    """Before, s1's first release stood where s1001 did, so a fleet of over 1,000 shelfs could not be released."""
-    config = loads(FILE)
+def test_addresses_of_released_storage_nodes_are_distinct() -> None:
+    """The first release of s1 used to get the address of s1001, so no fleet of over 1,000 nodes could be released."""
+    config = loads(SETTINGS)
     names = names_of(config)
-    assert len(names) == 1 + 1024 + SHELFS * RELEASES
-    assert all(names[shelf.listen] == name for name, shelf in config.shelf.items())
+    assert len(names) == 1 + 1024 + STORAGE_NODES * RELEASES
+    assert all(names[block.listen] == name for name, block in config.shelf.items())
     ports = [int(address.rpartition(":")[2]) for address in names]
-    assert max(ports) < 32_768  # below those that the kernel gives to connections
-    new = released(config, "s1", 2)
-    assert names[config.shelf[new].listen] == "s1"
+    assert max(ports) < 32_768  # below the ports that the kernel assigns to connections
+    new_name = released(config, "s1", 2)
+    assert names[config.shelf[new_name].listen] == "s1"
     assert release_address(config, "127.0.0.1:10001", 0) == "127.0.0.1:10001"
 
 
-def test_a_small_fleet_s_addresses_are_as_they_were() -> None:
-    config = loads(FILE.replace(str(SHELFS), "30"))
+def test_addresses_of_releases_in_a_small_fleet_are_unchanged() -> None:
+    config = loads(SETTINGS.replace(str(STORAGE_NODES), "30"))
     assert release_address(config, config.shelf["s7"].listen, 3) == "127.0.0.1:13007"
 
 
-def test_a_viewer_on_a_slow_line_misses_looks_and_stays(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Before, a viewer was dropped at the first look that came while 64 KiB were unsent; one look of 2,048 shelfs is
-    three times that. This one reads less than half of what comes, so it must miss some."""
+def test_slow_viewer_misses_snapshots_and_stays_connected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A viewer used to be dropped at the first snapshot that came while 64 KiB were unsent; a snapshot of 2,048 storage
+    nodes is three times that. This viewer reads less than half of what is sent, so it must miss some snapshots.
+    """
     monkeypatch.setattr(console_server, "REFRESH_INTERVAL_MS", 150.0)
 
-    def seen(read: bytes) -> list[int]:
-        return [int(part.split(b"\n")[0]) for part in read.split(b"id: ")[1:] if b"\n" in part]
+    def snapshot_numbers(received: bytes) -> list[int]:
+        return [int(part.split(b"\n")[0]) for part in received.split(b"id: ")[1:] if b"\n" in part]
 
     async def script(rig: Rig, console: Console, session: aiohttp.ClientSession) -> None:
         monkeypatch.setattr(console.view, "snapshot", lambda: {"fill": "x" * 600_000})
@@ -69,12 +70,12 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(sock, (host, int(port)))
         await loop.sock_sendall(sock, b"GET /events HTTP/1.1\r\nHost: x\r\n\r\n")
-        read, end = b"", loop.time() + 20.0
-        while not (numbers := seen(read)) or numbers[-1] - numbers[0] < len(numbers):
-            assert loop.time() < end, (numbers, console.snapshot_number)
-            got = await asyncio.wait_for(loop.sock_recv(sock, 40_000), 5.0)
-            assert got, "dropped"
-            read += got
+        received, deadline_s = b"", loop.time() + 20.0
+        while not (numbers := snapshot_numbers(received)) or numbers[-1] - numbers[0] < len(numbers):
+            assert loop.time() < deadline_s, (numbers, console.snapshot_number)
+            data = await asyncio.wait_for(loop.sock_recv(sock, 40_000), 5.0)
+            assert data, "dropped"
+            received += data
             await asyncio.sleep(0.025)
         assert console.dropped_viewers == 0 and len(console.viewers) == 1 and numbers == sorted(numbers)
         sock.close()
@@ -82,20 +83,20 @@
     run_with_console(script)
 
 
-def test_accounts_of_two_thousand_volumes_keep_five_causes_of_each() -> None:
-    """Before, 4,096 pairs were kept: the smaller causes of most volumes were added up under others."""
-    accounting, now = WaitAccounting(), 0.0
+def test_wait_accounting_of_two_thousand_volumes_keeps_the_causes_of_each() -> None:
+    """The limit of 4,096 pairs of volume and cause used to merge the smaller causes of most volumes as others."""
+    accounting, now_ms = WaitAccounting(), 0.0
     for n in range(2000):
-        first, second = 2 * n, 2 * n + 1
-        accounting.enqueue(now, first, f"vol-{n}", f"s{n}", 1.0)  # with nothing out: the head
-        now += 1.0
-        accounting.start_attempt(now, first, True)
-        accounting.enqueue(now, second, f"vol-{n}", f"s{n}", 1.0)  # behind its own
-        now += 10.0 + n % 3
-        accounting.end_attempt(now, first)
-        accounting.start_attempt(now, second, False)  # a retry
-        now += 10.0 + n % 5
-        accounting.end_attempt(now, second)
-    kept = [{share.cause for share in accounting.shares(f"vol-{n}")} for n in range(2000)]
-    assert min(map(len, kept)) >= 4 and sum(map(len, kept)) > 4096
-    assert not any(OTHERS in causes for causes in kept)
+        first_id, second_id = 2 * n, 2 * n + 1
+        accounting.enqueue(now_ms, first_id, f"vol-{n}", f"s{n}", 1.0)  # no attempt in flight: the cause is the gateway
+        now_ms += 1.0
+        accounting.start_attempt(now_ms, first_id, True)
+        accounting.enqueue(now_ms, second_id, f"vol-{n}", f"s{n}", 1.0)  # behind an attempt of its own volume
+        now_ms += 10.0 + n % 3
+        accounting.end_attempt(now_ms, first_id)
+        accounting.start_attempt(now_ms, second_id, False)  # a retry
+        now_ms += 10.0 + n % 5
+        accounting.end_attempt(now_ms, second_id)
+    causes_by_volume = [{share.cause for share in accounting.shares(f"vol-{n}")} for n in range(2000)]
+    assert min(map(len, causes_by_volume)) >= 4 and sum(map(len, causes_by_volume)) > 4096
+    assert not any(OTHERS in causes for causes in causes_by_volume)
--- a/tests/test_sized_settings.py
+++ b/tests/test_sized_settings.py
@@ -1,4 +1,4 @@
-"""Settings and versions at the coming size: 1,024 heads and 2,048 shelfs are read, shown, agreed on and taken up."""
+"""Settings at the target size of 1,024 gateways and 2,048 storage nodes: parsed, shown, replicated and applied."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from pebblehinge.settings import SettingsError, show
 from pebblehinge.settings.load import loads
 
-HEADS = 1024
-BASE = """\
+GATEWAYS = 1024
+BASE_SETTINGS = """\
 profile look {
     importance 1
     expected 400ms
@@ -28,26 +28,29 @@
 """
 
 
-def through_all(names: list[str]) -> str:
-    """A volume that comes through all heads, by name."""
-    heads = "\n".join(f"head {name} {{\n    listen 10.0.0.1:7001\n}}" for name in names)
-    return f"{BASE}volume v {{\n    plan capped\n    heads {len(names)}\n    through {' '.join(names)}\n}}\n{heads}\n"
+def settings_through(gateways: list[str]) -> str:
+    """Returns settings with a volume that is reached through all these gateways, by name."""
+    blocks = "\n".join(f"head {name} {{\n    listen 10.0.0.1:7001\n}}" for name in gateways)
+    return (
+        f"{BASE_SETTINGS}volume v {{\n    plan capped\n    heads {len(gateways)}\n"
+        f"    through {' '.join(gateways)}\n}}\n{blocks}\n"
+    )
 
 
-def test_a_volume_through_all_heads_is_read_shown_and_read_again() -> None:
-    """Refused before: a line of more than 4,096 characters, which 910 names are."""
-    names = [f"h{n:04d}".ljust(100, "x") for n in range(HEADS)]  # as long as names may be
-    config = loads(through_all(names))
+def test_volume_through_all_gateways_is_parsed_shown_and_parsed_again() -> None:
+    """Lines of more than 4,096 characters used to be rejected; the names of 910 gateways take more."""
+    names = [f"h{n:04d}".ljust(100, "x") for n in range(GATEWAYS)]  # the longest names allowed
+    config = loads(settings_through(names))
     assert config.volume["v"].through == names
     lines = show(config)
-    assert max(map(len, lines)) > 100 * HEADS
-    again = loads("\n".join(lines))
-    assert again.volume == config.volume and list(again.head) == names
-    assert show(again) == lines
+    assert max(map(len, lines)) > 100 * GATEWAYS
+    reparsed = loads("\n".join(lines))
+    assert reparsed.volume == config.volume and list(reparsed.head) == names
+    assert show(reparsed) == lines
 
 
-def test_it_is_agreed_on_and_taken_up() -> None:
-    text = "\n".join(show(loads(through_all([f"h{n}" for n in range(HEADS)])))) + "\n"
+def test_version_with_a_volume_through_all_gateways_is_replicated_and_applied() -> None:
+    text = "\n".join(show(loads(settings_through([f"h{n}" for n in range(GATEWAYS)])))) + "\n"
     state = ConfigState()
     assert apply_entry(state, Entry(1, 1, EntryKind.DATA, stored_form("propose", 0, text, "a", ""))) == ""
     application = VersionApplication("h1023", 0.25)
@@ -55,7 +58,9 @@
     assert application.rejection is None and application.acknowledged_version == 1
 
 
-def test_a_line_that_is_longer_still_is_refused_with_its_place_and_length() -> None:
-    with pytest.raises(SettingsError) as told:
-        loads(BASE + "volume v {\n    plan capped\n    through " + "h " * 70_000 + "\n}\n", "f")
-    assert [str(p) for p in told.value.problems] == ["f:14:1: a line of 140012 characters: expected at most 131072"]
+def test_line_above_the_limit_is_rejected_with_its_position_and_length() -> None:
+    with pytest.raises(SettingsError) as raised:
+        loads(BASE_SETTINGS + "volume v {\n    plan capped\n    through " + "h " * 70_000 + "\n}\n", "f")
+    assert [str(problem) for problem in raised.value.problems] == [
+        "f:14:1: a line of 140012 characters: expected at most 131072"
+    ]
