--- a/tests/test_wire_and_settings.py
+++ b/tests/test_wire_and_settings.py
@@ -1,4 +1,4 @@
-"""Frames in any pieces, and settings whose faults are all told at once."""
+"""Framing and greeting of the wire protocol; parsing of settings, which reports all errors at once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import FrameDecoder, Kind, Session, WireError, encode
 
-TAKE = st.tuples(
+TAKE_FIELDS = st.tuples(
     st.integers(0, 2**63),
     st.text(max_size=20),
     st.text(max_size=9),
@@ -31,47 +31,47 @@
 )
 
 
-@given(st.lists(TAKE, max_size=5), st.lists(st.integers(1, 50), min_size=1, max_size=20))
-def test_frames_come_out_as_they_went_in_whatever_the_pieces(takes: list[tuple], cuts: list[int]) -> None:
-    stream, frames, got, i = b"".join(encode(Kind.TAKE, *t) for t in takes), FrameDecoder(4096), [], 0
+@given(st.lists(TAKE_FIELDS, max_size=5), st.lists(st.integers(1, 50), min_size=1, max_size=20))
+def test_frames_are_decoded_from_pieces_of_any_size(messages: list[tuple], piece_sizes: list[int]) -> None:
+    stream, decoder, decoded, i = b"".join(encode(Kind.TAKE, *fields) for fields in messages), FrameDecoder(4096), [], 0
     while stream:
-        size = cuts[i % len(cuts)]
-        frames.feed(stream[:size])
+        size = piece_sizes[i % len(piece_sizes)]
+        decoder.feed(stream[:size])
         stream, i = stream[size:], i + 1
-        while (frame := frames.next()) is not None:
-            got.append(frame)
-        assert len(frames.buffer) < 4096 + 50
-    assert got == [(Kind.TAKE, t) for t in takes]
+        while (frame := decoder.next()) is not None:
+            decoded.append(frame)
+        assert len(decoder.buffer) < 4096 + 50
+    assert decoded == [(Kind.TAKE, fields) for fields in messages]
 
 
 @given(st.integers(8, 60), st.integers(1, 255))
-def test_any_damaged_byte_is_noticed(at: int, flip: int) -> None:
+def test_any_damaged_byte_is_detected(index: int, flipped_bits: int) -> None:
     data = bytearray(encode(Kind.OUTCOME, 7, 0, "reason", b"x" * 60))
-    data[at] ^= flip
-    frames = FrameDecoder(4096)
-    frames.feed(bytes(data))
+    data[index] ^= flipped_bits
+    decoder = FrameDecoder(4096)
+    decoder.feed(bytes(data))
     with pytest.raises(WireError, match="checksum"):
-        frames.next()
+        decoder.next()
 
 
-def test_the_greeting_settles_the_newest_common_version_and_limits() -> None:
-    ours = Session("head", "h", 5000, 9, dialed=False)
-    ours.feed(encode(Kind.HELLO, "pebblehinge", 1, 6, "client", "c", 2048, 3))
-    assert ours.next() is not None and ours.version == 1
-    assert (ours.peer_role, ours.peer_name, ours.peer_max_frame_bytes, ours.peer_max_streams) == (
+def test_greeting_negotiates_the_newest_common_version_and_the_limits() -> None:
+    session = Session("head", "h", 5000, 9, dialed=False)
+    session.feed(encode(Kind.HELLO, "pebblehinge", 1, 6, "client", "c", 2048, 3))
+    assert session.next() is not None and session.version == 1
+    assert (session.peer_role, session.peer_name, session.peer_max_frame_bytes, session.peer_max_streams) == (
         "client",
         "c",
         2048,
         3,
     )
-    assert ours.decoder.max_frame_bytes == 5000
-    fresh = Session("head", "h", 5000, 9, dialed=False)
-    fresh.feed(b"\x00\x00\x05\x00")  # more than a greeting may have, before the greeting
+    assert session.decoder.max_frame_bytes == 5000
+    new_session = Session("head", "h", 5000, 9, dialed=False)
+    new_session.feed(b"\x00\x00\x05\x00")  # a longer frame than a greeting may be, before the greeting
     with pytest.raises(WireError, match="at most 1024"):
-        fresh.next()
+        new_session.next()
 
 
-FAULTY = """\
+INVALID_SETTINGS = """\
 rules {
     warn 3s
     drain-grace soon
@@ -108,11 +108,11 @@
 """
 
 
-def test_every_fault_is_told_at_once_with_its_place() -> None:
-    with pytest.raises(SettingsError) as told:
-        loads(FAULTY, "f")
-    said = [str(p).removeprefix("f:") for p in told.value.problems]
-    wanted = [
+def test_all_errors_are_reported_at_once_with_their_positions() -> None:
+    with pytest.raises(SettingsError) as raised:
+        loads(INVALID_SETTINGS, "f")
+    reported = [str(problem).removeprefix("f:") for problem in raised.value.problems]
+    expected = [
         "2:5: unknown directive 'warn': expected warm (the nearest known one)",
         "3:17: 'drain-grace soon': expected a time such as 400ms, 1.5s or 2m",
         "7:14: 'expected 400': expected a time such as 400ms, 1.5s or 2m",
@@ -129,19 +129,19 @@
         "32:3: 'oops': expected",
         "33:3: a quote that is not closed",
     ]
-    for line in wanted:
-        assert any(s.startswith(line) for s in said), (line, said)
+    for line in expected:
+        assert any(problem.startswith(line) for problem in reported), (line, reported)
 
 
-def test_a_fault_tells_nothing_that_follows_from_it_alone() -> None:
+def test_errors_that_follow_from_another_error_are_not_reported() -> None:
     text = "profile a {\n importance 2\n expected 1\n patience 2s\n repeat redoable\n}\nmix a {\n share 10%\n}\n"
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         loads(text)
-    assert len(told.value.problems) == 1
+    assert len(raised.value.problems) == 1
 
 
-def test_words_that_need_quotes_are_shown_in_them() -> None:
-    """An empty word was shown as none at all, and what was shown could not be read again."""
+def test_values_that_need_quotes_are_shown_with_quotes() -> None:
+    """An empty value used to be shown as no value at all, and the output could not be parsed again."""
     for text in ("", "two words", 'a "quoted" one', "back\\slash # {"):
         quoted = text.replace("\\", "\\\\").replace('"', '\\"')
         config = loads(f'rsync {{\n    motd "{quoted}"\n}}\n')
@@ -149,14 +149,14 @@
         assert loads("\n".join(show(config))).rsync.motd == text
 
 
-def test_what_is_shown_reads_back_the_same(tmp_path: Path) -> None:
+def test_shown_settings_are_parsed_again_to_the_same_settings(tmp_path: Path) -> None:
     for path in sorted(Path("pebblehinge/lab/days").glob("[!_]*.conf")):
         shown = show(load(path))
         assert show(loads("\n".join(shown))) == shown
     assert any(line.endswith("# default") for line in shown)
 
 
-def test_includes_go_round_only_once_and_units_are_read(tmp_path: Path) -> None:
+def test_circular_includes_are_rejected_and_units_are_parsed(tmp_path: Path) -> None:
     (tmp_path / "a.conf").write_text("include b.conf\n")
     (tmp_path / "b.conf").write_text("include a.conf\n")
     with pytest.raises(SettingsError, match=r"b\.conf:1:9: .*includes itself"):
