--- a/pebblehinge/settings/rsync.py
+++ b/pebblehinge/settings/rsync.py
@@ -1,4 +1,4 @@
-"""What may stand in the settings for rsync clients: one struct a block."""
+"""Blocks of the settings for rsync clients, one struct per block."""
 
 from __future__ import annotations
 
@@ -8,46 +8,46 @@
 
 
 class RsyncBlock(Block):
-    """rsync { ... }: what rsync clients get of each head together."""
+    """`rsync { ... }`: limits of one gateway for all its rsync clients together."""
 
-    transfers: Count = 200  # under way together
-    accesses: Count = 48  # of all transfers, out together at most
-    each: Count = 12  # of one transfer
-    stall: Ms = 60_000.0  # a client that neither sends nor reads for so long is cut
+    transfers: Count = 200  # concurrent transfers
+    accesses: Count = 48  # concurrent requests of all transfers
+    each: Count = 12  # concurrent requests of one transfer
+    stall: Ms = 60_000.0  # a connection is closed after this time without a byte sent or read by the client
     login: Ms = 10_000.0  # until a client has named its module
-    stop: Ms = 20_000.0  # transfers get so long to end when the head is told to stop
-    lag: Ms = 250.0  # a head that is late by so much begins no transfer
-    parts: Count = 1_000  # interrupted pushes that are kept for their repeat
-    parts_for: Ms = 900_000.0
-    motd: str = ""
+    stop: Ms = 20_000.0  # time that transfers have to end when the gateway shuts down
+    lag: Ms = 250.0  # event loop lag beyond which the gateway rejects new transfers
+    parts: Count = 1_000  # partial uploads that are kept for a retry
+    parts_for: Ms = 900_000.0  # how long a partial upload is kept
+    motd: str = ""  # text that each client gets when it connects
 
 
 class ModuleBlock(Block):
-    """module NAME { ... }: a tree of files on a volume, for rsync clients."""
+    """`module NAME { ... }`: a file tree on a volume, for rsync clients."""
 
     volume: Name
-    read: Name  # profiles of its accesses
+    read: Name  # request classes of its requests: `read`, `write`, `commit`
     write: Name
     commit: Name
     comment: str = ""
     read_only: bool = True
-    listed: bool = True
-    allow: list[str] = field(default_factory=list)  # addresses and networks; none: all
-    deny: list[str] = field(default_factory=list)
-    users: list[Name] = field(default_factory=list)  # none: nobody is asked who he is
-    patience: Ms = 4_000.0  # of one access
-    deadline: Ms = 600_000.0  # of one transfer
-    block: Size = 128 << 10
-    unit: Size = 64 << 10  # bytes that count as a unit of an access
+    listed: bool = True  # whether the list of modules shows it
+    allow: list[str] = field(default_factory=list)  # addresses and networks of clients; none: all
+    deny: list[str] = field(default_factory=list)  # addresses and networks that are refused
+    users: list[Name] = field(default_factory=list)  # users who may log in; none: no login is needed
+    patience: Ms = 4_000.0  # time limit of one request
+    deadline: Ms = 600_000.0  # time limit of one transfer
+    block: Size = 128 << 10  # bytes of file data per request
+    unit: Size = 64 << 10  # bytes that cost one unit
     ahead: Size = 1 << 20  # bytes of a file that are read ahead or not yet written
-    max_size: Size = 1 << 34
+    max_size: Size = 1 << 34  # largest file
     max_files: Count = 100_000
-    max_list: Size = 64 << 20  # memory of one transfer's list of files, about 100 bytes and its name each
-    max_delete: NonNegativeInt = 1_000
+    max_list: Size = 64 << 20  # memory of one transfer's file list: about 100 bytes and the name per file
+    max_delete: NonNegativeInt = 1_000  # deletions per transfer
 
 
 class UserBlock(Block):
-    """user NAME { ... }: one who may log in to modules."""
+    """`user NAME { ... }`: a user who may log in to modules; either the secret or its file is stated."""
 
     secret: str = ""
     secret_file: Path | None = None
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -1,7 +1,10 @@
-"""What may stand in the settings: one struct a block. Figures carry their unit; times end up in milliseconds.
+"""The blocks that the settings may contain, one struct per block. Numbers have a unit; times become milliseconds.
 
-A struct's field is a directive (underscores are written as hyphens); the type says what its values are:
-`Ms` 400ms, `Size` 4KiB, `Times` 10x, `Part` 25%, `Rate` 300/s, ranges `a..b`, words, lists, named blocks.
+Each field of a struct is a directive (underscores are written as hyphens); its type defines the values:
+`Ms` 400ms, `Size` 4KiB, `Factor` 10x, `Fraction` 25%, `Rate` 300/s, ranges `a..b`, words, lists, named blocks.
+
+The structs are named after their blocks. The settings have words of their own: a head is a gateway, a shelf is a
+storage node, a profile is a request class, an access is a request, a group is that of the configuration members.
 """
 
 from __future__ import annotations
@@ -64,88 +67,88 @@
 
 
 class LimitsBlock(Block):
-    """limits { ... }: what a process holds at most."""
+    """`limits { ... }`: the resource limits of a process."""
 
-    frame: Size = 1 << 20
-    streams: Count = 512
-    connections: Count = 8192  # each takes some KiB at rest: docs/CAPACITY.md
-    accesses: Count = 20_000
-    bytes: Size = 256 << 20
-    stall: Ms = 10_000.0
-    keepalive: Ms = 5_000.0
-    connect: Ms = 250.0
+    frame: Size = 1 << 20  # largest frame
+    streams: Count = 512  # open requests per connection
+    connections: Count = 8192  # a connection at rest takes some KiB: docs/CAPACITY.md
+    accesses: Count = 20_000  # open requests
+    bytes: Size = 256 << 20  # payload of all open requests
+    stall: Ms = 10_000.0  # a connection is aborted when its peer does not read for this time
+    keepalive: Ms = 5_000.0  # silence after which a PING is sent
+    connect: Ms = 250.0  # for the connection and the greeting
 
 
 class LogBlock(Block):
-    """log { ... }: to standard error."""
+    """`log { ... }`: the log on standard error."""
 
     form: Literal["json", "console"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    accesses: bool = False  # one line for each access and attempt
+    accesses: bool = False  # whether each request and each attempt gets a line
 
 
 class HeadBlock(Block):
-    """head NAME { ... }: one running head."""
+    """`head NAME { ... }`: one gateway process."""
 
     listen: Address = "127.0.0.1:7000"
-    metrics: Address | None = None
-    seed: NonNegativeInt = 1
-    step: Ms = 2.0  # grid of the module's clock
-    answer_margin: Ms = 20.0  # taken off a client's patience for the way back
-    accounts: bool = False  # who waited for whom: costs a fifth of a core's rate
-    console: Address | None = None  # where its web console is served
-    console_token: str = ""  # who asks must have it; none: whoever reaches the address
-    store: Path | None = None  # folder of its journal, and of what it has learned
-    rsync: Address | None = None  # where rsync clients are listened to; none: they are not
+    metrics: Address | None = None  # address of its metrics
+    seed: NonNegativeInt = 1  # of its random numbers
+    step: Ms = 2.0  # resolution of the scheduler's clock
+    answer_margin: Ms = 20.0  # subtracted from a client's time limit, for the answer's way back
+    accounts: bool = False  # wait accounting: costs a fifth of a core's request rate
+    console: Address | None = None  # address of its web console
+    console_token: str = ""  # viewers have to present it; empty: anyone who can reach the address may view
+    store: Path | None = None  # directory of its journal and of the snapshots of the scheduler's state
+    rsync: Address | None = None  # address for rsync clients; none: not served
 
 
 class ListingBlock(Block):
-    """listing { ... }: the node list; its delays are the stand-in's."""
+    """`listing { ... }`: service discovery; the delays are those of its stand-in."""
 
     listen: Address = "127.0.0.1:7100"
-    mode: Literal["push", "ask"] = "push"
-    add: MsRange = (200.0, 900.0)  # until a new or restarted shelf is told
-    notice: MsRange = (1_000.0, 2_500.0)  # until a shelf that went is told
-    drain: MsRange = (100.0, 500.0)
+    mode: Literal["push", "ask"] = "push"  # whether lists are pushed, or gateways have to request a watch
+    add: MsRange = (200.0, 900.0)  # delay until a new or restarted storage node is published
+    notice: MsRange = (1_000.0, 2_500.0)  # delay until the loss of a storage node is published
+    drain: MsRange = (100.0, 500.0)  # delay until a drain is published
 
 
 class MemberBlock(Block):
-    """member NAME { ... }: one instance of the group that agrees on configuration."""
+    """`member NAME { ... }`: one member of the Raft group that replicates the configuration."""
 
     listen: Address
-    store: Path | None = None
+    store: Path | None = None  # directory of its log and its snapshots
 
 
 class GroupBlock(Block):
-    """group { ... }: how the group keeps time, and what heads may do without it."""
+    """`group { ... }`: timing of the Raft group, and what gateways may do without a lease from it."""
 
-    id: Name = "pebblehinge"  # instances of another group are not talked to
-    lease: Ms = 3_000.0
-    drift: Fraction = 0.05  # by how much clocks may run apart
-    floor: Fraction = 0.25  # of its part of a limit, for a head without a lease
-    renew: Ms = 500.0
-    tick: Ms = 50.0
-    election: Count = 10  # in ticks, at least; each wait is drawn up to twice that
-    heartbeat: Count = 2
-    compact: Count = 1_000  # entries after which a snapshot is taken
+    id: Name = "pebblehinge"  # members of another group are refused
+    lease: Ms = 3_000.0  # duration of a lease
+    drift: Fraction = 0.05  # largest drift between clocks
+    floor: Fraction = 0.25  # fraction of its part of a limit that a gateway without a lease may use
+    renew: Ms = 500.0  # interval of lease renewals
+    tick: Ms = 50.0  # tick of the Raft clock
+    election: Count = 10  # shortest election timeout in ticks; each one is random, up to twice that
+    heartbeat: Count = 2  # interval of heartbeats in ticks
+    compact: Count = 1_000  # log entries after which a snapshot is taken
 
 
 class BufferBlock(Block):
-    """buffer { ... }: writes that a head has confirmed and not yet brought to their shelfs."""
+    """`buffer { ... }`: writes that a gateway has confirmed and not yet written back to their storage nodes."""
 
-    most: Size = 256 << 20  # bytes
-    age: Ms = 120_000.0  # no new ones while one has waited for longer
-    delay: Ms = 20.0  # a write waits for others of its extent
-    segment: Size = 8 << 20  # of the journal's files
-    out: Count = 24  # write-backs under way
-    patience: Ms = 4_000.0  # of one of them
-    done: Ms = 20.0  # what landed is noted in the journal so soon
-    memory: Ms = 2_000.0  # what a head has learned is kept so often
-    stop: Ms = 10_000.0  # a head that stops tries so long to bring all to their shelfs
+    most: Size = 256 << 20  # dirty bytes beyond which no write is accepted
+    age: Ms = 120_000.0  # age of the oldest dirty write beyond which no write is accepted
+    delay: Ms = 20.0  # how long a write waits for others of its extent
+    segment: Size = 8 << 20  # size of the journal's segments
+    out: Count = 24  # concurrent write-backs
+    patience: Ms = 4_000.0  # time limit of one write-back
+    done: Ms = 20.0  # delay until completed write-backs are recorded in the journal
+    memory: Ms = 2_000.0  # interval of the snapshots of the scheduler's state
+    stop: Ms = 10_000.0  # time limit for writing everything back when a gateway shuts down
 
 
 class Config(Block):
-    """A whole file."""
+    """All blocks of the settings."""
 
     rules: RulesBlock = field(default_factory=RulesBlock)
     limits: LimitsBlock = field(default_factory=LimitsBlock)
@@ -168,10 +171,10 @@
     rsync: RsyncBlock = field(default_factory=RsyncBlock)
     module: dict[str, ModuleBlock] = field(default_factory=dict)
     user: dict[str, UserBlock] = field(default_factory=dict)
-    records: Path | None = None
+    records: Path | None = None  # directory of the event logs
 
     def scheduler_settings(self, head: HeadBlock) -> Settings:
-        """What the decision module is handed at its start."""
+        """Returns the settings of the scheduler of one gateway."""
         rules = self.rules
         return Settings(
             request_classes=tuple(
--- a/pebblehinge/settings/stand_ins.py
+++ b/pebblehinge/settings/stand_ins.py
@@ -1,4 +1,4 @@
-"""What may stand in the settings for the laboratory and its stand-ins: one struct a block."""
+"""Blocks of the settings for the laboratory and its stand-in storage nodes, one struct per block."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 
 class KindBlock(Block):
-    """kind NAME { ... }: a kind of stand-in shelf."""
+    """`kind NAME { ... }`: a kind of stand-in storage node."""
 
     cores: Count = 2
-    speed: FactorRange = (1.0, 1.0)
+    speed: FactorRange = (1.0, 1.0)  # factor of a core, drawn at the start of the process
     unit_work: Ms = 20.0  # work of one unit at speed 1
-    noise: Fraction = 0.2
-    slots: Count = 3  # accesses in work for each core
-    queue: Count = 40  # waiting for each core
-    cold_from: Fraction = 0.35
-    cold: Ms = 8_000.0
-    remembers: NonNegativeInt = 2
-    seek: Fraction = 0.55  # work saved on a remembered extent
-    defer: Fraction = 0.35  # of a write's work, put off
-    flush: Ms = 2_500.0
-    pause: Ms = 0.0
-    pause_every: Ms = 5_000.0
-    thrash: Fraction = 0.2
-    errors: Fraction = 0.0
+    noise: Fraction = 0.2  # random deviation of the work, up to this share
+    slots: Count = 3  # requests per core beyond which `thrash` slows the node
+    queue: Count = 40  # queued requests per core
+    cold_from: Fraction = 0.35  # share of its capacity that a restarted node has
+    cold: Ms = 8_000.0  # duration of the warm-up
+    remembers: NonNegativeInt = 2  # extents in the cache
+    seek: Fraction = 0.55  # share of the work that a cached extent saves
+    defer: Fraction = 0.35  # share of a write's work that is deferred until the next flush
+    flush: Ms = 2_500.0  # interval of flushes
+    pause: Ms = 0.0  # duration of a pause; 0: none
+    pause_every: Ms = 5_000.0  # interval of pauses
+    thrash: Fraction = 0.2  # loss of speed under overload
+    errors: Fraction = 0.0  # probability that a request fails
 
 
 class ShelfBlock(Block):
-    """shelf NAME { ... }: one stand-in shelf."""
+    """`shelf NAME { ... }`: one stand-in storage node."""
 
     listen: Address = "127.0.0.1:7200"
     slot: NonNegativeInt = 0
@@ -54,67 +54,67 @@
 
 
 class FleetBlock(Block):
-    """heads COUNT and shelfs COUNT in one: fleet { ... } numbers them and gives them addresses."""
+    """`fleet { ... }`: numbered gateways and storage nodes, with addresses that are derived from the numbers."""
 
     heads: Count = 3
     shelfs: Count = 8
-    kinds: list[Name] = field(default_factory=list)  # dealt out in turn
+    kinds: list[Name] = field(default_factory=list)  # assigned in turn, as are racks and zones; none: all kinds
     racks: list[Name] = field(default_factory=lambda: ["r1"])
     zones: list[Name] = field(default_factory=lambda: ["z1"])
     loopback: str = "127.0.0.1"
-    rsync: bool = False  # whether the heads listen to rsync clients
+    rsync: bool = False  # whether the gateways serve rsync clients
 
 
 class MixBlock(Block):
-    """mix PROFILE { ... }: how the load uses a profile."""
+    """`mix PROFILE { ... }`: the requests of one class in the load."""
 
-    share: Fraction
+    share: Fraction  # share of the runs of requests that are of this class
     write: bool = False
-    units: FactorRange = (1.0, 4.0)
-    run: FactorRange = (1.0, 3.0)  # accesses in a row on one extent
-    gap: MsRange = (1.0, 8.0)  # thinktime between them
-    bytes: Size = 1024
+    units: FactorRange = (1.0, 4.0)  # cost of a request
+    run: FactorRange = (1.0, 3.0)  # consecutive requests for one extent
+    gap: MsRange = (1.0, 8.0)  # think time between them
+    bytes: Size = 1024  # payload of a request
 
 
 class LoadBlock(Block):
-    """load { ... }: open-loop clients."""
+    """`load { ... }`: open-loop clients."""
 
-    rate: Rate = 100.0
-    processes: Count = 2
-    retries: NonNegativeInt = 1
-    backoff: Ms = 100.0
-    honours: Fraction = 0.8  # share of clients that keep away for as long as they are told
-    surge: FactorRange = (4.0, 10.0)  # of a volume's rate
-    surge_every: Ms = 10_000.0  # in the mean, over all volumes; 0: none
-    surge_for: MsRange = (2_000.0, 5_000.0)
-    extents: Count = 200  # for each volume
-    impatient: Fraction = 0.0
-    ramp: Factor = 1.0  # rate at the day's end against its beginning
+    rate: Rate = 100.0  # requests of all clients
+    processes: Count = 2  # processes of the load tool
+    retries: NonNegativeInt = 1  # retries of a client per request
+    backoff: Ms = 100.0  # mean delay of the first retry; it doubles with each further one
+    honours: Fraction = 0.8  # share of clients that obey Retry-After
+    surge: FactorRange = (4.0, 10.0)  # multiple of a volume's rate during a surge
+    surge_every: Ms = 10_000.0  # mean interval of surges over all volumes; 0: none
+    surge_for: MsRange = (2_000.0, 5_000.0)  # duration of a surge
+    extents: Count = 200  # per volume
+    impatient: Fraction = 0.0  # share of requests that their clients abandon early
+    ramp: Factor = 1.0  # rate at the day's end relative to its start
 
 
 class CopiesBlock(Block):
-    """copies { ... }: members who copy folders with rsync-speaking tools, in the laboratory."""
+    """`copies { ... }`: simulated rsync users, each of whom pushes and pulls a directory."""
 
-    module: Name
-    rate: Annotated[float, Meta(gt=0, le=1e6, extra={"unit": "/s"})] = 5.0  # transfers begun
-    members: Count = 20  # each with a folder of its own, one transfer at a time
-    files: FactorRange = (1.0, 4.0)  # altered between two pushes
-    size: Annotated[tuple[float, float], Meta(extra={"unit": "size"})] = (200.0, 65536.0)
-    push: Fraction = 0.6
-    cuts: Fraction = 0.1  # share of tries whose connection is cut at some byte
-    tries: Count = 5
-    again: Ms = 800.0
-    patience: Ms = 30_000.0
+    module: Name  # the rsync module
+    rate: Annotated[float, Meta(gt=0, le=1e6, extra={"unit": "/s"})] = 5.0  # transfers started
+    members: Count = 20  # users; each has a directory of its own and runs one transfer at a time
+    files: FactorRange = (1.0, 4.0)  # files changed between two pushes
+    size: Annotated[tuple[float, float], Meta(extra={"unit": "size"})] = (200.0, 65536.0)  # size of a changed file
+    push: Fraction = 0.6  # share of transfers that are pushes
+    cuts: Fraction = 0.1  # share of attempts whose connection is cut at a random byte
+    tries: Count = 5  # attempts per transfer
+    again: Ms = 800.0  # mean delay before a further attempt
+    patience: Ms = 30_000.0  # time limit of an attempt
 
 
 class ScheduledFault(Struct, kw_only=True):
-    """A fault: `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]`.
+    """A fault of a day: `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]`.
 
     Attributes:
         at: When it begins, in milliseconds from the day's start.
         name: A key of `scheduled_faults.FAULT_KINDS`.
-        target: What it strikes: names, `rack NAME`, a share, or `all`.
-        by: Its strength: a share as a part of 1, a factor, or a time in milliseconds.
+        target: What it affects: names, `rack NAME`, a share, or `all`.
+        by: Its strength: a share as a fraction of 1, a factor, or a time in milliseconds.
         every: Its period in milliseconds.
         last: Its duration in milliseconds.
     """
@@ -128,9 +128,9 @@
 
 
 class DayBlock(Block):
-    """day NAME { ... }: a scripted day."""
+    """`day NAME { ... }`: a scripted test run of the laboratory."""
 
-    length: Ms = 30_000.0
-    settle: Ms = 3_000.0  # before the load begins
-    goal: Fraction = 0.0  # the service that the day must reach
-    at: list[ScheduledFault] = field(default_factory=list)
+    length: Ms = 30_000.0  # duration of the load
+    settle: Ms = 3_000.0  # time before the load begins
+    goal: Fraction = 0.0  # service that the day must reach to pass: the share of value earned
+    at: list[ScheduledFault] = field(default_factory=list)  # faults
--- a/pebblehinge/settings/units.py
+++ b/pebblehinge/settings/units.py
@@ -1,4 +1,4 @@
-"""Types of values: figures with their unit, names, addresses, paths; and the base of all blocks."""
+"""Types of the values in settings: numbers with a unit, names, addresses, paths; and the base class of blocks."""
 
 from __future__ import annotations
 
@@ -22,4 +22,4 @@
 
 
 class Block(Struct, kw_only=True, forbid_unknown_fields=True):
-    """The base of all blocks."""
+    """The base class of all blocks."""
