--- a/pebblehinge/settings/__init__.py
+++ b/pebblehinge/settings/__init__.py
@@ -1,7 +1,8 @@
-"""Settings in a line-based format: grammar, types, checks, and what is in force. `docs/settings.md` has the format.
+"""Settings in a line-based format: grammar, types, checks and rendering. `docs/settings.md` describes the format.
 
-`lines` reads text into statements, `builder` makes blocks of them by the types in `schema`, `checks` compares blocks
-with each other, `load` does all of it. The fields of the blocks are the format's keys, and keep its words.
+`lines` parses text into statements, `builder` builds blocks from them by the types in `schema`, `checks` checks the
+blocks against each other, `load` does all of this, and `rendering` turns a config into text again. The fields of the
+blocks are the format's keys and keep its words.
 """
 
 from pebblehinge.settings.errors import SettingsError
--- a/pebblehinge/settings/builder.py
+++ b/pebblehinge/settings/builder.py
@@ -1,4 +1,4 @@
-"""From statements to blocks: their directives by the types of the blocks' fields. All faults are collected."""
+"""Builds blocks from statements by the types of the blocks' fields. All faults of the settings are collected."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from pebblehinge.settings.values import block_schema, parse_value, unwrap
 
 MAX_VOLUMES = 100_000
-"""Volumes in one `volumes` block."""
+"""Largest number of volumes in one `volumes` block."""
 
 VOLUMES_DIRECTIVE = "volumes"
-"""The directive that states many volumes alike."""
+"""The directive that defines many volumes with equal settings."""
 
-NAME_ANNOTATION = get_type_hints(VolumeBlock, include_extras=True)["plan"]
+NAME_ANNOTATION = get_type_hints(VolumeBlock, include_extras=True)["plan"]  # names of blocks are checked against it
 BlockPath = tuple[str, ...]
-"""The directives and names that lead to a block or a directive, from the outside in."""
+"""The directives and names that lead to a block or a directive, outermost first."""
 
 AnyBlock = TypeVar("AnyBlock", bound=Struct)
 
 
 def expect_one_of(names: Collection[str]) -> str:
-    """What a problem says is expected where one of several names is."""
+    """Returns the expectation of a problem where one of several names is allowed."""
     return "one of " + ", ".join(names)
 
 
@@ -39,10 +39,10 @@
     """Builds blocks from statements.
 
     Args:
-        problems: Where all faults go.
+        problems: The list to which all faults are added.
 
     Attributes:
-        positions: Where each block and each directive is.
+        positions: The position of each block and each directive.
     """
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -52,16 +52,16 @@
     def build(
         self, block_type: type[AnyBlock], statements: list[Statement], path: BlockPath, position: Position
     ) -> AnyBlock | None:
-        """A block of a kind.
+        """Builds a block.
 
         Args:
             block_type: Its type.
-            statements: What is in it.
-            path: Of the block; empty for the whole file.
+            statements: Its content.
+            path: Its path; empty for the whole file.
             position: Where it begins.
 
         Returns:
-            The block, or None where it lacks a value that it needs; the problem is reported.
+            The block, or None if a required value is missing, which is reported.
         """
         schema = block_schema(block_type)
         values: dict[str, Any] = {}
@@ -78,7 +78,7 @@
                 continue
             self._add_directive(statement, field, schema.annotations[field.name], values, (*path, name))
         missing = [name for name, field in schema.fields.items() if field.name not in values and field.required]
-        stated_names = {statement.name.text for statement in statements}  # a wrong directive was reported already
+        stated_names = {statement.name.text for statement in statements}  # an invalid directive is already reported
         for name in missing:
             if name not in stated_names:
                 self._report(position, f"{' '.join(path) or 'the file'} has no {name!r}", f"a line {name} ...")
@@ -90,7 +90,7 @@
     def _add_directive(
         self, statement: Statement, field: FieldInfo, annotation: Any, values: dict[str, Any], path: BlockPath
     ) -> None:
-        """Adds what a directive states to the values of its block."""
+        """Adds the value or the block of a directive to the values of the enclosing block."""
         base_type = unwrap(annotation).base_type
         if get_origin(base_type) is dict:
             self._add_named_blocks(statement, get_args(base_type)[1], values.setdefault(field.name, {}), path)
@@ -130,17 +130,17 @@
                 self._report(self.positions[path], repr(found), str(error))
 
     def _is_first(self, statement: Statement, field: FieldInfo, values: dict[str, Any], path: BlockPath) -> bool:
-        """Whether a directive that may be stated once has not been stated before; reports it otherwise."""
+        """Returns whether a directive that is allowed once occurs for the first time; reports it otherwise."""
         if field.name not in values:
             return True
-        name, first = statement.name, self.positions[path]
-        self._report(name.position, f"a second {name.text!r}", f"one; the first stands at {first}")
+        name, first_position = statement.name, self.positions[path]
+        self._report(name.position, f"a second {name.text!r}", f"one; the first stands at {first_position}")
         return False
 
     def _add_named_blocks(
         self, statement: Statement, block_type: type[Struct], blocks: dict[str, Any], path: BlockPath
     ) -> None:
-        """Adds a block under each of the names that a directive states."""
+        """Adds a block for each name after a directive."""
         directive = statement.name.text
         if statement.block is None or not statement.args:
             expected = f"{directive} NAME {{"
@@ -163,7 +163,7 @@
                 blocks[word.text] = block
 
     def _add_volumes(self, statement: Statement, values: dict[str, Any]) -> None:
-        """Adds what `volumes PREFIX COUNT { ... }` states: PREFIX-1 to PREFIX-COUNT, all alike."""
+        """Adds the volumes of `volumes PREFIX COUNT { ... }`: PREFIX-1 to PREFIX-COUNT, with equal settings."""
         if statement.block is None or len(statement.args) != 2 or not statement.args[1].text.isdigit():
             self._report(statement.name.position, f"{VOLUMES_DIRECTIVE!r}", f"{VOLUMES_DIRECTIVE} PREFIX COUNT {{")
             return
--- a/pebblehinge/settings/checks.py
+++ b/pebblehinge/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks across blocks: names that stand for other blocks, and figures that have to fit each other."""
+"""Checks across blocks: references to other blocks, and values that depend on each other."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 MIN_FRAME_BYTES = 4096
 SETTINGS_START = Position("settings", 1, 1)
-"""Where a problem is if nobody knows."""
+"""The position of a problem whose own position is unknown."""
 
 
 class CrossChecks:
-    """Checks the blocks of a whole file against each other.
+    """Checks all blocks of the settings against each other.
 
     Args:
         config: The blocks.
-        problems: Where all faults go.
-        positions: Where each block and each directive is.
+        problems: The list to which all faults are added.
+        positions: The position of each block and each directive.
     """
 
     def __init__(self, config: Config, problems: list[Problem], positions: dict[BlockPath, Position]) -> None:
@@ -63,11 +63,11 @@
         return self.positions.get(path, SETTINGS_START)
 
     def _is_stated(self, *path: str) -> bool:
-        """Whether a block is in the file, even if it is there with faults."""
+        """Returns whether a block is in the file, even if it has faults."""
         return path in self.positions
 
     def _check_reference(self, directive: str, name: str, known: dict[str, Any], *path: str) -> None:
-        """Checks that the block of a directive and a name exists, which the directive at a path refers to."""
+        """Checks that the block exists to which the directive at `path` refers by directive and name."""
         if name not in known and not self._is_stated(directive, name):
             self._report(self._position(*path), f"{directive} {name!r} is not there", expect_block(known))
 
@@ -77,22 +77,22 @@
             return
         position = self._position("volume", name, "plan")
         problem = Problem(position, f"plan {volume.plan!r} is not there", expect_block(plans))
-        if problem not in self.problems:  # many volumes alike are one fault
+        if problem not in self.problems:  # one fault for all volumes of a `volumes` block
             self.problems.append(problem)
 
     def _check_buffering(self, name: str, volume: VolumeBlock) -> None:
-        """A buffered volume is written back by requests that may be sent twice, and by one gateway."""
+        """Checks that a buffered volume is written back by requests that may be sent twice, and by one gateway."""
         if volume.save != "buffered":
             return
         block = self._position("volume", name)
         request_class = self.config.profile.get(volume.back or "")
         if request_class is None or request_class.repeat == "irreversible":
             position = self.positions.get(("volume", name, "back")) or block
-            expected = "a profile that is labelled or redoable: after a crash a write may go twice"
+            expected = "a profile that is labelled or redoable: after a crash a write may be sent twice"
             self._report(position, f"volume {name} is buffered, back {volume.back!r}", expected)
         if volume.heads != 1:
             found = f"volume {name} is buffered and comes through {volume.heads} heads"
-            self._report(block, found, "heads 1: one journal holds its newest bytes")
+            self._report(block, found, "heads 1: its newest data is in one journal")
 
     def _check_request_class(self, name: str, profile: ProfileBlock) -> None:
         position = self._position("profile", name)
@@ -114,13 +114,13 @@
         largest = self.config.rules.most_units
         if mix.units[1] > largest:
             position = self._position("mix", name, "units")
-            self._report(position, f"up to {mix.units[1]:g} units", f"at most the {largest:g} that the rules name")
+            self._report(position, f"up to {mix.units[1]:g} units", f"at most {largest:g}, the most-units of the rules")
         if mix.bytes + FRAME_OVERHEAD_BYTES > self.config.limits.frame:
             position = self._position("mix", name, "bytes")
             self._report(position, f"{mix.bytes} bytes", "less than the limit of a frame")
 
     def _check_storage_nodes(self) -> None:
-        """The kinds of storage nodes, and those of a fleet block."""
+        """Checks the kinds that storage nodes and the fleet block refer to."""
         for name, node in self.config.shelf.items():
             self._check_reference("kind", node.kind, self.config.kind, "shelf", name)
         if self.config.fleet is not None:
@@ -141,5 +141,5 @@
 
 
 def expect_block(names: Collection[str]) -> str:
-    """What a problem says is expected where a block is referred to."""
+    """Returns the expectation of a problem where a reference to one of several blocks is allowed."""
     return expect_one_of(names) if names else "a block for it"
--- a/pebblehinge/settings/errors.py
+++ b/pebblehinge/settings/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the settings."""
+"""Exceptions of the settings."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class SettingsError(Exception):
-    """Settings can't be used.
+    """The settings are invalid.
 
     Attributes:
-        problems: All faults, in order of their positions; the message has one a line.
+        problems: All faults, in order of their positions; the message has one per line.
     """
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -18,4 +18,4 @@
 
 
 class InvalidValueError(Exception):
-    """A value isn't what was expected; the message says what was. Becomes a `Problem` with the value's position."""
+    """A value is invalid; the message says what was expected. It becomes a `Problem` with the value's position."""
--- a/pebblehinge/settings/grammar.py
+++ b/pebblehinge/settings/grammar.py
@@ -1,4 +1,4 @@
-"""The grammar of one line."""
+"""Grammar of one line of the settings."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 _PARSER = Lark(GRAMMAR, parser="lalr")
 
 ESCAPES = {"n": "\n", "t": "\t"}
-"""Escaped characters that stand for another; any other stands for itself."""
+"""Characters by their escape sequences; any other escaped character stands for itself."""
 
 
 class _TokenTransformer(Transformer[Token, list[Token]]):
-    """Turns the parse tree of a line into its tokens, without the comment."""
+    """Turns the parse tree of a line into its tokens, without the comment; each method handles a rule."""
 
     def value(self, items: list[Token]) -> Token:
         return items[0]
@@ -44,19 +44,23 @@
 
 
 def parse_line(line: str) -> list[Token]:
-    """The tokens of a line without its comment, none if it is empty; raises lark's UnexpectedInput."""
+    """Returns the tokens of a line without its comment, none if it is empty.
+
+    Raises:
+        lark.exceptions.UnexpectedInput: The line does not follow the grammar.
+    """
     return _TRANSFORMER.transform(_PARSER.parse(line))
 
 
 def unquote(token: Token) -> str:
-    """The text of a word, without its quotes and escapes."""
+    """Returns the text of a word, without its quotes and escapes."""
     if token.type != "STRING":
         return str(token)
     characters = iter(token[1:-1])
     unquoted = []
     for character in characters:
         if character == "\\":
-            character = next(characters)  # the grammar lets no string end in a backslash
+            character = next(characters)  # the grammar allows no backslash at the end of a string
             character = ESCAPES.get(character, character)
         unquoted.append(character)
     return "".join(unquoted)
--- a/pebblehinge/settings/lines.py
+++ b/pebblehinge/settings/lines.py
@@ -1,4 +1,4 @@
-"""From text to statements: one directive a line, blocks in braces, `include`, comments. All faults are collected."""
+"""Parses text into statements: one directive per line, blocks in braces, `include`, comments. Collects all faults."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from pebblehinge.settings.grammar import parse_line, unquote
 
 MAX_LINE_LENGTH = 1 << 17
-"""Characters: 1,024 names of 100 characters; reading such a line takes 1 MB for a moment."""
+"""Enough for 1,024 names of 100 characters; parsing such a line takes 1 MB of memory for a moment."""
 
 MAX_DEPTH = 16
-"""Of includes and of blocks within each other."""
+"""Largest depth of nested includes, and of nested blocks."""
 
 MAX_EXCERPT_LENGTH = 20
-"""Characters that a problem repeats of what it found."""
+"""Largest number of characters that a problem quotes from the text."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True)
 class ParseResult:
-    """What a file and its includes hold.
+    """The content of a file and its includes.
 
     Attributes:
-        statements: Those outside of all blocks.
-        problems: All faults met on the way.
+        statements: The statements outside of all blocks.
+        problems: All faults found.
         files: The files that were read.
     """
 
@@ -77,14 +77,14 @@
 
 
 def read_file(path: Path) -> ParseResult:
-    """Reads a file with its includes; a fault does not end the reading."""
+    """Reads a file with its includes, and continues after a fault."""
     result = ParseResult()
     _read_file(result, path, result.statements, Position(str(path), 1, 1), ())
     return result
 
 
 def read_text(text: str, name: str = "text") -> ParseResult:
-    """Reads a text under a name; its includes are looked for beside that name, as a path from the working directory."""
+    """Reads a text; `name` is the path, from the working directory, to which the paths of its includes are relative."""
     result = ParseResult()
     _LineReader(result, Path(name), result.statements, ()).read(text)
     return result
@@ -93,15 +93,15 @@
 def _read_file(
     result: ParseResult, path: Path, target: list[Statement], include_at: Position, ancestors: tuple[Path, ...]
 ) -> None:
-    """Reads a file into `target`; `ancestors` are the files that include it, `asked_at` is where the last one does."""
+    """Reads a file into `target`; `ancestors` are the files that include it, `include_at` is the innermost include."""
     resolved = path.resolve()
     if resolved in ancestors or len(ancestors) >= MAX_DEPTH:
-        result.problems.append(Problem(include_at, f"{path} includes itself", "files that end somewhere"))
+        result.problems.append(Problem(include_at, f"{path} includes itself", "a finite chain of includes"))
         return
     try:
         text = path.read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
-        result.problems.append(Problem(include_at, f"{path} holds byte {error.start} that is no UTF-8", "UTF-8 text"))
+        result.problems.append(Problem(include_at, f"{path}: byte {error.start} is not valid UTF-8", "UTF-8 text"))
         return
     except OSError as error:
         result.problems.append(Problem(include_at, f"{path} can't be read ({error.strerror})", "a readable file"))
@@ -111,7 +111,7 @@
 
 
 class _LineReader:
-    """Reads the lines of one file."""
+    """Parses the lines of one file."""
 
     def __init__(self, result: ParseResult, path: Path, target: list[Statement], ancestors: tuple[Path, ...]) -> None:
         self.result = result
@@ -122,7 +122,7 @@
         self.open_blocks: list[Statement] = []
 
     def read(self, text: str) -> None:
-        """Reads the file's text, up to blocks that are too deep within each other."""
+        """Parses the file's text; stops at blocks that are nested too deeply."""
         for line_number, line in enumerate(text.split("\n"), 1):
             self._read_line(line_number, line)
             if len(self.open_blocks) > MAX_DEPTH:
@@ -143,7 +143,7 @@
             tokens = parse_line(line)
         except UnexpectedInput as error:
             self.result.problems.append(_syntax_problem(error, self.file, line_number, line))
-            if line.split("#")[0].rstrip().endswith("{"):  # so that the block's end is not a second fault
+            if line.split("#")[0].rstrip().endswith("{"):  # else the block's end would be a second fault
                 self.open_blocks.append(Statement(Word("", Position(self.file, line_number, 1)), [], []))
             return
         if not tokens:
@@ -178,7 +178,7 @@
         if opens_block:
             self.open_blocks.append(statement)
             if len(self.open_blocks) > MAX_DEPTH:
-                self._report(statement.name.position, "blocks within blocks", f"at most {MAX_DEPTH} deep")
+                self._report(statement.name.position, "blocks nested too deeply", f"at most {MAX_DEPTH} deep")
 
     def _include(self, statement: Statement, target: list[Statement]) -> None:
         if len(statement.args) != 1:
--- a/pebblehinge/settings/load.py
+++ b/pebblehinge/settings/load.py
@@ -1,4 +1,4 @@
-"""From a file or a text to a checked Config, or to all faults at once."""
+"""Loads a checked Config from a file or a text, or raises an error with all faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pebblehinge.settings.schema import Config, FleetBlock, HeadBlock, ShelfBlock
 
 PORTS = {"listing": 6999, "head": 7000, "rsync": 8730, "shelf": 10_000}
-"""The ports of a fleet block: each gateway and storage node adds its number; a node's releases are 1000 apart."""
+"""Base ports of a fleet block: each gateway and storage node adds its number; a node's releases are 1000 apart."""
 
 
 def load(path: str | Path, loopback: str | None = None) -> Config:
@@ -19,16 +19,16 @@
 
     Args:
         path: The file.
-        loopback: Takes the place of the address that a fleet block gives to its processes.
+        loopback: Replaces the address that a fleet block gives to its processes.
 
     Raises:
-        SettingsError: The file has faults; all of them are named.
+        SettingsError: The file has faults; the error lists all of them.
     """
     return _build_config(read_file(Path(path)), loopback)
 
 
 def loads(text: str, name: str = "text", loopback: str | None = None) -> Config:
-    """Reads settings from a text; as `load`, with `name` in place of the file's in faults."""
+    """Reads settings from a text, as `load` does from a file; faults are reported under `name`."""
     return _build_config(read_text(text, name), loopback)
 
 
@@ -51,7 +51,7 @@
 
 
 def _expand_fleet(config: Config, fleet: FleetBlock, host: str) -> None:
-    """Numbers the gateways and storage nodes of a fleet block and gives them addresses."""
+    """Adds the numbered gateways and storage nodes of a fleet block, with their addresses."""
     config.listing.listen = f"{host}:{PORTS['listing']}"
     for number in range(1, fleet.heads + 1):
         gateway = HeadBlock(
--- a/pebblehinge/settings/module_checks.py
+++ b/pebblehinge/settings/module_checks.py
@@ -12,11 +12,11 @@
 
 MIN_BLOCK_BYTES = 4096
 FRAME_OVERHEAD_BYTES = 1024
-"""Bytes of a frame that data can't use."""
+"""Bytes of a frame that are not available for data."""
 
 
 class ModuleProblem(NamedTuple):
-    """A fault of a module: the directive that has it, what was found there, and what was expected."""
+    """A fault of a module: its directive, what was found there, and what was expected."""
 
     directive: str
     found: str
@@ -26,12 +26,12 @@
 def find_module_problems(
     config: Config, module: ModuleBlock, is_stated: Callable[[str, str], bool]
 ) -> Iterator[ModuleProblem]:
-    """The faults of a module.
+    """Yields the faults of a module.
 
     Args:
         config: The other blocks.
         module: The module's block.
-        is_stated: Whether the file has a block of a directive and a name, even if it has faults.
+        is_stated: Returns whether the file has a block of a directive and a name, even if it has faults.
     """
     yield from _check_volume(config, module)
     yield from _check_request_classes(config, module)
@@ -58,7 +58,7 @@
 
 
 def _check_request_classes(config: Config, module: ModuleBlock) -> Iterator[ModuleProblem]:
-    """Blocks may be read and written twice; the commit of a file may not."""
+    """Checks that reads and writes of data may run twice, and that the commit of a file may not."""
     for directive, name, idempotency in (
         ("read", module.read, "redoable"),
         ("write", module.write, "redoable"),
--- a/pebblehinge/settings/policy.py
+++ b/pebblehinge/settings/policy.py
@@ -15,7 +15,7 @@
     importance: Units  # value of one unit of a request
     expected: Ms  # latency objective
     patience: Ms  # how long a client waits for an answer
-    repeat: Literal["redoable", "labelled", "irreversible"]  # may run twice, only with an idempotency key, never
+    repeat: Literal["redoable", "labelled", "irreversible"]  # may run twice: yes; with idempotency key; no
     late_share: Fraction = 0.0  # share of the value that an answer later than `expected` has
     group: Literal["all", "zone", "cell"] = "all"  # deduplication scope: the storage nodes that share idempotency keys
     window: Ms = 0.0  # how long an idempotency key is known
@@ -25,7 +25,7 @@
 class PlanBlock(Block):
     """`plan NAME { ... }`: the quota of a volume, over all gateways together."""
 
-    rate: Rate  # usual rate, in units
+    rate: Rate  # usual rate, in units per second
     reserve: Rate = 0.0  # rate up to which requests count with their full value
     limit: Rate = 0.0  # rate limit; 0: none
     burst: Units = 0.0  # units that may be sent at once under the limit
--- a/pebblehinge/settings/rendering.py
+++ b/pebblehinge/settings/rendering.py
@@ -1,4 +1,4 @@
-"""A Config as lines that can be read again."""
+"""Renders a Config as lines that can be loaded again."""
 
 from __future__ import annotations
 
@@ -14,11 +14,16 @@
 INDENT = "    "
 SCALED_UNITS = ("ms", "%", "size")
 CHARACTERS_TO_QUOTE = frozenset(' \t"{}#\\')
-"""Characters that a word has only in quotes."""
+"""Characters for which a word has to be quoted."""
 
 
 def render_settings(config: Struct, indent: str = "") -> list[str]:
-    """What is in force, as lines that `load` reads again; values that are defaults are marked."""
+    """Returns a block as lines that `load` accepts, including its defaults, which are marked by a comment.
+
+    Args:
+        config: The block, as a rule a `Config`.
+        indent: Precedes each line.
+    """
     lines: list[str] = []
     hints = get_type_hints(type(config), include_extras=True)
     for field in struct_fields(type(config)):
@@ -27,7 +32,7 @@
 
 
 def _render_field(field: FieldInfo, hint: Any, value: Any) -> list[str]:
-    """The lines of one field."""
+    """Returns the lines of one field."""
     name = field.name.replace("_", "-")
     if isinstance(value, Struct):
         return _render_block(name, value)
--- a/pebblehinge/settings/rsync.py
+++ b/pebblehinge/settings/rsync.py
@@ -11,10 +11,10 @@
     """`rsync { ... }`: limits of one gateway for all its rsync clients together."""
 
     transfers: Count = 200  # concurrent transfers
-    accesses: Count = 48  # concurrent requests of all transfers
+    accesses: Count = 48  # concurrent requests of all transfers together
     each: Count = 12  # concurrent requests of one transfer
     stall: Ms = 60_000.0  # a connection is closed after this time without a byte sent or read by the client
-    login: Ms = 10_000.0  # until a client has named its module
+    login: Ms = 10_000.0  # time limit until a client has named its module
     stop: Ms = 20_000.0  # time that transfers have to end when the gateway shuts down
     lag: Ms = 250.0  # event loop lag beyond which the gateway rejects new transfers
     parts: Count = 1_000  # partial uploads that are kept for a retry
--- a/pebblehinge/settings/scheduled_faults.py
+++ b/pebblehinge/settings/scheduled_faults.py
@@ -1,6 +1,6 @@
-"""The faults that a day of the laboratory schedules: their names, what each needs, and the directive that states one.
+"""The faults that a day of the laboratory schedules: their names, their clauses, and the parser of their directive.
 
-The pages and messages call them troubles.
+The documentation and the messages call them troubles.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pebblehinge.settings.values import is_decimal, parse_number
 
 CLAUSES = ("by", "every", "for")
-"""The words after which a figure follows."""
+"""The words that precede a number."""
 
 NODE = "shelf"
 GATEWAY = "head"
@@ -30,7 +30,7 @@
     """A kind of fault.
 
     Attributes:
-        target: What it strikes: NODE, GATEWAY, LOAD or DISCOVERY.
+        target: What it affects: NODE, GATEWAY, LOAD or DISCOVERY.
         needs_by: Whether its strength has to be stated.
         needs_every: Whether its period has to be stated.
         needs_for: Whether its duration has to be stated.
@@ -42,7 +42,7 @@
     needs_for: bool = True
 
     def required_clauses(self) -> list[str]:
-        """The clauses that have to be there, in the order of CLAUSES."""
+        """Returns the required clauses, in the order of CLAUSES."""
         needs = (self.needs_by, self.needs_every, self.needs_for)
         return [clause for clause, needed in zip(CLAUSES, needs, strict=True) if needed]
 
@@ -74,15 +74,18 @@
     "give-up": FaultKind(LOAD, needs_by=True),
     "client-cuts": FaultKind(LOAD, needs_by=True),
 }
-"""The kinds of faults by their words in the settings."""
+"""The kinds of faults by their names in the settings."""
 
 
 def parse_scheduled_fault(statement: Statement, report: ReportProblem) -> ScheduledFault | None:
-    """The fault that `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]` states.
+    """Parses `at TIME NAME [TARGET ...] [by FIGURE] [every TIME] [for TIME]`.
 
     Args:
         statement: The directive.
-        report: Takes a problem; then the result is None.
+        report: Takes a problem.
+
+    Returns:
+        The fault, or None if a problem was reported.
     """
     if statement.block is not None or len(statement.args) < 2:
         report(statement.name.position, "'at'", "at TIME TROUBLE [TARGET ...] [by FIGURE] [every TIME] for TIME")
@@ -115,7 +118,7 @@
 
 
 class _WordError(InvalidValueError):
-    """A word isn't what was expected."""
+    """A word is invalid; the message says what was expected."""
 
     def __init__(self, word: Word, expected: str) -> None:
         super().__init__(expected)
@@ -123,7 +126,11 @@
 
 
 def _split_clauses(words: list[Word]) -> tuple[list[str], dict[str, float]]:
-    """The targets, and the figures by clause; raises _WordError."""
+    """Returns the targets, and the numbers by clause.
+
+    Raises:
+        _WordError: A clause has no number, or an invalid one.
+    """
     targets: list[str] = []
     clauses: dict[str, float] = {}
     remaining = iter(words)
@@ -139,7 +146,11 @@
 
 
 def _parse_clause_number(word: Word, clause: str) -> float:
-    """The figure of a clause, a time but for `by`, which may be a share, a factor or a time; raises _WordError."""
+    """Returns the number of a clause: a time, or for `by` a share, a factor or a time.
+
+    Raises:
+        _WordError: The word is not such a number.
+    """
     unit = "ms"
     if clause == "by":
         if word.text.endswith("%"):
@@ -153,7 +164,7 @@
 
 
 def _find_problem(name: str, kind: FaultKind, targets: list[str], clauses: dict[str, float]) -> tuple[str, str] | None:
-    """What was found and what was expected, if a fault lacks a clause or a target, or has a target too many."""
+    """Returns what was found and expected if a clause or target is missing or not allowed, else None."""
     for clause in kind.required_clauses():
         if clause not in clauses:
             return f"{name} without {clause!r}", f"{clause} and a figure"
--- a/pebblehinge/settings/schema.py
+++ b/pebblehinge/settings/schema.py
@@ -76,7 +76,7 @@
     bytes: Size = 256 << 20  # payload of all open requests
     stall: Ms = 10_000.0  # a connection is aborted when its peer does not read for this time
     keepalive: Ms = 5_000.0  # silence after which a PING is sent
-    connect: Ms = 250.0  # for the connection and the greeting
+    connect: Ms = 250.0  # time limit for the connection and the greeting
 
 
 class LogBlock(Block):
@@ -92,7 +92,7 @@
 
     listen: Address = "127.0.0.1:7000"
     metrics: Address | None = None  # address of its metrics
-    seed: NonNegativeInt = 1  # of its random numbers
+    seed: NonNegativeInt = 1  # seed of its random numbers
     step: Ms = 2.0  # resolution of the scheduler's clock
     answer_margin: Ms = 20.0  # subtracted from a client's time limit, for the answer's way back
     accounts: bool = False  # wait accounting: costs a fifth of a core's request rate
--- a/pebblehinge/settings/stand_ins.py
+++ b/pebblehinge/settings/stand_ins.py
@@ -87,7 +87,7 @@
     surge: FactorRange = (4.0, 10.0)  # multiple of a volume's rate during a surge
     surge_every: Ms = 10_000.0  # mean interval of surges over all volumes; 0: none
     surge_for: MsRange = (2_000.0, 5_000.0)  # duration of a surge
-    extents: Count = 200  # per volume
+    extents: Count = 200  # extents per volume
     impatient: Fraction = 0.0  # share of requests that their clients abandon early
     ramp: Factor = 1.0  # rate at the day's end relative to its start
 
@@ -133,4 +133,4 @@
     length: Ms = 30_000.0  # duration of the load
     settle: Ms = 3_000.0  # time before the load begins
     goal: Fraction = 0.0  # service that the day must reach to pass: the share of value earned
-    at: list[ScheduledFault] = field(default_factory=list)  # faults
+    at: list[ScheduledFault] = field(default_factory=list)  # scheduled faults
--- a/pebblehinge/settings/values.py
+++ b/pebblehinge/settings/values.py
@@ -1,4 +1,4 @@
-"""Words of a settings file to values: figures with their unit, and what a field's type wants of them."""
+"""Parses the words of settings into values: numbers with a unit, and the types of the blocks' fields."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from pebblehinge.settings.lines import Word
 
 MS_BY_SUFFIX = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
-"""Milliseconds by suffix; longer suffixes come before those that they end in."""
+"""Milliseconds by suffix; a suffix that ends in another one comes before it."""
 
 BYTES_BY_SUFFIX = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1000, "MB": 10**6, "GB": 10**9}
 """Bytes by suffix."""
@@ -31,18 +31,18 @@
     "/s": "a rate such as 300/s",
     "": "a number",
 }
-"""What a figure is to be, by its unit."""
+"""What is expected of a number, by its unit."""
 
 
 def parse_number(text: str, unit: str) -> float:
-    """A figure with its unit: times in milliseconds, sizes in bytes (a whole number), shares as parts of 1.
+    """Returns a number with a unit: times in milliseconds, sizes in whole bytes, shares as fractions of 1.
 
     Args:
         text: The word.
         unit: A key of `EXPECTED`.
 
     Raises:
-        InvalidValueError: It isn't a figure of that unit.
+        InvalidValueError: The word is not a number of that unit.
     """
     try:
         if unit == "ms":
@@ -60,7 +60,7 @@
 
 
 def is_decimal(text: str) -> bool:
-    """Whether a word is digits with at most one point."""
+    """Returns whether a word consists of digits and at most one decimal point."""
     return bool(text) and all(c.isdigit() or c == "." for c in text) and text.count(".") <= 1
 
 
@@ -86,9 +86,9 @@
     """The type of a block's field.
 
     Attributes:
-        kind: The type without `Annotated` and None.
+        base_type: The type without `Annotated` and without None.
         unit: A key of `EXPECTED`, empty for a plain number.
-        expected: What a value is to be, for problems; empty if the unit or the type says it.
+        expected: What is expected of a value, for problems; empty if the unit or the type defines it.
         optional: Whether the value may be none.
     """
 
@@ -99,7 +99,7 @@
 
 
 def unwrap(hint: Any) -> FieldType:
-    """The type of a field from its annotation."""
+    """Returns the type of a field from its annotation."""
     optional = False
     unit = expected = ""
     while True:
@@ -117,14 +117,14 @@
 
 
 def parse_value(hint: Any, args: list[Word]) -> Any:
-    """The value of a directive.
+    """Returns the value of a directive.
 
     Args:
         hint: The annotation of its field.
         args: Its arguments.
 
     Raises:
-        InvalidValueError: The arguments aren't what the type wants.
+        InvalidValueError: The arguments do not match the type.
     """
     field = unwrap(hint)
     if get_origin(field.base_type) is list:
@@ -186,7 +186,7 @@
 
 
 def _convert(value: Any, hint: Any, expected: str) -> Any:
-    """A value checked against the bounds of its annotation."""
+    """Returns a value after a check against the bounds of its annotation."""
     try:
         return msgspec.convert(value, hint)
     except msgspec.ValidationError as error:
@@ -195,7 +195,7 @@
 
 
 class BlockSchema(NamedTuple):
-    """What a block may hold: its fields by directive, and the annotations of the fields by their names."""
+    """The possible content of a block: its fields by directive, and the annotations of the fields by field name."""
 
     fields: dict[str, FieldInfo]
     annotations: dict[str, Any]
@@ -203,6 +203,6 @@
 
 @functools.cache
 def block_schema(block_type: type[Struct]) -> BlockSchema:
-    """The shape of a kind of block; cached, since a file may have twenty thousand blocks of a kind."""
+    """Returns the schema of a type of block; cached, since a file may have twenty thousand blocks of one type."""
     fields = {field.name.replace("_", "-"): field for field in struct_fields(block_type)}
     return BlockSchema(fields, get_type_hints(block_type, include_extras=True))
