--- a/tests/gated_loop.py
+++ b/tests/gated_loop.py
@@ -1,4 +1,4 @@
-"""A loop whose connections are handed over only when a test lets them, and settings for the orders that it forces."""
+"""An event loop that holds back new connections until the test releases them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class GatedLoop:
-    """Stands before a loop: a connection that has come up waits here until the gate opens."""
+    """Wraps an event loop; a connection is returned only once `release_event` is set."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.release_event, self.dial_count = loop, asyncio.Event(), 0
@@ -17,10 +17,10 @@
 
     async def create_connection(self, factory: Any, host: str, port: int) -> Any:
         self.dial_count += 1
-        made = await self.loop.create_connection(factory, host, port)
+        connection = await self.loop.create_connection(factory, host, port)
         try:
             await self.release_event.wait()
-        except asyncio.CancelledError:  # as the loop itself does
-            made[0].abort()
+        except asyncio.CancelledError:  # The wrapped loop also closes the connection in this case.
+            connection[0].abort()
             raise
-        return made
+        return connection
--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -1,4 +1,4 @@
-"""A head in service with shelfs, discovery and clients that do as a test says, on loopback."""
+"""A gateway in service with scripted storage nodes, discovery and clients, on loopback."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class NodePeer(asyncio.Protocol):
-    """A connection to a scripted shelf; `does` of the shelf says what it makes of a request."""
+    """The node's end of a connection; `handle_request` of the node handles each request."""
 
     def __init__(self, node: ScriptedNode) -> None:
         self.node, self.parser, self.is_closed = node, RequestParser(), False
@@ -79,6 +79,8 @@
 
 
 class ScriptedNode:
+    """A storage node that records its connections and requests, and handles requests as a test sets it."""
+
     def __init__(self) -> None:
         self.peers: list[NodePeer] = []
         self.received_requests: list[tuple[NodePeer, HttpRequest]] = []
@@ -91,13 +93,15 @@
 
 
 class DiscoveryPeer(NodePeer):
-    def send_list(self, told: dict[str, Any]) -> None:
-        line = json.dumps(told).encode() + b"\n"
-        self.write(b"%x\r\n%b\r\n" % (len(line), line))
+    """The end of discovery of a connection, which sends updates of the node list as chunks."""
+
+    def send_list(self, update: dict[str, Any]) -> None:
+        json_line = json.dumps(update).encode() + b"\n"
+        self.write(b"%x\r\n%b\r\n" % (len(json_line), json_line))
 
 
 class ScriptedDiscovery(ScriptedNode):
-    """Answers each watch with a list that the test has set."""
+    """Answers each watch with the node list that the test has set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -132,7 +136,7 @@
 
 
 class Rig:
-    """A head in service with two shelfs and discovery."""
+    """A gateway in service with two storage nodes and discovery."""
 
     async def start(self, sockets: int = 256, **changes: Any) -> Rig:
         self.storage_nodes, self.discovery = [ScriptedNode(), ScriptedNode()], ScriptedDiscovery()
@@ -166,6 +170,8 @@
 
 
 class Client(asyncio.Protocol):
+    """A client of the gateway that collects the answers in the order of their arrival."""
+
     def __init__(self) -> None:
         self.responses, self.answers, self.is_closed, self.read_count = ResponseParser(), [], False, 0
 
@@ -189,23 +195,23 @@
         return self.answers[self.read_count - 1]
 
 
-def build_request(kind: str = "look", shard: int = 0, body: bytes = b"", **headers: str | None) -> bytes:
-    """A request in the protocol's form; headers (underscores for hyphens) replace its own, None leaves one out."""
-    method, path = ("PUT" if kind == "save" else "GET"), f"/{kind}/x?a=1"
+def build_request(request_class: str = "look", shard: int = 0, body: bytes = b"", **headers: str | None) -> bytes:
+    """Returns a valid request; `headers` (underscores for hyphens) replace headers, a value of None omits one."""
+    method, path = ("PUT" if request_class == "save" else "GET"), f"/{request_class}/x?a=1"
     fields: dict[str, str | None] = {
         "Host": "service.internal",
         "X-Request-Id": f"{next(request_ids):016x}",
-        "X-Class": kind,
+        "X-Class": request_class,
         "X-Plan": "gold",
         "Cookie": "block=7f3a9c21e0b4d655",
         "X-Deadline-Ms": "900",
         "X-IO": f"volume=00000003b4d60021,units=2,shard={shard},hosts=1",
     }
-    if kind == "save":
+    if request_class == "save":
         fields["Content-Length"] = str(len(body))
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     method, path = fields.pop("method", None) or method, fields.pop("path", None) or path
-    lines = [f"{method} {path} HTTP/1.1", *(f"{n}: {v}" for n, v in fields.items() if v is not None)]
+    lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in fields.items() if value is not None)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
