--- a/tests/shutdown_simulation.py
+++ b/tests/shutdown_simulation.py
@@ -34,7 +34,7 @@
 
 
 class SimulatedConnection:
-    """Both ends of a client's connection: the transport that the gateway writes to, and the data that the client read."""
+    """Both ends of a client's connection: the transport of the gateway, and what the client read."""
 
     def __init__(self, simulation: ShutdownSimulation, descriptor: int, read_chunk_bytes: int) -> None:
         self.simulation, self.descriptor, self.read_chunk_bytes = simulation, descriptor, read_chunk_bytes
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -12,7 +12,7 @@
 import pytest
 from helpers import LOOPBACK, until
 from service_rig import OK, SETTINGS, NodePeer, Rig, build_request, run_on_rig
-from test_service_life import connect, slow_reader, status
+from test_service_life import connect_slow_reader, connect_socket, read_status
 
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.platform_settings import read_settings
@@ -60,7 +60,7 @@
             await rig.fetch(build_request())
         ).status == 200  # a connection to the shelf is up: nothing has to be waited for
         for _ in range(10):
-            raw = connect(rig)  # it waits in the listen queue
+            raw = connect_socket(rig)  # it waits in the listen queue
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             raw.setblocking(False)
             try:
@@ -97,7 +97,7 @@
     """Between an attempt that failed and the next one the client goes, in the same turn as the failure is read."""
 
     async def script(rig: Rig) -> None:
-        raw = connect(rig)
+        raw = connect_socket(rig)
         held: list[NodePeer] = []
         rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
         raw.sendall(build_request())
@@ -118,7 +118,7 @@
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
         rig.storage_nodes[0].handle_request = lambda conn, request: conn.write(large)
         rig.storage_nodes[1].handle_request = lambda conn, request: None
-        raw, conn = await slow_reader(rig)
+        raw, conn = await connect_slow_reader(rig)
         raw.sendall(build_request() + build_request(shard=1, X_Deadline_Ms="1900"))
         await until(lambda: rig.storage_nodes[0].received_requests)
         await until(lambda: rig.storage_nodes[1].received_requests)
@@ -144,7 +144,7 @@
     }
 
     async def script(rig: Rig) -> None:
-        callers = [connect(rig) for _ in range(30)]
+        callers = [connect_socket(rig) for _ in range(30)]
         for raw in callers:
             raw.sendall(build_request(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
         await until(lambda: rig.gateway.core.counts.received == 30)
@@ -153,7 +153,7 @@
         for raw in callers[:-2]:
             raw.close()
         await until(lambda: rig.gateway.core.open_count <= 2)
-        assert [await status(raw) for raw in stay] == [b"200", b"200"]
+        assert [await read_status(raw) for raw in stay] == [b"200", b"200"]
         assert len(rig.storage_nodes[0].received_requests) <= sent + 3
         assert not rig.gateway.core.pending and not rig.gateway.core.scheduler.dispatcher.limits.extent_queues.queues
         assert not any(rig.gateway.core.scheduler.nodes.queues) and not any(rig.gateway.core.scheduler.nodes.in_flight)
@@ -168,7 +168,7 @@
         held: list[NodePeer] = []
         rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
         for first in ("answer", "end") * 5:
-            raw = connect(rig)
+            raw = connect_socket(rig)
             raw.sendall(build_request())
             await until(lambda: held)
             conn = held.pop()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 from gated_loop import GatedLoop
 from helpers import LOOPBACK, until
 from service_rig import CONFIG, OK, SETTINGS, NodePeer, Rig, build_request, respond_with, run_on_rig
-from test_service_life import connect, slow_reader, status
+from test_service_life import connect_slow_reader, connect_socket, read_status
 
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
@@ -150,7 +150,7 @@
         rig.storage_nodes[0].handle_request = lambda conn, request: conn.write(
             HEAD + b"Content-Length: 204800\r\n\r\n" + body
         )
-        raw, conn = await slow_reader(rig)
+        raw, conn = await connect_slow_reader(rig)
         assert conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         raw.sendall(build_request())
         await until(lambda: conn.write_paused)
@@ -176,7 +176,7 @@
 def test_a_reload_beside_the_end_changes_neither_the_end_nor_what_is_owed(tmp_path: Path) -> None:
     async def script(rig: Rig) -> None:
         rig.storage_nodes[0].handle_request = lambda conn, request: None
-        client, kept = await rig.client(), connect(rig)
+        client, kept = await rig.client(), connect_socket(rig)
         client.write(build_request(X_Deadline_Ms="9000"))
         await until(lambda: rig.storage_nodes[0].received_requests)
         file = tmp_path / "config.json"
@@ -192,7 +192,7 @@
         rig.gateway.reload()
         rig.gateway.shutdown.begin()
         kept.sendall(build_request())  # its class is gone
-        assert await status(kept) == b"400"
+        assert await read_status(kept) == b"400"
         assert (await client.next_answer()).status == 503
         await rig.gateway.stopped_future
         assert rig.gateway.core.open_count == 0 and not rig.gateway.core.pending
--- a/tests/test_service_lists.py
+++ b/tests/test_service_lists.py
@@ -1,4 +1,4 @@
-"""The head in service: lists from discovery, time, configuration, and what it loads."""
+"""The gateway in service: node lists from discovery, late event loops and configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     listing,
     run_on_rig,
 )
-from test_service_life import connect
+from test_service_life import connect_socket
 
 from pebblehinge.http1 import HttpRequest
 from pebblehinge.interface import Outcome
@@ -34,13 +34,13 @@
 from pebblehinge.service.server import Service
 
 
-def test_a_late_loop_does_not_blame_the_shelf() -> None:
-    """The loop runs its timers first: an answer that lay in the socket in time once counted as timed out."""
+def test_late_event_loop_does_not_count_as_a_node_timeout() -> None:
+    """The event loop runs timers first: an answer that was in the socket in time counted as timed out."""
 
     async def script(rig: Rig) -> None:
         def handle_request(conn: NodePeer, request: HttpRequest) -> None:
             conn.write(OK)
-            time.sleep(0.4)  # the head's loop, too: the attempt's time is up before the answer is read
+            time.sleep(0.4)  # Blocks the gateway too: the attempt's deadline passes before the answer is read.
 
         rig.storage_nodes[0].handle_request = handle_request
         await rig.fetch(build_request("save", 0, b"abc", X_Deadline_Ms="200"))
@@ -52,21 +52,21 @@
     run_on_rig(script)
 
 
-@pytest.mark.parametrize("where", ["between turns", "in a timer"])
-def test_what_lay_unread_for_a_long_turn_is_due_by_so_much_earlier(where: str) -> None:
-    """Lateness was measured after what it had delayed was read, and cut at 100 ms."""
+@pytest.mark.parametrize("place", ["between turns", "in a timer"])
+def test_deadline_of_a_request_includes_its_time_unread(place: str) -> None:
+    """The lateness was measured after the delayed data had been read, and was limited to 100 ms."""
 
     async def script(rig: Rig) -> None:
-        rig.storage_nodes[0].handle_request = lambda conn, r: None
-        raw = connect(rig)
+        rig.storage_nodes[0].handle_request = lambda conn, request: None
+        sock = connect_socket(rig)
         await until(lambda: rig.gateway.registry.connection_count == 1)
 
-        def long_turn() -> None:
-            raw.sendall(build_request(X_Deadline_Ms="900"))
+        def block_event_loop() -> None:
+            sock.sendall(build_request(X_Deadline_Ms="900"))
             time.sleep(0.4)
 
         loop = asyncio.get_running_loop()
-        loop.call_soon(long_turn) if where == "between turns" else loop.call_later(0.001, long_turn)
+        loop.call_soon(block_event_loop) if place == "between turns" else loop.call_later(0.001, block_event_loop)
         await until(lambda: rig.gateway.core.pending)
         (pending,) = rig.gateway.core.pending.values()
         assert 300.0 < pending.handle.deadline_ms - pending.arrived_ms < 520.0
@@ -76,21 +76,21 @@
     run_on_rig(script)
 
 
-def test_the_watch_goes_on_from_the_last_version_and_takes_up_changes() -> None:
+def test_watch_resumes_from_the_last_version_and_applies_changes() -> None:
     async def script(rig: Rig) -> None:
         (watch,) = rig.discovery.peers
-        new = ScriptedNode()
-        await new.start()
+        new_node = ScriptedNode()
+        await new_node.start()
         watch.send_list(listing(2, entry("s0", rig.storage_nodes[0].port, 0, "Terminating"), full=False))
         await until(lambda: 0 not in rig.gateway.core.scheduler.nodes.node_at_slot)
         assert (await rig.fetch(build_request())).status == 503 and not rig.storage_nodes[0].received_requests
-        broken = {**entry("s9", 1, 0), "addr": "nowhere"}
-        watch.write(b"1\r\n\n\r\n")  # an empty line
-        watch.send_list(listing(3, broken, entry("s2", new.port, 0), entry("s0", 1, 0, "Gone"), full=False))
+        invalid_entry = {**entry("s9", 1, 0), "addr": "nowhere"}
+        watch.write(b"1\r\n\n\r\n")  # An empty line.
+        watch.send_list(listing(3, invalid_entry, entry("s2", new_node.port, 0), entry("s0", 1, 0, "Gone"), full=False))
         await until(lambda: 0 in rig.gateway.core.scheduler.nodes.node_at_slot)
-        assert (await rig.fetch(build_request())).status == 200 and len(new.received_requests) == 1
+        assert (await rig.fetch(build_request())).status == 200 and len(new_node.received_requests) == 1
         assert "s0" not in rig.gateway.pools.nodes
-        rig.discovery.node_list = listing(4, entry("s2", new.port, 0), entry("s1", rig.storage_nodes[1].port, 1))
+        rig.discovery.node_list = listing(4, entry("s2", new_node.port, 0), entry("s1", rig.storage_nodes[1].port, 1))
         watch.transport.abort()
         await until(lambda: rig.gateway.watch.resume_version == 4)
         assert rig.discovery.received_requests[-1][1].target == b"/registry/instances?stream=1&index=3"
@@ -98,38 +98,38 @@
     run_on_rig(script)
 
 
-def test_an_address_that_changes_is_used_and_the_old_connections_are_not() -> None:
+def test_changed_address_is_used_and_old_connections_are_closed() -> None:
     async def script(rig: Rig) -> None:
         await rig.fetch(build_request())
-        moved = ScriptedNode()
-        await moved.start()
-        rig.discovery.peers[0].send_list(listing(2, entry("s0", moved.port, 0), full=False))
+        moved_node = ScriptedNode()
+        await moved_node.start()
+        rig.discovery.peers[0].send_list(listing(2, entry("s0", moved_node.port, 0), full=False))
         await until(lambda: rig.storage_nodes[0].peers[0].is_closed)
-        assert (await rig.fetch(build_request())).status == 200 and len(moved.received_requests) == 1
+        assert (await rig.fetch(build_request())).status == 200 and len(moved_node.received_requests) == 1
 
     run_on_rig(script)
 
 
-def test_more_than_a_thousand_shelfs_and_heads_are_no_limit() -> None:
+def test_more_than_a_thousand_nodes_and_gateways_are_supported() -> None:
     async def script(rig: Rig) -> None:
         port = rig.storage_nodes[1].port
         rig.discovery.peers[0].send_list(listing(2, *(entry(f"t{n}", port, n) for n in range(1500))))
         await until(lambda: len(rig.gateway.core.scheduler.nodes.node_at_slot) == 1500)
         assert len(rig.gateway.pools.nodes) == 1500
-        io = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
-        assert (await rig.fetch(build_request(X_IO=io))).status == 200 and len(
+        io_header = "volume=00000003b4d60021,units=2,shard=1499,hosts=1400"
+        assert (await rig.fetch(build_request(X_IO=io_header))).status == 200 and len(
             rig.storage_nodes[1].received_requests
         ) == 1
 
     run_on_rig(script, slot_count=1500)
 
 
-def test_starts_are_told_on_the_heads_own_clock_and_what_can_not_be_read_is_left_out() -> None:
-    told = NodeListUpdate(
+def test_start_times_are_on_the_gateway_clock_and_invalid_entries_are_omitted() -> None:
+    update = NodeListUpdate(
         listing(7, entry("s1", 5, 2, "Ready", 1234.5), {"id": "s2"}, {**entry("s3", 5, 2), "state": "New"})
     )
-    assert [(e.node_name, e.slot, e.started_ms) for e in told.entries] == [("s1", 2, 1234.5)] and len(
-        told.entry_errors
+    assert [(e.node_name, e.slot, e.started_ms) for e in update.entries] == [("s1", 2, 1234.5)] and len(
+        update.entry_errors
     ) == 2
     with pytest.raises(PlatformSettingsError):
         NodeListUpdate([1, 2])
@@ -140,13 +140,13 @@
     run_on_rig(script)
 
 
-def test_before_discovery_answers_the_known_list_serves_and_readiness_waits() -> None:
+def test_configured_node_list_serves_until_discovery_answers() -> None:
     async def script(rig: Rig) -> None:
         port = rig.storage_nodes[0].port
-        known = dataclasses.replace(
+        config = dataclasses.replace(
             rig.gateway.config, initial_node_list=listing(1, entry("s0", port, 0)), discovery_address=(LOOPBACK, 1)
         )
-        gateway = Service(rig.gateway.loop, known)
+        gateway = Service(rig.gateway.loop, config)
         gateway.log = lambda event, **facts: None  # type: ignore[method-assign]
         await gateway.start()
         assert gateway.listener.socket is not None and not gateway.is_ready()
@@ -160,38 +160,38 @@
     run_on_rig(script)
 
 
-def test_a_new_configuration_moves_discovery_and_drops_nothing(tmp_path: Path) -> None:
+def test_reload_changes_the_discovery_address_and_drops_no_request(tmp_path: Path) -> None:
     async def script(rig: Rig) -> None:
-        held: list[NodePeer] = []
-        rig.storage_nodes[0].handle_request = lambda conn, r: held.append(conn)
+        pending_attempts: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, request: pending_attempts.append(conn)
         client = await rig.client()
         client.write(build_request())
-        await until(lambda: held)
-        other, (old,) = ScriptedDiscovery(), rig.discovery.peers
-        await other.start()
-        other.node_list = listing(5, *rig.discovery.node_list["servers"])
-        file = tmp_path / "config.json"
-        rig.gateway.path = str(file)
+        await until(lambda: pending_attempts)
+        other_discovery, (old_watch,) = ScriptedDiscovery(), rig.discovery.peers
+        await other_discovery.start()
+        other_discovery.node_list = listing(5, *rig.discovery.node_list["servers"])
+        path = tmp_path / "config.json"
+        rig.gateway.path = str(path)
         for text in ("", "{", json.dumps({**CONFIG, "seed": "no"}), json.dumps({**CONFIG, "limits": {}})):
-            file.write_text(text)
-            before = rig.gateway.config
+            path.write_text(text)
+            config_before = rig.gateway.config
             rig.gateway.reload()
-            assert rig.gateway.config is before
+            assert rig.gateway.config is config_before
         settings = {**SETTINGS, "classes": [{**c, "on_time_s": 0.3} for c in SETTINGS["classes"]]}
-        file.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{other.port}", "settings": settings}))
+        path.write_text(json.dumps({**CONFIG, "discovery": f"{LOOPBACK}:{other_discovery.port}", "settings": settings}))
         rig.gateway.reload()
-        await until(lambda: rig.gateway.watch.resume_version == 5 and old.is_closed)
+        await until(lambda: rig.gateway.watch.resume_version == 5 and old_watch.is_closed)
         assert (
             rig.gateway.core.scheduler.settings.request_classes["look"].latency_objective_ms == 300.0
             and rig.gateway.config.max_sockets == 256
         )
-        held[0].write(OK)
+        pending_attempts[0].write(OK)
         assert (await client.next_answer()).status == 200
 
     run_on_rig(script)
 
 
-BROKEN = {
+INVALID_VALUES = {
     "seed": ("xyz", "seed is 'xyz': expected hex digits"),
     "listen": ("here", "listen is 'here': expected host:port"),
     "discovery": (5, "discovery"),
@@ -201,14 +201,14 @@
 }
 
 
-@pytest.mark.parametrize("key", BROKEN)
-def test_a_configuration_that_can_not_be_used_is_one_line_and_status_2(
+@pytest.mark.parametrize("key", INVALID_VALUES)
+def test_invalid_configuration_prints_one_line_and_exits_with_status_2(
     key: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    value, text = BROKEN[key]
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps({**CONFIG, key: value}))
-    monkeypatch.setenv("RELAY_CONFIG", str(file))
+    value, text = INVALID_VALUES[key]
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**CONFIG, key: value}))
+    monkeypatch.setenv("RELAY_CONFIG", str(path))
     assert main() == 2
     err = capsys.readouterr().err
     assert text in err and err.count("\n") == 1
@@ -216,7 +216,7 @@
     assert main() == 2 and "RELAY_CONFIG" in capsys.readouterr().err
 
 
-def test_the_configuration_is_read_as_the_platform_writes_it() -> None:
+def test_configuration_of_the_platform_is_read() -> None:
     config = read_config(json.dumps(CONFIG).encode())
     assert isinstance(config, ServiceConfig)
     assert config.is_write_by_class == {"look": False, "save": True} and config.longest_wait_ms == 2000.0
