--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -1,6 +1,7 @@
-"""A client goes: whatever stands in front of its end, nothing is begun for it, and what it held is settled once.
+"""Disconnects of clients: no attempt is started for a client that is gone, and its resources are released once.
 
-The head runs in the test's own loop: what a test does without waiting all lies on the sockets when the head reads next.
+The gateway runs in the event loop of the test: all that a test does without awaiting is on the sockets at the
+gateway's next read.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from pebblehinge.service import client_connection, connection_registry, socket_state
 
 
-def ends(raw: socket.socket, how: str) -> None:
-    if how == "a reset":
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    if how == "an end of its sending":
-        raw.shutdown(socket.SHUT_WR)
+def end_connection(sock: socket.socket, end_kind: str) -> None:
+    if end_kind == "a reset":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    if end_kind == "an end of its sending":
+        sock.shutdown(socket.SHUT_WR)
     else:
-        raw.close()
+        sock.close()
 
 
-def at_rest(rig: Rig) -> bool:
+def is_idle(rig: Rig) -> bool:
     gateway, registry = rig.gateway, rig.gateway.registry
-    held = (
+    remaining = (
         gateway.core.open_count,
         gateway.core.pending,
         registry.open_request_ids,
@@ -39,35 +40,35 @@
         registry.incomplete_group,
         registry.idle_group,
     )
-    return not any(held)
+    return not any(remaining)
 
 
-ENDS = ("a close", "a reset", "an end of its sending")
-# Where a system tells no end by itself, one is seen once all before it is read.
-ORDERS = [(how, behind, True) for how in ENDS for behind in (0, 30_000, 300_000)] + [(how, 0, False) for how in ENDS]
+END_KINDS = ("a close", "a reset", "an end of its sending")
+# Where the system does not report the end, it is noticed once all data before it has been read.
+END_ORDERS = [(end_kind, trailing_bytes, True) for end_kind in END_KINDS for trailing_bytes in (0, 30_000, 300_000)] + [
+    (end_kind, 0, False) for end_kind in END_KINDS
+]
 
 
-@pytest.mark.parametrize(("how", "behind", "tells"), ORDERS)
-def test_what_lies_unread_with_its_end_behind_it_is_not_sent(
-    how: str, behind: int, tells: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("end_kind", "trailing_bytes", "is_end_reported"), END_ORDERS)
+def test_unread_request_followed_by_a_disconnect_is_not_sent(
+    end_kind: str, trailing_bytes: int, is_end_reported: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The request was sent on when it was read; the end came to light a read later."""
-    if not tells:
+    """The request was forwarded as soon as it was read; the end was noticed only one read later."""
+    if not is_end_reported:
         monkeypatch.setattr(socket_state, "HANGUP_EVENTS", 0)
 
     async def script(rig: Rig) -> None:
-        assert (
-            await rig.fetch(build_request())
-        ).status == 200  # a connection to the shelf is up: nothing has to be waited for
+        assert (await rig.fetch(build_request())).status == 200  # The connection to the node is open now.
         for _ in range(10):
-            raw = connect_socket(rig)  # it waits in the listen queue
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-            raw.setblocking(False)
+            sock = connect_socket(rig)  # It waits in the listen queue.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
+            sock.setblocking(False)
             try:
-                raw.send(build_request() + b"x" * behind)
+                sock.send(build_request() + b"x" * trailing_bytes)
             except BlockingIOError:
                 pass
-            ends(raw, how)
+            end_connection(sock, end_kind)
             await asyncio.sleep(0.01)
             await until(lambda: rig.gateway.registry.connection_count <= 1 and not rig.gateway.core.open_count)
         assert len(rig.storage_nodes[0].received_requests) == 1
@@ -76,8 +77,8 @@
     run_on_rig(script)
 
 
-def test_one_that_sends_much_ahead_and_goes_is_seen_at_once() -> None:
-    """Past a bound reading was paused, and the end behind it not seen: its request went on, and others that waited."""
+def test_disconnect_after_much_pipelined_data_is_noticed_at_once() -> None:
+    """Reading was paused at a limit, so the end was not noticed: its request and the ones behind it were forwarded."""
 
     async def script(rig: Rig) -> None:
         rig.storage_nodes[0].handle_request = lambda conn, request: None
@@ -88,113 +89,113 @@
         client.transport.write_eof()
         await until(lambda: rig.gateway.core.counts.client_gone == 1, 1.5)
         await until(lambda: rig.storage_nodes[0].peers[0].is_closed, 1.5)
-        assert len(rig.storage_nodes[0].received_requests) == 1 and at_rest(rig)
+        assert len(rig.storage_nodes[0].received_requests) == 1 and is_idle(rig)
 
     run_on_rig(script)
 
 
-def test_further_attempts_end_with_their_client() -> None:
-    """Between an attempt that failed and the next one the client goes, in the same turn as the failure is read."""
+def test_no_retry_is_sent_after_the_client_disconnects() -> None:
+    """The client disconnects in the loop iteration in which the failure of its attempt is read."""
 
     async def script(rig: Rig) -> None:
-        raw = connect_socket(rig)
-        held: list[NodePeer] = []
-        rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
-        raw.sendall(build_request())
-        await until(lambda: held)
-        raw.close()
-        held[0].write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        await until(lambda: at_rest(rig))
+        sock = connect_socket(rig)
+        pending_attempts: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, request: pending_attempts.append(conn)
+        sock.sendall(build_request())
+        await until(lambda: pending_attempts)
+        sock.close()
+        pending_attempts[0].write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        await until(lambda: is_idle(rig))
         await asyncio.sleep(0.05)
-        assert len(held) == 1
+        assert len(pending_attempts) == 1
 
     run_on_rig(script)
 
 
-def test_one_that_does_not_read_and_ends_its_sending_is_gone_before_its_connection_is() -> None:
-    """Its connection stays until what was written has gone; what it asked behind that ends with its sending."""
+def test_slow_reader_that_ends_its_sending_counts_as_gone_before_its_connection_closes() -> None:
+    """Its connection stays open until the written data has been sent; its pipelined request ends with its sending."""
 
     async def script(rig: Rig) -> None:
-        large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-        rig.storage_nodes[0].handle_request = lambda conn, request: conn.write(large)
+        large_answer = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
+        rig.storage_nodes[0].handle_request = lambda conn, request: conn.write(large_answer)
         rig.storage_nodes[1].handle_request = lambda conn, request: None
-        raw, conn = await connect_slow_reader(rig)
-        raw.sendall(build_request() + build_request(shard=1, X_Deadline_Ms="1900"))
+        sock, conn = await connect_slow_reader(rig)
+        sock.sendall(build_request() + build_request(shard=1, X_Deadline_Ms="1900"))
         await until(lambda: rig.storage_nodes[0].received_requests)
         await until(lambda: rig.storage_nodes[1].received_requests)
         assert conn.transport.get_write_buffer_size()
-        raw.shutdown(socket.SHUT_WR)
+        sock.shutdown(socket.SHUT_WR)
         await until(lambda: rig.gateway.core.open_count == 0 and not rig.gateway.registry.open_request_ids, 1.5)
         assert rig.gateway.registry.connection_count == 1
         await until(lambda: rig.storage_nodes[1].peers[0].is_closed)
-        raw.close()
+        sock.close()
         await until(lambda: rig.gateway.registry.connection_count == 0)
 
     run_on_rig(script)
 
 
-def test_a_burst_of_clients_that_leave_gives_back_all_that_they_held(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Held for their plan's limit and for their turn by key: those that stay are served, each in turn, once."""
-    plan = {"base_rate": 5.0, "ceiling_rate": 20.0, "limit_burst": 2.0, "cap_slack": 0.0, "name": "gold"}
+def test_burst_of_disconnects_releases_all_held_resources(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The requests are queued at the limit of their quota plan and by extent; the remaining clients are served once."""
+    quota_plan = {"base_rate": 5.0, "ceiling_rate": 20.0, "limit_burst": 2.0, "cap_slack": 0.0, "name": "gold"}
     platform_settings = {
         **SETTINGS,
-        "service_levels": [plan],
+        "service_levels": [quota_plan],
         "classes": [{**SETTINGS["classes"][0], "sequential": True}, SETTINGS["classes"][1]],
         "rules": {**SETTINGS["rules"], "order_settle_s": 0.0},
     }
 
     async def script(rig: Rig) -> None:
-        callers = [connect_socket(rig) for _ in range(30)]
-        for raw in callers:
-            raw.sendall(build_request(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
+        clients = [connect_socket(rig) for _ in range(30)]
+        for sock in clients:
+            sock.sendall(build_request(X_Deadline_Ms="1900", Cookie="block=00000000000000aa"))
         await until(lambda: rig.gateway.core.counts.received == 30)
-        sent = len(rig.storage_nodes[0].received_requests)
-        stay = callers[-2:]
-        for raw in callers[:-2]:
-            raw.close()
+        request_count_before = len(rig.storage_nodes[0].received_requests)
+        remaining_clients = clients[-2:]
+        for sock in clients[:-2]:
+            sock.close()
         await until(lambda: rig.gateway.core.open_count <= 2)
-        assert [await read_status(raw) for raw in stay] == [b"200", b"200"]
-        assert len(rig.storage_nodes[0].received_requests) <= sent + 3
+        assert [await read_status(sock) for sock in remaining_clients] == [b"200", b"200"]
+        assert len(rig.storage_nodes[0].received_requests) <= request_count_before + 3
         assert not rig.gateway.core.pending and not rig.gateway.core.scheduler.dispatcher.limits.extent_queues.queues
         assert not any(rig.gateway.core.scheduler.nodes.queues) and not any(rig.gateway.core.scheduler.nodes.in_flight)
 
     run_on_rig(script, settings=read_settings(platform_settings))
 
 
-def test_a_client_that_goes_as_its_answer_comes_is_settled_once() -> None:
-    """Both in one turn of the loop, in either order."""
+def test_disconnect_during_the_answer_is_counted_once() -> None:
+    """Both happen in one loop iteration, in either order."""
 
     async def script(rig: Rig) -> None:
-        held: list[NodePeer] = []
-        rig.storage_nodes[0].handle_request = lambda conn, request: held.append(conn)
+        pending_attempts: list[NodePeer] = []
+        rig.storage_nodes[0].handle_request = lambda conn, request: pending_attempts.append(conn)
         for first in ("answer", "end") * 5:
-            raw = connect_socket(rig)
-            raw.sendall(build_request())
-            await until(lambda: held)
-            conn = held.pop()
-            acts = {"answer": lambda c=conn: c.write(OK), "end": lambda r=raw: r.close()}
-            for act in sorted(acts, key=lambda name, f=first: name != f):
-                acts[act]()
-            await until(lambda: at_rest(rig))
+            sock = connect_socket(rig)
+            sock.sendall(build_request())
+            await until(lambda: pending_attempts)
+            conn = pending_attempts.pop()
+            actions = {"answer": lambda c=conn: c.write(OK), "end": lambda r=sock: r.close()}
+            for action in sorted(actions, key=lambda name, f=first: name != f):
+                actions[action]()
+            await until(lambda: is_idle(rig))
         counts = rig.gateway.core.counts
         assert counts.succeeded + counts.client_gone == 10 == counts.received and counts.failed == 0
 
     run_on_rig(script)
 
 
-def test_one_that_asks_for_health_and_never_reads_is_bounded_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its answers were kept without bound, and so was what it sent behind them."""
+def test_client_that_never_reads_health_answers_is_bounded_and_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The answers and the requests behind them were buffered without limit."""
     monkeypatch.setattr(connection_registry.ConnectionRegistry, "STALL_TIMEOUT_MS", 200.0)
 
     async def script(rig: Rig) -> None:
-        raw = socket.socket()
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        raw.connect((LOOPBACK, rig.port))
-        raw.setblocking(False)
-        data, most = b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n" * 5000, 0
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.connect((LOOPBACK, rig.port))
+        sock.setblocking(False)
+        data, max_buffered = b"GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n" * 5000, 0
         for _ in range(200):
             try:
-                raw.send(data)
+                sock.send(data)
             except BlockingIOError:
                 pass
             except OSError:
@@ -204,28 +205,28 @@
                 *rig.gateway.registry.closing_group,
                 *rig.gateway.registry.incomplete_group,
             ):
-                most = max(most, len(conn.parser.buffer) + conn.transport.get_write_buffer_size())
+                max_buffered = max(max_buffered, len(conn.parser.buffer) + conn.transport.get_write_buffer_size())
             await asyncio.sleep(0.005)
-        assert most < 2_000_000
+        assert max_buffered < 2_000_000
         await until(lambda: rig.gateway.registry.connection_count == 0)
 
     run_on_rig(script)
 
 
-def test_a_look_at_a_socket_tells_its_end_from_what_lies_before() -> None:
-    ours, theirs = socket.socketpair(socket.AF_UNIX)
-    ours.setblocking(False)
-    assert not socket_state.is_peer_closed(ours)
-    theirs.sendall(b"x")
-    assert socket_state.is_readable(ours.fileno()) and not socket_state.is_peer_closed(ours)
-    theirs.shutdown(socket.SHUT_WR)
-    assert socket_state.is_peer_closed(ours)
-    for sock in (ours, theirs):
+def test_socket_state_distinguishes_unread_data_from_the_end_of_stream() -> None:
+    gateway_end, client_end = socket.socketpair(socket.AF_UNIX)
+    gateway_end.setblocking(False)
+    assert not socket_state.is_peer_closed(gateway_end)
+    client_end.sendall(b"x")
+    assert socket_state.is_readable(gateway_end.fileno()) and not socket_state.is_peer_closed(gateway_end)
+    client_end.shutdown(socket.SHUT_WR)
+    assert socket_state.is_peer_closed(gateway_end)
+    for sock in (gateway_end, client_end):
         sock.close()
 
 
-def test_a_request_in_form_is_still_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The look at the client's socket costs nobody an answer, whatever it sent ahead."""
+def test_valid_pipelined_requests_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check of the client's socket drops no answer, whatever the client has pipelined."""
 
     async def script(rig: Rig) -> None:
         def handle_request(conn: NodePeer, request: HttpRequest) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch of discovery on sockets: what comes, ends, moves or falls silent in the wrong moment."""
+"""The watch of discovery on sockets: updates, closes, address changes and silence at inconvenient moments."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gated_loop import GatedLoop
 from helpers import LOOPBACK, until
 from service_rig import ScriptedDiscovery, entry, listing
-from test_discovery_drawn import DAMAGED, HEAD, chunk
+from test_discovery_drawn import DAMAGED, RESPONSE_HEADER, chunk
 
 from pebblehinge.http1 import HttpError, HttpRequest
 from pebblehinge.service import departures, discovery
@@ -20,102 +20,104 @@
 from pebblehinge.service.node_list import JsonObjectStream, NodeListUpdate
 
 
-class Seen:
-    """A watch on sockets, with a stand-in of discovery."""
+class WatchRig:
+    """A watch of the scripted discovery, on sockets."""
 
-    async def start(self, gated: bool = False) -> Seen:
+    async def start(self, is_gated: bool = False) -> WatchRig:
         loop = asyncio.get_running_loop()
-        self.peer, self.told, self.said = ScriptedDiscovery(), [], []  # type: ignore[var-annotated]
+        self.peer, self.updates, self.log_events = ScriptedDiscovery(), [], []  # type: ignore[var-annotated]
         await self.peer.start()
         self.peer.node_list = listing(1, entry("s0", 5, 0))
-        self.loop: Any = GatedLoop(loop) if gated else loop
+        self.loop: Any = GatedLoop(loop) if is_gated else loop
         self.watch = DiscoveryWatch(
             self.loop,
             (LOOPBACK, self.peer.port),
             random.Random(1),
-            self.told.append,
-            lambda what, **facts: self.said.append((what, facts)),
+            self.updates.append,
+            lambda what, **facts: self.log_events.append((what, facts)),
         )
         self.watch.start()
         return self
 
-    def standings(self) -> dict[str, str]:
-        return {e.node_name: e.state.value for told in self.told for e in told.entries}
+    def state_by_node(self) -> dict[str, str]:
+        return {e.node_name: e.state.value for update in self.updates for e in update.entries}
 
 
-def on_sockets(script: Any, gated: bool = False) -> None:
+def run_on_watch_rig(script: Any, is_gated: bool = False) -> None:
     async def run() -> None:
-        seen = await Seen().start(gated)
+        rig = await WatchRig().start(is_gated)
         try:
-            await asyncio.wait_for(script(seen), 10.0)
+            await asyncio.wait_for(script(rig), 10.0)
         finally:
-            seen.watch.stop()
+            rig.watch.stop()
 
     uvloop.run(run())
 
 
-def test_a_list_that_comes_before_its_connection_is_handed_over_counts() -> None:
-    """The answer came in the turn in which the connection was made; nobody knew of that connection yet, and the list
-    was dropped. Discovery had told it and would not again."""
+def test_list_received_before_the_connect_call_returns_is_applied() -> None:
+    """The answer arrived in the loop iteration of the connect, before the connection was registered; it was dropped.
 
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
-        assert seen.told[0].version == 1
-        seen.loop.release_event.set()
-        await until(lambda: seen.watch.connect_task is None)
-        assert len(seen.watch.connections) == 1
+    Discovery had sent the list and did not repeat it.
+    """
 
-    on_sockets(script, gated=True)
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
+        assert rig.updates[0].version == 1
+        rig.loop.release_event.set()
+        await until(lambda: rig.watch.connect_task is None)
+        assert len(rig.watch.connections) == 1
 
+    run_on_watch_rig(script, is_gated=True)
 
-def test_a_connection_that_ends_before_it_is_handed_over_is_made_anew() -> None:
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
-        seen.peer.peers[0].transport.abort()
-        await until(lambda: not seen.watch.connections)
-        seen.loop.release_event.set()
-        await until(lambda: len(seen.peer.peers) == 2 and seen.watch.connections)
 
-    on_sockets(script, gated=True)
+def test_connection_that_ends_before_the_connect_call_returns_is_replaced() -> None:
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
+        rig.peer.peers[0].transport.abort()
+        await until(lambda: not rig.watch.connections)
+        rig.loop.release_event.set()
+        await until(lambda: len(rig.peer.peers) == 2 and rig.watch.connections)
 
+    run_on_watch_rig(script, is_gated=True)
 
-def test_beside_a_silent_watch_another_is_opened_and_the_old_one_may_still_tell(
+
+def test_second_connection_is_opened_beside_a_silent_one_that_may_still_deliver(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(discovery, "SILENCE_RECONNECT_S", 0.2)
 
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
-        (old,), seen.peer.handle_request = seen.peer.peers, lambda conn, request: conn.write(HEAD)
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
+        (old_connection,), rig.peer.handle_request = rig.peer.peers, lambda conn, request: conn.write(RESPONSE_HEADER)
         await asyncio.sleep(0.25)
-        seen.watch.check_silence()
-        await until(lambda: len(seen.peer.peers) == 2 and len(seen.watch.connections) == 2)
-        old.send_list(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
-        await until(lambda: seen.watch.newest_version == 2)
-        seen.peer.peers[1].send_list(listing(3, entry("s0", 5, 0, "Gone"), full=False))
-        await until(lambda: seen.watch.newest_version == 3 and old.is_closed)
-        old_watch = seen.watch.connections
-        assert len(old_watch) == 1
+        rig.watch.check_silence()
+        await until(lambda: len(rig.peer.peers) == 2 and len(rig.watch.connections) == 2)
+        old_connection.send_list(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
+        await until(lambda: rig.watch.newest_version == 2)
+        rig.peer.peers[1].send_list(listing(3, entry("s0", 5, 0, "Gone"), full=False))
+        await until(lambda: rig.watch.newest_version == 3 and old_connection.is_closed)
+        remaining_connections = rig.watch.connections
+        assert len(remaining_connections) == 1
 
-    on_sockets(script)
+    run_on_watch_rig(script)
 
 
 @pytest.mark.parametrize("indent", [None, 1, "\t"])
-def test_lists_may_come_indented_and_in_any_pieces(indent: Any) -> None:
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
-        odd = 'a "quoted" {name] \\'
-        text = json.dumps(listing(2, entry(odd, 5, 0), entry("s2", 5, 1)), indent=indent).encode() + b"\n\n"
+def test_lists_may_be_indented_and_in_small_pieces(indent: Any) -> None:
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
+        unusual_name = 'a "quoted" {name] \\'
+        text = json.dumps(listing(2, entry(unusual_name, 5, 0), entry("s2", 5, 1)), indent=indent).encode() + b"\n\n"
         text += json.dumps(listing(3, entry("s3", 5, 2), full=False), indent=indent).encode() + b"\n"
-        for at in range(0, len(text), 5):
-            seen.peer.peers[0].write(chunk(text[at : at + 5]))
-        await until(lambda: seen.watch.newest_version == 3)
-        assert set(seen.standings()) == {"s0", odd, "s2", "s3"} and len(seen.peer.peers) == 1
+        for start in range(0, len(text), 5):
+            rig.peer.peers[0].write(chunk(text[start : start + 5]))
+        await until(lambda: rig.watch.newest_version == 3)
+        assert set(rig.state_by_node()) == {"s0", unusual_name, "s2", "s3"} and len(rig.peer.peers) == 1
 
-    on_sockets(script)
+    run_on_watch_rig(script)
 
 
-def test_an_object_without_end_is_bounded() -> None:
+def test_size_of_an_unterminated_object_is_bounded() -> None:
     objects = JsonObjectStream()
     with pytest.raises(HttpError, match="a list of more than"):
         for _ in range(60):
@@ -126,76 +128,79 @@
             objects.feed(b"x" * 100_000)
 
 
-def test_a_damaged_list_leaves_the_last_good_one_and_is_told_once_in_a_while() -> None:
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
+def test_invalid_list_leaves_the_last_valid_one_and_is_logged_at_intervals() -> None:
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
 
-        def damaged(conn: Any, request: HttpRequest) -> None:
-            conn.write(HEAD + chunk(DAMAGED))
+        def send_damaged(conn: Any, request: HttpRequest) -> None:
+            conn.write(RESPONSE_HEADER + chunk(DAMAGED))
 
-        good, seen.peer.handle_request = seen.peer.handle_request, damaged
-        seen.peer.peers[0].write(chunk(DAMAGED))
-        await until(lambda: len(seen.peer.peers) > 4)
-        assert len(seen.told) == 1 and len(seen.said) == 1
-        seen.peer.handle_request, seen.peer.node_list = good, listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating"))
-        await until(lambda: seen.watch.newest_version == 2)
-        assert seen.standings() == {"s0": "draining"}
+        valid_handler, rig.peer.handle_request = rig.peer.handle_request, send_damaged
+        rig.peer.peers[0].write(chunk(DAMAGED))
+        await until(lambda: len(rig.peer.peers) > 4)
+        assert len(rig.updates) == 1 and len(rig.log_events) == 1
+        rig.peer.handle_request, rig.peer.node_list = (
+            valid_handler,
+            listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating")),
+        )
+        await until(lambda: rig.watch.newest_version == 2)
+        assert rig.state_by_node() == {"s0": "draining"}
 
-    on_sockets(script)
+    run_on_watch_rig(script)
 
 
-def test_a_list_that_goes_back_is_asked_for_whole_and_brings_no_one_back_who_left() -> None:
-    """A shelf that a later version told to drain would have been sent to again."""
+def test_list_of_an_older_version_is_requested_in_full_and_restores_no_departed_node() -> None:
+    """Otherwise requests would be sent again to a node that a later version reported as draining."""
 
-    async def script(seen: Seen) -> None:
-        await until(lambda: seen.told)
-        seen.peer.peers[0].send_list(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
-        await until(lambda: seen.watch.newest_version == 7)
-        seen.peer.node_list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
-        seen.peer.peers[0].send_list(listing(4, entry("s0", 5, 0), full=False))
-        await until(lambda: seen.watch.newest_version == 5)
-        assert seen.peer.received_requests[-1][1].target == b"/registry/instances?stream=1"
-        assert seen.standings() == {"s0": "draining", "s1": "ready", "s2": "ready"}
-        # A new start of it, or a later word, is another matter; and a version that skips is none.
-        seen.peer.peers[-1].send_list(listing(6, entry("s0", 5, 0, started=9.0), full=False))
-        await until(lambda: seen.watch.newest_version == 6)
-        assert seen.standings()["s0"] == "ready"
-        seen.peer.peers[-1].send_list(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
-        seen.peer.peers[-1].send_list(listing(22, entry("s1", 5, 1), full=False))
-        await until(lambda: seen.watch.newest_version == 22)
-        assert seen.standings()["s1"] == "ready"
+    async def script(rig: WatchRig) -> None:
+        await until(lambda: rig.updates)
+        rig.peer.peers[0].send_list(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
+        await until(lambda: rig.watch.newest_version == 7)
+        rig.peer.node_list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
+        rig.peer.peers[0].send_list(listing(4, entry("s0", 5, 0), full=False))
+        await until(lambda: rig.watch.newest_version == 5)
+        assert rig.peer.received_requests[-1][1].target == b"/registry/instances?stream=1"
+        assert rig.state_by_node() == {"s0": "draining", "s1": "ready", "s2": "ready"}
+        # A restart or a later update restores a node, and skipped versions are allowed.
+        rig.peer.peers[-1].send_list(listing(6, entry("s0", 5, 0, started=9.0), full=False))
+        await until(lambda: rig.watch.newest_version == 6)
+        assert rig.state_by_node()["s0"] == "ready"
+        rig.peer.peers[-1].send_list(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
+        rig.peer.peers[-1].send_list(listing(22, entry("s1", 5, 1), full=False))
+        await until(lambda: rig.watch.newest_version == 22)
+        assert rig.state_by_node()["s1"] == "ready"
 
-    on_sockets(script)
+    run_on_watch_rig(script)
 
 
-def test_what_left_is_kept_in_bounds(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_departures_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(departures, "MAX_DEPARTURES", 10)
 
-    async def script(seen: Seen) -> None:
+    async def script(rig: WatchRig) -> None:
         for n in range(40):
-            seen.watch.departures.apply(NodeListUpdate(listing(n, entry(f"g{n}", 5, 0, "Gone"))))
-        assert list(seen.watch.departures.by_node) == [f"g{n}" for n in range(30, 40)]
+            rig.watch.departures.apply(NodeListUpdate(listing(n, entry(f"g{n}", 5, 0, "Gone"))))
+        assert list(rig.watch.departures.by_node) == [f"g{n}" for n in range(30, 40)]
 
-    on_sockets(script)
+    run_on_watch_rig(script)
 
 
-@pytest.mark.parametrize("when", ["while a connection is made", "while one stands that was never answered"])
-def test_discovery_that_moves_in_the_middle_of_a_call(when: str) -> None:
-    async def script(seen: Seen) -> None:
-        if when == "while a connection is made":
-            await until(lambda: seen.watch.connections)
+@pytest.mark.parametrize("moment", ["while connecting", "while a connection is open without an answer"])
+def test_address_of_discovery_may_change_during_a_call(moment: str) -> None:
+    async def script(rig: WatchRig) -> None:
+        if moment == "while connecting":
+            await until(lambda: rig.watch.connections)
         else:
-            await until(lambda: seen.told)
-            seen.peer.handle_request = lambda conn, request: None
-            seen.peer.peers[0].transport.abort()
-            await until(lambda: len(seen.peer.peers) == 2)
-        there = ScriptedDiscovery()
-        await there.start()
-        there.node_list = listing(4, entry("s0", 5, 0, "Terminating"))
-        seen.watch.change_address((LOOPBACK, there.port))
-        if isinstance(seen.loop, GatedLoop):
-            seen.loop.release_event.set()
-        await until(lambda: seen.watch.newest_version == 4)
-        await until(lambda: len(seen.watch.connections) == 1 and all(c.is_closed for c in seen.peer.peers))
-
-    on_sockets(script, gated=when == "while a connection is made")
+            await until(lambda: rig.updates)
+            rig.peer.handle_request = lambda conn, request: None
+            rig.peer.peers[0].transport.abort()
+            await until(lambda: len(rig.peer.peers) == 2)
+        other_discovery = ScriptedDiscovery()
+        await other_discovery.start()
+        other_discovery.node_list = listing(4, entry("s0", 5, 0, "Terminating"))
+        rig.watch.change_address((LOOPBACK, other_discovery.port))
+        if isinstance(rig.loop, GatedLoop):
+            rig.loop.release_event.set()
+        await until(lambda: rig.watch.newest_version == 4)
+        await until(lambda: len(rig.watch.connections) == 1 and all(c.is_closed for c in rig.peer.peers))
+
+    run_on_watch_rig(script, is_gated=moment == "while connecting")
--- a/tests/test_off.py
+++ b/tests/test_off.py
@@ -1,4 +1,4 @@
-"""What heads do together stays off in `run` and `sim`: no package of it is loaded there, and nothing that could be."""
+"""Cooperation of gateways is off in `run` and `sim`: none of its packages is imported there, even indirectly."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-TOGETHER = (
+SHARED_PACKAGES = (
     "fleet",
     "history",
     "catalog",
@@ -24,25 +24,25 @@
     "settings",
     "head",
 )
-STARTS = {"run": "pebblehinge.service", "sim": "pebblehinge.wirehost"}
+ENTRY_POINTS = {"run": "pebblehinge.service", "sim": "pebblehinge.wirehost"}
 
 
-def loaded(module: str) -> set[str]:
+def loaded_modules(module: str) -> set[str]:
     code = f"import {module}, sys; print(*sorted(sys.modules))"
     env = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env=env, check=True)
-    return {name for name in done.stdout.split() if name.startswith("pebblehinge.")}
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env=env, check=True)
+    return {name for name in process.stdout.split() if name.startswith("pebblehinge.")}
 
 
-@pytest.mark.parametrize("key", STARTS)
-def test_nothing_of_what_heads_share_is_loaded(key: str) -> None:
-    """Heads may not talk to each other there."""
-    how = tomllib.loads(Path("deploy/balancer.toml").read_text())[key]
-    assert how == f"exec .venv/bin/python -m {STARTS[key]}"
-    names = loaded(STARTS[key] + ".__main__")
-    assert "pebblehinge.decide.dispatch" in names and "pebblehinge.scheduler_state.change_set" in names
-    assert not {n for n in names if n.split(".")[1] in TOGETHER}
+@pytest.mark.parametrize("key", ENTRY_POINTS)
+def test_packages_shared_by_gateways_are_not_imported(key: str) -> None:
+    """Gateways must not communicate with each other there."""
+    command = tomllib.loads(Path("deploy/balancer.toml").read_text())[key]
+    assert command == f"exec .venv/bin/python -m {ENTRY_POINTS[key]}"
+    modules = loaded_modules(ENTRY_POINTS[key] + ".__main__")
+    assert "pebblehinge.decide.dispatch" in modules and "pebblehinge.scheduler_state.change_set" in modules
+    assert not {n for n in modules if n.split(".")[1] in SHARED_PACKAGES}
 
 
-def test_what_is_loaded_is_seen() -> None:
-    assert {"pebblehinge.net", "pebblehinge.settings"} <= loaded("pebblehinge.cli")
+def test_imported_packages_are_detected() -> None:
+    assert {"pebblehinge.net", "pebblehinge.settings"} <= loaded_modules("pebblehinge.cli")
--- a/tests/test_service_shelfs.py
+++ b/tests/test_service_shelfs.py
@@ -33,7 +33,7 @@
     "noise": (respond_with(b"\x00\x01noise\r\n\r\n"), Outcome.SERVER_ERROR, 1, 502),
     "3 GB": (respond_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"), Outcome.SERVER_ERROR, 1, 502),
     "no length": (respond_with(b"HTTP/1.1 200 OK\r\n\r\nx"), Outcome.SERVER_ERROR, 1, 502),
-    "an endless header section": (
+    "an endless header": (
         respond_with(b"HTTP/1.1 200 OK\r\nA: " + b"x" * 20_000),
         Outcome.SERVER_ERROR,
         1,
@@ -43,7 +43,7 @@
     "a partial answer": (respond_with(OK[:-1], close=True), Outcome.CONNECTION_LOST, 1, 502),
     "nothing": (respond_with(b""), Outcome.TIMED_OUT, 1, 502),
     "a Content-Length that is too large": (respond_with(OK[:-1]), Outcome.TIMED_OUT, 1, 502),
-    "an informational response before": (
+    "a 1xx response before": (
         respond_with(b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + OK),
         Outcome.SUCCEEDED,
         1,
@@ -88,7 +88,7 @@
     "deadline exceeded",
     "503 without the mark",
     "500 marked as not executed",
-    "an informational response before",
+    "a 1xx response before",
     "a large answer",
 }
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""The shape of the program: which files hold decisions, and that imports go one way."""
+"""The module structure: which files hold decisions, and that imports have no cycles."""
 
 from __future__ import annotations
 
@@ -10,75 +10,75 @@
 PACKAGE = ROOT / "pebblehinge"
 
 
-def name_of(file: Path) -> str:
+def module_name(file: Path) -> str:
     parts = file.relative_to(PACKAGE.parent).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-MODULES = {name_of(file): file for file in sorted(PACKAGE.rglob("*.py"))}
+MODULES = {module_name(file): file for file in sorted(PACKAGE.rglob("*.py"))}
 
 
-def imported(text: str) -> set[str]:
-    """What a module imports as it is loaded or for its types; not what its functions load when they are called."""
+def imported_modules(text: str) -> set[str]:
+    """Returns the imports of a module at import time or for types, without those inside of functions."""
     found: set[str] = set()
-    todo: list[ast.AST] = [ast.parse(text)]
-    while todo:
-        node = todo.pop()
+    pending_nodes: list[ast.AST] = [ast.parse(text)]
+    while pending_nodes:
+        node = pending_nodes.pop()
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
             for alias in node.names:
-                inner = f"{node.module}.{alias.name}"
-                found.add(inner if inner in MODULES else node.module)
+                submodule = f"{node.module}.{alias.name}"
+                found.add(submodule if submodule in MODULES else node.module)
         elif not isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda):
-            todo += ast.iter_child_nodes(node)
+            pending_nodes += ast.iter_child_nodes(node)
     return found
 
 
-def circle(graph: dict[str, set[str]]) -> list[str]:
-    """Some modules that import each other in a ring, or none."""
-    done: set[str] = set()
+def find_cycle(graph: dict[str, set[str]]) -> list[str]:
+    """Returns one import cycle, with its first module repeated at the end, or an empty list."""
+    visited: set[str] = set()
 
-    def walk(at: str, way: list[str]) -> list[str]:
-        if at in way:
-            return [*way[way.index(at) :], at]
-        if at in done:
+    def walk(module: str, path: list[str]) -> list[str]:
+        if module in path:
+            return [*path[path.index(module) :], module]
+        if module in visited:
             return []
-        for to in sorted(graph.get(at, set())):
-            if found := walk(to, [*way, at]):
+        for target in sorted(graph.get(module, set())):
+            if found := walk(target, [*path, module]):
                 return found
-        done.add(at)
+        visited.add(module)
         return []
 
-    return next((ring for start in sorted(graph) if (ring := walk(start, []))), [])
+    return next((cycle for start in sorted(graph) if (cycle := walk(start, []))), [])
 
 
-def test_imports_go_one_way() -> None:
-    graph = {name: imported(file.read_text()) & set(MODULES) for name, file in MODULES.items()}
+def test_imports_have_no_cycle() -> None:
+    graph = {name: imported_modules(file.read_text()) & set(MODULES) for name, file in MODULES.items()}
     assert sum(map(len, graph.values())) > 300
-    assert circle(graph) == []
+    assert find_cycle(graph) == []
 
 
-def test_a_circle_is_found() -> None:
-    assert circle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
-    assert circle({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
-    for_types = (
+def test_cycle_is_found() -> None:
+    assert find_cycle({"a": {"b"}, "b": {"c"}, "c": {"a"}}) == ["a", "b", "c", "a"]
+    assert find_cycle({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
+    type_checking_source = (
         "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from pebblehinge.gateway import GatewayServer\n"
     )
-    assert imported(for_types) == {"typing", "pebblehinge.gateway"}
+    assert imported_modules(type_checking_source) == {"typing", "pebblehinge.gateway"}
 
 
-def test_all_decisions_of_a_request_are_named() -> None:
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sorted(named) == sorted(f.relative_to(ROOT).as_posix() for f in (PACKAGE / "decide").glob("*.py"))
+def test_all_decision_modules_are_listed_in_the_deploy_file() -> None:
+    policy_files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(policy_files) == sorted(f.relative_to(ROOT).as_posix() for f in (PACKAGE / "decide").glob("*.py"))
 
 
-def test_decisions_know_of_nothing_that_could_ask_a_socket_or_a_clock() -> None:
+def test_decision_modules_import_no_sockets_or_clocks() -> None:
     allowed = {"__future__", "bisect", "collections", "dataclasses", "enum", "heapq", "math", "random", "typing"}
     for name, file in MODULES.items():
         if name.startswith(("pebblehinge.decide", "pebblehinge.scheduler_state")) or name == "pebblehinge.interface":
-            ours = ("pebblehinge.decide", "pebblehinge.scheduler_state", "pebblehinge.interface")
+            own_packages = ("pebblehinge.decide", "pebblehinge.scheduler_state", "pebblehinge.interface")
             if not name.startswith("pebblehinge.decide"):
-                ours = ours[1:]
-            odd = {i for i in imported(file.read_text()) if not i.startswith(ours)} - allowed
-            assert not odd, f"{name} imports {odd}"
+                own_packages = own_packages[1:]
+            unexpected = {i for i in imported_modules(file.read_text()) if not i.startswith(own_packages)} - allowed
+            assert not unexpected, f"{name} imports {unexpected}"
