--- a/tests/service_rig.py
+++ b/tests/service_rig.py
@@ -79,7 +79,7 @@
 
 
 class ScriptedNode:
-    """A storage node that records its connections and requests, and handles requests as a test sets it."""
+    """A storage node that records its connections and requests; a test may replace `handle_request`."""
 
     def __init__(self) -> None:
         self.peers: list[NodePeer] = []
@@ -93,7 +93,7 @@
 
 
 class DiscoveryPeer(NodePeer):
-    """The end of discovery of a connection, which sends updates of the node list as chunks."""
+    """Discovery's end of a connection, which sends updates of the node list as chunks."""
 
     def send_list(self, update: dict[str, Any]) -> None:
         json_line = json.dumps(update).encode() + b"\n"
@@ -118,20 +118,22 @@
         conn.send_list(self.node_list)
 
 
-def entry(name: str, port: int, cell: int, state: str = "Ready", started: float = 0) -> dict[str, Any]:
+def entry(name: str, port: int, slot: int, state: str = "Ready", started_ms: float = 0) -> dict[str, Any]:
+    """Returns an entry of the node list in the form of discovery."""
     return {
         "id": name,
         "addr": f"{LOOPBACK}:{port}",
         "zone": "a",
         "kind": "m",
-        "cell": cell,
+        "cell": slot,
         "state": state,
         "weight": 1.0,
-        "started_ms": started,
+        "started_ms": started_ms,
     }
 
 
 def listing(version: int, *entries: dict[str, Any], full: bool = True) -> dict[str, Any]:
+    """Returns an update of the node list, a complete one if `full`."""
     return {"version": version, "full": full, "servers": list(entries)}
 
 
@@ -216,6 +218,8 @@
 
 
 def run_on_rig(script: Callable[[Rig], Coroutine[Any, Any, None]], sockets: int = 256, **changes: Any) -> None:
+    """Runs a script with a new rig; `changes` replace fields of the gateway's configuration."""
+
     async def run() -> None:
         rig = await Rig().start(sockets, **changes)
         try:
@@ -227,6 +231,8 @@
 
 
 def respond_with(data: bytes, close: bool = False) -> Callable[[NodePeer, HttpRequest], None]:
+    """Returns a handler that answers each request with `data`, and then closes the connection if `close`."""
+
     def handle_request(conn: NodePeer, request: HttpRequest) -> None:
         conn.write(data)
         if close:
--- a/tests/test_client_goes.py
+++ b/tests/test_client_goes.py
@@ -21,6 +21,7 @@
 
 
 def end_connection(sock: socket.socket, end_kind: str) -> None:
+    """Ends a client's connection in one of the ways of END_KINDS."""
     if end_kind == "a reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     if end_kind == "an end of its sending":
@@ -29,7 +30,8 @@
         sock.close()
 
 
-def is_idle(rig: Rig) -> bool:
+def is_state_released(rig: Rig) -> bool:
+    """Returns whether the gateway holds no request, attempt or open client connection."""
     gateway, registry = rig.gateway, rig.gateway.registry
     remaining = (
         gateway.core.open_count,
@@ -45,12 +47,12 @@
 
 END_KINDS = ("a close", "a reset", "an end of its sending")
 # Where the system does not report the end, it is noticed once all data before it has been read.
-END_ORDERS = [(end_kind, trailing_bytes, True) for end_kind in END_KINDS for trailing_bytes in (0, 30_000, 300_000)] + [
-    (end_kind, 0, False) for end_kind in END_KINDS
-]
+DISCONNECT_CASES = [
+    (end_kind, trailing_bytes, True) for end_kind in END_KINDS for trailing_bytes in (0, 30_000, 300_000)
+] + [(end_kind, 0, False) for end_kind in END_KINDS]
 
 
-@pytest.mark.parametrize(("end_kind", "trailing_bytes", "is_end_reported"), END_ORDERS)
+@pytest.mark.parametrize(("end_kind", "trailing_bytes", "is_end_reported"), DISCONNECT_CASES)
 def test_unread_request_followed_by_a_disconnect_is_not_sent(
     end_kind: str, trailing_bytes: int, is_end_reported: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -89,7 +91,7 @@
         client.transport.write_eof()
         await until(lambda: rig.gateway.core.counts.client_gone == 1, 1.5)
         await until(lambda: rig.storage_nodes[0].peers[0].is_closed, 1.5)
-        assert len(rig.storage_nodes[0].received_requests) == 1 and is_idle(rig)
+        assert len(rig.storage_nodes[0].received_requests) == 1 and is_state_released(rig)
 
     run_on_rig(script)
 
@@ -105,7 +107,7 @@
         await until(lambda: pending_attempts)
         sock.close()
         pending_attempts[0].write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        await until(lambda: is_idle(rig))
+        await until(lambda: is_state_released(rig))
         await asyncio.sleep(0.05)
         assert len(pending_attempts) == 1
 
@@ -173,10 +175,10 @@
             sock.sendall(build_request())
             await until(lambda: pending_attempts)
             conn = pending_attempts.pop()
-            actions = {"answer": lambda c=conn: c.write(OK), "end": lambda r=sock: r.close()}
+            actions = {"answer": lambda conn=conn: conn.write(OK), "end": lambda sock=sock: sock.close()}
             for action in sorted(actions, key=lambda name, f=first: name != f):
                 actions[action]()
-            await until(lambda: is_idle(rig))
+            await until(lambda: is_state_released(rig))
         counts = rig.gateway.core.counts
         assert counts.succeeded + counts.client_gone == 10 == counts.received and counts.failed == 0
 
--- a/tests/test_dials.py
+++ b/tests/test_dials.py
@@ -29,6 +29,7 @@
 
 
 async def assert_nothing_is_sent(rig: Rig, gated_loop: GatedLoop) -> None:
+    """Releases the held connections and checks that no request is sent on them."""
     gated_loop.release_event.set()
     await asyncio.sleep(0.05)
     assert not any(s.received_requests for s in rig.storage_nodes)
@@ -105,7 +106,7 @@
         client, gated_loop = await start_connecting(rig, build_request())
         port = rig.storage_nodes[0].port
         rig.discovery.peers[0].send_list(listing(2, entry("s0", port, 0, "Gone"), full=False))
-        rig.discovery.peers[0].send_list(listing(3, entry("s0", port, 0, started=rig.gateway.clock()), full=False))
+        rig.discovery.peers[0].send_list(listing(3, entry("s0", port, 0, started_ms=rig.gateway.clock()), full=False))
         await until(lambda: rig.gateway.watch.newest_version == 3)
         gated_loop.release_event.set()
         await client.next_answer()
@@ -149,8 +150,6 @@
     "repeat_window_s": 0.4,
 }
 RETRY_WINDOW_SETTINGS = read_settings({**SETTINGS, "classes": [SETTINGS["classes"][0], IDEMPOTENT_WITH_KEY]})
-
-
 SERVER_ERROR_RESPONSE = b"HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,13 +25,13 @@
 
     async def start(self, is_gated: bool = False) -> WatchRig:
         loop = asyncio.get_running_loop()
-        self.peer, self.updates, self.log_events = ScriptedDiscovery(), [], []  # type: ignore[var-annotated]
-        await self.peer.start()
-        self.peer.node_list = listing(1, entry("s0", 5, 0))
+        self.discovery, self.updates, self.log_events = ScriptedDiscovery(), [], []  # type: ignore[var-annotated]
+        await self.discovery.start()
+        self.discovery.node_list = listing(1, entry("s0", 5, 0))
         self.loop: Any = GatedLoop(loop) if is_gated else loop
         self.watch = DiscoveryWatch(
             self.loop,
-            (LOOPBACK, self.peer.port),
+            (LOOPBACK, self.discovery.port),
             random.Random(1),
             self.updates.append,
             lambda what, **facts: self.log_events.append((what, facts)),
@@ -73,10 +73,10 @@
 def test_connection_that_ends_before_the_connect_call_returns_is_replaced() -> None:
     async def script(rig: WatchRig) -> None:
         await until(lambda: rig.updates)
-        rig.peer.peers[0].transport.abort()
+        rig.discovery.peers[0].transport.abort()
         await until(lambda: not rig.watch.connections)
         rig.loop.release_event.set()
-        await until(lambda: len(rig.peer.peers) == 2 and rig.watch.connections)
+        await until(lambda: len(rig.discovery.peers) == 2 and rig.watch.connections)
 
     run_on_watch_rig(script, is_gated=True)
 
@@ -88,13 +88,16 @@
 
     async def script(rig: WatchRig) -> None:
         await until(lambda: rig.updates)
-        (old_connection,), rig.peer.handle_request = rig.peer.peers, lambda conn, request: conn.write(RESPONSE_HEADER)
+        (old_connection,), rig.discovery.handle_request = (
+            rig.discovery.peers,
+            lambda conn, request: conn.write(RESPONSE_HEADER),
+        )
         await asyncio.sleep(0.25)
         rig.watch.check_silence()
-        await until(lambda: len(rig.peer.peers) == 2 and len(rig.watch.connections) == 2)
+        await until(lambda: len(rig.discovery.peers) == 2 and len(rig.watch.connections) == 2)
         old_connection.send_list(listing(2, entry("s0", 5, 0, "Terminating"), full=False))
         await until(lambda: rig.watch.newest_version == 2)
-        rig.peer.peers[1].send_list(listing(3, entry("s0", 5, 0, "Gone"), full=False))
+        rig.discovery.peers[1].send_list(listing(3, entry("s0", 5, 0, "Gone"), full=False))
         await until(lambda: rig.watch.newest_version == 3 and old_connection.is_closed)
         remaining_connections = rig.watch.connections
         assert len(remaining_connections) == 1
@@ -110,9 +113,9 @@
         text = json.dumps(listing(2, entry(unusual_name, 5, 0), entry("s2", 5, 1)), indent=indent).encode() + b"\n\n"
         text += json.dumps(listing(3, entry("s3", 5, 2), full=False), indent=indent).encode() + b"\n"
         for start in range(0, len(text), 5):
-            rig.peer.peers[0].write(chunk(text[start : start + 5]))
+            rig.discovery.peers[0].write(chunk(text[start : start + 5]))
         await until(lambda: rig.watch.newest_version == 3)
-        assert set(rig.state_by_node()) == {"s0", unusual_name, "s2", "s3"} and len(rig.peer.peers) == 1
+        assert set(rig.state_by_node()) == {"s0", unusual_name, "s2", "s3"} and len(rig.discovery.peers) == 1
 
     run_on_watch_rig(script)
 
@@ -135,11 +138,11 @@
         def send_damaged(conn: Any, request: HttpRequest) -> None:
             conn.write(RESPONSE_HEADER + chunk(DAMAGED))
 
-        valid_handler, rig.peer.handle_request = rig.peer.handle_request, send_damaged
-        rig.peer.peers[0].write(chunk(DAMAGED))
-        await until(lambda: len(rig.peer.peers) > 4)
+        valid_handler, rig.discovery.handle_request = rig.discovery.handle_request, send_damaged
+        rig.discovery.peers[0].write(chunk(DAMAGED))
+        await until(lambda: len(rig.discovery.peers) > 4)
         assert len(rig.updates) == 1 and len(rig.log_events) == 1
-        rig.peer.handle_request, rig.peer.node_list = (
+        rig.discovery.handle_request, rig.discovery.node_list = (
             valid_handler,
             listing(2, {"id": 4}, entry("s0", 5, 0, "Terminating")),
         )
@@ -154,19 +157,19 @@
 
     async def script(rig: WatchRig) -> None:
         await until(lambda: rig.updates)
-        rig.peer.peers[0].send_list(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
+        rig.discovery.peers[0].send_list(listing(7, entry("s0", 5, 0, "Terminating"), entry("s1", 5, 1), full=False))
         await until(lambda: rig.watch.newest_version == 7)
-        rig.peer.node_list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
-        rig.peer.peers[0].send_list(listing(4, entry("s0", 5, 0), full=False))
+        rig.discovery.node_list = listing(5, entry("s0", 5, 0), entry("s1", 5, 1), entry("s2", 5, 2))
+        rig.discovery.peers[0].send_list(listing(4, entry("s0", 5, 0), full=False))
         await until(lambda: rig.watch.newest_version == 5)
-        assert rig.peer.received_requests[-1][1].target == b"/registry/instances?stream=1"
+        assert rig.discovery.received_requests[-1][1].target == b"/registry/instances?stream=1"
         assert rig.state_by_node() == {"s0": "draining", "s1": "ready", "s2": "ready"}
         # A restart or a later update restores a node, and skipped versions are allowed.
-        rig.peer.peers[-1].send_list(listing(6, entry("s0", 5, 0, started=9.0), full=False))
+        rig.discovery.peers[-1].send_list(listing(6, entry("s0", 5, 0, started_ms=9.0), full=False))
         await until(lambda: rig.watch.newest_version == 6)
         assert rig.state_by_node()["s0"] == "ready"
-        rig.peer.peers[-1].send_list(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
-        rig.peer.peers[-1].send_list(listing(22, entry("s1", 5, 1), full=False))
+        rig.discovery.peers[-1].send_list(listing(20, entry("s1", 5, 1, "Terminating"), full=False))
+        rig.discovery.peers[-1].send_list(listing(22, entry("s1", 5, 1), full=False))
         await until(lambda: rig.watch.newest_version == 22)
         assert rig.state_by_node()["s1"] == "ready"
 
@@ -191,9 +194,9 @@
             await until(lambda: rig.watch.connections)
         else:
             await until(lambda: rig.updates)
-            rig.peer.handle_request = lambda conn, request: None
-            rig.peer.peers[0].transport.abort()
-            await until(lambda: len(rig.peer.peers) == 2)
+            rig.discovery.handle_request = lambda conn, request: None
+            rig.discovery.peers[0].transport.abort()
+            await until(lambda: len(rig.discovery.peers) == 2)
         other_discovery = ScriptedDiscovery()
         await other_discovery.start()
         other_discovery.node_list = listing(4, entry("s0", 5, 0, "Terminating"))
@@ -201,6 +204,6 @@
         if isinstance(rig.loop, GatedLoop):
             rig.loop.release_event.set()
         await until(lambda: rig.watch.newest_version == 4)
-        await until(lambda: len(rig.watch.connections) == 1 and all(c.is_closed for c in rig.peer.peers))
+        await until(lambda: len(rig.watch.connections) == 1 and all(c.is_closed for c in rig.discovery.peers))
 
     run_on_watch_rig(script, is_gated=moment == "while connecting")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -90,6 +90,8 @@
 
 
 def respond_and_reset(data: bytes):  # type: ignore[no-untyped-def]
+    """Returns a handler that answers with `data` and then resets the connection."""
+
     def handle_request(conn: NodePeer, request: HttpRequest) -> None:
         sock = conn.transport.get_extra_info("socket")
         conn.write(data)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -33,6 +33,8 @@
 
 
 class GatewayProcesses:
+    """Gateways that run as processes, with their configurations in one folder."""
+
     def __init__(self, folder: Path) -> None:
         self.folder, self.processes = folder, []  # type: ignore[var-annotated]
 
