--- a/tests/test_service_life.py
+++ b/tests/test_service_life.py
@@ -29,7 +29,7 @@
         assert (await rig.fetch(build_request())).status == 200  # New connections are still accepted.
         client.write(build_request())
         assert (await client.next_answer()).status == 200 and not client.is_closed
-        rig.storage_nodes[0].handle_request = lambda conn, r: None
+        rig.storage_nodes[0].handle_request = lambda conn, request: None
         client.write(build_request(X_Deadline_Ms="9000"))
         await client.next_answer()  # Before the kill, although the client would wait longer.
         await rig.gateway.stopped_future
@@ -71,9 +71,8 @@
     """A gateway that exited shortly before its kill lost its open requests: 11 in one day of a fleet."""
     effects = ScriptedEffects()
     shutdown = Shutdown(effects)
-    assert (
-        shutdown.begin(1000.0, 40.0, 24_000.0) == 960.0 + 3700.0 - 250.0
-    )  # The signal arrived 40 ms before it was handled.
+    # The signal arrived 40 ms before it was handled.
+    assert shutdown.begin(1000.0, 40.0, 24_000.0) == 960.0 + 3700.0 - 250.0
     assert shutdown.begin(1500.0, 0.0, 24_000.0) is None and effects.calls == [("answer by", 960.0 + 3700.0 - 120.0)]
     effects.unanswered_count, now_ms = 2, 4410.0
     for _ in range(40):  # Well past the kill, which may be late or never happen.
@@ -101,7 +100,7 @@
 
     async def script(rig: Rig) -> None:
         for node in rig.storage_nodes:
-            node.handle_request = lambda conn, r: None
+            node.handle_request = lambda conn, request: None
         request_classes = ["look"] * 6 + ["save"]
         clients = [await rig.client() for _ in request_classes]
         for client, request_class in zip(clients, request_classes, strict=True):
@@ -117,6 +116,7 @@
 
 
 def connect_socket(rig: Rig) -> socket.socket:
+    """Returns a blocking socket that is connected to the gateway."""
     sock = socket.create_connection((LOOPBACK, rig.port))
     sock.settimeout(2.0)
     return sock
@@ -134,6 +134,7 @@
 
 
 async def read_status(sock: socket.socket) -> bytes:
+    """Returns the status of the answer on the socket, or no bytes if the gateway has closed the connection."""
     return (await asyncio.to_thread(sock.recv, 4096))[9:12]
 
 
@@ -146,7 +147,7 @@
         for sock in (inactive_conn, idle_conn, partial_conn):
             sock.sendall(build_request())
             assert await read_status(sock) == b"200"
-        rig.storage_nodes[0].handle_request = lambda conn, r: None
+        rig.storage_nodes[0].handle_request = lambda conn, request: None
         rig.gateway.shutdown.begin()
         request = build_request(X_Deadline_Ms="9000")
         partial_conn.sendall(request[:40])
