--- a/benchmarks/plan_check.py
+++ b/benchmarks/plan_check.py
@@ -42,16 +42,16 @@
     captures = [parse_capture(bytes(data)) for data in village.captures.values()]
     rows, notes = merge(captures)
     whole = build_demand(rows, config)
-    begin, end = whole.busiest(WINDOW_S)
+    begin, end = whole.busiest_window(WINDOW_S)
     world = world_of(config, rows, begin, end)
     demand = build_demand(world.rows, config, min_requests=20, complete=False)
     lose = [x for x in ("rack a", "s1", "h1")]
-    planner = Planner(Evidence(demand, config, goal, 1.0, lose, 0.05, notes, speeds_from=whole))
+    planner = Planner(Evidence(demand, config, goal, 1.0, lose, 0.05, notes, speed_demand=whole))
     world.speeds = {slot: speed for slot, (speed, _) in planner.evidence.speeds.items()}
     true = {s.block.slot: s.machine.speed for n, s in village.servers.items() if n in config.shelf}
     speed_off = max(abs(world.speeds[s] / v - 1) for s, v in true.items())
     pool = Pool(world, jobs)
-    while batch := planner.ask():
+    while batch := planner.next_batch():
         planner.add_results(list(pool.play(batch, lambda line: None)))
     told = planner.answer()
     pool.close()
@@ -103,7 +103,7 @@
             "where": [told["first_limit"]["where"], where],
         },
         "multiple": {"said": round(at, 3), "was": round(real, 3), "off": round(at / real - 1, 3)},
-        "formulas_said": round(planner.evidence.first_guess, 3),
+        "formulas_said": round(planner.evidence.estimated_crossing, 3),
         "speeds_off": round(speed_off, 3),
     }
     row["service_now"][1] = round(mean(1.0, None, ""), 4)
--- a/pebblehinge/capacity_planner/answer.py
+++ b/pebblehinge/capacity_planner/answer.py
@@ -13,19 +13,19 @@
 from pebblehinge.capacity_planner.limits import GATEWAY_LIMITS, Limit, other_limits
 from pebblehinge.capacity_planner.sizing import Sizing, size_fleet
 
-NARROW_DOUBT = 0.02
+MIN_CROSSING_ERROR = 0.02
 """The relative error of the crossing where the capture has many requests."""
 
-FORMULA_RANGE = (0.7, 1.4)
+FORMULA_CROSSING_FACTORS = (0.7, 1.4)
 """Bounds of the crossing by the formulas alone, as factors."""
 
-LIMIT_RANGE = (0.85, 1.15)
+LIMIT_BOUND_FACTORS = (0.85, 1.15)
 """Bounds of a limit that trials don't show, as factors."""
 
-FORMULA_DOUBT = 0.05
+FORMULA_SERVICE_ERROR = 0.05
 """How far the service by the formulas alone may be off."""
 
-CAPTURED_LOAD = 1.0
+CAPTURED_LOAD_MULTIPLE = 1.0
 
 
 class ServiceRange(TypedDict):
@@ -92,22 +92,22 @@
     crossing = _crossing(evidence, notes)
     others = other_limits(evidence.demand, evidence.config, evidence.nodes, evidence.gateway_cost_ms)
     bottleneck = find_bottleneck(evidence, crossing.multiple)
-    first = Limit(bottleneck.name, bottleneck.where, crossing.multiple, bottleneck.reason)
+    first = Limit(bottleneck.name, bottleneck.location, crossing.multiple, bottleneck.reason)
     low, high = crossing.low, crossing.high
     nearest = next((limit for limit in others if limit.name in GATEWAY_LIMITS), None)
     if nearest is not None and nearest.at_multiple < crossing.multiple:
         first = nearest
-        low, high = nearest.at_multiple * LIMIT_RANGE[0], nearest.at_multiple * LIMIT_RANGE[1]
+        low, high = nearest.at_multiple * LIMIT_BOUND_FACTORS[0], nearest.at_multiple * LIMIT_BOUND_FACTORS[1]
     needed = size_fleet(evidence, notes)
     impacts = [failure_impact(evidence, failure) for failure in evidence.failures]
     return Answer(
         goal=evidence.goal,
         growth=evidence.growth,
-        accesses=len(evidence.demand.at),
+        accesses=len(evidence.demand.arrival_ms),
         service_now=service_now(evidence),
         first_limit=FirstLimit(
             name=first.name,
-            where=first.where,
+            where=first.location,
             at_multiple=round(first.at_multiple, 3),
             low=round(low, 3),
             high=round(high, 3),
@@ -117,7 +117,7 @@
         needed=needed,
         losses=[_loss(impact) for impact in impacts if impact is not None],
         next_step=next_step(evidence, first, needed),
-        curve=[[round(multiple, 3), round(service, 4)] for multiple, service in evidence.curve()],
+        curve=[[round(multiple, 3), round(service, 4)] for multiple, service in evidence.service_by_multiple()],
         trials=len(evidence.results),
         notes=notes,
     )
@@ -128,23 +128,23 @@
     services = [
         result.service
         for trial, result in evidence.results.items()
-        if trial.multiple == CAPTURED_LOAD and not trial.failure and trial.node_count is None
+        if trial.multiple == CAPTURED_LOAD_MULTIPLE and not trial.failure and trial.node_count is None
     ]
     if services:
         noise = evidence.noise()
         service, low, high = float(np.mean(services)), min(services) - noise, max(services) + noise
     else:
-        service = evidence.estimated_service(CAPTURED_LOAD)
-        low, high = service - FORMULA_DOUBT, service + FORMULA_DOUBT
+        service = evidence.estimated_service(CAPTURED_LOAD_MULTIPLE)
+        low, high = service - FORMULA_SERVICE_ERROR, service + FORMULA_SERVICE_ERROR
     return ServiceRange(service=round(service, 4), low=round(low, 4), high=round(min(1.0, high), 4))
 
 
 def next_step(evidence: Evidence, first: Limit, needed: Sizing) -> str:
     """What the operator had best do next."""
     if first.name == QUOTA:
-        return f"raise the limit of {first.where}'s plan, or accept it: more shelfs change nothing"
+        return f"raise the limit of {first.location}'s plan, or accept it: more shelfs change nothing"
     if first.name == HOT_NODE:
-        return f"spread what lies on {first.where} over more shelfs: the others have room"
+        return f"spread what lies on {first.location} over more shelfs: the others have room"
     if first.name in GATEWAY_LIMITS:
         return f"add heads: {needed['heads']} carry the peak"
     if needed["shelfs"] is None:
@@ -158,21 +158,21 @@
     found = evidence.crossing()
     if found is None:
         notes.append("no trial was played: the answer is the formulas' alone")
-        at = evidence.first_guess
-        low, high = at * FORMULA_RANGE[0], at * FORMULA_RANGE[1]
+        at = evidence.estimated_crossing
+        low, high = at * FORMULA_CROSSING_FACTORS[0], at * FORMULA_CROSSING_FACTORS[1]
     else:  # no surer than the trials on both sides of it lie apart
         at, low, high = found
-        bracket_low, bracket_high = evidence.bracket()
+        bracket_low, bracket_high = evidence.crossing_bracket()
         low, high = min(low, bracket_low), max(high, bracket_high)
-    doubt = NARROW_DOUBT
-    if len(evidence.demand.at) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
+    doubt = MIN_CROSSING_ERROR
+    if len(evidence.demand.arrival_ms) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
         doubt = float(np.mean([estimate.relative_error for estimate in evidence.speeds.values()]))
     return Crossing(at, min(low, at * (1 - doubt)), max(high, at * (1 + doubt)))
 
 
 def _other_limit(limit: Limit) -> OtherLimit:
     at_multiple = round(limit.at_multiple, 2)
-    return OtherLimit(name=limit.name, where=limit.where, at_multiple=at_multiple, reason=limit.reason)
+    return OtherLimit(name=limit.name, where=limit.location, at_multiple=at_multiple, reason=limit.reason)
 
 
 def _loss(impact: FailureImpact) -> Loss:
@@ -181,8 +181,8 @@
         service=round(impact.service, 4),
         low=round(impact.low, 4),
         high=round(impact.high, 4),
-        during=round(impact.during, 4),
-        after=round(impact.after, 4),
+        during=round(impact.service_during_failure, 4),
+        after=round(impact.service_after_return, 4),
         by_plan={name: round(service, 4) for name, service in impact.by_quota_plan.items()},
         reason=impact.reason,
     )
--- a/pebblehinge/capacity_planner/bottleneck.py
+++ b/pebblehinge/capacity_planner/bottleneck.py
@@ -8,21 +8,21 @@
 from pebblehinge.capacity_planner.evidence import Evidence
 from pebblehinge.capacity_planner.formulas import estimate_service
 
-CONCENTRATED = 0.5
+HOT_NODE_LOSS_FRACTION = 0.5
 """From this part of the loss on, one storage node is hot rather than all of them busy."""
 
-FAIR_SHARES = 2.0
+HOT_NODE_FAIR_SHARES = 2.0
 """A hot node's loss is more than this many fair shares as well."""
 
-HOT_PAIR = 0.7
+HOT_PAIR_LOSS_FRACTION = 0.7
 """From this part of the loss on, the two worst nodes are hot, as those of one hot volume are."""
 
-MIN_NODES = 2
-MIN_NODES_FOR_PAIR = 4
+MAX_NODES_WITHOUT_HOT_NODE = 2
+MAX_NODES_WITHOUT_HOT_PAIR = 4
 """With no more nodes a concentrated loss says nothing."""
 
-NEAR_CROSSING = 0.98
-TRIALS_NEAR_CROSSING = 3
+MIN_CROSSING_FACTOR = 0.98
+MAX_TRIALS_NEAR_CROSSING = 3
 
 QUOTA = "plan limit"
 HOT_NODE = "hot shelf"
@@ -35,12 +35,12 @@
 
     Attributes:
         name: QUOTA, HOT_NODE or NODE_TIME.
-        where: A volume, a storage node, or ALL_NODES.
+        location: A volume, a storage node, or ALL_NODES.
         reason: The figures behind it, for the operator.
     """
 
     name: str
-    where: str
+    location: str
     reason: str
 
 
@@ -50,10 +50,10 @@
         (
             result
             for trial, result in evidence.results.items()
-            if not trial.failure and trial.node_count is None and trial.multiple >= multiple * NEAR_CROSSING
+            if not trial.failure and trial.node_count is None and trial.multiple >= multiple * MIN_CROSSING_FACTOR
         ),
         key=lambda result: result.trial.multiple,
-    )[:TRIALS_NEAR_CROSSING]
+    )[:MAX_TRIALS_NEAR_CROSSING]
     nodes = len(evidence.nodes.slots)
     if not near:
         estimate = estimate_service(evidence.demand, evidence.config, evidence.nodes, multiple)
@@ -97,6 +97,8 @@
 
 def _is_hot(worst: float, worst_two: float, nodes: int) -> bool:
     """Whether the loss is concentrated; `worst` and `worst_two` are the parts of the worst node and the worst two."""
-    if nodes <= MIN_NODES:
+    if nodes <= MAX_NODES_WITHOUT_HOT_NODE:
         return False
-    return worst > max(CONCENTRATED, FAIR_SHARES / nodes) or (nodes > MIN_NODES_FOR_PAIR and worst_two > HOT_PAIR)
+    return worst > max(HOT_NODE_LOSS_FRACTION, HOT_NODE_FAIR_SHARES / nodes) or (
+        nodes > MAX_NODES_WITHOUT_HOT_PAIR and worst_two > HOT_PAIR_LOSS_FRACTION
+    )
--- a/pebblehinge/capacity_planner/demand.py
+++ b/pebblehinge/capacity_planner/demand.py
@@ -38,13 +38,13 @@
 REQUESTS_PER_NODE = 50
 """From so many requests per storage node on, most of them ought to appear in the capture."""
 
-TENTHS = 10
+TENTHS_PER_SECOND = 10
 """Tenths of a second in a second."""
 
-SPIKE_FACTOR = 3
+TENTH_SPIKE_FACTOR = 3
 """A tenth of a second is a spike if its rate exceeds that of the busiest second by this factor."""
 
-NEVER_MS = -1e12
+NO_PREVIOUS_REQUEST_MS = -1e12
 
 
 @dataclass(slots=True)
@@ -52,32 +52,32 @@
     """The load; its arrays hold one row per request, in order of time.
 
     Attributes:
-        at: When the request came, in ms from 0.
+        arrival_ms: When the request came, in ms from 0.
         volume: Index of `volumes`.
         quota_plan: Index of `quota_plans`.
         request_class: Index of `request_classes`.
         slot: The placement slot, as the settings number it.
         units: The cost in units of work.
-        write: Whether it was a write.
-        cached: Whether its storage node surely had the extent cached.
+        is_write: Whether it was a write.
+        is_cached: Whether its storage node surely had the extent cached.
         attempt_ms: The duration of the attempt; 0 where no attempt succeeded.
-        first_attempt: Whether it succeeded at its first attempt.
+        first_attempt_succeeded: Whether it succeeded at its first attempt.
         volumes: Names.
         quota_plans: Names.
         request_classes: Names.
         slots: All slots that occur.
     """
 
-    at: Floats
+    arrival_ms: Floats
     volume: Integers
     quota_plan: Integers
     request_class: Integers
     slot: Integers
     units: Floats
-    write: Booleans
-    cached: Booleans
+    is_write: Booleans
+    is_cached: Booleans
     attempt_ms: Floats
-    first_attempt: Booleans
+    first_attempt_succeeded: Booleans
     volumes: list[str]
     quota_plans: list[str]
     request_classes: list[str]
@@ -86,12 +86,12 @@
     @property
     def seconds(self) -> int:
         """The number of seconds that the load lasts, also those begun."""
-        return int(self.at[-1] / 1000.0) + 1
+        return int(self.arrival_ms[-1] / 1000.0) + 1
 
     @property
     def second(self) -> Integers:
         """The second in which each request came, from 0."""
-        return (self.at / 1000.0).astype(int)
+        return (self.arrival_ms / 1000.0).astype(int)
 
     def units_by_second(self) -> Floats:
         """The units asked for in each second."""
@@ -102,11 +102,11 @@
         """The number of requests in the second with most of them."""
         return float(np.bincount(self.second).max())
 
-    def busiest(self, window_s: int) -> tuple[float, float]:
+    def busiest_window(self, window_s: int) -> tuple[float, float]:
         """Begin and end (ms) of the window of so many seconds with most units: the design case, never the mean."""
         by_second = self.units_by_second()
         if len(by_second) <= WHOLE_LOAD_FACTOR * window_s:
-            return 0.0, float(self.at[-1]) + 1.0
+            return 0.0, float(self.arrival_ms[-1]) + 1.0
         sums = np.convolve(by_second, np.ones(window_s), "valid")
         begin = int(np.argmax(sums))
         return begin * 1000.0, (begin + window_s) * 1000.0
@@ -138,16 +138,16 @@
     _check_known("profile", request_classes, config.profile)
     _check_slots(slots, config, len(rows), complete)
     return Demand(
-        at=np.array([at_ms for at_ms, _, _ in rows]),
+        arrival_ms=np.array([at_ms for at_ms, _, _ in rows]),
         volume=_indices(volumes, (request.volume for request in requests)),
         quota_plan=_indices(quota_plans, (request.quota_plan for request in requests)),
         request_class=_indices(request_classes, (request.request_class for request in requests)),
         slot=np.array([request.slot for request in requests]),
         units=np.array([request.units for request in requests]),
-        write=np.array([request.write for request in requests]),
-        cached=_cached_extents(rows),
+        is_write=np.array([request.write for request in requests]),
+        is_cached=_cached_extents(rows),
         attempt_ms=np.array([r.last_attempt_ms if r.outcome == SUCCEEDED_OUTCOME else 0.0 for r in requests]),
-        first_attempt=np.array([r.outcome == SUCCEEDED_OUTCOME and r.attempts == 1 for r in requests]),
+        first_attempt_succeeded=np.array([r.outcome == SUCCEEDED_OUTCOME and r.attempts == 1 for r in requests]),
         volumes=volumes,
         quota_plans=quota_plans,
         request_classes=request_classes,
@@ -163,12 +163,12 @@
         f"planned for the busiest {(end_ms - begin_ms) / 1000:.0f} s, from {begin_ms / 1000:.0f} s on: the busiest "
         f"second asks {top:.0f} units, {top / max(1e-9, mean):.1f} times the mean"
     ]
-    by_tenth = np.bincount((demand.at / 100.0).astype(int), demand.units)
-    if by_tenth.size and by_tenth.max() * TENTHS > SPIKE_FACTOR * top:
-        rate = by_tenth.max() * TENTHS
+    by_tenth = np.bincount((demand.arrival_ms / 100.0).astype(int), demand.units)
+    if by_tenth.size and by_tenth.max() * TENTHS_PER_SECOND > TENTH_SPIKE_FACTOR * top:
+        rate = by_tenth.max() * TENTHS_PER_SECOND
         notes.append(f"a spike shorter than a second: {rate:.0f} units a second for a tenth of one")
-    if len(demand.at) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
-        notes.append(f"{len(demand.at)} accesses are few: bounds are wide")
+    if len(demand.arrival_ms) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
+        notes.append(f"{len(demand.arrival_ms)} accesses are few: bounds are wide")
     return notes
 
 
@@ -199,6 +199,6 @@
     cached = np.zeros(len(rows), bool)
     for number, (at_ms, _, request) in enumerate(rows):
         key = f"{request.volume}/{request.extent}"
-        cached[number] = at_ms - last_ms.get(key, NEVER_MS) < CACHED_EXTENT_MS
+        cached[number] = at_ms - last_ms.get(key, NO_PREVIOUS_REQUEST_MS) < CACHED_EXTENT_MS
         last_ms[key] = at_ms
     return cached
--- a/pebblehinge/capacity_planner/evidence.py
+++ b/pebblehinge/capacity_planner/evidence.py
@@ -25,7 +25,7 @@
 MAX_GROWTH = 100.0
 BISECTIONS = 12
 MIN_NOISE = 0.005
-NOISE_WITHOUT_REPETITION = 0.01
+DEFAULT_NOISE = 0.01
 """How far trials that differ by their seed alone are taken to lie apart, where none was repeated."""
 
 
@@ -48,7 +48,7 @@
         failures: What may fail, as `Trial.failure` names it; None for `default_failures`.
         gateway_cost_ms: The CPU time of a request at a gateway, in milliseconds.
         notes: Notes for the operator.
-        speeds_from: The load that the speeds are fitted to; None for `demand`.
+        speed_demand: The load that the speeds are fitted to; None for `demand`.
 
     Raises:
         ObjectiveError: The goal or the growth is out of range.
@@ -56,8 +56,8 @@
     Attributes:
         nodes: The storage nodes with their fitted speeds.
         results: The results of the trials so far.
-        first_guess: The multiple at which the service falls below the goal by the formulas.
-        guessed_nodes: How many storage nodes meet the goal at the growth by the formulas.
+        estimated_crossing: The multiple at which the service falls below the goal by the formulas.
+        estimated_node_count: How many storage nodes meet the goal at the growth by the formulas.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         failures: list[str] | None = None,
         gateway_cost_ms: float = 0.1,
         notes: Iterable[str] = (),
-        speeds_from: Demand | None = None,
+        speed_demand: Demand | None = None,
     ) -> None:
         if not 0.0 < goal < 1.0:
             raise ObjectiveError(f"a goal of {goal:g}: expected a service between 0 and 1")
@@ -81,23 +81,23 @@
         self.growth = growth
         self.gateway_cost_ms = gateway_cost_ms
         self.notes = list(notes)
-        self.speeds = fit_speeds(speeds_from or demand, config)
+        self.speeds = fit_speeds(speed_demand or demand, config)
         self.nodes = node_capacities(config, self.speeds)
         self.failures = default_failures(config) if failures is None else failures
         self.results: dict[Trial, TrialResult] = {}
-        self.first_guess = self._guess_multiple()
-        self.guessed_nodes = self._guess_nodes()
+        self.estimated_crossing = self._estimate_crossing()
+        self.estimated_node_count = self._estimate_node_count()
 
     def estimated_service(self, multiple: float) -> float:
         """The service at a multiple of the captured load, by the formulas."""
         return estimate_service(self.demand, self.config, self.nodes, multiple).service
 
-    def add(self, results: Iterable[TrialResult]) -> None:
+    def add_results(self, results: Iterable[TrialResult]) -> None:
         """Takes the results of trials."""
         for result in results:
             self.results[result.trial] = result
 
-    def curve(self, node_count: int | None = None) -> list[tuple[float, float]]:
+    def service_by_multiple(self, node_count: int | None = None) -> list[tuple[float, float]]:
         """Multiple and mean service over seeds, in order of multiples, without failures and on so many nodes."""
         services: dict[float, list[float]] = defaultdict(list)
         for trial, result in self.results.items():
@@ -105,13 +105,13 @@
                 services[trial.multiple].append(result.service)
         return [(multiple, float(np.mean(values))) for multiple, values in sorted(services.items())]
 
-    def bracket(self) -> tuple[float, float]:
+    def crossing_bracket(self) -> tuple[float, float]:
         """Multiples between which the service falls below the goal, as far as is known."""
-        curve = self.curve()
+        curve = self.service_by_multiple()
         good = [multiple for multiple, service in curve if service >= self.goal]
         bad = [multiple for multiple, service in curve if service < self.goal]
         if not curve:
-            return self.first_guess * 0.75, self.first_guess * 1.33
+            return self.estimated_crossing * 0.75, self.estimated_crossing * 1.33
         if not good:
             return max(MIN_MULTIPLE, min(bad) * 0.3), min(bad)
         if not bad:
@@ -122,7 +122,7 @@
 
     def crossing(self) -> Crossing | None:
         """Where the service falls below the goal, or None if no trial was played."""
-        curve = self.curve()
+        curve = self.service_by_multiple()
         if not curve:
             return None
         # Service falls with load but for chance: the curve is made to fall before it is read.
@@ -141,7 +141,7 @@
         for trial, result in self.results.items():
             services[trial.multiple, trial.node_count, trial.failure].append(result.service)
         ranges = [np.ptp(values) for values in services.values() if len(values) > 1]
-        return max(MIN_NOISE, float(np.mean(ranges)) if ranges else NOISE_WITHOUT_REPETITION)
+        return max(MIN_NOISE, float(np.mean(ranges)) if ranges else DEFAULT_NOISE)
 
     def node_count_bracket(self) -> tuple[int, int]:
         """Numbers of storage nodes between which the service at the growth reaches the goal, as far as is known."""
@@ -149,7 +149,7 @@
         good = [count for count, service in tried if service >= self.goal]
         bad = [count for count, service in tried if service < self.goal]
         if not good:
-            top = max(bad, default=self.guessed_nodes)
+            top = max(bad, default=self.estimated_node_count)
             return top + 1, math.ceil(top * 1.6) + 1
         low = max((count for count in bad if count < min(good)), default=max(1, min(good) // 2))
         return low, min(good)
@@ -162,7 +162,7 @@
                 services[trial.node_count].append(result.service)
         return [(count, float(np.mean(values))) for count, values in sorted(services.items())]
 
-    def _guess_multiple(self) -> float:
+    def _estimate_crossing(self) -> float:
         low, high = MIN_MULTIPLE, MAX_MULTIPLE
         if self.estimated_service(high) >= self.goal:
             return MAX_MULTIPLE
@@ -174,9 +174,9 @@
                 high = middle
         return math.sqrt(low * high)
 
-    def _guess_nodes(self) -> int:
+    def _estimate_node_count(self) -> int:
         """As many storage nodes as hold the growth if the present ones hold the first guess."""
-        return max(1, math.ceil(len(self.nodes.slots) * self.growth / max(0.05, self.first_guess)))
+        return max(1, math.ceil(len(self.nodes.slots) * self.growth / max(0.05, self.estimated_crossing)))
 
 
 def non_increasing_fit(values: Floats) -> Floats:
--- a/pebblehinge/capacity_planner/failures.py
+++ b/pebblehinge/capacity_planner/failures.py
@@ -18,8 +18,8 @@
         service: The mean service over the whole run.
         low: Its lower bound.
         high: Its upper bound.
-        during: The service while the failure lasts.
-        after: The service while what had failed is warming up.
+        service_during_failure: The service while the failure lasts.
+        service_after_return: The service while what had failed is warming up.
         by_quota_plan: The service over the whole run by the name of a quota plan.
         reason: The figures behind it, for the operator.
     """
@@ -28,8 +28,8 @@
     service: float
     low: float
     high: float
-    during: float
-    after: float
+    service_during_failure: float
+    service_after_return: float
     by_quota_plan: dict[str, float]
     reason: str
 
--- a/pebblehinge/capacity_planner/fleet.py
+++ b/pebblehinge/capacity_planner/fleet.py
@@ -25,7 +25,7 @@
         speed: Speed of a core, in multiples of the standard core.
         unit_work: Milliseconds of a standard core per unit of work.
         cache_saving: The part of the work that a cached extent saves.
-        queue: How many requests may be queued.
+        queue_limit: How many requests may be queued.
         names: Names of the storage nodes.
     """
 
@@ -34,7 +34,7 @@
     speed: Floats
     unit_work: Floats
     cache_saving: Floats
-    queue: Floats
+    queue_limit: Floats
     names: list[str]
 
 
@@ -53,7 +53,7 @@
         ),
         unit_work=np.array([kind.unit_work for kind in kinds]),
         cache_saving=np.array([kind.seek if kind.remembers else 0.0 for kind in kinds]),
-        queue=np.array([kind.queue * kind.cores for kind in kinds], float),
+        queue_limit=np.array([kind.queue * kind.cores for kind in kinds], float),
         names=[name for name, _ in nodes],
     )
 
--- a/pebblehinge/capacity_planner/formulas.py
+++ b/pebblehinge/capacity_planner/formulas.py
@@ -20,10 +20,10 @@
 from pebblehinge.capacity_planner.quota import admitted_fractions
 from pebblehinge.settings import Config
 
-SATURATED_IN_TIME = 0.90
+SATURATED_IN_TIME_FRACTION = 0.90
 """The part of a saturated node's work that ends in time; gateways with a partial view admit too much for the rest."""
 
-NEAR_SATURATION = 0.95
+NEAR_SATURATION_UTILIZATION = 0.95
 SERVICE_TIME_FACTOR = 1.6
 """The slack of a request is its objective less its mean service time by this factor."""
 
@@ -84,13 +84,13 @@
     if slack_ms <= 0:
         return max(0.0, 1.0 - math.exp(-objective_ms / max(mean_ms, MIN_MEAN_MS)))
     if utilization >= 1.0:
-        return SATURATED_IN_TIME / utilization
+        return SATURATED_IN_TIME_FRACTION / utilization
     waits = erlang_c(cores, utilization * cores)
     tail = math.exp(
         -cores * (1.0 - utilization) * slack_ms / max(mean_ms, MIN_MEAN_MS) / max(MIN_VARIABILITY, variability)
     )
     # Near saturation the tail says less than the gateways' own rejections: never below what a saturated node does.
-    floor = SATURATED_IN_TIME / max(utilization, 1.0) if utilization > NEAR_SATURATION else 0.0
+    floor = SATURATED_IN_TIME_FRACTION / max(utilization, 1.0) if utilization > NEAR_SATURATION_UTILIZATION else 0.0
     return max(1.0 - waits * tail, floor)
 
 
@@ -114,13 +114,13 @@
     node = np.array([index[slot] for slot in demand.slot])
     second = np.minimum(demand.second, demand.seconds - 1)
     admitted = admitted_fractions(demand, config, multiple)
-    work = demand.units * nodes.unit_work[node] * np.where(demand.cached, 1.0 - nodes.cache_saving[node], 1.0)
+    work = demand.units * nodes.unit_work[node] * np.where(demand.is_cached, 1.0 - nodes.cache_saving[node], 1.0)
     utilization = _utilization(nodes, demand.seconds, node, second, work * admitted, multiple)
     in_time = _fractions_in_time(demand, config, nodes, node, work, utilization)
     failed = np.array([slot in failed_slots for slot in nodes.slots])
     in_time[:, failed, :] = 0.0
     served = in_time[demand.request_class, node, second]
-    return _sum_up(demand, config, nodes, node, admitted, served, utilization)
+    return _build_estimate(demand, config, nodes, node, admitted, served, utilization)
 
 
 def _utilization(
@@ -170,7 +170,7 @@
     return fractions
 
 
-def _sum_up(
+def _build_estimate(
     demand: Demand,
     config: Config,
     nodes: NodeCapacities,
--- a/pebblehinge/capacity_planner/limits.py
+++ b/pebblehinge/capacity_planner/limits.py
@@ -14,13 +14,13 @@
 GATEWAY_UTILIZATION = 0.6
 """The part of a core that a gateway may use and still answer in time."""
 
-RESERVABLE = 0.9
+RESERVABLE_FRACTION = 0.9
 """The part of the storage nodes' power that quota plans may reserve."""
 
-OPEN_SECONDS = 0.2
+REQUEST_OPEN_S = 0.2
 """For how long a request is taken to be open at a gateway."""
 
-IN_FLIGHT_PER_GATEWAY = 4
+MAX_IN_FLIGHT_PER_GATEWAY = 4
 """How many requests a gateway has in flight at one storage node at most."""
 
 GATEWAY_CPU = "head CPU"
@@ -37,13 +37,13 @@
 
     Attributes:
         name: What is limited.
-        where: The part of the fleet that it holds for.
+        location: The part of the fleet that it holds for.
         at_multiple: The multiple of the captured load at which it is reached.
         reason: The figures behind it, for the operator.
     """
 
     name: str
-    where: str
+    location: str
     at_multiple: float
     reason: str
 
@@ -61,8 +61,9 @@
         Limit(
             "slot bound",
             "all heads",
-            float((IN_FLIGHT_PER_GATEWAY * float(gateways) / nodes.cores).min()) / max(1e-9, float(utilization.max())),
-            f"{gateways} heads keep at most {IN_FLIGHT_PER_GATEWAY * gateways} accesses out at a shelf",
+            float((MAX_IN_FLIGHT_PER_GATEWAY * float(gateways) / nodes.cores).min())
+            / max(1e-9, float(utilization.max())),
+            f"{gateways} heads keep at most {MAX_IN_FLIGHT_PER_GATEWAY * gateways} accesses out at a shelf",
         ),
     ]
     return sorted(limits, key=lambda limit: limit.at_multiple)
@@ -84,14 +85,14 @@
     reserved = sum(config.plan[volume.plan].reserve for volume in config.volume.values())
     if not reserved:
         return []
-    reason = f"reserves of {reserved:.0f} units a second against {RESERVABLE:g} of {power:.0f}"
-    return [Limit("reserves", "all plans", RESERVABLE * power / reserved, reason)]
+    reason = f"reserves of {reserved:.0f} units a second against {RESERVABLE_FRACTION:g} of {power:.0f}"
+    return [Limit("reserves", "all plans", RESERVABLE_FRACTION * power / reserved, reason)]
 
 
 def _open_request_limits(config: Config, peak: float, gateways: int) -> list[Limit]:
     """The bounds on requests that are open at once on a connection and at a gateway."""
     streams, requests = config.limits.streams, config.limits.accesses
-    are_open = peak * OPEN_SECONDS / gateways
+    are_open = peak * REQUEST_OPEN_S / gateways
     return [
         Limit(
             STREAMS,
@@ -112,6 +113,6 @@
     return Limit(
         "queue",
         nodes.names[busiest],
-        float(nodes.queue[busiest] / max(1e-9, utilization[busiest] * nodes.cores[busiest])),
-        f"its queue of {nodes.queue[busiest]:.0f} against what its busiest second brings",
+        float(nodes.queue_limit[busiest] / max(1e-9, utilization[busiest] * nodes.cores[busiest])),
+        f"its queue of {nodes.queue_limit[busiest]:.0f} against what its busiest second brings",
     )
--- a/pebblehinge/capacity_planner/quota.py
+++ b/pebblehinge/capacity_planner/quota.py
@@ -15,7 +15,7 @@
     A volume's token bucket is dealt out evenly among its gateways while the requests are not: what the busiest gateway
     may send is less than the whole limit, which this leaves out.
     """
-    admitted = np.ones(len(demand.at))
+    admitted = np.ones(len(demand.arrival_ms))
     seconds = demand.seconds
     for number, name in enumerate(demand.volumes):
         plan = config.plan[config.volume[name].plan]
--- a/pebblehinge/capacity_planner/report.py
+++ b/pebblehinge/capacity_planner/report.py
@@ -4,7 +4,7 @@
 
 from pebblehinge.capacity_planner.answer import Answer
 
-OTHER_LIMITS = 4
+MAX_OTHER_LIMITS = 4
 """So many limits are listed after the first."""
 
 
@@ -34,6 +34,6 @@
     out.append(f"next: {answer['next_step']}")
     out += [
         f"  then {limit['name']} ({limit['where']}) at {limit['at_multiple']:.1f} times: {limit['reason']}"
-        for limit in answer["other_limits"][:OTHER_LIMITS]
+        for limit in answer["other_limits"][:MAX_OTHER_LIMITS]
     ]
     return out + [f"note: {note}" for note in answer["notes"]]
--- a/pebblehinge/capacity_planner/sizing.py
+++ b/pebblehinge/capacity_planner/sizing.py
@@ -10,10 +10,10 @@
 from pebblehinge.capacity_planner.evidence import Evidence, non_increasing_fit
 from pebblehinge.capacity_planner.limits import GATEWAY_UTILIZATION
 
-QUOTAS_TO_BLAME = 0.5
+QUOTA_LOSS_FRACTION = 0.5
 """Quotas alone miss the goal if they take more than this part of what may be lost."""
 
-NODE_TO_BLAME = 0.4
+NODE_LOSS_FRACTION = 0.4
 """A single storage node misses the goal if it takes more than this part of what may be lost."""
 
 
@@ -41,7 +41,7 @@
     kind = best_kind(evidence)
     if not tried:
         return Sizing(
-            shelfs=evidence.guessed_nodes,
+            shelfs=evidence.estimated_node_count,
             heads=gateways,
             service=None,
             low=None,
@@ -61,7 +61,7 @@
         )
     else:
         high = service + noise
-        reason = why_never_enough(evidence)
+        reason = reason_for_missed_goal(evidence)
         notes.append(f"no number of shelfs that was tried meets the goal: {count} shelfs reach {service:.3f}; {reason}")
     return Sizing(
         shelfs=count if enough else None,
@@ -83,15 +83,15 @@
     )
 
 
-def why_never_enough(evidence: Evidence) -> str:
+def reason_for_missed_goal(evidence: Evidence) -> str:
     """Why more storage nodes don't meet the goal, from the trials with most of them."""
     most = max((trial.node_count for trial in evidence.results if trial.node_count), default=0)
     results = [result for trial, result in evidence.results.items() if trial.node_count == most]
     to_quotas = sum(sum(result.lost_by_quota.values()) for result in results) / max(1, len(results))
     at_worst_node = max((max(result.lost_by_node.values(), default=0.0) for result in results), default=0.0)
     allowed = 1.0 - evidence.goal
-    if to_quotas > QUOTAS_TO_BLAME * allowed:
+    if to_quotas > QUOTA_LOSS_FRACTION * allowed:
         return f"plans' limits alone take {to_quotas:.3f}, which shelfs can't mend"
-    if at_worst_node > NODE_TO_BLAME * allowed:
+    if at_worst_node > NODE_LOSS_FRACTION * allowed:
         return "single shelfs stay hot however many there are: a volume's or an extent's own demand is the limit"
     return "runs on one extent and bursts within a second are more than one shelf's expected time allows"
--- a/pebblehinge/capacity_planner/speeds.py
+++ b/pebblehinge/capacity_planner/speeds.py
@@ -23,10 +23,10 @@
 MIN_PLAUSIBLE_ATTEMPTS = 4
 """Slots with fewer attempts, or fewer of a plausible pace, get the speed that their kind states."""
 
-IMPLAUSIBLE_FACTOR = 1.25
+MAX_PLAUSIBLE_PACE_FACTOR = 1.25
 """An attempt quicker than the kind's best speed allows by this factor was served from a cache."""
 
-QUANTILE = 0.95
+PACE_QUANTILE = 0.95
 QUANTILE_CORRECTION = 2.2
 ATTEMPTS_OF_EQUAL_WEIGHT = 20.0
 """With so many attempts, what was seen and what is stated weigh the same."""
@@ -36,8 +36,8 @@
 SAMPLING_ERROR = 0.1
 """The relative error of a fit from one attempt; it falls with the root of their number."""
 
-LOWER_BOUND = 0.97
-UPPER_BOUND = 1.03
+MIN_SPEED_FACTOR = 0.97
+MAX_SPEED_FACTOR = 1.03
 """How far beyond the kind's stated range a fit may lie, as factors of its bounds."""
 
 
@@ -50,7 +50,7 @@
 
 def fit_speeds(demand: Demand, config: Config) -> dict[int, SpeedEstimate]:
     """The speed of every slot's cores, from successful reads that met an idle storage node."""
-    usable = demand.first_attempt & ~demand.cached & ~demand.write & (demand.attempt_ms > 0)
+    usable = demand.first_attempt_succeeded & ~demand.is_cached & ~demand.is_write & (demand.attempt_ms > 0)
     return {
         node.slot: _fit_speed(demand, (demand.slot == node.slot) & usable, config.kind[node.kind])
         for node in config.shelf.values()
@@ -67,11 +67,11 @@
     pace = _plausible_paces(demand, attempts, kind)
     if len(pace) < MIN_PLAUSIBLE_ATTEMPTS:
         return SpeedEstimate(stated, max(stated_error, MIN_STATED_ERROR))
-    noise_factor = 1.0 - kind.noise + 2 * kind.noise * (1.0 - QUANTILE) * QUANTILE_CORRECTION
-    seen = float(np.quantile(pace, QUANTILE)) * noise_factor
+    noise_factor = 1.0 - kind.noise + 2 * kind.noise * (1.0 - PACE_QUANTILE) * QUANTILE_CORRECTION
+    seen = float(np.quantile(pace, PACE_QUANTILE)) * noise_factor
     weight = count / (count + ATTEMPTS_OF_EQUAL_WEIGHT)
     # A capture taken during a fault shows a node slower than it is: what its kind states bounds the fit.
-    speed = min(max(weight * seen + (1 - weight) * stated, LOWER_BOUND * low), UPPER_BOUND * high)
+    speed = min(max(weight * seen + (1 - weight) * stated, MIN_SPEED_FACTOR * low), MAX_SPEED_FACTOR * high)
     error = max(MIN_FITTED_ERROR, stated_error * (1 - weight) + SAMPLING_ERROR / np.sqrt(count))
     return SpeedEstimate(speed, error)
 
@@ -80,4 +80,4 @@
     """Work per millisecond of the larger half of the attempts, in which the network counts for less."""
     large = attempts & (demand.units >= np.median(demand.units[attempts]))
     pace = demand.units[large] * kind.unit_work / np.maximum(0.1, demand.attempt_ms[large] - NETWORK_MS)
-    return pace[pace < IMPLAUSIBLE_FACTOR * kind.speed[1] / (1.0 - kind.noise)]
+    return pace[pace < MAX_PLAUSIBLE_PACE_FACTOR * kind.speed[1] / (1.0 - kind.noise)]
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -85,7 +85,7 @@
     progress = say_progress(quiet)
     planner, world = prepare_plan(captures, config, goal, growth, zones, head_cost / 1000.0, formulas)
     evidence = planner.evidence
-    progress(f"first answer: the goal is met up to {evidence.first_guess:.2f} times the captured load")
+    progress(f"first answer: the goal is met up to {evidence.estimated_crossing:.2f} times the captured load")
     if not formulas and not run_plan(planner, world, jobs_of(jobs), progress):
         evidence.notes.append("interrupted: the answer rests on the trials played so far")
     answer = planner.answer()
@@ -124,7 +124,7 @@
     try:
         rows, notes = merge([read_capture(path) for path in captures])
         whole = build_demand(rows, config)
-        begin, end = whole.busiest(WINDOW_S)
+        begin, end = whole.busiest_window(WINDOW_S)
         world = world_of(config, rows, begin, end)
         demand = build_demand(world.rows, config, min_requests=20, complete=False)
         check_zones(zones, config)
@@ -135,7 +135,7 @@
                 f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MOST_ROWS} would run too "
                 "long here; --formulas gives the first answer"
             )
-        evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speeds_from=whole)
+        evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speed_demand=whole)
         planner = Planner(evidence)
     except (CaptureError, PlanError) as error:
         give_up(str(error))
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -212,7 +212,7 @@
     """Feeds the planner until it asks for nothing more; False where it was interrupted."""
     pool = Pool(world, jobs)
     try:
-        while batch := planner.ask():
+        while batch := planner.next_batch():
             for result in pool.play(batch, said):
                 planner.add_results([result])
         return True
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -41,8 +41,8 @@
     ]
     rows.sort(key=lambda r: r[0])
     demand = build_demand(rows, CONFIG)
-    begin, end = demand.busiest(10)
-    assert begin <= 30_000.0 < end and len(demand.at) == 1400
+    begin, end = demand.busiest_window(10)
+    assert begin <= 30_000.0 < end and len(demand.arrival_ms) == 1400
     notes = describe_window(demand, begin, end)
     assert "the mean" in notes[0] and any("spike" in n or "few" in n for n in notes)
 
@@ -86,7 +86,7 @@
 def imagine(planner: Planner, serve: Any, most: int = 10_000) -> dict[str, Any]:
     """Answers the planner's trials from a made-up world."""
     played = 0
-    while (batch := planner.ask()) and played < most:
+    while (batch := planner.next_batch()) and played < most:
         planner.add_results([serve(t) for t in batch])
         played += len(batch)
     return planner.answer()
