--- a/benchmarks/decisions_fleet.py
+++ b/benchmarks/decisions_fleet.py
@@ -1,8 +1,9 @@
-"""Many heads of the real decision module in virtual time: a heap of events, shelfs that answer as a scene says.
+"""Discrete-event simulation of many gateways that run the real decision module in virtual time.
 
-Each head is `pebblehinge.decide.Head` and knows what its own calls told it; nothing is shared between heads but the
-shelfs. Times are virtual milliseconds. A scene derives from `Fleet` and says what an attempt comes to (`answers`), and
-may look at each attempt that leaves (`left`) and each request that is over (`over`).
+Each gateway is a `pebblehinge.decide.Scheduler` and knows only what its own calls tell it; gateways share nothing but
+the storage nodes. Times are virtual milliseconds. A scene derives from `Fleet`, defines the result of an attempt
+(`attempt_result`), and may observe each attempt that is sent (`on_attempt_sent`) and each request that ends
+(`on_request_end`).
 """
 
 from __future__ import annotations
@@ -31,17 +32,17 @@
     Settings,
 )
 
-EXPECTED_MS, PATIENCE_MS = 400.0, 2_500.0  # doc-read of examples/head.conf
-HEADS, SHELFS, REQUESTS_S = 910, 1_500, 790_000.0  # the coming size
-PAIR_S = REQUESTS_S / (HEADS * SHELFS)  # requests a second a pair of head and shelf: 0.58
+LATENCY_OBJECTIVE_MS, MAX_WAIT_MS = 400.0, 2_500.0  # the class `doc-read` of examples/head.conf
+GATEWAY_COUNT, NODE_COUNT, REQUESTS_PER_S = 910, 1_500, 790_000.0  # the planned size
+REQUESTS_PER_S_PER_PAIR = REQUESTS_PER_S / (GATEWAY_COUNT * NODE_COUNT)  # 0.58 for each gateway and node
 
-READ = RequestClass(
-    "read", 2.0, EXPECTED_MS, PATIENCE_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False
+READ_CLASS = RequestClass(
+    "read", 2.0, LATENCY_OBJECTIVE_MS, MAX_WAIT_MS, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, False
 )
-FREE = QuotaPlan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
+UNLIMITED_PLAN = QuotaPlan("free", 1e6, 0.0, 0.0, 0.0, 0.0, 1.0, 1.0)
 SETTINGS = Settings(
-    request_classes=(READ,),
-    quota_plans=(FREE,),
+    request_classes=(READ_CLASS,),
+    quota_plans=(UNLIMITED_PLAN,),
     mean_units=1.0,
     max_units=1.0,
     share_value=0.35,
@@ -62,117 +63,149 @@
 )
 
 
-def weights_of(shape: str, heads: int) -> list[float]:
-    """How demand lies over the heads: running sums. `zipf` is 1/rank; `ten` is all through ten heads, evenly."""
-    rows = {"zipf": lambda h: 1.0 / (h + 1), "ten": lambda h: float(h < 10)}
-    weigh: Callable[[int], float] = rows.get(shape, lambda h: 1.0)
-    return list(itertools.accumulate(weigh(h) for h in range(heads)))
+def cumulative_weights(shape: str, gateway_count: int) -> list[float]:
+    """Returns running sums of the gateways' demand: `zipf` is 1/rank, `ten` even over ten, else even over all."""
+    weight_functions = {"zipf": lambda gateway: 1.0 / (gateway + 1), "ten": lambda gateway: float(gateway < 10)}
+    weight: Callable[[int], float] = weight_functions.get(shape, lambda gateway: 1.0)
+    return list(itertools.accumulate(weight(gateway) for gateway in range(gateway_count)))
 
 
-def quantile(rows: list[float], part: float) -> float:
-    """Of sorted rows, the one under which this part lies; the last for 1; inf for no rows."""
-    return rows[min(len(rows) - 1, int(part * len(rows)))] if rows else math.inf
+def quantile(sorted_values: list[float], fraction: float) -> float:
+    """Returns the value below which this fraction of the sorted values lies: the last for 1, infinity for no values."""
+    return sorted_values[min(len(sorted_values) - 1, int(fraction * len(sorted_values)))] if sorted_values else math.inf
 
 
 class Fleet:
-    """Heads before shelfs that stand one at a slot. `born` gives each head's start (ms, may lie before 0)."""
-
-    def __init__(self, heads: int, shelfs: int, seed: int, settings: Settings, born: list[float] | None = None) -> None:
-        self.rng, self.cfg = random.Random(seed), settings
-        self.now, self.order, self.ids = 0.0, itertools.count(), itertools.count(1)
+    """Gateways, and storage nodes with one slot each.
+
+    Attributes:
+        events: Heap of (time, sequence number, callback, arguments).
+        wake_up_times_ms: The next wake-up of each gateway; infinity for none.
+    """
+
+    def __init__(
+        self,
+        gateway_count: int,
+        node_count: int,
+        seed: int,
+        settings: Settings,
+        start_times_ms: list[float] | None = None,
+    ) -> None:
+        """Creates and starts the gateways at `start_times_ms`, which may be less than 0, or else at 0."""
+        self.rng, self.settings = random.Random(seed), settings
+        self.now, self.sequence, self.request_ids = 0.0, itertools.count(), itertools.count(1)
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.wakes = [math.inf] * heads
-        entries = [EndpointEntry(f"s{s}", EndpointState.READY, s, 0.0) for s in range(shelfs)]
-        self.heads: list[Scheduler] = []
-        for h in range(heads):
-            begin = born[h] if born else 0.0
-            self.heads.append(Scheduler(settings, self.rng.randrange(1 << 30), begin))
-            self.heads[h].start(begin)
-            self.heads[h].apply_endpoint_list(begin, ListKind.WHOLE, entries)
-
-    # ---- what a scene says
-
-    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
-        """When an attempt that leaves now ends, and how. One that ends past its time is timed out then."""
+        self.wake_up_times_ms = [math.inf] * gateway_count
+        entries = [EndpointEntry(f"s{slot}", EndpointState.READY, slot, 0.0) for slot in range(node_count)]
+        self.gateways: list[Scheduler] = []
+        for gateway in range(gateway_count):
+            start_ms = start_times_ms[gateway] if start_times_ms else 0.0
+            self.gateways.append(Scheduler(settings, self.rng.randrange(1 << 30), start_ms))
+            self.gateways[gateway].start(start_ms)
+            self.gateways[gateway].apply_endpoint_list(start_ms, ListKind.WHOLE, entries)
+
+    # ---- defined by a scene
+
+    def attempt_result(self, gateway: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
+        """Returns when an attempt sent now ends, and how. An attempt that lasts past its deadline times out there."""
         raise NotImplementedError
 
-    def left(self, h: int, request: Any, attempt: Any) -> None:
-        """An attempt has left."""
+    def on_attempt_sent(self, gateway: int, request: Any, attempt: Any) -> None:
+        """Called when an attempt is sent."""
 
-    def over(self, h: int, request: Any, succeeded: bool, why: str) -> None:
-        """A request has its answer: succeeded, or the module's own."""
+    def on_request_end(self, gateway: int, request: Any, succeeded: bool, reason: str) -> None:
+        """Called when a request has its answer: a node's success, or a final answer of the decision module."""
 
-    # ---- the machinery
+    # ---- the simulation
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        heapq.heappush(self.events, (when, next(self.order), what, args))
+    def schedule(self, time_ms: float, callback: Callable[..., None], *args: Any) -> None:
+        heapq.heappush(self.events, (time_ms, next(self.sequence), callback, args))
 
-    def play(self, until: float) -> None:
-        """All events before a time."""
+    def run_until(self, until_ms: float) -> None:
+        """Runs all events before a time."""
         events, pop = self.events, heapq.heappop
-        while events and events[0][0] < until:
-            self.now, _, what, args = pop(events)
-            what(*args)
-        self.now = until
-
-    def arrivals(self, rate_s: float, until: float, come: Callable[[], None]) -> None:
-        """Calls `come` as a Poisson process does, from now until a time."""
-        when = self.now + self.rng.expovariate(rate_s / 1000.0)
-        if when < until:
-            self.at(when, self._arrive, rate_s, until, come)
-
-    def _arrive(self, rate_s: float, until: float, come: Callable[[], None]) -> None:
-        come()
-        self.arrivals(rate_s, until, come)
-
-    def draw(self, weights: list[float]) -> int:
+        while events and events[0][0] < until_ms:
+            self.now, _, callback, args = pop(events)
+            callback(*args)
+        self.now = until_ms
+
+    def schedule_arrivals(self, rate_s: float, until_ms: float, on_arrival: Callable[[], None]) -> None:
+        """Calls `on_arrival` at the times of a Poisson process, from now until a time."""
+        time_ms = self.now + self.rng.expovariate(rate_s / 1000.0)
+        if time_ms < until_ms:
+            self.schedule(time_ms, self._on_arrival, rate_s, until_ms, on_arrival)
+
+    def _on_arrival(self, rate_s: float, until_ms: float, on_arrival: Callable[[], None]) -> None:
+        on_arrival()
+        self.schedule_arrivals(rate_s, until_ms, on_arrival)
+
+    def draw_gateway(self, weights: list[float]) -> int:
         return bisect_left(weights, self.rng.random() * weights[-1])
 
-    def take(
-        self, h: int, slot: int, plan: str = "free", volume: str = "v", set_size: int = 1, note: Any = None
+    def submit_request(
+        self, gateway: int, slot: int, plan: str = "free", volume: str = "v", set_size: int = 1, tag: Any = None
     ) -> Any:
-        """A client's request comes now, of one unit."""
-        until = self.now + PATIENCE_MS
-        request, changes = self.heads[h].submit(
-            self.now, next(self.ids), None, "read", plan, volume, set_size, slot, 1.0, until, False
+        """Submits a client's request of one unit now; returns its handle."""
+        until_ms = self.now + MAX_WAIT_MS
+        request, changes = self.gateways[gateway].submit(
+            self.now, next(self.request_ids), None, "read", plan, volume, set_size, slot, 1.0, until_ms, False
         )
-        request.note, request.came_ms = note, self.now  # before anything asks for them: changes are acted on here
-        self.do(h, changes)
+        request.tag, request.submitted_ms = tag, self.now  # set before apply_changes calls what reads them
+        self.apply_changes(gateway, changes)
         return request
 
-    def do(self, h: int, changes: Changes) -> None:
+    def apply_changes(self, gateway: int, changes: Changes) -> None:
         for request in changes.handles:
             attempts, cancellations, answer = request.drain()
             for attempt in attempts:
-                self.left(h, request, attempt)
-                when, outcome = self.answers(h, request, attempt)
-                if when > attempt.deadline_ms:
-                    when, outcome = attempt.deadline_ms, Outcome.TIMED_OUT
-                self.at(max(when, self.now), self._ends, h, request, request.attempt_count - 1, outcome, self.now)
+                self.on_attempt_sent(gateway, request, attempt)
+                time_ms, outcome = self.attempt_result(gateway, request, attempt)
+                if time_ms > attempt.deadline_ms:
+                    time_ms, outcome = attempt.deadline_ms, Outcome.TIMED_OUT
+                self.schedule(
+                    max(time_ms, self.now),
+                    self._on_attempt_end,
+                    gateway,
+                    request,
+                    request.attempt_count - 1,
+                    outcome,
+                    self.now,
+                )
             if answer is not None:
-                self.over(h, request, False, answer.reason if answer.kind is FinalAnswerKind.REJECTED else "terminated")
-            for number in cancellations:
-                self.at(self.now, self._ends, h, request, number, Outcome.CANCELLED, self.now)
-        if changes.wake_ms is not None and changes.wake_ms < self.wakes[h]:
-            self.wakes[h] = changes.wake_ms
-            self.at(changes.wake_ms, self._woken, h, changes.wake_ms)
-
-    def _woken(self, h: int, asked: float) -> None:
-        if self.wakes[h] == asked:  # else a sooner one has come since, and asked anew
-            self.wakes[h] = math.inf
-            self.do(h, self.heads[h].on_wake_up(self.now))
-
-    def _ends(self, h: int, request: Any, number: int, outcome: Outcome, left: float) -> None:
-        if not request.attempt_in_flight or number != request.attempt_count - 1:
+                self.on_request_end(
+                    gateway, request, False, answer.reason if answer.kind is FinalAnswerKind.REJECTED else "terminated"
+                )
+            for attempt_number in cancellations:
+                self.schedule(
+                    self.now, self._on_attempt_end, gateway, request, attempt_number, Outcome.CANCELLED, self.now
+                )
+        if changes.wake_ms is not None and changes.wake_ms < self.wake_up_times_ms[gateway]:
+            self.wake_up_times_ms[gateway] = changes.wake_ms
+            self.schedule(changes.wake_ms, self._on_wake_up, gateway, changes.wake_ms)
+
+    def _on_wake_up(self, gateway: int, scheduled_ms: float) -> None:
+        if self.wake_up_times_ms[gateway] == scheduled_ms:  # else an earlier wake-up replaced this one
+            self.wake_up_times_ms[gateway] = math.inf
+            self.apply_changes(gateway, self.gateways[gateway].on_wake_up(self.now))
+
+    def _on_attempt_end(
+        self, gateway: int, request: Any, attempt_number: int, outcome: Outcome, sent_ms: float
+    ) -> None:
+        if not request.attempt_in_flight or attempt_number != request.attempt_count - 1:
             return
         succeeded = outcome is Outcome.SUCCEEDED
         if succeeded and not request.closed:
-            self.over(h, request, True, "")
-        self.do(h, request.on_attempt_end(self.now, number, outcome, succeeded or request.closed, self.now - left))
+            self.on_request_end(gateway, request, True, "")
+        self.apply_changes(
+            gateway,
+            request.on_attempt_end(self.now, attempt_number, outcome, succeeded or request.closed, self.now - sent_ms),
+        )
 
 
-def with_plan(limit: float, burst: float, slack: float, **figures: Any) -> Settings:
-    """The settings with one plan that has a limit."""
+def settings_with_limit(limit: float, burst: float, slack: float, **setting_values: Any) -> Settings:
+    """Returns the settings with one more quota plan, which has a rate limit."""
     return replace(
-        SETTINGS, quota_plans=(FREE, QuotaPlan("limited", 1e6, 0.0, limit, burst, slack, 1.0, 1.0)), **figures
+        SETTINGS,
+        quota_plans=(UNLIMITED_PLAN, QuotaPlan("limited", 1e6, 0.0, limit, burst, slack, 1.0, 1.0)),
+        **setting_values,
     )
--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -1,8 +1,8 @@
-"""Scene `limits`: a plan's limit that each head keeps by its even part, before demand that comes otherwise.
+"""Scene `limits`: a rate limit of a quota plan that is split evenly over the gateways, under demand that may be uneven.
 
-Beside the heads stands a keeper of the whole limit: one store of burst and slack that is filled at the limit's rate and
-lets a request wait as long as a head may. What the keeper lets through and the heads do not is lost by the split alone.
-Head and keeper start as they would be found: empty where more than their part is asked, else full.
+For comparison, one shared token bucket enforces the whole limit: it holds burst and slack, is refilled at the limit
+rate, and lets a request wait as long as a gateway may. What it admits and the gateways do not is lost by the split
+alone. Gateways and shared bucket start in their steady state: empty where demand exceeds their part, else full.
 """
 
 from __future__ import annotations
@@ -10,131 +10,147 @@
 import math
 from typing import Any
 
-from decisions_fleet import EXPECTED_MS, Fleet, weights_of, with_plan
+from decisions_fleet import LATENCY_OBJECTIVE_MS, Fleet, cumulative_weights, settings_with_limit
 
 from pebblehinge.interface import Outcome
 
-LIMITS = (50.0, 500.0, 5_000.0)  # units a second
-DEMANDS = (0.5, 0.9, 1.5)  # of the limit
+LIMITS_PER_S = (50.0, 500.0, 5_000.0)  # in units
+DEMAND_FRACTIONS = (0.5, 0.9, 1.5)  # as fractions of the limit
 SHAPES = ("even", "zipf", "ten", "bursts")
-SLACKS = ("0.1 of burst", "1 a head", "4 a head")
-BURST_S = 1.5  # of the limit, as the plan of examples/head.conf has it
-SPAN, SHORTEST_S = 6_000.0, 2.4  # a run lasts until the limit has filled so many units, and so long at least
-WARM = 0.42  # of it is not counted
-IN_STEP = 10  # requests that come at once through one head, in `bursts`
-SLOTS, SHELF_MS = 32, 5.0
+SLACK_NAMES = ("0.1 of burst", "1 a head", "4 a head")
+BURST_S = 1.5  # burst in seconds of the limit rate, as in the plan of examples/head.conf
+RUN_LIMIT_UNITS, MIN_RUN_S = 6_000.0, 2.4  # a run lasts until the limit has allowed so many units, and at least so long
+WARM_UP_FRACTION = 0.42  # share of the run that is not counted
+REQUESTS_PER_BURST = 10  # in the shape `bursts`, requests that come at once through one gateway
+SLOTS, SERVICE_TIME_MS = 32, 5.0
 FLOOR = 1e-6
 
 
-def slack_of(name: str, burst: float, heads: int) -> float:
-    return 0.1 * burst if name == "0.1 of burst" else float(name.split()[0]) * heads
+def slack_units(slack_name: str, burst: float, gateway_count: int) -> float:
+    return 0.1 * burst if slack_name == "0.1 of burst" else float(slack_name.split()[0]) * gateway_count
 
 
-class Keeper:
-    """One store for the whole limit."""
+class SharedTokenBucket:
+    """A token bucket for the whole limit, shared by all gateways."""
 
-    def __init__(self, rate_s: float, most: float, level: float, now: float) -> None:
-        self.rate, self.most, self.level, self.at = rate_s / 1000.0, most, level, now
+    def __init__(self, rate_s: float, capacity: float, level: float, now: float) -> None:
+        self.rate, self.capacity, self.level, self.updated_ms = rate_s / 1000.0, capacity, level, now
 
-    def lets(self, now: float, wait_ms: float) -> bool:
-        self.level = min(self.most, self.level + (now - self.at) * self.rate)
-        self.at = now
+    def admit(self, now: float, wait_ms: float) -> bool:
+        self.level = min(self.capacity, self.level + (now - self.updated_ms) * self.rate)
+        self.updated_ms = now
         if (1.0 - self.level) / self.rate > wait_ms:
             return False
         self.level -= 1.0
         return True
 
 
-class Limits(Fleet):
-    """One case. `set_size` is what the heads are told of how many share the limit: all of them, unless a test lies.
-    `full` starts all stores full, whatever is asked."""
+class LimitsScene(Fleet):
+    """One case of limit, demand and slack.
+
+    Attributes:
+        set_size: How many gateways share the limit, as the gateways are told: all of them, unless a test sets another.
+        shared_admitted: Number of counted requests that the shared bucket admits.
+    """
 
     def __init__(
         self,
-        heads: int,
+        gateway_count: int,
         seed: int,
         limit: float,
         demand: float,
         shape: str,
         slack: float,
         set_size: int | None = None,
-        full: bool = False,
+        starts_full: bool = False,
     ) -> None:
+        """Creates the gateways; with `starts_full` all their buckets start full, whatever the demand."""
         burst = BURST_S * limit
-        self.weights, self.shape = weights_of(shape, heads), shape
-        self.set_size, self.limit, self.most, self.asked_s = set_size or heads, limit, burst + slack, demand * limit
-        begin = self.most / limit * 1000.0 + 1.0  # by then the store of a head that was started at 0 is full
-        span_ms = max(SPAN / limit, SHORTEST_S) * 1000.0
-        self.end_ms, self.counted_ms = begin + span_ms, begin + WARM * span_ms
-        born = []
-        for h in range(heads):
-            part = (self.weights[h] - (self.weights[h - 1] if h else 0.0)) / self.weights[-1]
-            born.append(0.0 if full or part * demand * heads < 1.0 else begin)
-        super().__init__(heads, SLOTS, seed, with_plan(limit, burst, slack), born)
-        self.now = begin
-        self.keeper = Keeper(limit, self.most, self.most if demand < 1.0 else 0.0, begin)
-        self.asked = self.let = self.pushed = self.used = 0
-        self.sends: list[float] = []
-
-    def answers(self, h: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
-        return self.now + SHELF_MS, Outcome.SUCCEEDED
-
-    def left(self, h: int, request: Any, attempt: Any) -> None:
+        self.weights, self.shape = cumulative_weights(shape, gateway_count), shape
+        self.set_size, self.limit, self.capacity, self.demand_per_s = (
+            set_size or gateway_count,
+            limit,
+            burst + slack,
+            demand * limit,
+        )
+        start_ms = self.capacity / limit * 1000.0 + 1.0  # by then the bucket of a gateway started at 0 is full
+        span_ms = max(RUN_LIMIT_UNITS / limit, MIN_RUN_S) * 1000.0
+        self.end_ms, self.counting_start_ms = start_ms + span_ms, start_ms + WARM_UP_FRACTION * span_ms
+        start_times_ms = []
+        for gateway in range(gateway_count):
+            demand_share = (self.weights[gateway] - (self.weights[gateway - 1] if gateway else 0.0)) / self.weights[-1]
+            start_times_ms.append(0.0 if starts_full or demand_share * demand * gateway_count < 1.0 else start_ms)
+        super().__init__(gateway_count, SLOTS, seed, settings_with_limit(limit, burst, slack), start_times_ms)
+        self.now = start_ms
+        self.shared_bucket = SharedTokenBucket(limit, self.capacity, self.capacity if demand < 1.0 else 0.0, start_ms)
+        self.request_count = self.shared_admitted = self.failed_count = self.sent_count = 0
+        self.send_times_ms: list[float] = []
+
+    def attempt_result(self, gateway: int, request: Any, attempt: Any) -> tuple[float, Outcome]:
+        return self.now + SERVICE_TIME_MS, Outcome.SUCCEEDED
+
+    def on_attempt_sent(self, gateway: int, request: Any, attempt: Any) -> None:
         if request.attempt_count == 1:
-            self.sends.append(self.now)
-            self.used += self.counted_ms <= self.now < self.end_ms
-
-    def over(self, h: int, request: Any, succeeded: bool, why: str) -> None:
-        self.pushed += request.note and not succeeded
-
-    def come(self) -> None:
-        h = self.draw(self.weights)
-        for _ in range(IN_STEP if self.shape == "bursts" else 1):
-            counted = self.now >= self.counted_ms
-            self.asked += counted
-            self.let += self.keeper.lets(self.now, EXPECTED_MS - 2 * self.cfg.clock_resolution_ms) and counted
-            self.take(h, self.rng.randrange(SLOTS), "limited", "v", self.set_size, counted)
-
-    def figures(self) -> dict[str, float]:
-        rate = self.asked_s / (IN_STEP if self.shape == "bursts" else 1)
-        self.arrivals(rate, self.end_ms, self.come)
-        self.play(self.end_ms + 3_000.0)
-        due = self.limit * (self.end_ms - self.counted_ms) / 1000.0
+            self.send_times_ms.append(self.now)
+            self.sent_count += self.counting_start_ms <= self.now < self.end_ms
+
+    def on_request_end(self, gateway: int, request: Any, succeeded: bool, reason: str) -> None:
+        self.failed_count += request.tag and not succeeded
+
+    def submit_next(self) -> None:
+        gateway = self.draw_gateway(self.weights)
+        for _ in range(REQUESTS_PER_BURST if self.shape == "bursts" else 1):
+            is_counted = self.now >= self.counting_start_ms
+            self.request_count += is_counted
+            self.shared_admitted += (
+                self.shared_bucket.admit(self.now, LATENCY_OBJECTIVE_MS - 2 * self.settings.clock_resolution_ms)
+                and is_counted
+            )
+            self.submit_request(gateway, self.rng.randrange(SLOTS), "limited", "v", self.set_size, is_counted)
+
+    def run(self) -> dict[str, float]:
+        rate = self.demand_per_s / (REQUESTS_PER_BURST if self.shape == "bursts" else 1)
+        self.schedule_arrivals(rate, self.end_ms, self.submit_next)
+        self.run_until(self.end_ms + 3_000.0)
+        limit_units = self.limit * (self.end_ms - self.counting_start_ms) / 1000.0
         return {
-            "asked": self.asked,
-            "used_of_limit": round(self.used / due, 4),
-            "keeper_of_limit": round(self.let / due, 4),
-            "pushed_back": round(self.pushed / max(1, self.asked), 4),
-            "lost_by_split": round((self.let - self.used) / max(1, self.asked), 4),
-            "store_used": round(self.deepest(), 4),
+            "asked": self.request_count,
+            "used_of_limit": round(self.sent_count / limit_units, 4),
+            "keeper_of_limit": round(self.shared_admitted / limit_units, 4),
+            "pushed_back": round(self.failed_count / max(1, self.request_count), 4),
+            "lost_by_split": round((self.shared_admitted - self.sent_count) / max(1, self.request_count), 4),
+            "store_used": round(self.max_store_use(), 4),
         }
 
-    def deepest(self) -> float:
-        """Rule 5 over all heads: how much of burst and slack was used at the worst moment. Over 1 breaks the rule."""
-        level, at, least = self.most, -math.inf, self.most
-        for when in self.sends:
-            level = min(self.most, level + (when - at) * self.limit / 1000.0) - 1.0
-            at, least = when, min(least, level)
-        return (self.most - least) / self.most
-
-
-def points(heads: int, seed: int, case: str = "") -> list[dict[str, Any]]:
-    """All cases of one limit, or of all. At the largest limit a unit a head is less than the stated slack: left out."""
-    found = []
-    for limit in [float(case)] if case else LIMITS:
-        for name in SLACKS if limit < LIMITS[-1] else (SLACKS[0], SLACKS[2]):
-            slack = slack_of(name, BURST_S * limit, heads)
+    def max_store_use(self) -> float:
+        """Returns the largest share of burst and slack in use by all gateways at once; above 1 it violates rule 5."""
+        level, updated_ms, lowest_level = self.capacity, -math.inf, self.capacity
+        for sent_ms in self.send_times_ms:
+            level = min(self.capacity, level + (sent_ms - updated_ms) * self.limit / 1000.0) - 1.0
+            updated_ms, lowest_level = sent_ms, min(lowest_level, level)
+        return (self.capacity - lowest_level) / self.capacity
+
+
+def points(gateway_count: int, seed: int, case: str = "") -> list[dict[str, Any]]:
+    """Returns all cases of one limit, or of all.
+
+    The largest limit leaves out the slack of 1 unit per gateway, which is less than 0.1 of the burst.
+    """
+    result = []
+    for limit in [float(case)] if case else LIMITS_PER_S:
+        for slack_name in SLACK_NAMES if limit < LIMITS_PER_S[-1] else (SLACK_NAMES[0], SLACK_NAMES[2]):
+            slack = slack_units(slack_name, BURST_S * limit, gateway_count)
             for shape in SHAPES:
-                for demand in DEMANDS:
+                for demand in DEMAND_FRACTIONS:
                     x = {
-                        "heads": heads,
+                        "heads": gateway_count,
                         "seed": seed,
                         "limit": limit,
                         "burst": BURST_S * limit,
                         "slack": slack,
-                        "slack_as": name,
+                        "slack_as": slack_name,
                         "shape": shape,
                         "demand": demand,
                     }
-                    found.append({"x": x, "y": Limits(heads, seed, limit, demand, shape, slack).figures()})
-    return found
+                    result.append({"x": x, "y": LimitsScene(gateway_count, seed, limit, demand, shape, slack).run()})
+    return result
--- a/benchmarks/decisions_pools.py
+++ b/benchmarks/decisions_pools.py
@@ -1,94 +1,108 @@
-"""Scene `pools`: connections and descriptors for all pairs of head and shelf, reckoned from the pools' rules.
+"""Scene `pools`: connections and descriptors for all pairs of gateway and node, computed from the pools' rules.
 
-In service (service/node_connection.py, connection_pools.py) an attempt takes the connection that was used last, or
-dials; one that idles for IDLE_CLOSE_FRACTION of the shelf's own limit is closed, and at the cap the one that idled
-longest is. Framed (gateway/node_link.py) there is one connection a shelf that all attempts share and that stays.
-Arrivals of a pair are taken as Poisson. For the k-th connection of a pair the arrivals that find exactly k-1 attempts
-out reach it; `in flight` is Poisson, too (M/G/infinity)."""
+In service (service/node_connection.py, connection_pools.py) an attempt takes the most recently used connection, or
+dials. A connection idle for IDLE_CLOSE_FRACTION of the node's idle timeout is closed, and at the cap the one idle
+longest. On the framed protocol (gateway/node_link.py) all attempts to a node share one permanent connection.
+Arrivals of a pair are modelled as Poisson. The k-th connection of a pair is used by arrivals that find k-1 or more
+attempts in flight; the number in flight is Poisson, too (M/G/infinity)."""
 
 from __future__ import annotations
 
 import math
 from typing import Any
 
-from decisions_fleet import HEADS, REQUESTS_S, SHELFS
+from decisions_fleet import GATEWAY_COUNT, NODE_COUNT, REQUESTS_PER_S
 
 from pebblehinge.service.connection_pools import IDLE_CLOSE_FRACTION
 from pebblehinge.service.server import NODE_SOCKET_FRACTION, RESERVED_SOCKETS
 
-IDLE_S = (5.0, 30.0)  # after which a shelf may close an idle connection: short, and that of the settings in tests
-ATTEMPT_S = 0.015
-SOCKETS = 1_024  # descriptors that a head is given, as an ordinary limit of a process
+NODE_IDLE_TIMEOUTS_S = (5.0, 30.0)  # of a storage node: a short timeout, and the one in the tests' settings
+ATTEMPT_DURATION_S = 0.015
+GATEWAY_DESCRIPTORS = 1_024  # descriptors of a gateway: a usual limit of a process
 CLIENTS = 4_200_000
 
 
-def pair(rate_s: float, kept_s: float, attempt_s: float) -> tuple[float, float]:
-    """Of one pair: connections held in the mean, dials a second. The k-th connection is reached by arrivals that find
-    k-1 or more out; it is dialled anew where none reached it for `kept_s`, and held meanwhile."""
-    held = dials = 0.0
-    busy = rate_s * attempt_s
-    at_least = 1.0  # that so many are out or more
-    term = math.exp(-busy)
+def pair_connections(rate_s: float, idle_timeout_s: float, attempt_s: float) -> tuple[float, float]:
+    """Returns the mean number of open connections of one pair, and its dials a second.
+
+    The k-th connection is used by arrivals that find k-1 or more attempts in flight. It is closed, and dialled again
+    by the next such arrival, when none came for `idle_timeout_s`.
+    """
+    connections = dials_per_s = 0.0
+    mean_in_flight = rate_s * attempt_s
+    tail_probability = 1.0  # that k-1 or more attempts are in flight
+    point_probability = math.exp(-mean_in_flight)
     for k in range(1, 20):
-        rate = rate_s * at_least  # of those that reach the k-th
+        rate = rate_s * tail_probability  # of arrivals that use the k-th connection
         if rate < 1e-9:
             break
-        fresh = math.exp(-rate * kept_s)
-        held += 1.0 - fresh  # a point in time is covered if one came within kept_s before it
-        dials += rate * fresh
-        at_least -= term
-        term *= busy / k
-    return held, dials
-
-
-def shares(shape: str, count: int) -> list[float]:
-    rows = [1.0 / (n + 1) if shape == "zipf" else 1.0 for n in range(count)]
-    return [row / sum(rows) for row in rows]
-
-
-def in_service(heads: int, shape: str, idle_s: float, sockets: int | None) -> dict[str, float]:
-    """The requests of the coming size's shelfs come through so many heads, each in even part; `shape` is over shelfs.
-    Under a cap the least recently used go: what is kept is the time at which so many are held (Che's reckoning)."""
-    per_head = REQUESTS_S / HEADS
-    rates = [per_head * share for share in shares(shape, SHELFS)]
-
-    def of(kept_s: float) -> tuple[float, float]:
-        rows = [pair(rate, kept_s, ATTEMPT_S) for rate in rates]
-        return sum(held for held, _ in rows), sum(dials for _, dials in rows)
-
-    kept_s = IDLE_CLOSE_FRACTION * idle_s
-    held, dials = of(kept_s)
-    most = int(sockets * NODE_SOCKET_FRACTION) if sockets else math.inf
-    if held > most:
-        low, high = 0.0, kept_s
+        probability_idle = math.exp(-rate * idle_timeout_s)
+        connections += 1.0 - probability_idle  # open if an arrival came within the idle timeout
+        dials_per_s += rate * probability_idle
+        tail_probability -= point_probability
+        point_probability *= mean_in_flight / k
+    return connections, dials_per_s
+
+
+def node_shares(shape: str, count: int) -> list[float]:
+    weights = [1.0 / (n + 1) if shape == "zipf" else 1.0 for n in range(count)]
+    return [weight / sum(weights) for weight in weights]
+
+
+def service_figures(
+    gateway_count: int, shape: str, node_idle_timeout_s: float, descriptors: int | None
+) -> dict[str, float]:
+    """Returns the connections and dials of a gateway in service at the planned request rate of one gateway.
+
+    `shape` is the demand over the nodes. At the cap the least recently used connections are closed: the effective
+    idle timeout is the one at which the mean number of open connections equals the cap (Che's approximation).
+    """
+    requests_per_gateway = REQUESTS_PER_S / GATEWAY_COUNT
+    rates = [requests_per_gateway * share for share in node_shares(shape, NODE_COUNT)]
+
+    def totals(idle_timeout_s: float) -> tuple[float, float]:
+        pairs = [pair_connections(rate, idle_timeout_s, ATTEMPT_DURATION_S) for rate in rates]
+        return sum(connections for connections, _ in pairs), sum(dials_per_s for _, dials_per_s in pairs)
+
+    idle_timeout_s = IDLE_CLOSE_FRACTION * node_idle_timeout_s
+    connections, dials_per_s = totals(idle_timeout_s)
+    max_connections = int(descriptors * NODE_SOCKET_FRACTION) if descriptors else math.inf
+    if connections > max_connections:
+        low, high = 0.0, idle_timeout_s
         for _ in range(20):
             middle = (low + high) / 2
-            low, high = (middle, high) if of(middle)[0] < most else (low, middle)
-        kept_s = low
-        held, dials = of(low)
+            low, high = (middle, high) if totals(middle)[0] < max_connections else (low, middle)
+        idle_timeout_s = low
+        connections, dials_per_s = totals(low)
     return {
-        "head_connections": round(held),
-        "shelf_connections": round(held * heads / SHELFS),
-        "head_dials_s": round(dials, 2),
-        "fleet_dials_s": round(dials * heads),
-        "dials_an_access": round(dials / per_head, 4),
-        "kept_s": round(kept_s, 2),
-        "head_descriptors": round(held) + CLIENTS // HEADS + RESERVED_SOCKETS,
+        "head_connections": round(connections),
+        "shelf_connections": round(connections * gateway_count / NODE_COUNT),
+        "head_dials_s": round(dials_per_s, 2),
+        "fleet_dials_s": round(dials_per_s * gateway_count),
+        "dials_an_access": round(dials_per_s / requests_per_gateway, 4),
+        "kept_s": round(idle_timeout_s, 2),
+        "head_descriptors": round(connections) + CLIENTS // GATEWAY_COUNT + RESERVED_SOCKETS,
     }
 
 
-def points(heads: int, seed: int, case: str = "") -> list[dict[str, Any]]:
-    """Nothing is drawn: the seed counts for nothing."""
-    found = []
+def points(gateway_count: int, seed: int, case: str = "") -> list[dict[str, Any]]:
+    """Returns all cases; the seed has no effect, as nothing is random."""
+    result = []
     for shape in ("even", "zipf"):
-        for idle_s in IDLE_S:
-            for sockets in (None, SOCKETS):
-                x = {"heads": heads, "shape": shape, "idle_s": idle_s, "sockets": sockets or 0, "kind": "in service"}
-                found.append({"x": x, "y": in_service(heads, shape, idle_s, sockets)})
+        for node_idle_timeout_s in NODE_IDLE_TIMEOUTS_S:
+            for descriptors in (None, GATEWAY_DESCRIPTORS):
+                x = {
+                    "heads": gateway_count,
+                    "shape": shape,
+                    "idle_s": node_idle_timeout_s,
+                    "sockets": descriptors or 0,
+                    "kind": "in service",
+                }
+                result.append({"x": x, "y": service_figures(gateway_count, shape, node_idle_timeout_s, descriptors)})
     y = {
-        "head_connections": SHELFS,
-        "shelf_connections": heads,
+        "head_connections": NODE_COUNT,
+        "shelf_connections": gateway_count,
         "fleet_dials_s": 0,
-        "head_descriptors": SHELFS + CLIENTS // HEADS,
+        "head_descriptors": NODE_COUNT + CLIENTS // GATEWAY_COUNT,
     }
-    return [*found, {"x": {"heads": heads, "kind": "framed"}, "y": y}]
+    return [*result, {"x": {"heads": gateway_count, "kind": "framed"}, "y": y}]
--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -1,9 +1,9 @@
-"""Service and late share, first 20 s after all heads died at once: with fresh memory, without, with stale memory.
+"""Measures service and late share in the first 20 s after all gateways crashed: with fresh, no or stale memory.
 
     python benchmarks/memory_gain.py [PAIRS]
 
-Full size (`full_archive.conf`), virtual time, simulated. Five shelfs are slow, four cold while the heads are away for
-half a second. Stale: the same memory, said to be ten minutes older. Seeds are paired.
+Simulates the full size (`full_archive.conf`) in virtual time. Five storage nodes are slow, and four restart while the
+gateways are down for half a second. Stale memory is the same memory with an age of ten minutes. Seeds are paired.
 """
 
 from __future__ import annotations
@@ -19,55 +19,64 @@
 from pebblehinge.settings.load import load
 from pebblehinge.settings.schema import DayBlock, ScheduledFault
 
-CONF = Path(__file__).parent / "full_archive.conf"
-CRASH_MS, AWAY_MS, LOOK_MS = 10_000.0, 500.0, 20_000.0
-KINDS = {"without": None, "fresh": 0.0, "stale": 600_000.0}
+CONFIG_PATH = Path(__file__).parent / "full_archive.conf"
+CRASH_MS, DOWNTIME_MS, OBSERVATION_MS = 10_000.0, 500.0, 20_000.0
+MEMORY_AGES_MS = {"without": None, "fresh": 0.0, "stale": 600_000.0}
 
 
-def one(job: tuple[int, str]) -> tuple[int, str, float, float]:
-    seed, kind = job
-    config = load(str(CONF))
-    name = "memory"
-    heads, shelfs = list(config.head), list(config.shelf)
-    at = [
-        ScheduledFault(at=2_000.0, name="slow", target=shelfs[:5], by=3.0, last=25_000.0),
-        ScheduledFault(at=9_000.0, name="mass-restart", target=shelfs[5:9], last=500.0),
-        ScheduledFault(at=CRASH_MS, name="head-crash", target=heads, last=AWAY_MS),
+def measure_run(run_key: tuple[int, str]) -> tuple[int, str, float, float]:
+    """Simulates one seed with one kind of memory; returns both, the service and the late share."""
+    seed, memory_kind = run_key
+    config = load(str(CONFIG_PATH))
+    day_name = "memory"
+    gateways, nodes = list(config.head), list(config.shelf)
+    faults = [
+        ScheduledFault(at=2_000.0, name="slow", target=nodes[:5], by=3.0, last=25_000.0),
+        ScheduledFault(at=9_000.0, name="mass-restart", target=nodes[5:9], last=500.0),
+        ScheduledFault(at=CRASH_MS, name="head-crash", target=gateways, last=DOWNTIME_MS),
     ]
-    config.day[name] = DayBlock(length=CRASH_MS + AWAY_MS + LOOK_MS, at=at)
-    village, _ = play(config, name, seed, memory_age_ms=KINDS[kind])
+    config.day[day_name] = DayBlock(length=CRASH_MS + DOWNTIME_MS + OBSERVATION_MS, at=faults)
+    village, _ = play(config, day_name, seed, memory_age_ms=MEMORY_AGES_MS[memory_kind])
     facts = village.facts()
-    due = got = 0.0
-    late = count = 0
-    begin = facts.begin + CRASH_MS + AWAY_MS
-    for op, row in facts.ops.items():
-        if row["t"] >= begin:
-            worth, earned = facts.earned(op)
-            due, got = due + worth, got + earned
-            done = facts.done.get(op, {"final": "", "took": 0.0})
-            count += 1
-            late += done["final"] == "honoured" and done["took"] > config.profile[row["profile"]].expected
-    broken = [r for r, v in facts.check_rules().items() if not v.told()["kept"]]
-    assert not broken, (seed, kind, broken)
-    return seed, kind, got / due, late / count
+    due_value = earned_value = 0.0
+    late_count = request_count = 0
+    observation_start_ms = facts.begin + CRASH_MS + DOWNTIME_MS
+    for request_id, row in facts.ops.items():
+        if row["t"] >= observation_start_ms:
+            due, earned = facts.earned(request_id)
+            due_value, earned_value = due_value + due, earned_value + earned
+            final_answer = facts.done.get(request_id, {"final": "", "took": 0.0})
+            request_count += 1
+            late_count += (
+                final_answer["final"] == "honoured" and final_answer["took"] > config.profile[row["profile"]].expected
+            )
+    violated_rules = [r for r, v in facts.check_rules().items() if not v.told()["kept"]]
+    assert not violated_rules, (seed, memory_kind, violated_rules)
+    return seed, memory_kind, earned_value / due_value, late_count / request_count
 
 
 def main() -> None:
-    pairs = int(sys.argv[1]) if len(sys.argv) > 1 else 6
-    found: dict[str, dict[int, float]] = {kind: {} for kind in KINDS}
-    lates: dict[str, list[float]] = {kind: [] for kind in KINDS}
+    """Prints the means of all seeds, and the gain of each seed against the run without memory, as JSON."""
+    pair_count = int(sys.argv[1]) if len(sys.argv) > 1 else 6
+    service_by_kind: dict[str, dict[int, float]] = {memory_kind: {} for memory_kind in MEMORY_AGES_MS}
+    late_shares_by_kind: dict[str, list[float]] = {memory_kind: [] for memory_kind in MEMORY_AGES_MS}
     with ProcessPoolExecutor() as executor:
-        for seed, kind, service, late in executor.map(one, [(s, k) for s in range(pairs) for k in KINDS]):
-            found[kind][seed] = service
-            lates[kind].append(late)
-    told = {kind: {"service": round(float(np.mean(list(by.values()))), 4)} for kind, by in found.items()}
-    for kind in KINDS:
-        told[kind]["late share"] = round(float(np.mean(lates[kind])), 4)
-    for kind in ("fresh", "stale"):
-        gains = [found[kind][s] - found["without"][s] for s in range(pairs)]
-        told[kind]["against without"] = round(float(np.mean(gains)), 4)
-        told[kind]["each"] = [round(g, 4) for g in gains]
-    print(json.dumps(told, indent=1))
+        for seed, memory_kind, service, late_share in executor.map(
+            measure_run, [(s, k) for s in range(pair_count) for k in MEMORY_AGES_MS]
+        ):
+            service_by_kind[memory_kind][seed] = service
+            late_shares_by_kind[memory_kind].append(late_share)
+    summary = {
+        memory_kind: {"service": round(float(np.mean(list(service_by_seed.values()))), 4)}
+        for memory_kind, service_by_seed in service_by_kind.items()
+    }
+    for memory_kind in MEMORY_AGES_MS:
+        summary[memory_kind]["late share"] = round(float(np.mean(late_shares_by_kind[memory_kind])), 4)
+    for memory_kind in ("fresh", "stale"):
+        gains = [service_by_kind[memory_kind][s] - service_by_kind["without"][s] for s in range(pair_count)]
+        summary[memory_kind]["against without"] = round(float(np.mean(gains)), 4)
+        summary[memory_kind]["each"] = [round(g, 4) for g in gains]
+    print(json.dumps(summary, indent=1))
 
 
 if __name__ == "__main__":
--- a/tests/test_decisions_at_size.py
+++ b/tests/test_decisions_at_size.py
@@ -1,4 +1,4 @@
-"""The harness of benchmarks/decisions_at_size.py: what it measures is the module's doing and not its own."""
+"""Tests of the simulation of benchmarks/decisions_at_size.py: its figures show the decision module, not the harness."""
 
 from __future__ import annotations
 
@@ -15,76 +15,81 @@
 import decisions_limits  # noqa: E402
 import decisions_page  # noqa: E402
 import decisions_pools  # noqa: E402
-from decisions_learning import Learning  # noqa: E402
-from decisions_limits import BURST_S, SHAPES, Limits, slack_of  # noqa: E402
+from decisions_learning import LearningScene  # noqa: E402
+from decisions_limits import BURST_S, SHAPES, LimitsScene, slack_units  # noqa: E402
 
 LIMIT = 500.0
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decisions_limits, "SPAN", 1_500.0)
+def shorten_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(decisions_limits, "RUN_LIMIT_UNITS", 1_500.0)
 
 
-def limits(heads: int, demand: float, shape: str, slack: str = "1 a head", **figures: int) -> dict[str, float]:
-    return Limits(heads, 1, LIMIT, demand, shape, slack_of(slack, BURST_S * LIMIT, heads), **figures).figures()
+def run_limits(
+    gateway_count: int, demand: float, shape: str, slack: str = "1 a head", **options: int
+) -> dict[str, float]:
+    return LimitsScene(
+        gateway_count, 1, LIMIT, demand, shape, slack_units(slack, BURST_S * LIMIT, gateway_count), **options
+    ).run()
 
 
-def test_through_one_head_the_whole_limit_is_used_and_nothing_is_lost_under_it() -> None:
-    over, under = limits(1, 1.5, "even"), limits(1, 0.9, "even")
-    assert 0.97 <= over["used_of_limit"] <= 1.03
-    assert under["lost_by_split"] == 0.0 and under["pushed_back"] == 0.0
-    assert under["used_of_limit"] == under["keeper_of_limit"] > 0.8
+def test_one_gateway_uses_the_whole_limit_and_loses_nothing_below_it() -> None:
+    overload, underload = run_limits(1, 1.5, "even"), run_limits(1, 0.9, "even")
+    assert 0.97 <= overload["used_of_limit"] <= 1.03
+    assert underload["lost_by_split"] == 0.0 and underload["pushed_back"] == 0.0
+    assert underload["used_of_limit"] == underload["keeper_of_limit"] > 0.8
 
 
 @pytest.mark.parametrize("shape", SHAPES)
-@pytest.mark.parametrize("heads", [12, 60])
-def test_over_all_heads_the_limit_with_its_slack_is_never_passed(heads: int, shape: str) -> None:
-    full = limits(heads, 4.0, shape, "0.1 of burst", full=True)["store_used"]  # all of the store is asked for
-    assert 0.0 < full <= 1.0 and 0.0 < limits(heads, 0.9, shape, "4 a head")["store_used"] <= 1.0
-    assert full > 0.9 or shape != "even"
+@pytest.mark.parametrize("gateway_count", [12, 60])
+def test_all_gateways_together_never_exceed_limit_burst_and_slack(gateway_count: int, shape: str) -> None:
+    # The demand is enough to use all of burst and slack.
+    overload_use = run_limits(gateway_count, 4.0, shape, "0.1 of burst", starts_full=True)["store_used"]
+    assert 0.0 < overload_use <= 1.0 and 0.0 < run_limits(gateway_count, 0.9, shape, "4 a head")["store_used"] <= 1.0
+    assert overload_use > 0.9 or shape != "even"
 
 
-def test_heads_that_are_given_the_whole_limit_each_are_seen_to_pass_it() -> None:
-    assert limits(40, 3.0, "even", set_size=1)["store_used"] > 1.0
+def test_exceeding_the_limit_is_detected_when_gateways_assume_too_small_a_set() -> None:
+    assert run_limits(40, 3.0, "even", set_size=1)["store_used"] > 1.0
     assert (
-        limits(40, 3.0, "even", set_size=36)["store_used"]
+        run_limits(40, 3.0, "even", set_size=36)["store_used"]
         <= 1.0
-        < limits(40, 6.0, "even", set_size=36, full=True)["store_used"]
+        < run_limits(40, 6.0, "even", set_size=36, starts_full=True)["store_used"]
     )
 
 
-def test_a_limit_that_leaves_a_head_less_than_one_request_lets_nothing_through() -> None:
-    assert limits(900, 0.5, "even", "0.1 of burst")["used_of_limit"] == 0.0  # 825 units of burst and slack
-    assert limits(800, 0.5, "even", "0.1 of burst")["used_of_limit"] > 0.1
+def test_a_limit_below_one_request_per_gateway_admits_nothing() -> None:
+    assert run_limits(900, 0.5, "even", "0.1 of burst")["used_of_limit"] == 0.0  # 825 units of burst and slack
+    assert run_limits(800, 0.5, "even", "0.1 of burst")["used_of_limit"] > 0.1
 
 
-def test_the_same_seed_gives_the_same_figures_and_another_seed_others() -> None:
-    runs = [Limits(12, seed, LIMIT, 0.9, "zipf", 12.0).figures() for seed in (1, 1, 2)]
+def test_figures_are_the_same_for_equal_seeds_and_differ_for_others() -> None:
+    runs = [LimitsScene(12, seed, LIMIT, 0.9, "zipf", 12.0).run() for seed in (1, 1, 2)]
     assert runs[0] == runs[1] != runs[2]
 
 
-def test_the_page_has_the_tables_of_its_data_and_no_other() -> None:
+def test_the_page_has_exactly_the_tables_of_its_data() -> None:
     page, data = decisions_page.PAGE.read_text(), json.loads(decisions_page.DATA.read_text())
-    marked = decisions_page.TABLE.findall(page)
-    assert sorted(name for name, _ in marked) == sorted(data)
-    assert decisions_page.filled(page, data) == page
-    other = copy.deepcopy(data)
-    other["pools"]["points"][0]["y"]["head_connections"] += 1
-    assert decisions_page.filled(page, other) != page
-
-
-def test_pools_by_hand() -> None:
-    """Of attempts that take no time one connection does: held unless none came within what is kept, then dialled."""
-    held, dials = decisions_pools.pair(2.0, 0.5, 0.0)
-    assert math.isclose(held, 1 - math.exp(-1.0)) and math.isclose(dials, 2.0 * math.exp(-1.0))
-    assert decisions_pools.pair(2.0, 0.5, 0.1)[0] > held
-    capped = decisions_pools.in_service(910, "even", 30.0, 1_024)
+    tables = decisions_page.TABLE_PATTERN.findall(page)
+    assert sorted(name for name, _ in tables) == sorted(data)
+    assert decisions_page.render_page(page, data) == page
+    changed_data = copy.deepcopy(data)
+    changed_data["pools"]["points"][0]["y"]["head_connections"] += 1
+    assert decisions_page.render_page(page, changed_data) != page
+
+
+def test_pool_model_matches_a_calculation_by_hand() -> None:
+    """Attempts of no duration need one connection: it is open if one came within the idle timeout, else dialled."""
+    connections, dials_per_s = decisions_pools.pair_connections(2.0, 0.5, 0.0)
+    assert math.isclose(connections, 1 - math.exp(-1.0)) and math.isclose(dials_per_s, 2.0 * math.exp(-1.0))
+    assert decisions_pools.pair_connections(2.0, 0.5, 0.1)[0] > connections
+    capped = decisions_pools.service_figures(910, "even", 30.0, 1_024)
     assert capped["head_connections"] == 384 and capped["head_dials_s"] > 600.0
 
 
-def test_a_head_that_asks_often_learns_of_a_shelf_that_hangs_and_uses_it_again() -> None:
-    found = Learning(6, 1, "hang", 10.0, "even").figures()
-    assert found["learned"] == found["again"] == 1.0 and found["learned_p99_ms"] < 2_000
-    assert 0 < found["lost_before"] < found["asked"]
-    assert Learning(6, 1, "hang", 10.0, "even").figures() == found
+def test_a_gateway_with_frequent_requests_detects_a_hung_node_and_uses_it_again() -> None:
+    figures = LearningScene(6, 1, "hang", 10.0, "even").run()
+    assert figures["learned"] == figures["again"] == 1.0 and figures["learned_p99_ms"] < 2_000
+    assert 0 < figures["lost_before"] < figures["asked"]
+    assert LearningScene(6, 1, "hang", 10.0, "even").run() == figures
