--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,9 +1,9 @@
-"""What one decision costs and what the module holds, at forty and four hundred shelfs.
+"""Measures the time of single decisions and the memory of the decision module, at 40 and 400 storage nodes.
 
     python benchmarks/decision_cost.py [--against ../other-checkout]
 
-The module alone, with calls and no sockets. Times are of this machine and this hour; the ratios are what counts. With
---against only the way of a request is timed, in turn with another checkout's module, a process each time;
+Calls the module directly, without sockets. Times depend on the machine and its load; the ratios are the result. With
+--against only whole requests are timed, in turns with another checkout's module and in a new process each time;
 each checkout runs its own copy of this script, so that their names may differ.
 """
 
@@ -48,173 +48,190 @@
 ROUNDS = 2_000
 
 
-def fleet(count: int, first: int = 0) -> list[EndpointEntry]:
-    return [EndpointEntry(f"s{first + i}", EndpointState.READY, i, 0.0) for i in range(count)]
+def endpoint_entries(node_count: int, first_number: int = 0) -> list[EndpointEntry]:
+    return [EndpointEntry(f"s{first_number + index}", EndpointState.READY, index, 0.0) for index in range(node_count)]
 
 
-def head_of(count: int) -> Scheduler:
-    head = Scheduler(SETTINGS, 1, 0.0)
-    head.apply_endpoint_list(0.0, ListKind.WHOLE, fleet(count))
-    return head
+def scheduler_with_nodes(node_count: int) -> Scheduler:
+    scheduler = Scheduler(SETTINGS, 1, 0.0)
+    scheduler.apply_endpoint_list(0.0, ListKind.WHOLE, endpoint_entries(node_count))
+    return scheduler
 
 
-def take(head: Scheduler, now: float, n: int, slot: int, plan: str = "g") -> Request:
-    return head.submit(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
+def submit_request(scheduler: Scheduler, now: float, n: int, slot: int, plan: str = "g") -> Request:
+    return scheduler.submit(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)[0]
 
 
-def timed(call: Callable[[], Any], into: list[float]) -> Any:
-    began = time.perf_counter_ns()
-    got = call()
-    into.append((time.perf_counter_ns() - began) / 1000.0)
-    return got
+def time_call(call: Callable[[], Any], times_us: list[float]) -> Any:
+    started = time.perf_counter_ns()
+    result = call()
+    times_us.append((time.perf_counter_ns() - started) / 1000.0)
+    return result
 
 
-def told(times: list[float]) -> tuple[float, float]:
-    return statistics.median(times), sorted(times)[int(0.99 * len(times))]
+def median_and_p99(times_us: list[float]) -> tuple[float, float]:
+    return statistics.median(times_us), sorted(times_us)[int(0.99 * len(times_us))]
 
 
-def freed(shelfs: int, held: int) -> tuple[float, float]:
-    """A slot frees at a shelf with so many requests held: until the next one has left; median and p99, us."""
-    head, now, times = head_of(shelfs), 0.0, []
-    for n in range(shelfs * 8):
-        take(head, now, n, n % shelfs)
-    for n in range(held + 4):
-        take(head, now, n + 7, 0)
+def slot_release_times(node_count: int, queued_count: int) -> tuple[float, float]:
+    """Times the end of an attempt at a node with queued requests, including the next dispatch; median and p99, us."""
+    scheduler, now, times_us = scheduler_with_nodes(node_count), 0.0, []
+    for n in range(node_count * 8):
+        submit_request(scheduler, now, n, n % node_count)
+    for n in range(queued_count + 4):
+        submit_request(scheduler, now, n + 7, 0)
     for n in range(ROUNDS):
         now += 0.05
-        while len(head.nodes.queues[0]) < held:
-            take(head, now, n + 11, 0)
-        out = head.nodes.in_flight[0][0]
-        timed(lambda a=out, t=now: a.on_attempt_end(t, a.attempt_count - 1, Outcome.SUCCEEDED, True, 5.0), times)
-    return told(times)
-
-
-def changed(shelfs: int) -> tuple[float, float]:
-    """One entry of the list changes."""
-    head, times, now = head_of(shelfs), [], 0.0
+        while len(scheduler.nodes.queues[0]) < queued_count:
+            submit_request(scheduler, now, n + 11, 0)
+        request = scheduler.nodes.in_flight[0][0]
+        time_call(
+            lambda r=request, t=now: r.on_attempt_end(t, r.attempt_count - 1, Outcome.SUCCEEDED, True, 5.0), times_us
+        )
+    return median_and_p99(times_us)
+
+
+def list_change_times(node_count: int) -> tuple[float, float]:
+    """Times the change of one entry of the endpoint list; median and p99, us."""
+    scheduler, times_us, now = scheduler_with_nodes(node_count), [], 0.0
     for n in range(ROUNDS // 4):
         now += 10.0
-        standing = EndpointState.DRAINING if n % 2 else EndpointState.READY
-        row = [EndpointEntry("s3", standing, 3, 0.0)]
-        timed(lambda t=now, r=row: head.apply_endpoint_list(t, ListKind.CHANGES, r), times)
-    return told(times)
+        state = EndpointState.DRAINING if n % 2 else EndpointState.READY
+        changed_entries = [EndpointEntry("s3", state, 3, 0.0)]
+        time_call(lambda t=now, r=changed_entries: scheduler.apply_endpoint_list(t, ListKind.CHANGES, r), times_us)
+    return median_and_p99(times_us)
 
 
-def picked(shelfs: int) -> tuple[float, float]:
-    """A shelf is drawn for a new object."""
-    head, times = head_of(shelfs), []
+def placement_times(node_count: int) -> tuple[float, float]:
+    """Times the choice of a node for a new object; median and p99, us."""
+    scheduler, times_us = scheduler_with_nodes(node_count), []
     for _ in range(ROUNDS):
-        timed(head.nodes.pick_for_new_object, times)
-    return told(times)
+        time_call(scheduler.nodes.pick_for_new_object, times_us)
+    return median_and_p99(times_us)
 
 
-def memory(shelfs: int, extents: int, volumes: int) -> dict[str, float]:
-    """KiB by what it is for, as tracemalloc sees it grow."""
+def memory_kib(node_count: int, extent_count: int, volume_count: int) -> dict[str, float]:
+    """Returns the growth of memory that tracemalloc traces for nodes, volumes and extents, in KiB."""
     tracemalloc.start()
-    found, head, before = {}, Scheduler(SETTINGS, 1, 0.0), 0
-    before = tracemalloc.get_traced_memory()[0]
+    kib_by_purpose, scheduler, previous_bytes = {}, Scheduler(SETTINGS, 1, 0.0), 0
+    previous_bytes = tracemalloc.get_traced_memory()[0]
 
-    def note(what: str) -> None:
-        nonlocal before
+    def record_growth(purpose: str) -> None:
+        nonlocal previous_bytes
         now = tracemalloc.get_traced_memory()[0]
-        found[what], before = (now - before) / 1024.0, now
-
-    head.apply_endpoint_list(0.0, ListKind.WHOLE, fleet(shelfs))
-    note("shelfs")
-    for n in range(volumes):
-        a = head.submit(0.0, n, None, "p", "c", f"v{n}", 2, n % shelfs, 2.0, 90_000.0)[0]
-        a.on_client_disconnect(0.0)
-        a.on_attempt_end(0.0, 0, Outcome.CANCELLED, True, 1.0)
-    note("volumes")
-    for n in range(extents):
-        for at in (1.0, 3.0, 7.0):
-            a = head.submit(at + n, n, f"x{n}", "p", "g", "v0", 2, n % shelfs, 2.0, 90_000.0)[0]
-            a.on_attempt_end(at + n + 0.5, 0, Outcome.SUCCEEDED, True, 0.5)
-    head.on_wake_up(1e6)
-    note("extents")
+        kib_by_purpose[purpose], previous_bytes = (now - previous_bytes) / 1024.0, now
+
+    scheduler.apply_endpoint_list(0.0, ListKind.WHOLE, endpoint_entries(node_count))
+    record_growth("shelfs")
+    for n in range(volume_count):
+        request = scheduler.submit(0.0, n, None, "p", "c", f"v{n}", 2, n % node_count, 2.0, 90_000.0)[0]
+        request.on_client_disconnect(0.0)
+        request.on_attempt_end(0.0, 0, Outcome.CANCELLED, True, 1.0)
+    record_growth("volumes")
+    for n in range(extent_count):
+        for time_ms in (1.0, 3.0, 7.0):
+            request = scheduler.submit(time_ms + n, n, f"x{n}", "p", "g", "v0", 2, n % node_count, 2.0, 90_000.0)[0]
+            request.on_attempt_end(time_ms + n + 0.5, 0, Outcome.SUCCEEDED, True, 0.5)
+    scheduler.on_wake_up(1e6)
+    record_growth("extents")
     tracemalloc.stop()
-    return found
+    return kib_by_purpose
 
 
-def churned(names: int, shelfs: int = 40) -> dict[str, int]:
-    """What is held after so many names have come and gone."""
-    head, now = Scheduler(SETTINGS, 1, 0.0), 0.0
-    for n in range(names // shelfs):
+def tables_after_churn(name_count: int, node_count: int = 40) -> dict[str, int]:
+    """Returns the sizes of the tables after so many node names have appeared and disappeared."""
+    scheduler, now = Scheduler(SETTINGS, 1, 0.0), 0.0
+    for n in range(name_count // node_count):
         now += 1000.0
-        head.apply_endpoint_list(now, ListKind.WHOLE, fleet(shelfs, n * shelfs))
-        for slot in range(shelfs):
-            a = take(head, now, n, slot)
-            a.on_attempt_end(now + 1.0, 0, Outcome.SUCCEEDED, True, 1.0)
-        head.on_wake_up(now + 900.0)
-    return {"columns": len(head.nodes.names), "names": len(head.nodes.index), "wakes": len(head.change_set.wake_ups)}
-
-
-def way(shelfs: int = 40, requests: int = 20_000, held: int = 12) -> float:
-    """Whole ways of requests, from the take to the end: us each. Two thirds of the shelfs have a few held."""
-    head, rng, now, out = head_of(shelfs), random.Random(1), 0.0, []
-    head.start(now)
-    began = time.perf_counter()
+        scheduler.apply_endpoint_list(now, ListKind.WHOLE, endpoint_entries(node_count, n * node_count))
+        for slot in range(node_count):
+            request = submit_request(scheduler, now, n, slot)
+            request.on_attempt_end(now + 1.0, 0, Outcome.SUCCEEDED, True, 1.0)
+        scheduler.on_wake_up(now + 900.0)
+    return {
+        "columns": len(scheduler.nodes.names),
+        "names": len(scheduler.nodes.index),
+        "wakes": len(scheduler.change_set.wake_ups),
+    }
+
+
+def request_time_us(node_count: int = 40, requests: int = 20_000, queued_count: int = 12) -> float:
+    """Returns the time per request from submission to end, in us; two thirds of the nodes have queued requests."""
+    scheduler, rng, now, sent_requests = scheduler_with_nodes(node_count), random.Random(1), 0.0, []
+    scheduler.start(now)
+    started = time.perf_counter()
     for n in range(requests):
         now += 0.05
         plan = "c" if n % 5 == 0 else "g"
-        slot = rng.randrange(shelfs)
-        a, changes = head.submit(now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0)
+        slot = rng.randrange(node_count)
+        request, changes = scheduler.submit(
+            now, n, f"x{n % 3000}", "p", plan, f"v{n % 500}", 2, slot, 2.0, now + 90_000.0
+        )
         while True:
-            out += [b for b in changes.handles if b.drain()[0]]
-            if len(out) <= shelfs * 2 + held * shelfs // 3:
+            sent_requests += [handle for handle in changes.handles if handle.drain()[0]]
+            if len(sent_requests) <= node_count * 2 + queued_count * node_count // 3:
                 break
-            b = out.pop(rng.randrange(len(out)))
+            ended_request = sent_requests.pop(rng.randrange(len(sent_requests)))
             outcome = Outcome.SUCCEEDED if n % 50 else Outcome.SERVER_ERROR
-            changes = b.on_attempt_end(now, b.attempt_count - 1, outcome, outcome is Outcome.SUCCEEDED, now - b.sent_ms)
+            changes = ended_request.on_attempt_end(
+                now, ended_request.attempt_count - 1, outcome, outcome is Outcome.SUCCEEDED, now - ended_request.sent_ms
+            )
         if changes.wake_ms is not None and changes.wake_ms <= now:
-            head.on_wake_up(now)
-    return (time.perf_counter() - began) / requests * 1e6
+            scheduler.on_wake_up(now)
+    return (time.perf_counter() - started) / requests * 1e6
 
 
-def against(other: Path) -> None:
-    """Pairs of runs, turn and turn about; the ratio of each pair, the median of all."""
-    both = (Path(__file__).resolve().parent.parent, other.resolve())
-    scripts = {checkout: next(checkout.glob("benchmarks/**/decision_cost.py")) for checkout in both}
+def compare_checkouts(other: Path) -> None:
+    """Runs both checkouts in pairs, in alternating order; prints the median of the pairs' ratios."""
+    checkouts = (Path(__file__).resolve().parent.parent, other.resolve())
+    scripts = {checkout: next(checkout.glob("benchmarks/**/decision_cost.py")) for checkout in checkouts}
     rows: list[tuple[float, ...]] = []
     for n in range(15):
         pair = {}
-        for checkout in both if n % 2 else both[::-1]:
+        for checkout in checkouts if n % 2 else checkouts[::-1]:
             env = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONDONTWRITEBYTECODE": "1"}
             command = [sys.executable, "-P", str(scripts[checkout]), "--way"]
-            done = subprocess.run(command, env=env, capture_output=True, check=True)
-            pair[checkout] = float(done.stdout)
-        rows.append(tuple(pair[checkout] for checkout in both))
-    ratios = sorted(a / b for a, b in rows)
-    here, there = (statistics.median(column) for column in zip(*rows, strict=True))
-    print(f"the way of an access: {here:.2f} us here, {there:.2f} us there; ratio of {len(rows)} pairs: "
+            process = subprocess.run(command, env=env, capture_output=True, check=True)
+            pair[checkout] = float(process.stdout)
+        rows.append(tuple(pair[checkout] for checkout in checkouts))
+    ratios = sorted(here / there for here, there in rows)
+    here_us, there_us = (statistics.median(column) for column in zip(*rows, strict=True))
+    print(f"time of a request: {here_us:.2f} us here, {there_us:.2f} us there; ratio of {len(rows)} pairs: "
           f"median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")  # fmt: skip
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--against", type=Path)
-    parser.add_argument("--way", action="store_true", help="print only what the way of an access costs, us")
-    told = parser.parse_args()
-    if told.way:
-        print(min(way() for _ in range(3)))
+    parser.add_argument("--way", action="store_true", help="print only the time of a request, us")
+    options = parser.parse_args()
+    if options.way:
+        print(min(request_time_us() for _ in range(3)))
         return
-    if told.against is not None:
-        against(told.against)
+    if options.against is not None:
+        compare_checkouts(options.against)
         return
     print("| | 40 shelfs, us | 400 shelfs, us | ratio | p99 40 | p99 400 |\n| --- | --- | --- | --- | --- | --- |")
-    for what, call in (
-        ("a slot frees, 10 held", lambda n: freed(n, 10)), ("a slot frees, 100 held", lambda n: freed(n, 100)),
-        ("one entry of the list changes", changed), ("a new object is placed", picked),
+    for operation, call in (
+        ("a slot frees, 10 held", lambda n: slot_release_times(n, 10)),
+        ("a slot frees, 100 held", lambda n: slot_release_times(n, 100)),
+        ("one entry of the list changes", list_change_times), ("a new object is placed", placement_times),
     ):  # fmt: skip
         rows = [call(n) for n in (40, 400, 40, 400, 40, 400)]
-        few, many = min(rows[0::2]), min(rows[1::2])
-        print(f"| {what} | {few[0]:.1f} | {many[0]:.1f} | {many[0] / few[0]:.2f} | {few[1]:.1f} | {many[1]:.1f} |")
-    few, many = memory(40, 400, 40), memory(400, 4000, 400)
+        small, large = min(rows[0::2]), min(rows[1::2])
+        print(
+            f"| {operation} | {small[0]:.1f} | {large[0]:.1f} | {large[0] / small[0]:.2f} "
+            f"| {small[1]:.1f} | {large[1]:.1f} |"
+        )
+    small, large = memory_kib(40, 400, 40), memory_kib(400, 4000, 400)
     print("\n| held for | 40 shelfs, 400 extents, 40 volumes, KiB | ten times that, KiB | ratio |")
     print("| --- | --- | --- | --- |")
-    for what in few:
-        print(f"| {what} | {few[what]:.0f} | {many[what]:.0f} | {many[what] / max(1e-9, few[what]):.1f} |")
-    print(f"\nAfter 400 names: {churned(400)}; after 4,000: {churned(4_000)}.")
+    for purpose in small:
+        print(
+            f"| {purpose} | {small[purpose]:.0f} | {large[purpose]:.0f} "
+            f"| {large[purpose] / max(1e-9, small[purpose]):.1f} |"
+        )
+    print(f"\nAfter 400 names: {tables_after_churn(400)}; after 4,000: {tables_after_churn(4_000)}.")
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions_sums.py
+++ b/benchmarks/decisions_sums.py
@@ -86,7 +86,7 @@
 
 
 def slow_start_figures(gateway_count: int, seed: int, shape: str, load: float) -> dict[str, float]:
-    """Simulates the slow start of a node with the planned request rate; `load` is that rate by the full capacity."""
+    """Simulates a node that starts mid-run, at the planned rate; `load` is that rate as a share of full capacity."""
     fleet = SlowStartFleet(seed, gateway_count, load, shape)
     fleet.units_per_s = REQUESTS_PER_S_PER_PAIR * gateway_count * fleet.settings.mean_units / load
     fleet.requests_per_ms = REQUESTS_PER_S_PER_PAIR * gateway_count / 1000.0
--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -2,8 +2,9 @@
 
     python benchmarks/memory_gain.py [PAIRS]
 
-Simulates the full size (`full_archive.conf`) in virtual time. Five storage nodes are slow, and four restart while the
-gateways are down for half a second. Stale memory is the same memory with an age of ten minutes. Seeds are paired.
+Simulates the full size (`full_archive.conf`) in virtual time. Five storage nodes are slow and four in slow start
+while the gateways are down for half a second. Stale memory is the same memory with an age of ten minutes. Seeds are
+paired.
 """
 
 from __future__ import annotations
