--- a/benchmarks/decisions_limits.py
+++ b/benchmarks/decisions_limits.py
@@ -134,7 +134,7 @@
 def points(gateway_count: int, seed: int, case: str = "") -> list[dict[str, Any]]:
     """Returns all cases of one limit, or of all.
 
-    The largest limit leaves out the slack of 1 unit per gateway, which is less than 0.1 of the burst below 750 gateways.
+    The largest limit omits the slack of 1 unit per gateway, which is less than 0.1 of the burst below 750 gateways.
     """
     result = []
     for limit in [float(case)] if case else LIMITS_PER_S:
