--- a/pebblehinge/capacity_planner/__init__.py
+++ b/pebblehinge/capacity_planner/__init__.py
@@ -1,8 +1,8 @@
-"""The capacity planner: at which load a fleet misses its objective, why, and what it would need instead.
+"""The capacity planner: computes the load at which a fleet misses its objective, the cause, and the fleet needed.
 
-No I/O here. `demand` turns captured requests into arrays, `speeds` and `fleet` describe the storage nodes, `formulas`
-give a first answer; `planner` asks for trials and `answer` turns their results into the object that is printed.
-`pebblehinge.lab.trials` plays the trials.
+The package does no I/O. `demand` turns captured requests into arrays, `speeds` and `fleet` describe the storage nodes,
+and `formulas` estimates the service. `planner` requests trials, which `pebblehinge.lab.trials` runs as simulations,
+and `answer` turns their results into the object that is printed.
 """
 
 from pebblehinge.capacity_planner.demand import Demand
--- a/pebblehinge/capacity_planner/answer.py
+++ b/pebblehinge/capacity_planner/answer.py
@@ -1,4 +1,4 @@
-"""The planner's answer: the object that `pebblehinge plan --json` prints. Its keys and words are a public format."""
+"""The planner's answer: the object that `pebblehinge plan --json` prints. Its keys and texts are a public format."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from pebblehinge.capacity_planner.sizing import Sizing, size_fleet
 
 MIN_CROSSING_ERROR = 0.02
-"""The relative error of the crossing where the capture has many requests."""
+"""Relative error of the crossing if the capture has at least MIN_REQUESTS_FOR_NARROW_BOUNDS requests."""
 
 FORMULA_CROSSING_FACTORS = (0.7, 1.4)
-"""Bounds of the crossing by the formulas alone, as factors."""
+"""Factors that give the lower and upper bound of a crossing estimated by formulas alone."""
 
 LIMIT_BOUND_FACTORS = (0.85, 1.15)
-"""Bounds of a limit that trials don't show, as factors."""
+"""Factors that give the lower and upper bound of a limit that trials do not cover."""
 
 FORMULA_SERVICE_ERROR = 0.05
-"""How far the service by the formulas alone may be off."""
+"""Absolute error of a service estimated by formulas alone."""
 
 CAPTURED_LOAD_MULTIPLE = 1.0
 
 
 class ServiceRange(TypedDict):
-    """A service with its bounds, 0 to 1."""
+    """A service with its lower and upper bound, each between 0 and 1."""
 
     service: float
     low: float
@@ -37,7 +37,7 @@
 
 
 class FirstLimit(TypedDict):
-    """The limit that the fleet meets first, and the multiple of the captured load at which it does."""
+    """The limit that the fleet reaches first, and the multiple of the captured load at which it does."""
 
     name: str
     where: str
@@ -57,7 +57,7 @@
 
 
 class Loss(TypedDict):
-    """The service where a part of the fleet fails: over the whole run, while it is away, and after its return."""
+    """The service with a failed part of the fleet: over the whole run, during the failure, and after the recovery."""
 
     what: str
     service: float
@@ -70,7 +70,7 @@
 
 
 class Answer(TypedDict):
-    """The whole plan. `curve` holds pairs of a multiple and its service."""
+    """The whole plan. `curve` holds pairs of a multiple of the captured load and the service at it."""
 
     goal: float
     growth: float
@@ -87,7 +87,7 @@
 
 
 def make_answer(evidence: Evidence) -> Answer:
-    """What is known by now."""
+    """Returns the plan that follows from the evidence collected so far."""
     notes = list(evidence.notes)
     crossing = _crossing(evidence, notes)
     others = other_limits(evidence.demand, evidence.config, evidence.nodes, evidence.gateway_cost_ms)
@@ -124,7 +124,7 @@
 
 
 def service_now(evidence: Evidence) -> ServiceRange:
-    """The service at the captured load: of trials, or by the formulas if there are none."""
+    """Returns the service at the captured load, from trials or, without any, from the formulas."""
     services = [
         result.service
         for trial, result in evidence.results.items()
@@ -140,7 +140,7 @@
 
 
 def next_step(evidence: Evidence, first: Limit, needed: Sizing) -> str:
-    """What the operator had best do next."""
+    """Returns the recommended next action of the operator."""
     if first.name == QUOTA:
         return f"raise the limit of {first.location}'s plan, or accept it: more shelfs change nothing"
     if first.name == HOT_NODE:
@@ -149,25 +149,29 @@
         return f"add heads: {needed['heads']} carry the peak"
     if needed["shelfs"] is None:
         return needed["reason"]
-    more = needed["shelfs"] - len(evidence.nodes.slots)
-    return f"add {more} shelfs of kind {needed['kind']}" if more > 0 else "nothing now: the fleet holds the goal"
+    missing_nodes = needed["shelfs"] - len(evidence.nodes.slots)
+    return (
+        f"add {missing_nodes} shelfs of kind {needed['kind']}"
+        if missing_nodes > 0
+        else "nothing now: the fleet holds the goal"
+    )
 
 
 def _crossing(evidence: Evidence, notes: list[str]) -> Crossing:
-    """Where the service falls below the goal, with bounds that allow for all doubts; notes if it is by formulas."""
-    found = evidence.crossing()
-    if found is None:
+    """Returns the crossing with bounds that cover all errors; adds a note if it comes from the formulas alone."""
+    crossing = evidence.crossing()
+    if crossing is None:
         notes.append("no trial was played: the answer is the formulas' alone")
-        at = evidence.estimated_crossing
-        low, high = at * FORMULA_CROSSING_FACTORS[0], at * FORMULA_CROSSING_FACTORS[1]
-    else:  # no surer than the trials on both sides of it lie apart
-        at, low, high = found
+        multiple = evidence.estimated_crossing
+        low, high = multiple * FORMULA_CROSSING_FACTORS[0], multiple * FORMULA_CROSSING_FACTORS[1]
+    else:  # The bounds are at least as wide as the gap between the trials on both sides of the crossing.
+        multiple, low, high = crossing
         bracket_low, bracket_high = evidence.crossing_bracket()
         low, high = min(low, bracket_low), max(high, bracket_high)
-    doubt = MIN_CROSSING_ERROR
+    relative_error = MIN_CROSSING_ERROR
     if len(evidence.demand.arrival_ms) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
-        doubt = float(np.mean([estimate.relative_error for estimate in evidence.speeds.values()]))
-    return Crossing(at, min(low, at * (1 - doubt)), max(high, at * (1 + doubt)))
+        relative_error = float(np.mean([estimate.relative_error for estimate in evidence.speeds.values()]))
+    return Crossing(multiple, min(low, multiple * (1 - relative_error)), max(high, multiple * (1 + relative_error)))
 
 
 def _other_limit(limit: Limit) -> OtherLimit:
--- a/pebblehinge/capacity_planner/demand.py
+++ b/pebblehinge/capacity_planner/demand.py
@@ -1,6 +1,6 @@
-"""Captured load as arrays: who asked for how much, when, and where.
+"""The captured load as arrays: arrival, volume, cost and placement of each request.
 
-Requests that were rejected count; a client's retries don't, since the lab's clients retry by themselves.
+Rejected requests are included. Retries of a client are not, since the simulated clients of trials retry by themselves.
 """
 
 from __future__ import annotations
@@ -21,51 +21,51 @@
 Integers: TypeAlias = npt.NDArray[np.int64]
 Booleans: TypeAlias = npt.NDArray[np.bool_]
 MergedRequest: TypeAlias = tuple[float, str, CapturedRequest]
-"""When a request came, in ms from the start of all captures; the gateway that took it; what was captured of it."""
+"""Arrival of a request in ms from the start of all captures, the name of its gateway, and its captured record."""
 
 MIN_REQUESTS = 60
-"""Fewer requests give no plan."""
+"""The smallest number of requests for which a plan is computed."""
 
 MIN_REQUESTS_FOR_NARROW_BOUNDS = 2000
-"""Fewer requests give a plan with wide bounds."""
+"""With fewer requests, the bounds of a plan are wide."""
 
 CACHED_EXTENT_MS = 2_000.0
-"""A request for an extent that was asked for within this time finds it cached at its storage node."""
+"""An extent counts as cached at its storage node if its last request was less than this time ago."""
 
 WHOLE_LOAD_FACTOR = 1.25
-"""A load that isn't longer than the window by this factor is planned for as a whole."""
+"""A load of at most this factor times the window's duration is planned for as a whole."""
 
 REQUESTS_PER_NODE = 50
-"""From so many requests per storage node on, most of them ought to appear in the capture."""
+"""With more requests per storage node, at least half of the nodes must occur in the capture."""
 
 TENTHS_PER_SECOND = 10
-"""Tenths of a second in a second."""
+"""The factor from units in a tenth of a second to units a second."""
 
 TENTH_SPIKE_FACTOR = 3
-"""A tenth of a second is a spike if its rate exceeds that of the busiest second by this factor."""
+"""A tenth of a second is a spike if its rate is above this factor times that of the busiest second."""
 
 NO_PREVIOUS_REQUEST_MS = -1e12
 
 
 @dataclass(slots=True)
 class Demand:
-    """The load; its arrays hold one row per request, in order of time.
+    """The load. Its arrays hold one element per request, in order of arrival.
 
     Attributes:
-        arrival_ms: When the request came, in ms from 0.
-        volume: Index of `volumes`.
-        quota_plan: Index of `quota_plans`.
-        request_class: Index of `request_classes`.
-        slot: The placement slot, as the settings number it.
-        units: The cost in units of work.
-        is_write: Whether it was a write.
-        is_cached: Whether its storage node surely had the extent cached.
-        attempt_ms: The duration of the attempt; 0 where no attempt succeeded.
-        first_attempt_succeeded: Whether it succeeded at its first attempt.
-        volumes: Names.
-        quota_plans: Names.
-        request_classes: Names.
-        slots: All slots that occur.
+        arrival_ms: The arrival, in ms from 0.
+        volume: Index in `volumes`.
+        quota_plan: Index in `quota_plans`.
+        request_class: Index in `request_classes`.
+        slot: The placement slot, by its number in the settings.
+        units: The cost, in units.
+        is_write: Whether the request was a write.
+        is_cached: Whether the extent counts as cached at its storage node.
+        attempt_ms: The duration of the last attempt, in ms; 0 if no attempt succeeded.
+        first_attempt_succeeded: Whether the request succeeded at its first attempt.
+        volumes: Names of the volumes, sorted.
+        quota_plans: Names of the quota plans, sorted.
+        request_classes: Names of the request classes, sorted.
+        slots: All slots that occur, in ascending order.
     """
 
     arrival_ms: Floats
@@ -85,25 +85,25 @@
 
     @property
     def seconds(self) -> int:
-        """The number of seconds that the load lasts, also those begun."""
+        """Returns the number of seconds that the load spans, including the last, partial one."""
         return int(self.arrival_ms[-1] / 1000.0) + 1
 
     @property
     def second(self) -> Integers:
-        """The second in which each request came, from 0."""
+        """Returns the second of arrival of each request, from 0."""
         return (self.arrival_ms / 1000.0).astype(int)
 
     def units_by_second(self) -> Floats:
-        """The units asked for in each second."""
+        """Returns the requested units in each second."""
         units: Floats = np.bincount(self.second, self.units, self.seconds).astype(float, copy=False)
         return units
 
     def peak_requests(self) -> float:
-        """The number of requests in the second with most of them."""
+        """Returns the number of requests in the second with the most requests."""
         return float(np.bincount(self.second).max())
 
     def busiest_window(self, window_s: int) -> tuple[float, float]:
-        """Begin and end (ms) of the window of so many seconds with most units: the design case, never the mean."""
+        """Returns begin and end (ms) of the window with the most units: a plan is for the peak, not the mean."""
         by_second = self.units_by_second()
         if len(by_second) <= WHOLE_LOAD_FACTOR * window_s:
             return 0.0, float(self.arrival_ms[-1]) + 1.0
@@ -115,19 +115,19 @@
 def build_demand(
     rows: Sequence[MergedRequest], config: Config, min_requests: int = MIN_REQUESTS, complete: bool = True
 ) -> Demand:
-    """Arrays from captured requests.
+    """Builds the arrays from captured requests.
 
     Args:
-        rows: The requests of all gateways in order of time.
-        config: The fleet.
-        min_requests: How many there have to be.
-        complete: Whether `rows` is all of the captures, so that it is checked whether they are this fleet's.
+        rows: The requests of all gateways in order of arrival.
+        config: The fleet's settings.
+        min_requests: The smallest accepted number of requests.
+        complete: Whether `rows` holds the whole captures, so that most slots of the fleet must occur in it.
 
     Raises:
-        CapturedLoadError: The requests are too few or don't fit the fleet.
+        CapturedLoadError: There are too few requests, or they do not match the fleet.
     """
     if len(rows) < min_requests:
-        raise CapturedLoadError(f"{len(rows)} accesses are captured: under {min_requests} no answer would be honest")
+        raise CapturedLoadError(f"{len(rows)} accesses are captured: under {min_requests} are too few for a plan")
     requests = [request for _, _, request in rows]
     volumes = sorted({request.volume for request in requests})
     quota_plans = sorted({request.quota_plan for request in requests})
@@ -156,15 +156,15 @@
 
 
 def describe_window(demand: Demand, begin_ms: float, end_ms: float) -> list[str]:
-    """Notes for the operator on the window of the load that the plan is made for."""
+    """Returns notes for the operator on the window of the load that the plan is made for."""
     by_second = demand.units_by_second()
-    mean, top = float(by_second.mean()), float(by_second.max())
+    mean, peak = float(by_second.mean()), float(by_second.max())
     notes = [
         f"planned for the busiest {(end_ms - begin_ms) / 1000:.0f} s, from {begin_ms / 1000:.0f} s on: the busiest "
-        f"second asks {top:.0f} units, {top / max(1e-9, mean):.1f} times the mean"
+        f"second asks {peak:.0f} units, {peak / max(1e-9, mean):.1f} times the mean"
     ]
     by_tenth = np.bincount((demand.arrival_ms / 100.0).astype(int), demand.units)
-    if by_tenth.size and by_tenth.max() * TENTHS_PER_SECOND > TENTH_SPIKE_FACTOR * top:
+    if by_tenth.size and by_tenth.max() * TENTHS_PER_SECOND > TENTH_SPIKE_FACTOR * peak:
         rate = by_tenth.max() * TENTHS_PER_SECOND
         notes.append(f"a spike shorter than a second: {rate:.0f} units a second for a tenth of one")
     if len(demand.arrival_ms) < MIN_REQUESTS_FOR_NARROW_BOUNDS:
@@ -172,20 +172,22 @@
     return notes
 
 
-def _check_known(what: str, names: list[str], known: dict[str, Any]) -> None:
+def _check_known(field: str, names: list[str], known: dict[str, Any]) -> None:
     missing = [name for name in names if name not in known]
     if missing:
-        raise CapturedLoadError(f"the capture has {what} {missing[0]!r}, which the fleet's settings do not know")
+        raise CapturedLoadError(f"the capture has {field} {missing[0]!r}, which the fleet's settings do not know")
 
 
-def _check_slots(slots: list[int], config: Config, requests: int, complete: bool) -> None:
+def _check_slots(slots: list[int], config: Config, request_count: int, complete: bool) -> None:
     known = {node.slot for node in config.shelf.values()}
     unknown = [slot for slot in slots if slot not in known]
     if unknown:
         raise CapturedLoadError(f"the capture names slot {unknown[0]}, which no shelf of the fleet holds")
     absent = known - set(slots)
-    if complete and requests > REQUESTS_PER_NODE * len(known) and len(absent) > len(known) / 2:
-        raise CapturedLoadError(f"{len(absent)} of {len(known)} shelfs are not in the capture: is it this fleet's?")
+    if complete and request_count > REQUESTS_PER_NODE * len(known) and len(absent) > len(known) / 2:
+        raise CapturedLoadError(
+            f"{len(absent)} of {len(known)} shelfs are not in the capture: it may be of another fleet"
+        )
 
 
 def _indices(names: list[str], values: Iterable[str]) -> Integers:
@@ -194,7 +196,7 @@
 
 
 def _cached_extents(rows: Sequence[MergedRequest]) -> Booleans:
-    """For each request whether its extent was asked for shortly before."""
+    """Returns for each request whether its extent was requested within CACHED_EXTENT_MS before it."""
     last_ms: dict[str, float] = {}
     cached = np.zeros(len(rows), bool)
     for number, (at_ms, _, request) in enumerate(rows):
--- a/pebblehinge/capacity_planner/errors.py
+++ b/pebblehinge/capacity_planner/errors.py
@@ -1,13 +1,13 @@
-"""The exceptions of the capacity planner."""
+"""Exceptions of the capacity planner."""
 
 
 class PlanError(Exception):
-    """No plan can be made. The message is one line for the operator."""
+    """Base class: a plan cannot be computed. The message is a single line for the operator."""
 
 
 class CapturedLoadError(PlanError):
-    """The captured requests are too few, or don't belong to the fleet."""
+    """Signals that there are too few captured requests, or that they belong to another fleet."""
 
 
 class ObjectiveError(PlanError):
-    """The goal or the growth that was asked for is out of range."""
+    """Signals that the requested goal or growth is out of range."""
--- a/pebblehinge/capacity_planner/evidence.py
+++ b/pebblehinge/capacity_planner/evidence.py
@@ -1,4 +1,4 @@
-"""What the planner knows: the formulas' first answer, the results of trials, and the curve through them."""
+"""The evidence of a plan: the estimates by formulas, the results of trials, and the curve through the results."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 MAX_GROWTH = 100.0
 BISECTIONS = 12
 MIN_NOISE = 0.005
+
 DEFAULT_NOISE = 0.01
-"""How far trials that differ by their seed alone are taken to lie apart, where none was repeated."""
+"""The assumed range of service between trials that differ only in their seed, if no trial was repeated."""
 
 
 class Crossing(NamedTuple):
-    """The multiple of the captured load at which the service falls below the goal, with its bounds."""
+    """The multiple of the captured load at which the service falls below the goal, with its lower and upper bound."""
 
     multiple: float
     low: float
@@ -38,26 +39,26 @@
 
 
 class Evidence:
-    """What is known of one capture and one fleet.
+    """The estimates and trial results for one capture and one fleet.
 
     Args:
         demand: The load to plan for.
         config: The fleet's settings.
-        goal: The service to be held, between 0 and 1.
-        growth: The load to be carried, in multiples of the captured one.
-        failures: What may fail, as `Trial.failure` names it; None for `default_failures`.
+        goal: The required service, between 0 and 1.
+        growth: The required load, in multiples of the captured load.
+        failures: The failures to examine, in the form of `Trial.failure`; None for `default_failures`.
         gateway_cost_ms: The CPU time of a request at a gateway, in milliseconds.
         notes: Notes for the operator.
-        speed_demand: The load that the speeds are fitted to; None for `demand`.
+        speed_demand: The load that the storage nodes' speeds are fitted to; None for `demand`.
 
     Raises:
         ObjectiveError: The goal or the growth is out of range.
 
     Attributes:
         nodes: The storage nodes with their fitted speeds.
-        results: The results of the trials so far.
-        estimated_crossing: The multiple at which the service falls below the goal by the formulas.
-        estimated_node_count: How many storage nodes meet the goal at the growth by the formulas.
+        results: The results of trials, by trial.
+        estimated_crossing: The multiple at which the service falls below the goal, according to the formulas.
+        estimated_node_count: The number of storage nodes that meets the goal at the growth, according to the formulas.
     """
 
     def __init__(
@@ -89,16 +90,16 @@
         self.estimated_node_count = self._estimate_node_count()
 
     def estimated_service(self, multiple: float) -> float:
-        """The service at a multiple of the captured load, by the formulas."""
+        """Returns the service at a multiple of the captured load, according to the formulas."""
         return estimate_service(self.demand, self.config, self.nodes, multiple).service
 
     def add_results(self, results: Iterable[TrialResult]) -> None:
-        """Takes the results of trials."""
+        """Adds the results of trials."""
         for result in results:
             self.results[result.trial] = result
 
     def service_by_multiple(self, node_count: int | None = None) -> list[tuple[float, float]]:
-        """Multiple and mean service over seeds, in order of multiples, without failures and on so many nodes."""
+        """Returns ascending multiples with their mean service over seeds, without failures, on `node_count` nodes."""
         services: dict[float, list[float]] = defaultdict(list)
         for trial, result in self.results.items():
             if not trial.failure and trial.node_count == node_count:
@@ -106,26 +107,26 @@
         return [(multiple, float(np.mean(values))) for multiple, values in sorted(services.items())]
 
     def crossing_bracket(self) -> tuple[float, float]:
-        """Multiples between which the service falls below the goal, as far as is known."""
+        """Returns the closest known multiples between which the service falls below the goal."""
         curve = self.service_by_multiple()
-        good = [multiple for multiple, service in curve if service >= self.goal]
-        bad = [multiple for multiple, service in curve if service < self.goal]
+        passing = [multiple for multiple, service in curve if service >= self.goal]
+        failing = [multiple for multiple, service in curve if service < self.goal]
         if not curve:
             return self.estimated_crossing * 0.75, self.estimated_crossing * 1.33
-        if not good:
-            return max(MIN_MULTIPLE, min(bad) * 0.3), min(bad)
-        if not bad:
-            return max(good), min(MAX_MULTIPLE * 2, max(good) * 2.5)
-        high = min((multiple for multiple in bad if multiple > max(good)), default=max(bad))
-        low = max((multiple for multiple in good if multiple < high), default=min(good))
+        if not passing:
+            return max(MIN_MULTIPLE, min(failing) * 0.3), min(failing)
+        if not failing:
+            return max(passing), min(MAX_MULTIPLE * 2, max(passing) * 2.5)
+        high = min((multiple for multiple in failing if multiple > max(passing)), default=max(failing))
+        low = max((multiple for multiple in passing if multiple < high), default=min(passing))
         return low, max(high, low * 1.01)
 
     def crossing(self) -> Crossing | None:
-        """Where the service falls below the goal, or None if no trial was played."""
+        """Returns the multiple at which the service falls below the goal, or None if no trial was run."""
         curve = self.service_by_multiple()
         if not curve:
             return None
-        # Service falls with load but for chance: the curve is made to fall before it is read.
+        # Apart from noise, the service never rises with the load: the fit removes the rises that noise causes.
         multiples = np.array([multiple for multiple, _ in curve])
         falling = non_increasing_fit(np.array([service for _, service in curve]))
         noise = self.noise()
@@ -136,7 +137,7 @@
         )
 
     def noise(self) -> float:
-        """How far trials that differ by their seed alone lie apart, at least half a point."""
+        """Returns the mean range of service between trials that differ only in their seed, at least MIN_NOISE."""
         services: dict[tuple[float, int | None, str], list[float]] = defaultdict(list)
         for trial, result in self.results.items():
             services[trial.multiple, trial.node_count, trial.failure].append(result.service)
@@ -144,18 +145,18 @@
         return max(MIN_NOISE, float(np.mean(ranges)) if ranges else DEFAULT_NOISE)
 
     def node_count_bracket(self) -> tuple[int, int]:
-        """Numbers of storage nodes between which the service at the growth reaches the goal, as far as is known."""
-        tried = self.service_by_node_count()
-        good = [count for count, service in tried if service >= self.goal]
-        bad = [count for count, service in tried if service < self.goal]
-        if not good:
-            top = max(bad, default=self.estimated_node_count)
-            return top + 1, math.ceil(top * 1.6) + 1
-        low = max((count for count in bad if count < min(good)), default=max(1, min(good) // 2))
-        return low, min(good)
+        """Returns the closest known node counts between which the service at the growth reaches the goal."""
+        services = self.service_by_node_count()
+        passing = [count for count, service in services if service >= self.goal]
+        failing = [count for count, service in services if service < self.goal]
+        if not passing:
+            largest = max(failing, default=self.estimated_node_count)
+            return largest + 1, math.ceil(largest * 1.6) + 1
+        low = max((count for count in failing if count < min(passing)), default=max(1, min(passing) // 2))
+        return low, min(passing)
 
     def service_by_node_count(self) -> list[tuple[int, float]]:
-        """Number of storage nodes and mean service over seeds at the growth, in order of numbers."""
+        """Returns pairs of node count and mean service over seeds at the growth, in ascending order of count."""
         services: dict[int, list[float]] = defaultdict(list)
         for trial, result in self.results.items():
             if trial.node_count is not None and not trial.failure and trial.multiple == self.growth:
@@ -175,30 +176,30 @@
         return math.sqrt(low * high)
 
     def _estimate_node_count(self) -> int:
-        """As many storage nodes as hold the growth if the present ones hold the first guess."""
+        """Returns the node count in proportion to the load: the present nodes carry `estimated_crossing`."""
         return max(1, math.ceil(len(self.nodes.slots) * self.growth / max(0.05, self.estimated_crossing)))
 
 
 def non_increasing_fit(values: Floats) -> Floats:
-    """The nearest sequence that never rises (pool adjacent violators)."""
-    blocks: list[tuple[float, int]] = []  # mean and length
+    """Returns the nearest non-increasing sequence (pool adjacent violators algorithm)."""
+    blocks: list[tuple[float, int]] = []  # Mean and length of each block.
     for value in values:
         mean, length = float(value), 1
         while blocks and blocks[-1][0] < mean:
-            earlier, earlier_length = blocks.pop()
-            mean = (earlier * earlier_length + mean * length) / (earlier_length + length)
-            length += earlier_length
+            previous_mean, previous_length = blocks.pop()
+            mean = (previous_mean * previous_length + mean * length) / (previous_length + length)
+            length += previous_length
         blocks.append((mean, length))
     return np.array([mean for mean, length in blocks for _ in range(length)])
 
 
 def _crossing_at(multiples: Floats, falling: Floats, goal: float) -> float:
-    """The multiple at which a falling curve reaches a goal, within the curve's ends."""
+    """Returns the multiple at which a falling curve reaches a goal, limited to the range of the curve."""
     if falling[-1] >= goal:
         return float(multiples[-1])
     if falling[0] < goal:
         return float(multiples[0])
-    after = int(np.argmax(falling < goal))
-    above, below = falling[after - 1], falling[after]
-    part = (above - goal) / max(1e-9, above - below)
-    return float(multiples[after - 1] + part * (multiples[after] - multiples[after - 1]))
+    first_below = int(np.argmax(falling < goal))
+    above, below = falling[first_below - 1], falling[first_below]
+    fraction = (above - goal) / max(1e-9, above - below)
+    return float(multiples[first_below - 1] + fraction * (multiples[first_below] - multiples[first_below - 1]))
--- a/pebblehinge/capacity_planner/fleet.py
+++ b/pebblehinge/capacity_planner/fleet.py
@@ -1,4 +1,4 @@
-"""The storage nodes of a fleet as arrays, and the parts of it that may fail."""
+"""The storage nodes of a fleet as arrays, and the failures to examine by default."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from pebblehinge.settings import Config
 
 MAX_FAILURE_DOMAINS = 6
-"""So many zones, and so many racks, are tried at most."""
+"""The largest number of zones, and of racks, whose failure is examined."""
 
 
 @dataclass(slots=True)
 class NodeCapacities:
-    """What each storage node can do: arrays and lists in the order of `slots`.
+    """The capacities of the storage nodes: arrays and lists in the order of `slots`.
 
     Attributes:
         slots: The placement slots in ascending order.
         cores: Number of cores.
         speed: Speed of a core, in multiples of the standard core.
         unit_work: Milliseconds of a standard core per unit of work.
-        cache_saving: The part of the work that a cached extent saves.
-        queue_limit: How many requests may be queued.
+        cache_saving: The fraction of the work that a cached extent saves.
+        queue_limit: The largest number of queued requests.
         names: Names of the storage nodes.
     """
 
@@ -39,7 +39,7 @@
 
 
 def node_capacities(config: Config, speeds: Mapping[int, SpeedEstimate]) -> NodeCapacities:
-    """The storage nodes of a fleet with their speeds by slot; for a slot without one the middle of its kind's range."""
+    """Returns the capacities of a fleet; a slot missing from `speeds` gets the middle of its kind's speed range."""
     nodes = sorted(config.shelf.items(), key=lambda item: item[1].slot)
     kinds = [config.kind[node.kind] for _, node in nodes]
     return NodeCapacities(
@@ -59,7 +59,7 @@
 
 
 def default_failures(config: Config) -> list[str]:
-    """What may fail at once: every zone and rack that isn't all of the fleet, one storage node, one gateway."""
+    """Returns the failures to examine: zones and racks that are not the whole fleet, one storage node, one gateway."""
     nodes = config.shelf.values()
     domains = {"zone": sorted({node.zone for node in nodes}), "rack": sorted({node.rack for node in nodes})}
     failures = []
--- a/pebblehinge/capacity_planner/page.py
+++ b/pebblehinge/capacity_planner/page.py
@@ -1,4 +1,4 @@
-"""A plan as a self-contained HTML page with a plot. No I/O."""
+"""Rendering of a plan as a self-contained HTML page with a plot, without I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def render_page(answer: Answer) -> str:
-    """The page's text."""
+    """Returns the HTML text of the page."""
     figure = Figure(figsize=FIGURE_INCHES)
     axis = figure.subplots()
     curve = answer["curve"]
@@ -33,9 +33,9 @@
     axis.set_xlabel("multiple of the captured load")
     axis.set_ylabel("service")
     axis.legend()
-    out = io.BytesIO()
-    figure.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
-    data = base64.b64encode(out.getvalue()).decode()
+    svg = io.BytesIO()
+    figure.savefig(svg, format="svg", bbox_inches="tight", metadata={"Date": None})
+    data = base64.b64encode(svg.getvalue()).decode()
     text = "".join(f"<p>{html.escape(line)}</p>" for line in report_lines(answer))
     return (
         "<!doctype html><html lang=en><meta charset=utf-8><title>Capacity plan</title>"
--- a/pebblehinge/capacity_planner/trial.py
+++ b/pebblehinge/capacity_planner/trial.py
@@ -1,4 +1,4 @@
-"""A trial that the planner asks for, and its result."""
+"""A trial that the planner requests, and its result."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Trial:
-    """One run in virtual time.
+    """One simulated run in virtual time.
 
     Attributes:
-        multiple: The load, in multiples of the captured one.
-        seed: Of everything that is drawn in the run.
-        node_count: The number of storage nodes, with data placed anew; None for the fleet as it is.
-        failure: What is lost in the middle of the run: the name of a gateway or a storage node, `rack NAME` or
-            `zone NAME`; empty for nothing.
-        jitter_ms: How far from the original requests the copies of a grown load come, in milliseconds.
+        multiple: The load, in multiples of the captured load.
+        seed: The seed of all random values of the run.
+        node_count: The number of storage nodes, with a new data placement; None for the fleet as it is.
+        failure: The part of the fleet that fails in the middle of the run: the name of a gateway or a storage node,
+            `rack NAME` or `zone NAME`; empty for no failure.
+        jitter_ms: The largest shift in time, either way, of a request's copies in a grown load, in milliseconds.
     """
 
     multiple: float
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True)
 class TrialResult:
-    """The result of a trial. Services and losses are parts of the value of all requests that were due, 0 to 1.
+    """The result of a trial. Services and losses are fractions, 0 to 1, of the value of all due requests.
 
     Attributes:
-        trial: What was run.
+        trial: The trial that was run.
         service: The service over the whole run.
-        by_quota_plan: The service by the name of a quota plan.
-        lost_by_node: What was lost by the name of a storage node.
-        lost_by_quota: What was lost by the name of a volume whose quota plan has a limit.
-        service_during_failure: The service while `trial.failure` lasts.
-        service_after_return: The service while what had failed is warming up.
+        by_quota_plan: The service by quota plan name.
+        lost_by_node: Losses by storage node name.
+        lost_by_quota: Losses to quotas, by name of the volume; only volumes whose quota plan has a limit occur.
+        service_during_failure: The service during `trial.failure`.
+        service_after_return: The service while the recovered part is warming up.
     """
 
     trial: Trial
