--- a/pebblehinge/capacity_planner/answer.py
+++ b/pebblehinge/capacity_planner/answer.py
@@ -104,7 +104,7 @@
         goal=evidence.goal,
         growth=evidence.growth,
         accesses=len(evidence.demand.arrival_ms),
-        service_now=service_now(evidence),
+        service_now=service_at_captured_load(evidence),
         first_limit=FirstLimit(
             name=first.name,
             where=first.location,
@@ -123,7 +123,7 @@
     )
 
 
-def service_now(evidence: Evidence) -> ServiceRange:
+def service_at_captured_load(evidence: Evidence) -> ServiceRange:
     """Returns the service at the captured load, from trials or, without any, from the formulas."""
     services = [
         result.service
--- a/pebblehinge/capacity_planner/evidence.py
+++ b/pebblehinge/capacity_planner/evidence.py
@@ -23,7 +23,7 @@
 
 MIN_GROWTH = 0.05
 MAX_GROWTH = 100.0
-BISECTIONS = 12
+BISECTION_STEPS = 12
 MIN_NOISE = 0.005
 
 DEFAULT_NOISE = 0.01
@@ -150,8 +150,8 @@
         passing = [count for count, service in services if service >= self.goal]
         failing = [count for count, service in services if service < self.goal]
         if not passing:
-            largest = max(failing, default=self.estimated_node_count)
-            return largest + 1, math.ceil(largest * 1.6) + 1
+            largest_count = max(failing, default=self.estimated_node_count)
+            return largest_count + 1, math.ceil(largest_count * 1.6) + 1
         low = max((count for count in failing if count < min(passing)), default=max(1, min(passing) // 2))
         return low, min(passing)
 
@@ -167,7 +167,7 @@
         low, high = MIN_MULTIPLE, MAX_MULTIPLE
         if self.estimated_service(high) >= self.goal:
             return MAX_MULTIPLE
-        for _ in range(BISECTIONS):
+        for _ in range(BISECTION_STEPS):
             middle = math.sqrt(low * high)
             if self.estimated_service(middle) >= self.goal:
                 low = middle
--- a/pebblehinge/capacity_planner/formulas.py
+++ b/pebblehinge/capacity_planner/formulas.py
@@ -1,10 +1,10 @@
-"""A first answer by queueing formulas, in a second or two for a million requests.
+"""Estimation of the service by queueing formulas, in a second or two for a million requests.
 
-Each storage node is c cores before one queue. Second by second and node by node the demand's load (work over what the
-cores can do) gives the part that is answered in time: below saturation by the waiting time of M/G/c (Allen and
-Cunneen's form of Erlang C, with an exponential tail), above it by what the node can do at all, since the gateways
-reject the rest at once. Neighbouring seconds share their backlog through what is carried over. `docs/planner.md`
-says where this is off and by how much; trials confirm what is near a boundary.
+Each storage node is modelled as c cores with a single queue. For each node and second, the utilization (offered work
+over the capacity of the cores) gives the fraction of requests that are answered in time. Below saturation it follows
+from the waiting time of M/G/c (Allen and Cunneen's form of Erlang C, with an exponential tail); above, from the
+node's capacity, since the gateways reject the rest at once. A second's backlog is carried over to the next second.
+`docs/planner.md` states the errors of this model; trials confirm results that are near a boundary.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 from pebblehinge.settings import Config
 
 SATURATED_IN_TIME_FRACTION = 0.90
-"""The part of a saturated node's work that ends in time; gateways with a partial view admit too much for the rest."""
+"""The fraction of a saturated node's capacity that ends in time: gateways see only a part of the load and overadmit."""
 
 NEAR_SATURATION_UTILIZATION = 0.95
 SERVICE_TIME_FACTOR = 1.6
-"""The slack of a request is its objective less its mean service time by this factor."""
+"""The slack of a request is its latency objective minus this factor times the mean service time."""
 
 ARRIVAL_VARIABILITY = 1.6
-"""Squared coefficient of variation of the gaps between arrivals: they come in runs, more uneven than Poisson."""
+"""Squared coefficient of variation of interarrival times: arrivals come in bursts, with more variance than Poisson."""
 
 MIN_SERVICE_VARIABILITY = 0.05
 MIN_VARIABILITY = 0.2
-MAX_CARRIED_SECONDS = 0.35
-"""A second's surplus is rejected within the latency objectives; about so much of it is held back until its deadline."""
+MAX_BACKLOG_S = 0.35
+"""The largest backlog of a second, held until its deadline; further excess is rejected within the objectives."""
 
 MIN_MEAN_MS = 1e-6
 
 
 @dataclass(slots=True)
 class ServiceEstimate:
-    """The service at one multiple of the load. Losses are parts of the value of all requests.
+    """The service at one multiple of the load. Losses are fractions of the value of all requests.
 
     Attributes:
-        service: The part of the value that is served in time.
-        by_quota_plan: The same by the name of a quota plan.
-        lost_by_node: What is lost by the name of a storage node.
-        lost_by_quota: What is lost to quotas by the name of a volume.
-        utilization: The load of each node (row) in each second (column), 1 where it is saturated.
+        service: The fraction of the value that is served in time.
+        by_quota_plan: The service by quota plan name.
+        lost_by_node: Losses by storage node name.
+        lost_by_quota: Losses to quotas, by volume name.
+        utilization: The utilization of each node (row) in each second (column); from 1 on the node is saturated.
     """
 
     service: float
@@ -58,7 +58,7 @@
 
 
 def erlang_c(cores: int, load: float) -> float:
-    """The probability that a request has to wait; `load` is the offered work in cores."""
+    """Returns the probability that a request has to wait; `load` is the offered load in cores (erlangs)."""
     if load >= cores:
         return 1.0
     term = total = 1.0
@@ -66,18 +66,18 @@
         term *= load / k
         total += term
     term *= load / cores
-    last = term * cores / (cores - load)
-    return last / (total + last)
+    wait_term = term * cores / (cores - load)
+    return wait_term / (total + wait_term)
 
 
 def fraction_in_time(cores: int, utilization: float, mean_ms: float, objective_ms: float, variability: float) -> float:
-    """The part of requests whose wait and service end within the latency objective.
+    """Returns the fraction of requests whose waiting and service time is within the latency objective.
 
     Args:
-        cores: Of the storage node.
-        utilization: Offered work over what the cores can do.
-        mean_ms: The mean service time.
-        objective_ms: The latency objective.
+        cores: The number of cores of the storage node.
+        utilization: The offered work over the capacity of the cores.
+        mean_ms: The mean service time, in ms.
+        objective_ms: The latency objective, in ms.
         variability: Half the sum of the squared coefficients of variation of arrivals and service times.
     """
     slack_ms = objective_ms - SERVICE_TIME_FACTOR * mean_ms
@@ -85,13 +85,13 @@
         return max(0.0, 1.0 - math.exp(-objective_ms / max(mean_ms, MIN_MEAN_MS)))
     if utilization >= 1.0:
         return SATURATED_IN_TIME_FRACTION / utilization
-    waits = erlang_c(cores, utilization * cores)
+    wait_probability = erlang_c(cores, utilization * cores)
     tail = math.exp(
         -cores * (1.0 - utilization) * slack_ms / max(mean_ms, MIN_MEAN_MS) / max(MIN_VARIABILITY, variability)
     )
-    # Near saturation the tail says less than the gateways' own rejections: never below what a saturated node does.
+    # Near saturation the gateways' rejections outweigh the tail: a node serves no less than a saturated one.
     floor = SATURATED_IN_TIME_FRACTION / max(utilization, 1.0) if utilization > NEAR_SATURATION_UTILIZATION else 0.0
-    return max(1.0 - waits * tail, floor)
+    return max(1.0 - wait_probability * tail, floor)
 
 
 def estimate_service(
@@ -101,14 +101,14 @@
     multiple: float = 1.0,
     failed_slots: Set[int] = frozenset(),
 ) -> ServiceEstimate:
-    """What the fleet makes of the demand.
+    """Estimates the service that the fleet gives to the demand.
 
     Args:
         demand: The captured load.
         config: The fleet's settings.
-        nodes: Its storage nodes.
-        multiple: The load, in multiples of the captured one.
-        failed_slots: Slots whose storage nodes answer nothing.
+        nodes: The capacities of the fleet's storage nodes.
+        multiple: The load, in multiples of the captured load.
+        failed_slots: Slots whose storage nodes answer no request.
     """
     index = {slot: number for number, slot in enumerate(nodes.slots)}
     node = np.array([index[slot] for slot in demand.slot])
@@ -126,34 +126,36 @@
 def _utilization(
     nodes: NodeCapacities, seconds: int, node: Integers, second: Integers, work: Floats, multiple: float
 ) -> Floats:
-    """The offered work by node and second over what the node's cores can do."""
+    """Returns the offered work over the capacity of the cores, by node and second."""
     count = len(nodes.slots)
     offered = np.bincount(node * seconds + second, work, count * seconds).reshape((count, seconds)) * multiple
-    power = (nodes.cores * nodes.speed)[:, None] * 1000.0
-    utilization: Floats = offered / power
+    capacity = (nodes.cores * nodes.speed)[:, None] * 1000.0
+    utilization: Floats = offered / capacity
     return utilization
 
 
 def _with_backlog(utilization: Floats) -> Floats:
-    """The utilization with what each second carries over to the next."""
-    carried = np.zeros(utilization.shape[0])
+    """Returns the utilization including the backlog that each second carries over to the next."""
+    backlog = np.zeros(utilization.shape[0])
     total = np.empty_like(utilization)
     for second in range(utilization.shape[1]):
-        total[:, second] = utilization[:, second] + carried
-        carried = np.clip(total[:, second] - 1.0, 0.0, MAX_CARRIED_SECONDS)
+        total[:, second] = utilization[:, second] + backlog
+        backlog = np.clip(total[:, second] - 1.0, 0.0, MAX_BACKLOG_S)
     return total
 
 
 def _fractions_in_time(
     demand: Demand, config: Config, nodes: NodeCapacities, node: Integers, work: Floats, utilization: Floats
 ) -> Floats:
-    """The part of requests that end in time, by request class, node and second."""
+    """Returns the fraction of requests that end in time, by request class, node and second."""
     count = len(nodes.slots)
     requests = np.maximum(1, np.bincount(node, minlength=count))
     mean_work = np.bincount(node, work, count) / requests
     mean_ms = mean_work / nodes.speed
-    square = np.bincount(node, work**2, count) / requests
-    service_variability = np.maximum(MIN_SERVICE_VARIABILITY, square / np.maximum(mean_work, 1e-9) ** 2 - 1.0)
+    mean_squared_work = np.bincount(node, work**2, count) / requests
+    service_variability = np.maximum(
+        MIN_SERVICE_VARIABILITY, mean_squared_work / np.maximum(mean_work, 1e-9) ** 2 - 1.0
+    )
     objectives = [config.profile[name].expected for name in demand.request_classes]
     total = _with_backlog(utilization)
     fractions = np.zeros((len(objectives), count, demand.seconds))
@@ -162,11 +164,13 @@
             variability = (ARRIVAL_VARIABILITY + service_variability[number]) / 2
             cache: dict[float, float] = {}
             for second in range(demand.seconds):
-                rounded = round(float(total[number, second]), 2)
-                if rounded not in cache:
+                rounded_utilization = round(float(total[number, second]), 2)
+                if rounded_utilization not in cache:
                     cores, mean = int(nodes.cores[number]), float(mean_ms[number])
-                    cache[rounded] = fraction_in_time(cores, rounded, mean, float(objective_ms), variability)
-                fractions[class_number, number, second] = cache[rounded]
+                    cache[rounded_utilization] = fraction_in_time(
+                        cores, rounded_utilization, mean, float(objective_ms), variability
+                    )
+                fractions[class_number, number, second] = cache[rounded_utilization]
     return fractions
 
 
@@ -184,11 +188,11 @@
     total = float(value.sum()) or 1.0
     by_node = np.bincount(node, value * admitted * (1.0 - served), len(nodes.slots)) / total
     by_volume = np.bincount(demand.volume, value * (1.0 - admitted), len(demand.volumes)) / total
-    lost_by_node = {nodes.names[number]: float(lost) for number, lost in enumerate(by_node) if lost > 0}
-    lost_by_quota = {demand.volumes[number]: float(lost) for number, lost in enumerate(by_volume) if lost > 0}
+    lost_by_node = {nodes.names[number]: float(loss) for number, loss in enumerate(by_node) if loss > 0}
+    lost_by_quota = {demand.volumes[number]: float(loss) for number, loss in enumerate(by_volume) if loss > 0}
     by_quota_plan = {}
     for number, name in enumerate(demand.quota_plans):
-        of_plan = demand.quota_plan == number
-        by_quota_plan[name] = float((value * admitted * served)[of_plan].sum() / max(1e-9, value[of_plan].sum()))
-    lost = sum([*lost_by_node.values(), *lost_by_quota.values()])
-    return ServiceEstimate(1.0 - lost, by_quota_plan, lost_by_node, lost_by_quota, utilization)
+        in_plan = demand.quota_plan == number
+        by_quota_plan[name] = float((value * admitted * served)[in_plan].sum() / max(1e-9, value[in_plan].sum()))
+    loss = sum([*lost_by_node.values(), *lost_by_quota.values()])
+    return ServiceEstimate(1.0 - loss, by_quota_plan, lost_by_node, lost_by_quota, utilization)
--- a/pebblehinge/capacity_planner/limits.py
+++ b/pebblehinge/capacity_planner/limits.py
@@ -1,4 +1,4 @@
-"""Limits that trials in virtual time do not show, or that are promises rather than load."""
+"""Limits that trials in virtual time do not show, and limits of guarantees rather than of the load."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from pebblehinge.settings import Config
 
 GATEWAY_UTILIZATION = 0.6
-"""The part of a core that a gateway may use and still answer in time."""
+"""The fraction of a core that a gateway may use and still answer in time."""
 
 RESERVABLE_FRACTION = 0.9
-"""The part of the storage nodes' power that quota plans may reserve."""
+"""The fraction of the storage nodes' capacity that quota plans may reserve."""
 
 REQUEST_OPEN_S = 0.2
-"""For how long a request is taken to be open at a gateway."""
+"""The assumed time for which a request is open at a gateway."""
 
 MAX_IN_FLIGHT_PER_GATEWAY = 4
-"""How many requests a gateway has in flight at one storage node at most."""
+"""The largest number of requests that a gateway has in flight at one storage node."""
 
 GATEWAY_CPU = "head CPU"
 STREAMS = "streams"
 OPEN_REQUESTS = "accesses"
 
 GATEWAY_LIMITS = (GATEWAY_CPU, STREAMS, OPEN_REQUESTS)
-"""The limits that more gateways raise; the words are those of the printed plan."""
+"""The limits that more gateways raise, by their names in the printed plan."""
 
 
 @dataclass(slots=True)
 class Limit:
-    """One limit.
+    """A limit of the fleet.
 
     Attributes:
-        name: What is limited.
-        location: The part of the fleet that it holds for.
-        at_multiple: The multiple of the captured load at which it is reached.
-        reason: The figures behind it, for the operator.
+        name: The limited quantity.
+        location: The part of the fleet that the limit applies to.
+        at_multiple: The multiple of the captured load at which the limit is reached.
+        reason: The supporting figures, for the operator.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 
 def other_limits(demand: Demand, config: Config, nodes: NodeCapacities, gateway_cost_ms: float) -> list[Limit]:
-    """The limits of a fleet, the nearest first; `gateway_cost_ms` is the CPU time of a request at a gateway."""
+    """Returns the limits of a fleet, nearest first; `gateway_cost_ms` is the CPU time of a request at a gateway."""
     peak = demand.peak_requests()
     gateways = max(1, len(config.head))
     utilization = estimate_service(demand, config, nodes).utilization.max(axis=1)
@@ -80,31 +80,31 @@
 
 
 def _reserve_limits(config: Config, nodes: NodeCapacities) -> list[Limit]:
-    """What quota plans reserve against what the storage nodes can do; none if nothing is reserved."""
-    power = float((nodes.cores * nodes.speed / nodes.unit_work).sum() * 1000.0)
-    reserved = sum(config.plan[volume.plan].reserve for volume in config.volume.values())
-    if not reserved:
+    """Returns the limit on the rate that quota plans reserve, or no limit if they reserve nothing."""
+    capacity = float((nodes.cores * nodes.speed / nodes.unit_work).sum() * 1000.0)
+    reserved_rate = sum(config.plan[volume.plan].reserve for volume in config.volume.values())
+    if not reserved_rate:
         return []
-    reason = f"reserves of {reserved:.0f} units a second against {RESERVABLE_FRACTION:g} of {power:.0f}"
-    return [Limit("reserves", "all plans", RESERVABLE_FRACTION * power / reserved, reason)]
+    reason = f"reserves of {reserved_rate:.0f} units a second against {RESERVABLE_FRACTION:g} of {capacity:.0f}"
+    return [Limit("reserves", "all plans", RESERVABLE_FRACTION * capacity / reserved_rate, reason)]
 
 
 def _open_request_limits(config: Config, peak: float, gateways: int) -> list[Limit]:
-    """The bounds on requests that are open at once on a connection and at a gateway."""
-    streams, requests = config.limits.streams, config.limits.accesses
-    are_open = peak * REQUEST_OPEN_S / gateways
+    """Returns the limits on concurrently open requests, for a connection and for a gateway."""
+    max_streams, max_requests = config.limits.streams, config.limits.accesses
+    open_requests = peak * REQUEST_OPEN_S / gateways
     return [
         Limit(
             STREAMS,
             "a client's connection",
-            streams / max(1e-9, are_open),
-            f"{are_open:.0f} accesses open at a head, {streams} allowed on a connection",
+            max_streams / max(1e-9, open_requests),
+            f"{open_requests:.0f} accesses open at a head, {max_streams} allowed on a connection",
         ),
         Limit(
             OPEN_REQUESTS,
             "a head",
-            requests / max(1e-9, are_open),
-            f"{are_open:.0f} accesses open at a head, {requests} allowed",
+            max_requests / max(1e-9, open_requests),
+            f"{open_requests:.0f} accesses open at a head, {max_requests} allowed",
         ),
     ]
 
--- a/pebblehinge/capacity_planner/quota.py
+++ b/pebblehinge/capacity_planner/quota.py
@@ -1,4 +1,4 @@
-"""The part of the load that quotas admit."""
+"""The fraction of the load that quotas admit."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def admitted_fractions(demand: Demand, config: Config, multiple: float) -> Floats:
-    """For each request the part of its volume's demand in that second that the quota plan's limit admits.
+    """Returns for each request the fraction of its volume's demand in that second that the quota plan admits.
 
-    A volume's token bucket is dealt out evenly among its gateways while the requests are not: what the busiest gateway
-    may send is less than the whole limit, which this leaves out.
+    Limitation: a volume's token bucket is split evenly among its gateways while its requests are not, so the busiest
+    gateway is limited to less than its share of the load. This estimate ignores that.
     """
     admitted = np.ones(len(demand.arrival_ms))
     seconds = demand.seconds
@@ -23,19 +23,21 @@
             continue
         requests = np.flatnonzero(demand.volume == number)
         second = np.minimum(demand.second[requests], seconds - 1)
-        asked: Floats = np.bincount(second, demand.units[requests], seconds).astype(float, copy=False) * multiple
-        admitted[requests] = _token_bucket(plan, asked)[second]
+        requested_units: Floats = (
+            np.bincount(second, demand.units[requests], seconds).astype(float, copy=False) * multiple
+        )
+        admitted[requests] = _token_bucket(plan, requested_units)[second]
     return admitted
 
 
-def _token_bucket(plan: PlanBlock, asked: Floats) -> Floats:
-    """The part of the units asked for in each second that a plan's token bucket admits."""
+def _token_bucket(plan: PlanBlock, requested_units: Floats) -> Floats:
+    """Returns the fraction of the requested units in each second that a plan's token bucket admits."""
     level = plan.burst
     burst = plan.burst + plan.slack
-    fractions = np.ones(len(asked))
-    for second in range(len(asked)):
+    fractions = np.ones(len(requested_units))
+    for second in range(len(requested_units)):
         tokens = min(burst, level + plan.limit)
-        if asked[second] > 0:
-            fractions[second] = min(1.0, tokens / asked[second])
-        level = max(0.0, tokens - asked[second] * fractions[second])
+        if requested_units[second] > 0:
+            fractions[second] = min(1.0, tokens / requested_units[second])
+        level = max(0.0, tokens - requested_units[second] * fractions[second])
     return fractions
--- a/pebblehinge/capacity_planner/report.py
+++ b/pebblehinge/capacity_planner/report.py
@@ -10,10 +10,10 @@
 
 def report_lines(answer: Answer) -> list[str]:
     """Returns the answer as lines of text, each figure with its bounds."""
-    first, needed, service_now = answer["first_limit"], answer["needed"], answer["service_now"]
+    first, needed, current = answer["first_limit"], answer["needed"], answer["service_now"]
     lines = [
         f"{answer['accesses']} accesses in the busiest window; goal {answer['goal']:g}, growth {answer['growth']:g}",
-        f"service now: {service_now['service']:.3f} ({service_now['low']:.3f} to {service_now['high']:.3f})",
+        f"service now: {current['service']:.3f} ({current['low']:.3f} to {current['high']:.3f})",
         f"first limit: {first['name']} ({first['where']}) at {first['at_multiple']:.2f} times the captured load "
         f"({first['low']:.2f} to {first['high']:.2f}): {first['reason']}",
     ]
