--- a/pebblehinge/capacity_planner/demand.py
+++ b/pebblehinge/capacity_planner/demand.py
@@ -138,7 +138,7 @@
     _check_known("profile", request_classes, config.profile)
     _check_slots(slots, config, len(rows), complete)
     return Demand(
-        arrival_ms=np.array([at_ms for at_ms, _, _ in rows]),
+        arrival_ms=np.array([arrival_ms for arrival_ms, _, _ in rows]),
         volume=_indices(volumes, (request.volume for request in requests)),
         quota_plan=_indices(quota_plans, (request.quota_plan for request in requests)),
         request_class=_indices(request_classes, (request.request_class for request in requests)),
@@ -199,8 +199,8 @@
     """Returns for each request whether its extent was requested within CACHED_EXTENT_MS before it."""
     last_ms: dict[str, float] = {}
     cached = np.zeros(len(rows), bool)
-    for number, (at_ms, _, request) in enumerate(rows):
+    for number, (arrival_ms, _, request) in enumerate(rows):
         key = f"{request.volume}/{request.extent}"
-        cached[number] = at_ms - last_ms.get(key, NO_PREVIOUS_REQUEST_MS) < CACHED_EXTENT_MS
-        last_ms[key] = at_ms
+        cached[number] = arrival_ms - last_ms.get(key, NO_PREVIOUS_REQUEST_MS) < CACHED_EXTENT_MS
+        last_ms[key] = arrival_ms
     return cached
--- a/pebblehinge/capacity_planner/evidence.py
+++ b/pebblehinge/capacity_planner/evidence.py
@@ -128,12 +128,12 @@
             return None
         # Apart from noise, the service never rises with the load: the fit removes the rises that noise causes.
         multiples = np.array([multiple for multiple, _ in curve])
-        falling = non_increasing_fit(np.array([service for _, service in curve]))
+        fitted_services = non_increasing_fit(np.array([service for _, service in curve]))
         noise = self.noise()
         return Crossing(
-            _crossing_at(multiples, falling, self.goal),
-            _crossing_at(multiples, falling, self.goal + noise),
-            _crossing_at(multiples, falling, self.goal - noise),
+            _crossing_at(multiples, fitted_services, self.goal),
+            _crossing_at(multiples, fitted_services, self.goal + noise),
+            _crossing_at(multiples, fitted_services, self.goal - noise),
         )
 
     def noise(self) -> float:
@@ -193,13 +193,13 @@
     return np.array([mean for mean, length in blocks for _ in range(length)])
 
 
-def _crossing_at(multiples: Floats, falling: Floats, goal: float) -> float:
+def _crossing_at(multiples: Floats, fitted_services: Floats, goal: float) -> float:
     """Returns the multiple at which a falling curve reaches a goal, limited to the range of the curve."""
-    if falling[-1] >= goal:
+    if fitted_services[-1] >= goal:
         return float(multiples[-1])
-    if falling[0] < goal:
+    if fitted_services[0] < goal:
         return float(multiples[0])
-    first_below = int(np.argmax(falling < goal))
-    above, below = falling[first_below - 1], falling[first_below]
+    first_below = int(np.argmax(fitted_services < goal))
+    above, below = fitted_services[first_below - 1], fitted_services[first_below]
     fraction = (above - goal) / max(1e-9, above - below)
     return float(multiples[first_below - 1] + fraction * (multiples[first_below] - multiples[first_below - 1]))
--- a/pebblehinge/capacity_planner/formulas.py
+++ b/pebblehinge/capacity_planner/formulas.py
@@ -21,7 +21,7 @@
 from pebblehinge.settings import Config
 
 SATURATED_IN_TIME_FRACTION = 0.90
-"""The fraction of a saturated node's capacity that ends in time: gateways see only a part of the load and overadmit."""
+"""The fraction of a saturated node's capacity that ends in time: gateways see a part of the load and admit too much."""
 
 NEAR_SATURATION_UTILIZATION = 0.95
 SERVICE_TIME_FACTOR = 1.6
