--- a/benchmarks/caps_laboratory.py
+++ b/benchmarks/caps_laboratory.py
@@ -80,8 +80,8 @@
     Cap(
         "rows of a trial",
         "pebblehinge/cli/days.py",
-        "MOST_ROWS = ",
-        constant("pebblehinge.cli.days", "MOST_ROWS"),
+        "MAX_TRIAL_REQUESTS = ",
+        constant("pebblehinge.cli.days", "MAX_TRIAL_REQUESTS"),
         "accesses",
         "a trial of grown load",
         20 * REQUESTS * COMING_HEADS,
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -27,7 +27,7 @@
 from group_settings import settings_text  # noqa: E402
 from raft_cluster import Cluster  # noqa: E402
 
-from pebblehinge.cli import clock_of  # noqa: E402
+from pebblehinge.cli import ms_clock  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.raft import Raft  # noqa: E402
 from pebblehinge.replicated_config.commands import CommandResult, ForgetGateway, encode_command  # noqa: E402
@@ -50,7 +50,7 @@
     config = loads(settings_text(loopback=host))
     config.member = {n: b for n, b in list(config.member.items())[:member_count]}
     members = [
-        MemberServer(loop, clock_of(loop), config, n, RealDisk(folder / n), Quiet(), i)
+        MemberServer(loop, ms_clock(loop), config, n, RealDisk(folder / n), Quiet(), i)
         for i, n in enumerate(config.member)
     ]
     for m in members:
@@ -132,7 +132,7 @@
 
 async def measure_activation_on_sockets(loop: Any, gateways: int, folder: Path) -> dict[str, float]:
     """Returns what `measure_activation` does, in real time: five members with fsync and the gateways on loopback."""
-    host, clock = f"127.251.{random.randrange(250)}.{random.randrange(1, 250)}", clock_of(loop)
+    host, clock = f"127.251.{random.randrange(250)}.{random.randrange(1, 250)}", ms_clock(loop)
     config = loads(settings_text(100, gateways, gateways, host))
     members = [
         MemberServer(loop, clock, config, n, RealDisk(folder / n), Quiet(), i) for i, n in enumerate(config.member)
--- a/benchmarks/scale/hollow_heads.py
+++ b/benchmarks/scale/hollow_heads.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from pebblehinge.cli import clock_of
+from pebblehinge.cli import ms_clock
 from pebblehinge.gateway.discovery_link import DiscoveryLink
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind
 from pebblehinge.lab.quiet import Quiet
@@ -44,7 +44,7 @@
         from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 
         self.lives += 1
-        floor, clock = self.config.group.floor, clock_of(self.loop)
+        floor, clock = self.config.group.floor, ms_clock(self.loop)
         application = (
             version_application.VersionApplication.restore(self.name, floor, self.kept)
             if self.kept
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -10,7 +10,7 @@
 
 from slopes import Point, least_ms, point
 
-from pebblehinge.cli import clock_of
+from pebblehinge.cli import ms_clock
 from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.village import Quiet
 from pebblehinge.replicated_config.activation import transitional_config
@@ -107,7 +107,7 @@
 def head_of(config: Config) -> GatewayServer:
     """A framed head with no sockets."""
     loop: Any = StillLoop()
-    return GatewayServer(loop, clock_of(loop), config, "h1", Quiet())
+    return GatewayServer(loop, ms_clock(loop), config, "h1", Quiet())
 
 
 def version(heads: int, volumes: int) -> dict[str, Any]:
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -30,7 +30,7 @@
 from config_group import Group  # noqa: E402
 from group_settings import settings_text  # noqa: E402
 
-from pebblehinge.cli import clock_of  # noqa: E402
+from pebblehinge.cli import ms_clock  # noqa: E402
 from pebblehinge.lab.village import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: E402
@@ -165,7 +165,7 @@
 def run_sockets(gateways: int, members: int, versions: int, timeout_s: float, pause_s: float) -> list[dict[str, Any]]:
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    host, clock = f"127.{random.randrange(100, 240)}.{random.randrange(250)}.{random.randrange(1, 250)}", clock_of(loop)
+    host, clock = f"127.{random.randrange(100, 240)}.{random.randrange(250)}.{random.randrange(1, 250)}", ms_clock(loop)
     config = loads(settings_text(100, gateways, gateways, host))
     config.member = dict(list(config.member.items())[:members])
     gateway_states: dict[str, tuple[str, int]] = {}  # mode and active version
--- a/pebblehinge/cli/__init__.py
+++ b/pebblehinge/cli/__init__.py
@@ -8,12 +8,12 @@
 """
 
 from pebblehinge.cli import clients, days, gateway, group, load, rsync_client, stand_ins, store, trials
-from pebblehinge.cli.base import clock_of, main
+from pebblehinge.cli.base import main, ms_clock
 from pebblehinge.cli.days import find_day
 
 __all__ = [
     "clients",
-    "clock_of",
+    "ms_clock",
     "days",
     "find_day",
     "gateway",
--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -27,7 +27,7 @@
 """The kinds of named blocks of which a command takes one."""
 
 
-def give_up(reason: str) -> NoReturn:
+def exit_with_error(reason: str) -> NoReturn:
     """One plain line, exit 2."""
     click.echo(f"pebblehinge: {reason}", err=True)
     sys.exit(2)
@@ -41,10 +41,10 @@
         for problem in error.problems:
             click.echo(str(problem), err=True)
         count = len(error.problems)
-        give_up(f"{file}: {count} fault{'s' if count > 1 else ''}")
+        exit_with_error(f"{file}: {count} fault{'s' if count > 1 else ''}")
 
 
-def logger(block: LogBlock, **context: str | None) -> Logger:
+def configure_logger(block: LogBlock, **context: str | None) -> Logger:
     """Returns a structlog logger on standard error, as JSON or for a console, with fields that each line carries."""
     structlog.configure(
         processors=[
@@ -61,7 +61,7 @@
     return log
 
 
-def clock_of(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
+def ms_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
     """Milliseconds of the monotonic clock, which no change of the wall clock moves.
 
     The loop's own time has the same origin but stands still within a turn, and is too coarse for latencies.
@@ -77,21 +77,21 @@
         asyncio.set_event_loop(loop)
         code = loop.run_until_complete(main(loop))
     except (EventLogError, OSError) as error:
-        give_up(describe(error))
+        exit_with_error(describe_error(error))
     except KeyboardInterrupt:
         code = 130
     sys.stdout.flush()
     sys.exit(code)
 
 
-def describe(error: Exception) -> str:
+def describe_error(error: Exception) -> str:
     """Returns an error as one line, with the file that it concerns if there is one."""
     if isinstance(error, OSError):
         return f"{error.strerror or error}{f': {error.filename}' if error.filename else ''}"
     return str(error)
 
 
-def records_for(
+def open_event_log(
     folder: str | None,
     name: str,
     loop: asyncio.AbstractEventLoop,
@@ -111,13 +111,13 @@
     return EventLog(folder, name, loop.call_soon, failed) if folder else NullEventLog()
 
 
-def ready() -> None:
+def print_ready() -> None:
     """The line that a supervisor or the lab waits for."""
     click.echo("ready")
     sys.stdout.flush()
 
 
-def until_told(loop: asyncio.AbstractEventLoop, stop: Callable[[str], object]) -> None:
+def stop_on_signals(loop: asyncio.AbstractEventLoop, stop: Callable[[str], object]) -> None:
     """Calls `stop` with a signal's name on SIGTERM and SIGINT."""
     for sig in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sig, stop, sig.name)
@@ -135,7 +135,7 @@
     """A storage gateway: schedules a host's reads and writes over storage nodes."""
 
 
-def hidden_alias(command: click.Command, name: str) -> None:
+def add_hidden_alias(command: click.Command, name: str) -> None:
     """Keeps a command callable by its former name, which the help does not list: units and scripts use it."""
     alias = copy.copy(command)
     alias.name = name
@@ -161,18 +161,20 @@
         click.echo(f"{file}: sound")
 
 
-def pick(config: Config, what: BlockKind, name: str | None) -> str:
+def select_block(config: Config, what: BlockKind, name: str | None) -> str:
     """Returns the name of a block: the one asked for, or the only one; exits where that is none of the file's."""
     known: dict[str, Any] = getattr(config, what)
     if name is None and len(known) == 1:
         return next(iter(known))
     if name is None or name not in known:
         has = ", ".join(known) or "none"
-        give_up(f"{what} {name!r} is not in the settings: they have {has}" if name else f"name one {what} of {has}")
+        exit_with_error(
+            f"{what} {name!r} is not in the settings: they have {has}" if name else f"name one {what} of {has}"
+        )
     return name
 
 
-def say_progress(quiet: bool) -> Callable[[str], None]:
+def progress_printer(quiet: bool) -> Callable[[str], None]:
     """Lines on standard error, led by the seconds since now."""
     start_s = time.monotonic()
 
@@ -187,6 +189,6 @@
 QUIET = click.option("--quiet", is_flag=True, help="No progress.")
 
 
-def jobs_of(jobs: int | None) -> int:
+def worker_count(jobs: int | None) -> int:
     """Returns how many processes work at once: as asked, else one for each core."""
     return jobs or max(1, (os.cpu_count() or 2))
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -15,14 +15,14 @@
     AS_JSON,
     JOBS,
     QUIET,
-    describe,
-    give_up,
-    jobs_of,
+    describe_error,
+    exit_with_error,
     main,
+    progress_printer,
     read_settings,
-    say_progress,
+    worker_count,
 )
-from pebblehinge.cli.days import MOST_ROWS
+from pebblehinge.cli.days import MAX_TRIAL_REQUESTS
 from pebblehinge.settings import Config
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 @click.argument("volume")
 @click.option("--console", required=True, metavar="HOST:PORT", help="Of the head that is asked.")
 @click.option("--token", default="", help="Where the console wants one.")
-def why(volume: str, console: str, token: str) -> None:
+def why_command(volume: str, console: str, token: str) -> None:
     """Where the time of VOLUME's requests went at a head, and behind whom they waited."""
     import urllib.error  # noqa: PLC0415
     import urllib.parse  # noqa: PLC0415
@@ -47,9 +47,9 @@
         with urllib.request.urlopen(request, timeout=10.0) as response:
             click.echo(response.read().decode().rstrip())
     except urllib.error.HTTPError as error:
-        give_up(error.read(500).decode("utf-8", "replace").strip())
+        exit_with_error(error.read(500).decode("utf-8", "replace").strip())
     except (OSError, ValueError) as error:
-        give_up(f"{console}: {getattr(error, 'reason', error)}")
+        exit_with_error(f"{console}: {getattr(error, 'reason', error)}")
 
 
 @main.command(name="plan")
@@ -82,11 +82,11 @@
     from pebblehinge.lab.trials import run_plan  # noqa: PLC0415
 
     config = read_settings(fleet, "127.0.0.1")
-    progress = say_progress(quiet)
+    progress = progress_printer(quiet)
     planner, world = prepare_plan(captures, config, goal, growth, zones, head_cost / 1000.0, formulas)
     evidence = planner.evidence
     progress(f"first answer: the goal is met up to {evidence.first_guess:.2f} times the captured load")
-    if not formulas and not run_plan(planner, world, jobs_of(jobs), progress):
+    if not formulas and not run_plan(planner, world, worker_count(jobs), progress):
         evidence.notes.append("interrupted: the answer rests on the trials played so far")
     answer = planner.answer()
     if page_file:
@@ -123,22 +123,22 @@
 
     try:
         rows, notes = merge([read_capture(path) for path in captures])
-        whole = build_demand(rows, config)
-        begin, end = whole.busiest(WINDOW_S)
+        captured_demand = build_demand(rows, config)
+        begin, end = captured_demand.busiest(WINDOW_S)
         world = world_of(config, rows, begin, end)
         demand = build_demand(world.rows, config, min_requests=20, complete=False)
         check_zones(zones, config)
-        notes += describe_window(whole, begin, end)
+        notes += describe_window(captured_demand, begin, end)
         losses = [f"zone {zone}" for zone in zones] or None
-        if len(world.rows) > MOST_ROWS and not formulas:
+        if len(world.rows) > MAX_TRIAL_REQUESTS and not formulas:
             raise PlanError(
-                f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MOST_ROWS} would run too "
+                f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MAX_TRIAL_REQUESTS} would run too "
                 "long here; --formulas gives the first answer"
             )
-        evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speeds_from=whole)
+        evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speeds_from=captured_demand)
         planner = Planner(evidence)
     except (CaptureError, PlanError) as error:
-        give_up(str(error))
+        exit_with_error(str(error))
     world.speeds = {slot: speed for slot, (speed, _) in evidence.speeds.items()}
     return planner, world
 
@@ -160,4 +160,4 @@
     try:
         Path(path).write_text(render_page(answer))
     except OSError as error:
-        give_up(describe(error))
+        exit_with_error(describe_error(error))
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -15,17 +15,17 @@
 import click
 
 from pebblehinge.cli.base import (
-    describe,
-    give_up,
+    describe_error,
+    exit_with_error,
     main,
-    pick,
+    progress_printer,
     read_settings,
-    say_progress,
+    select_block,
 )
 from pebblehinge.event_log import EventLogError
 from pebblehinge.settings import Config
 
-MOST_ROWS = 400_000
+MAX_TRIAL_REQUESTS = 400_000
 """Requests of the longest trial that this program is ready to play."""
 VIRTUAL_LOOPBACK = "127.0.0.1"
 BUILT_IN = Path(__file__).parent.parent / "lab" / "days"
@@ -41,16 +41,16 @@
     """The laboratory: scripted days, load, and the checker of the rules."""
 
 
-def day_facts(records: str) -> DayFacts:
+def load_day_facts(records: str) -> DayFacts:
     """Returns what a folder of records holds of its day; exits where it holds none or can't be read."""
     folder = Path(records)
     if not (folder / "day.conf").is_file():
-        give_up(f"{records} holds no day.conf: expected the records of a day")
+        exit_with_error(f"{records} holds no day.conf: expected the records of a day")
     config = read_settings(str(folder / "day.conf"))
     try:
         return read_day(folder, config)
     except EventLogError as error:
-        give_up(str(error))
+        exit_with_error(str(error))
 
 
 def read_day(folder: Path, config: Config) -> DayFacts:
@@ -74,7 +74,7 @@
     built_in = BUILT_IN / f"{name}.conf"
     if not built_in.is_file():
         known = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
-        give_up(f"no day {name!r}: expected a file, or one of {known}")
+        exit_with_error(f"no day {name!r}: expected a file, or one of {known}")
     return built_in, name
 
 
@@ -93,9 +93,9 @@
     try:
         return read(Path(file).read_text(), cast.names, file)
     except OSError as error:
-        give_up(f"{file}: {describe(error)}")
+        exit_with_error(f"{file}: {describe_error(error)}")
     except (ScriptError, UnicodeDecodeError) as error:
-        give_up(str(error))
+        exit_with_error(str(error))
 
 
 @lab.command()
@@ -126,10 +126,10 @@
     path, _ = find_day(name)
     loopback = VIRTUAL_LOOPBACK if virtual else own_loopback()
     config = read_settings(str(path), loopback)
-    day_name = pick(config, "day", None)
+    day_name = select_block(config, "day", None)
     if records is not None and any(Path(records).glob("*.jsonl")):
-        give_up(f"{records} holds records of another day already")
-    progress = say_progress(quiet)
+        exit_with_error(f"{records} holds records of another day already")
+    progress = progress_printer(quiet)
     script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
@@ -152,7 +152,7 @@
                     more = runner.run(play(runner.get_loop(), folder))
                 facts = read_day(folder, config)
         except (DayError, EventLogError, OSError) as error:
-            give_up(describe(error))
+            exit_with_error(describe_error(error))
         extras = {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})}
         verdict = summary(facts, day_name, seed, extras)
     sys.exit(0 if show_verdict(verdict, config.day[day_name].goal, as_json) else 1)
@@ -176,7 +176,7 @@
     """Judge the rules again from a day's RECORDS."""
     from pebblehinge.lab.verdict import all_checks_pass, summary, summary_lines  # noqa: PLC0415
 
-    facts = day_facts(records)
+    facts = load_day_facts(records)
     verdict = summary(facts, next(iter(facts.config.day)), 0)
     click.echo(json.dumps(verdict) if as_json else "\n".join(summary_lines(verdict)))
     sys.exit(0 if all_checks_pass(verdict) else 1)
--- a/pebblehinge/cli/gateway.py
+++ b/pebblehinge/cli/gateway.py
@@ -11,13 +11,13 @@
     FILE,
     LOOPBACK,
     RECORDS,
-    give_up,
-    hidden_alias,
-    logger,
+    add_hidden_alias,
+    configure_logger,
+    exit_with_error,
     main,
-    pick,
     read_settings,
     run,
+    select_block,
 )
 from pebblehinge.cli.gateway_process import GatewayOptions, run_gateway
 
@@ -45,27 +45,27 @@
 ) -> None:
     """Run a gateway. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
     config = read_settings(file, loopback)
-    name = pick(config, "head", name)
+    name = select_block(config, "head", name)
     if seed is not None:
         config.head[name].seed = seed
     if store is not None:
         config.head[name].store = str(Path(store) / name)
-    log = logger(config.log, head=name)
+    log = configure_logger(config.log, head=name)
     if pid_path is not None:
-        own_pid_file(pid_path, name)
+        hold_pid_file(pid_path, name)
     options = GatewayOptions(file, name, loopback, records or config.records, capture, agreed)
     run(lambda loop: run_gateway(loop, config, options, log))
 
 
-def own_pid_file(path: str, name: str) -> None:
+def hold_pid_file(path: str, name: str) -> None:
     """Writes the process id to a file and keeps it until the exit; exits where another process holds it."""
     from pebblehinge.daemon import PidFile, PidFileError  # noqa: PLC0415
 
     try:
         pid_file = PidFile(path)
     except PidFileError as error:
-        give_up(f"head {name}: {error}")
+        exit_with_error(f"head {name}: {error}")
     atexit.register(pid_file.close)
 
 
-hidden_alias(gateway, "head")
+add_hidden_alias(gateway, "head")
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from pebblehinge.cli.base import clock_of, describe, give_up
+from pebblehinge.cli.base import describe_error, exit_with_error, ms_clock
 from pebblehinge.settings import Config
 
 if TYPE_CHECKING:
@@ -55,15 +55,19 @@
         try:
             application = VersionApplication.restore(name, floor, path.read_bytes())
         except (OSError, ValueError) as error:
-            give_up(f"head {name}: {path} can't be used ({describe(error)}); without it the head begins anew")
+            exit_with_error(
+                f"head {name}: {path} can't be used ({describe_error(error)}); without it the head begins anew"
+            )
 
-    def keep(data: bytes) -> None:
+    def save_version(data: bytes) -> None:
         if path is not None:
             RealDisk(path.parent).replace(path.name, data)
 
-    def adopt(new: Config, mode: str) -> None:
+    def apply_version(new: Config, mode: str) -> None:
         server.config_status = {"version": application.active, "pending": application.pending, "mode": mode}
         server.apply_config(new)
 
     server.apply_config(config_without_lease(config, floor))
-    return ConfigWatcher(loop, clock_of(loop), config, application, adopt, keep, log, thread_runner(loop))
+    return ConfigWatcher(
+        loop, ms_clock(loop), config, application, apply_version, save_version, log, thread_runner(loop)
+    )
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -16,7 +16,15 @@
 import click
 
 from pebblehinge import __version__
-from pebblehinge.cli.base import Logger, clock_of, describe, give_up, ready, records_for, until_told
+from pebblehinge.cli.base import (
+    Logger,
+    describe_error,
+    exit_with_error,
+    ms_clock,
+    open_event_log,
+    print_ready,
+    stop_on_signals,
+)
 from pebblehinge.cli.gateway_config import watch_config
 from pebblehinge.cli.gateway_storage import open_storage
 from pebblehinge.event_log import EventLogError
@@ -26,8 +34,8 @@
     from pebblehinge.console import Console
     from pebblehinge.gateway import GatewayServer
 
-RECORDS_FAILED = "its records can't be written"
-FLUSH_S = 0.02
+RECORDS_FAILURE_REASON = "its records can't be written"
+FLUSH_DELAY_S = 0.02
 """How long the loop goes on after the end, so that the last bytes leave the sockets."""
 
 
@@ -75,8 +83,8 @@
         self.record_fault: str | None = None
         self.notifier = Notifier(loop, os.environ, os.getpid())
         self._raise_open_file_limit()
-        records = records_for(options.records, f"head-{options.name}", loop, self._stop_without_records)
-        self.server: GatewayServer = GatewayServer(loop, clock_of(loop), config, options.name, log, records)
+        records = open_event_log(options.records, f"head-{options.name}", loop, self._stop_without_records)
+        self.server: GatewayServer = GatewayServer(loop, ms_clock(loop), config, options.name, log, records)
 
     def _raise_open_file_limit(self) -> None:
         from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
@@ -89,7 +97,7 @@
     def _stop_without_records(self, error: EventLogError) -> None:
         if self.record_fault is None:
             self.record_fault = str(error)
-        self.server.stop(RECORDS_FAILED)
+        self.server.stop(RECORDS_FAILURE_REASON)
 
     def start_capture(self) -> None:
         """Captures requests to the file that the options name, if any."""
@@ -101,14 +109,14 @@
         try:
             sink = open_sink(path)
         except OSError as error:
-            give_up(f"head {self.options.name}: {path}: {describe(error)}")
+            exit_with_error(f"head {self.options.name}: {path}: {describe_error(error)}")
         wall_ms = time.time() * 1000.0
         self.server.start_capture(
-            CaptureWriter(sink, self.options.name, wall_ms, clock_of(self.loop)(), self._report_capture_end)
+            CaptureWriter(sink, self.options.name, wall_ms, ms_clock(self.loop)(), self._report_capture_end)
         )
 
     def _report_capture_end(self, error: Exception) -> None:
-        self.log.error("the capture has ended", why=describe(error))
+        self.log.error("the capture has ended", why=describe_error(error))
 
     async def start_server(self) -> None:
         """Opens the storage and the sockets; exits where either can't be used."""
@@ -121,13 +129,13 @@
             if self.server.gateway_settings.metrics:
                 serve_metrics(self.server, self.server.gateway_settings.metrics)
         except OSError as error:
-            give_up(f"head {self.options.name}: {self.server.gateway_settings.listen}: {describe(error)}")
+            exit_with_error(f"head {self.options.name}: {self.server.gateway_settings.listen}: {describe_error(error)}")
         except StorageError as error:
-            give_up(f"head {self.options.name}: {error}")
+            exit_with_error(f"head {self.options.name}: {error}")
 
     def handle_signals(self) -> None:
         """SIGTERM and SIGINT stop the gateway, SIGHUP reads the settings again."""
-        until_told(self.loop, self.stop)
+        stop_on_signals(self.loop, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def stop(self, why: str) -> None:
@@ -167,13 +175,13 @@
         try:
             await console.start()
         except OSError as error:
-            give_up(f"head {self.options.name}: {block.console}: {describe(error)}")
+            exit_with_error(f"head {self.options.name}: {block.console}: {describe_error(error)}")
         return console
 
     def announce(self) -> None:
         """Says on standard output, to the service manager and in the log that the gateway serves."""
         block = self.server.gateway_settings
-        ready()
+        print_ready()
         self._notify_ready()
         self.log.info("serving", listen=block.listen, metrics=block.metrics, version=__version__)
 
@@ -205,5 +213,5 @@
     if console is not None:
         await console.stop()
     process.notifier.close()
-    await asyncio.sleep(FLUSH_S)
+    await asyncio.sleep(FLUSH_DELAY_S)
     return process.finish()
--- a/pebblehinge/cli/gateway_storage.py
+++ b/pebblehinge/cli/gateway_storage.py
@@ -24,7 +24,7 @@
 """
 
 
-def machine_times() -> tuple[float, float, str]:
+def read_machine_times() -> tuple[float, float, str]:
     """Wall clock and time since the machine started, in ms, and the name of that start."""
     try:
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
@@ -53,12 +53,12 @@
         return
     disk = RealDisk(folder)
     disk.acquire_lock()
-    server.enable_snapshots(disk, machine_times, thread_runner(loop))
+    server.enable_snapshots(disk, read_machine_times, thread_runner(loop))
     if buffered:
-        open_journal(loop, disk, server)
+        enable_journal(loop, disk, server)
 
 
-def open_journal(loop: asyncio.AbstractEventLoop, disk: RealDisk, server: GatewayServer) -> None:
+def enable_journal(loop: asyncio.AbstractEventLoop, disk: RealDisk, server: GatewayServer) -> None:
     """Enables write-back through a journal on a disk."""
     from pebblehinge.store import JournalFencedError  # noqa: PLC0415
     from pebblehinge.store.journal import FENCE_FILE, Batch  # noqa: PLC0415
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -20,16 +20,16 @@
     LOOPBACK,
     SEED,
     Logger,
-    clock_of,
-    describe,
-    give_up,
-    logger,
+    configure_logger,
+    describe_error,
+    exit_with_error,
     main,
-    pick,
+    ms_clock,
+    print_ready,
     read_settings,
-    ready,
     run,
-    until_told,
+    select_block,
+    stop_on_signals,
 )
 from pebblehinge.settings import Config, load, render_settings
 
@@ -44,11 +44,11 @@
 def group(file: str, name: str | None, store: str | None, begin: bool, loopback: str | None, seed: int) -> None:
     """Run one instance of the group that agrees on configuration."""
     config = read_settings(file, loopback)
-    name = pick(config, "member", name)
+    name = select_block(config, "member", name)
     folder = store or config.member[name].store
     if not folder:
-        give_up(f"member {name} has no store: name one by --store or in its block")
-    log = logger(config.log, member=name)
+        exit_with_error(f"member {name} has no store: name one by --store or in its block")
+    log = configure_logger(config.log, member=name)
     run(lambda loop: _run_member(loop, config, name, folder, begin, seed, log))
 
 
@@ -66,15 +66,15 @@
         disk = RealDisk(folder)
         disk.acquire_lock()
         ensure_identity(disk, config.group.id, name, begin)
-        server = MemberServer(loop, clock_of(loop), config, name, disk, log, seed or os.getpid())
+        server = MemberServer(loop, ms_clock(loop), config, name, disk, log, seed or os.getpid())
     except (StorageError, OSError) as error:
-        give_up(f"member {name}: {folder}: {describe(error)}")
+        exit_with_error(f"member {name}: {folder}: {describe_error(error)}")
     try:
         await server.start()
     except OSError as error:
-        give_up(f"member {name}: {config.member[name].listen}: {describe(error)}")
-    until_told(loop, server.stop)
-    ready()
+        exit_with_error(f"member {name}: {config.member[name].listen}: {describe_error(error)}")
+    stop_on_signals(loop, server.stop)
+    print_ready()
     await server.stopped
     await asyncio.sleep(0.02)
     if server.failure:
@@ -91,7 +91,7 @@
     """Look at and change what the group has agreed on."""
     config = read_settings(file, loopback)
     if not config.member:
-        give_up(f"{file} has no member blocks: there is no group to ask")
+        exit_with_error(f"{file} has no member blocks: there is no group to ask")
     context.obj = config
 
 
@@ -123,7 +123,7 @@
     try:
         check_text_size(text)
     except VersionTooLargeError as error:
-        give_up(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     if base is None:
         lines = ask(config, "history").splitlines()
         base = 0 if lines[-1].startswith("no ") else int(lines[-1].split()[0])
@@ -203,9 +203,9 @@
                 _, text, _ = await ask_member(loop, block.listen, "status", {"json": 1} if as_json else {})
                 found += 1
             except (OSError, TimeoutError) as error:
-                text = f"{name}: can't be reached ({describe(error) or 'no answer'})"
+                text = f"{name}: can't be reached ({describe_error(error) or 'no answer'})"
                 if as_json:
-                    text = json.dumps({"instance": name, "error": describe(error) or "no answer"})
+                    text = json.dumps({"instance": name, "error": describe_error(error) or "no answer"})
             click.echo(text)
         return found
 
--- a/pebblehinge/cli/load.py
+++ b/pebblehinge/cli/load.py
@@ -15,13 +15,13 @@
     LOOPBACK,
     RECORDS,
     SEED,
-    clock_of,
-    give_up,
-    pick,
+    exit_with_error,
+    ms_clock,
+    open_event_log,
+    print_ready,
     read_settings,
-    ready,
-    records_for,
     run,
+    select_block,
 )
 from pebblehinge.cli.days import lab
 
@@ -58,32 +58,32 @@
     from pebblehinge.lab.rsync_load import Copies  # noqa: PLC0415
 
     config = read_settings(file, loopback)
-    pick(config, "day", day_name)
-    draw = None
+    select_block(config, "day", day_name)
+    replay_load = None
     if replay:
         try:
-            rows, remarks = merge([read_capture(path) for path in replay])
+            rows, notes = merge([read_capture(path) for path in replay])
         except CaptureError as error:
-            give_up(str(error))
-        for remark in remarks:
-            click.echo(f"note: {remark}", err=True)
-        draw = Replay(config, rows, seed, multiple, speed, part=part, parts=parts)
+            exit_with_error(str(error))
+        for note in notes:
+            click.echo(f"note: {note}", err=True)
+        replay_load = Replay(config, rows, seed, multiple, speed, part=part, parts=parts)
 
-    async def ask(loop: asyncio.AbstractEventLoop) -> int:
-        clock = clock_of(loop)
-        event_log = records_for(records, f"load{part + 1}", loop)
-        crowd = Crowd(loop, clock, config, day_name, seed, event_log, part, parts, draw)
+    async def send_requests(loop: asyncio.AbstractEventLoop) -> int:
+        clock = ms_clock(loop)
+        event_log = open_event_log(records, f"load{part + 1}", loop)
+        crowd = Crowd(loop, clock, config, day_name, seed, event_log, part, parts, replay_load)
         await crowd.connect_all()
-        ready()
-        begin = start if start is not None else clock() + 1000.0
-        crowd.start(begin)
+        print_ready()
+        begin_ms = start if start is not None else clock() + 1000.0
+        crowd.start(begin_ms)
         if part == 0 and config.copies is not None and not replay:
             copies = Copies(loop, clock, config, day_name, seed, event_log)
-            copies.start(begin)
+            copies.start(begin_ms)
             await copies.ended
         await crowd.ended
         await crowd.close()
         click.echo(json.dumps({"ends": crowd.done, "late_ms": round(crowd.late_ms, 3)}))
         return 0
 
-    run(ask)
+    run(send_requests)
--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -13,16 +13,16 @@
 
 import click
 
-from pebblehinge.cli.base import AS_JSON, give_up, main, run
+from pebblehinge.cli.base import AS_JSON, exit_with_error, main, run
 from pebblehinge.net import parse_address
 
 if TYPE_CHECKING:
     from pebblehinge.lab.rsync_call import Call
 
 TRANSFERS = ("pull", "push")
-SAVED_CODES = (0, 23)
+WRITTEN_EXIT_CODES = (0, 23)
 """Exit codes of a pull whose files are written: success, and a partial transfer due to an error."""
-PATIENCE_MS = 60_000.0
+STALL_TIMEOUT_MS = 60_000.0
 
 
 @main.command(name="rsync-client")
@@ -56,42 +56,46 @@
     address, _, path = where.partition("/")
     module, _, path = path.partition("/")
     if verb != "modules" and not module:
-        give_up("a module is missing: HOST:PORT/MODULE")
+        exit_with_error("a module is missing: HOST:PORT/MODULE")
     if verb in TRANSFERS and local is None:
-        give_up(f"{verb} needs a local path")
+        exit_with_error(f"{verb} needs a local path")
 
     async def transfer(loop: asyncio.AbstractEventLoop) -> int:
-        wanted = Call(module, version, user=user, compress=compress, checksum=checksum, delete=delete)
-        wanted.filters = [os.fsencode(f) for f in filters]
-        host, port = prepare(wanted, address, verb, local, secret_file)
-        await exchange(loop, wanted, host, port, verb, path)
-        show_lines(wanted, verb)
+        rsync_call = Call(module, version, user=user, compress=compress, checksum=checksum, delete=delete)
+        rsync_call.filters = [os.fsencode(f) for f in filters]
+        host, port = prepare_call(rsync_call, address, verb, local, secret_file)
+        await run_call(loop, rsync_call, host, port, verb, path)
+        show_lines(rsync_call, verb)
         if verb == "pull":
-            save_pulled(wanted, local)
-        if wanted.error:
-            click.echo(f"pebblehinge: {wanted.error}", err=True)
-        show_totals(wanted, verb, as_json)
-        return wanted.code
+            save_pulled(rsync_call, local)
+        if rsync_call.error:
+            click.echo(f"pebblehinge: {rsync_call.error}", err=True)
+        show_totals(rsync_call, verb, as_json)
+        return rsync_call.code
 
     run(transfer)
 
 
-def prepare(wanted: Call, address: str, verb: str, local: str | None, secret_file: str | None) -> tuple[str, int]:
+def prepare_call(
+    rsync_call: Call, address: str, verb: str, local: str | None, secret_file: str | None
+) -> tuple[str, int]:
     """Reads the secret and the local files into a call; returns host and port; exits where any is unusable."""
     from pebblehinge.lab.local import LocalError, read_tree  # noqa: PLC0415
 
     try:
         host, port = parse_address(address)
         if secret_file is not None:
-            wanted.secret = Path(secret_file).read_bytes().splitlines()[0]
+            rsync_call.secret = Path(secret_file).read_bytes().splitlines()[0]
         if local is not None and (verb == "push" or Path(local).is_dir()):
-            wanted.files = read_tree(Path(local))
+            rsync_call.files = read_tree(Path(local))
     except (ValueError, IndexError, LocalError) as error:
-        give_up(str(error) or f"{secret_file} is empty")
+        exit_with_error(str(error) or f"{secret_file} is empty")
     return host, port
 
 
-async def exchange(loop: asyncio.AbstractEventLoop, wanted: Call, host: str, port: int, verb: str, path: str) -> None:
+async def run_call(
+    loop: asyncio.AbstractEventLoop, rsync_call: Call, host: str, port: int, verb: str, path: str
+) -> None:
     """Plays a call on a connection of its own; what happened stands in the call.
 
     Raises:
@@ -100,42 +104,48 @@
     from pebblehinge.lab.rsync_client import call  # noqa: PLC0415
     from pebblehinge.rsync.stream_protocol import StreamProtocol  # noqa: PLC0415
 
-    line = StreamProtocol(loop, PATIENCE_MS)
-    await loop.create_connection(lambda: line, host, port)
-    await call(line.stream, wanted, verb, path)
-    line.close()
+    connection = StreamProtocol(loop, STALL_TIMEOUT_MS)
+    await loop.create_connection(lambda: connection, host, port)
+    await call(connection.stream, rsync_call, verb, path)
+    connection.close()
 
 
-def show_lines(wanted: Call, verb: str) -> None:
+def show_lines(rsync_call: Call, verb: str) -> None:
     """Prints what the server sent: its lines and, with the verb `list`, the files; its messages as errors."""
-    for text in wanted.lines:
+    for text in rsync_call.lines:
         click.echo(text)
-    for _, text in wanted.said:
+    for _, text in rsync_call.said:
         click.echo(text, err=True)
     if verb != "list":
         return
-    for entry in wanted.listed:
+    for entry in rsync_call.listed:
         kind = "d" if entry.is_directory else "-" if entry.is_file else "l"
         click.echo(f"{kind} {entry.size:>12} {entry.mtime} {os.fsdecode(entry.name)}")
 
 
-def save_pulled(wanted: Call, local: str | None) -> None:
+def save_pulled(rsync_call: Call, local: str | None) -> None:
     """Writes the files that a pull brought, where it ended whole or in part; exits where they can't be written."""
     from pebblehinge.lab.local import LocalError, write_tree  # noqa: PLC0415
 
-    if wanted.code not in SAVED_CODES:
+    if rsync_call.code not in WRITTEN_EXIT_CODES:
         return
     try:
-        write_tree(Path(local or "."), wanted.files)
+        write_tree(Path(local or "."), rsync_call.files)
     except LocalError as error:
-        give_up(str(error))
+        exit_with_error(str(error))
 
 
-def show_totals(wanted: Call, verb: str, as_json: bool) -> None:
+def show_totals(rsync_call: Call, verb: str, as_json: bool) -> None:
     """Prints what was transferred: one JSON object, or a line after a pull or push."""
-    moved, literal, matched = len(wanted.moved), wanted.literal, wanted.matched
+    file_count, literal, matched = len(rsync_call.moved), rsync_call.literal, rsync_call.matched
     if as_json:
-        totals = {"code": wanted.code, "error": wanted.error, "files": moved, "literal": literal, "matched": matched}
+        totals = {
+            "code": rsync_call.code,
+            "error": rsync_call.error,
+            "files": file_count,
+            "literal": literal,
+            "matched": matched,
+        }
         click.echo(json.dumps(totals))
     elif verb in TRANSFERS:
-        click.echo(f"{moved} files, {literal} bytes sent, {matched} matched")
+        click.echo(f"{file_count} files, {literal} bytes sent, {matched} matched")
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -17,18 +17,18 @@
     RECORDS,
     SEED,
     Logger,
-    clock_of,
-    describe,
-    give_up,
-    hidden_alias,
-    logger,
+    add_hidden_alias,
+    configure_logger,
+    describe_error,
+    exit_with_error,
     main,
-    pick,
+    ms_clock,
+    open_event_log,
+    print_ready,
     read_settings,
-    ready,
-    records_for,
     run,
-    until_told,
+    select_block,
+    stop_on_signals,
 )
 from pebblehinge.settings import Config
 
@@ -58,16 +58,16 @@
 ) -> None:
     """Run a stand-in shelf."""
     config = read_settings(file, loopback)
-    name = pick(config, "shelf", name)
+    name = select_block(config, "shelf", name)
     if release is not None:
         from pebblehinge.lab.fleet import released  # noqa: PLC0415
 
         name = released(config, name, release)
-    log = logger(config.log, shelf=name)
+    log = configure_logger(config.log, shelf=name)
     run(lambda loop: _run_storage_node(loop, config, name, records, seed, store, cold, log))
 
 
-hidden_alias(storage_node, "shelf")
+add_hidden_alias(storage_node, "shelf")
 
 
 async def _run_storage_node(
@@ -86,11 +86,11 @@
     try:
         contents = Contents(Path(store) / f"slot-{config.shelf[name].slot}" if store else None)
     except JournalError as error:
-        give_up(str(error))
+        exit_with_error(str(error))
     if warning := raise_open_file_limit(needed_open_files("shelf", gateways=len(config.head))):
         log.warning("limits", why=warning)
-    event_log = records_for(folder, f"shelf-{name}", loop)
-    server = StorageNodeServer(loop, clock_of(loop), config, name, log, event_log, contents, not cold, seed)
+    event_log = open_event_log(folder, f"shelf-{name}", loop)
+    server = StorageNodeServer(loop, ms_clock(loop), config, name, log, event_log, contents, not cold, seed)
     return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
@@ -101,10 +101,10 @@
     try:
         await server.start()
     except OSError as error:
-        give_up(f"{what}: {describe(error)}")
+        exit_with_error(f"{what}: {describe_error(error)}")
     stopped = asyncio.Event()
-    until_told(loop, lambda _: stopped.set())
-    ready()
+    stop_on_signals(loop, lambda _: stopped.set())
+    print_ready()
     await stopped.wait()
     server.stop()
     await asyncio.sleep(0.02)
@@ -119,11 +119,11 @@
 def discovery(file: str, loopback: str | None, records: str | None, seed: int) -> None:
     """Run the stand-in node list."""
     config = read_settings(file, loopback)
-    log = logger(config.log, listing=config.listing.listen)
+    log = configure_logger(config.log, listing=config.listing.listen)
     run(lambda loop: _run_discovery(loop, config, records, seed, log))
 
 
-hidden_alias(discovery, "listing")
+add_hidden_alias(discovery, "listing")
 
 
 async def _run_discovery(
@@ -135,6 +135,6 @@
     wanted = needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
     if warning := raise_open_file_limit(wanted):
         log.warning("limits", why=warning)
-    event_log = records_for(folder, "listing", loop)
-    server = DiscoveryServer(loop, clock_of(loop), config, log, event_log, seed)
+    event_log = open_event_log(folder, "listing", loop)
+    server = DiscoveryServer(loop, ms_clock(loop), config, log, event_log, seed)
     return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -14,7 +14,7 @@
 
 import click
 
-from pebblehinge.cli.base import AS_JSON, give_up, main, run
+from pebblehinge.cli.base import AS_JSON, exit_with_error, main, run
 
 if TYPE_CHECKING:
     from pebblehinge.client import Client, Result
@@ -22,12 +22,12 @@
     from pebblehinge.store.inspection import Inspection
     from pebblehinge.store.records import Write
 
-PATIENCE_MS = 4000.0
+REQUEST_DEADLINE_MS = 4000.0
 """The deadline of each request of a replay."""
-ATTEMPTS = 50
+MAX_ATTEMPTS = 50
 """Of a replay for each write."""
-SHORTEST_PAUSE_S = 0.1
-SHOWN_WRITES = 20
+MIN_RETRY_DELAY_S = 0.1
+MAX_SHOWN_WRITES = 20
 
 
 @main.group()
@@ -38,7 +38,7 @@
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
-def open_journal(folder: str) -> tuple[RealDisk, Inspection]:
+def read_journal(folder: str) -> tuple[RealDisk, Inspection]:
     """Returns a folder's disk and what its journal holds; changes nothing."""
     from pebblehinge.store import RealDisk  # noqa: PLC0415
     from pebblehinge.store.inspection import inspect_journal  # noqa: PLC0415
@@ -52,23 +52,23 @@
 @AS_JSON
 def store_inspect(folder: str, as_json: bool) -> None:
     """What FOLDER holds: nothing is changed."""
-    _, found = open_journal(folder)
-    live = len(found.writes)
-    live_bytes = sum(len(write.data) for write in found.writes)
+    _, inspection = read_journal(folder)
+    live = len(inspection.writes)
+    live_bytes = sum(len(write.data) for write in inspection.writes)
     if as_json:
         fields = ("segments", "bytes", "fenced", "damage", "done", "barriers")
-        shown = {name: getattr(found, name) for name in fields} | {"live": live, "live_bytes": live_bytes}
+        shown = {name: getattr(inspection, name) for name in fields} | {"live": live, "live_bytes": live_bytes}
         click.echo(json.dumps(shown))
         return
     click.echo(
-        f"{found.segments} segments, {found.bytes} bytes; {live} writes not yet at their shelfs "
-        f"({live_bytes} bytes), {found.done} done, {found.barriers} barriers"
+        f"{inspection.segments} segments, {inspection.bytes} bytes; {live} writes not yet at their shelfs "
+        f"({live_bytes} bytes), {inspection.done} done, {inspection.barriers} barriers"
     )
-    for write in found.writes[:SHOWN_WRITES]:
+    for write in inspection.writes[:MAX_SHOWN_WRITES]:
         click.echo(f"  {write.number}: {write.volume}/{write.extent} at {write.offset}, {len(write.data)} bytes")
-    for line in found.damage:
+    for line in inspection.damage:
         click.echo(f"damage: {line}")
-    if found.fenced:
+    if inspection.fenced:
         click.echo("fenced: another has taken it over")
 
 
@@ -79,7 +79,7 @@
     from pebblehinge.store import StorageError  # noqa: PLC0415
     from pebblehinge.store.segment import read_segment  # noqa: PLC0415
 
-    disk, found = open_journal(folder)
+    disk, inspection = read_journal(folder)
     names = sorted(n for n in disk.names() if n.startswith("journal-"))
     try:
         for i, name in enumerate(names):
@@ -87,7 +87,7 @@
     except StorageError as error:
         click.echo(str(error))
         sys.exit(1)
-    click.echo(f"sound: {len(found.writes)} writes not yet at their shelfs")
+    click.echo(f"sound: {len(inspection.writes)} writes not yet at their shelfs")
 
 
 @store.command(name="export")
@@ -95,15 +95,15 @@
 @click.argument("target", type=click.Path(file_okay=False))
 def store_export(folder: str, target: str) -> None:
     """Write what can be read of FOLDER's live writes to files below TARGET: VOLUME/EXTENT, by offset."""
-    _, found = open_journal(folder)
-    for write in found.writes:
+    _, inspection = read_journal(folder)
+    for write in inspection.writes:
         path = Path(target) / write.volume / write.extent.replace("/", "%2F")
         path.parent.mkdir(parents=True, exist_ok=True)
         with path.open("r+b" if path.exists() else "wb") as file:
             file.seek(write.offset)
             file.write(write.data)
-    click.echo(f"{len(found.writes)} writes")
-    sys.exit(1 if found.damage else 0)
+    click.echo(f"{len(inspection.writes)} writes")
+    sys.exit(1 if inspection.damage else 0)
 
 
 @store.command(name="replay")
@@ -116,32 +116,32 @@
     from pebblehinge.store import StorageError  # noqa: PLC0415
     from pebblehinge.store.journal import fence  # noqa: PLC0415
 
-    disk, found = open_journal(folder)
+    disk, inspection = read_journal(folder)
     try:
         disk.acquire_lock()
     except StorageError as error:
-        give_up(f"{error}: a head that runs brings its writes itself")
-    if found.damage and any("promised" in line for line in found.damage):
-        click.echo("\n".join(found.damage), err=True)
+        exit_with_error(f"{error}: a head that runs brings its writes itself")
+    if inspection.damage and any("promised" in line for line in inspection.damage):
+        click.echo("\n".join(inspection.damage), err=True)
     fence(disk, f"replay through {address}")
 
-    async def bring_all(loop: asyncio.AbstractEventLoop) -> int:
+    async def replay_all(loop: asyncio.AbstractEventLoop) -> int:
         client = await connect(address, name="replay", loop=loop)
-        brought = 0
-        for write in found.writes:
-            outcome, reply = await bring(client, write, profile)
-            if outcome is Bringing.FAILED:
+        replayed_count = 0
+        for write in inspection.writes:
+            outcome, reply = await replay_write(client, write, profile)
+            if outcome is ReplayOutcome.FAILED:
                 click.echo(f"write {write.number} could not be brought: {reply.final} {reply.reason}", err=True)
                 return 1
-            brought += outcome is Bringing.BROUGHT
+            replayed_count += outcome is ReplayOutcome.BROUGHT
         client.close()
-        click.echo(f"{brought} writes brought, {len(found.writes) - brought} stood already")
+        click.echo(f"{replayed_count} writes brought, {len(inspection.writes) - replayed_count} stood already")
         return 0
 
-    run(bring_all)
+    run(replay_all)
 
 
-class Bringing(Enum):
+class ReplayOutcome(Enum):
     """What became of a write of the journal."""
 
     BROUGHT = auto()
@@ -149,7 +149,7 @@
     FAILED = auto()
 
 
-async def bring(client: Client, write: Write, profile: str) -> tuple[Bringing, Result]:
+async def replay_write(client: Client, write: Write, profile: str) -> tuple[ReplayOutcome, Result]:
     """Writes what a journal holds through a gateway, unless a read shows that it is there; retries both.
 
     Args:
@@ -170,7 +170,7 @@
             profile=profile,
             slot=write.slot,
             units=write.units,
-            patience_ms=PATIENCE_MS,
+            patience_ms=REQUEST_DEADLINE_MS,
         )
 
     async def rewrite() -> Result:
@@ -183,16 +183,16 @@
             profile=profile,
             slot=write.slot,
             units=write.units,
-            patience_ms=PATIENCE_MS,
+            patience_ms=REQUEST_DEADLINE_MS,
         )
 
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         reply = await read()
         if reply.succeeded and reply.data == write.data:
-            return Bringing.STOOD_ALREADY, reply
+            return ReplayOutcome.STOOD_ALREADY, reply
         if reply.succeeded:
             reply = await rewrite()
             if reply.succeeded:
-                return Bringing.BROUGHT, reply
-        await asyncio.sleep(max(SHORTEST_PAUSE_S, reply.stay_ms / 1000.0))
-    return Bringing.FAILED, reply
+                return ReplayOutcome.BROUGHT, reply
+        await asyncio.sleep(max(MIN_RETRY_DELAY_S, reply.stay_ms / 1000.0))
+    return ReplayOutcome.FAILED, reply
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -15,18 +15,28 @@
 
 import click
 
-from pebblehinge.cli.base import AS_JSON, JOBS, QUIET, SEED, describe, give_up, jobs_of, read_settings, say_progress
-from pebblehinge.cli.days import day_facts, find_day, lab
+from pebblehinge.cli.base import (
+    AS_JSON,
+    JOBS,
+    QUIET,
+    SEED,
+    describe_error,
+    exit_with_error,
+    progress_printer,
+    read_settings,
+    worker_count,
+)
+from pebblehinge.cli.days import find_day, lab, load_day_facts
 from pebblehinge.settings import Config
 
 if TYPE_CHECKING:
     from pebblehinge.lab.search import Find
 
-SAVED_BROKEN = 5
+MAX_SAVED_FAILING_DAYS = 5
 """How many days with a broken rule or a fault a search saves."""
-SAVED_WORST = 2
+MAX_SAVED_SLOW_DAYS = 2
 """How many days it saves where none is broken: those of the worst service."""
-SHRINK_TOLERANCE = 0.03
+SHRINK_SERVICE_TOLERANCE = 0.03
 """By how much the service of a shrunk day may be better than that of the find."""
 
 
@@ -43,18 +53,18 @@
     name: str, days: int, seed: int, length: int, folder: str | None, jobs: int | None, as_json: bool, quiet: bool
 ) -> None:
     """Draw days with overlapping troubles on the fleet of day NAME, and hunt for broken rules and the worst service."""
-    from pebblehinge.lab import search as hunt  # noqa: PLC0415
+    from pebblehinge.lab import search as day_search  # noqa: PLC0415
 
     path, _ = find_day(name)
     config = read_settings(str(path), "127.0.0.1")
-    progress = say_progress(quiet)
+    progress = progress_printer(quiet)
     length_ms = length * 1000.0
-    finds = hunt.search(config, seed, days, length_ms, jobs_of(jobs), progress)
+    finds = day_search.search(config, seed, days, length_ms, worker_count(jobs), progress)
     broken = [find for find in finds if find.broken or find.faults]
     if folder is not None:
-        for find in broken[:SAVED_BROKEN] or finds[:SAVED_WORST]:
+        for find in broken[:MAX_SAVED_FAILING_DAYS] or finds[:MAX_SAVED_SLOW_DAYS]:
             save_find(config, find, length_ms, Path(folder), path.stem, progress)
-    summary = hunt.told(finds)
+    summary = day_search.told(finds)
     if as_json:
         click.echo(json.dumps(summary))
     else:
@@ -66,12 +76,12 @@
     config: Config, find: Find, length_ms: float, folder: Path, source: str, progress: Callable[[str], None]
 ) -> None:
     """Shrinks a find and saves it as a day file, named by its source, seed and kind."""
-    from pebblehinge.lab import search as hunt  # noqa: PLC0415
+    from pebblehinge.lab import search as day_search  # noqa: PLC0415
 
-    small = hunt.shrink(config, find, length_ms, find.service + SHRINK_TOLERANCE, progress)
-    kind = "-".join(small.broken) or ("fault" if small.faults else "service")
+    shrunk_find = day_search.shrink(config, find, length_ms, find.service + SHRINK_SERVICE_TOLERANCE, progress)
+    kind = "-".join(shrunk_find.broken) or ("fault" if shrunk_find.faults else "service")
     target = folder / f"{source}-{find.seed}-{kind}.conf"
-    hunt.save(config, small, length_ms, target, source)
+    day_search.save(config, shrunk_find, length_ms, target, source)
     progress(f"saved {target}")
 
 
@@ -82,8 +92,8 @@
         f"service {summary['service']['mean']:.3f} in the mean, {summary['service']['worst']:.3f} at worst"
     )
     for row in summary["worst"]:
-        what = ", ".join(row["broken"]) or "no rule broken"
-        click.echo(f"  seed {row['seed']}: {row['service']:.3f}, {what}; {', '.join(row['troubles'])}")
+        broken_rules = ", ".join(row["broken"]) or "no rule broken"
+        click.echo(f"  seed {row['seed']}: {row['service']:.3f}, {broken_rules}; {', '.join(row['troubles'])}")
         if row["why"]:
             click.echo(f"      {row['why'][:200]}")
 
@@ -103,14 +113,14 @@
 
     bounds = Bounds(3, terms, proposals, crashes, beats, states, way)
     try:
-        found = explore(bounds, say_progress(quiet))
+        exploration = explore(bounds, progress_printer(quiet))
     except SafetyViolationError as error:
         click.echo(str(error))
         sys.exit(1)
     except KeyboardInterrupt:
-        give_up("interrupted: nothing broken so far")
-    extent = "all within the bounds" if found.complete else "as many as were asked"
-    click.echo(f"{found.states} states, {found.transitions} transitions, {extent}")
+        exit_with_error("interrupted: nothing broken so far")
+    extent = "all within the bounds" if exploration.complete else "as many as were asked"
+    click.echo(f"{exploration.states} states, {exploration.transitions} transitions, {extent}")
 
 
 @lab.command(name="crash")
@@ -128,23 +138,23 @@
     from pebblehinge.lab.crash.virtual import one as one_round  # noqa: PLC0415
     from pebblehinge.lab.processes import own_loopback  # noqa: PLC0415
 
-    said = say_progress(quiet)
+    progress = progress_printer(quiet)
     if virtual:
         results = []
-        with ProcessPoolExecutor(jobs_of(None)) as executor:
-            for n, one in enumerate(executor.map(one_round, range(seed, seed + rounds), chunksize=5)):
-                results.append(one)
+        with ProcessPoolExecutor(worker_count(None)) as executor:
+            for n, round_result in enumerate(executor.map(one_round, range(seed, seed + rounds), chunksize=5)):
+                results.append(round_result)
                 if n % 100 == 99:
-                    said(f"{n + 1} of {rounds}")
-        total = verdict.summed(results)
+                    progress(f"{n + 1} of {rounds}")
+        totals = verdict.summed(results)
     else:
         with tempfile.TemporaryDirectory(prefix="pebblehinge-") as folder:
-            total = asyncio.run(Sockets(Path(folder), own_loopback(), seed).play(rounds, said))
+            totals = asyncio.run(Sockets(Path(folder), own_loopback(), seed).play(rounds, progress))
     if as_json:
-        click.echo(json.dumps(total))
+        click.echo(json.dumps(totals))
     else:
-        click.echo(", ".join(f"{k.replace('_', ' ')} {v}" for k, v in total.items() if v != ""))
-    sys.exit(0 if verdict.sound(total) else 1)
+        click.echo(", ".join(f"{k.replace('_', ' ')} {v}" for k, v in totals.items() if v != ""))
+    sys.exit(0 if verdict.sound(totals) else 1)
 
 
 @lab.command(name="blame")
@@ -158,16 +168,25 @@
 
     from pebblehinge.lab import blame  # noqa: PLC0415
 
-    with ProcessPoolExecutor(jobs_of(jobs)) as executor:
+    with ProcessPoolExecutor(worker_count(jobs)) as executor:
         results = list(executor.map(blame.drawn, range(seed, seed + days)))
-    wrong = [d for d in results if not d["right"]]
+    misjudged_days = [d for d in results if not d["right"]]
     if as_json:
-        click.echo(json.dumps({"days": days, "right": days - len(wrong), "wrong": len(wrong), "which": wrong[:20]}))
+        click.echo(
+            json.dumps(
+                {
+                    "days": days,
+                    "right": days - len(misjudged_days),
+                    "wrong": len(misjudged_days),
+                    "which": misjudged_days[:20],
+                }
+            )
+        )
     else:
-        click.echo(f"{days} days, {days - len(wrong)} right")
-        for day in wrong[:20]:
+        click.echo(f"{days} days, {days - len(misjudged_days)} right")
+        for day in misjudged_days[:20]:
             click.echo(f"  seed {day['seed']}: {', '.join(day['wanted'])}; named were {', '.join(day['named'])}")
-    sys.exit(1 if wrong else 0)
+    sys.exit(1 if misjudged_days else 0)
 
 
 @lab.command(name="report")
@@ -178,12 +197,12 @@
     from pebblehinge.lab.report import page  # noqa: PLC0415
     from pebblehinge.lab.verdict import summary  # noqa: PLC0415
 
-    facts = day_facts(records)
+    facts = load_day_facts(records)
     name = next(iter(facts.config.day))
     try:
         Path(output).write_text(page(facts, summary(facts, name, 0), f"Day {name}"))
     except OSError as error:
-        give_up(describe(error))
+        exit_with_error(describe_error(error))
     click.echo(f"{output}: written")
 
 
@@ -204,10 +223,10 @@
     paths = [str(find_day(name)[0].resolve()) for name in (a, b)]
     try:
         results = compare(
-            paths[0], paths[1], build_root(build_a), build_root(build_b), list(range(1, seeds + 1)), jobs_of(jobs)
+            paths[0], paths[1], build_root(build_a), build_root(build_b), list(range(1, seeds + 1)), worker_count(jobs)
         )
     except RuntimeError as error:
-        give_up(str(error))
+        exit_with_error(str(error))
     if as_json:
         click.echo(json.dumps(results))
         return
--- a/tests/captured_rows.py
+++ b/tests/captured_rows.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 import numpy as np
-from command_line import DAYS
+from command_line import DAYS_FOLDER
 
 from pebblehinge.capture import CapturedRequest
 from pebblehinge.settings import load
 
-CONFIG = load(DAYS / "quiet.conf")
+CONFIG = load(DAYS_FOLDER / "quiet.conf")
 
 
 VOLUMES = list(CONFIG.volume)
--- a/tests/command_line.py
+++ b/tests/command_line.py
@@ -7,10 +7,15 @@
 from pathlib import Path
 from typing import Any
 
-DAYS = Path("pebblehinge/lab/days")
+DAYS_FOLDER = Path("pebblehinge/lab/days")
 
 
-def command(*words: str, **more: Any) -> subprocess.CompletedProcess[str]:
+def run_command(*words: str, **options: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "pebblehinge", *words], capture_output=True, text=True, timeout=100, check=False, **more
+        [sys.executable, "-m", "pebblehinge", *words],
+        capture_output=True,
+        text=True,
+        timeout=100,
+        check=False,
+        **options,
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from pebblehinge.cli import clock_of
+from pebblehinge.cli import ms_clock
 from pebblehinge.client import Client, connect
 from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.gateway import GatewayCore, GatewayServer
@@ -186,7 +186,7 @@
     """A gateway, the discovery server, and two scripted storage nodes at slots 0 and 1."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
-        self.loop, self.config, self.clock = loop, config, clock_of(loop)
+        self.loop, self.config, self.clock = loop, config, ms_clock(loop)
         self.discovery = DiscoveryServer(loop, self.clock, config, Quiet())
         self.nodes = [ScriptedNode(loop, name, block.slot, block.listen) for name, block in config.shelf.items()]
         self.gateway: GatewayServer
--- a/tests/test_command_names.py
+++ b/tests/test_command_names.py
@@ -13,9 +13,9 @@
 
 def listed_commands() -> set[str]:
     """The commands that `pebblehinge --help` names."""
-    shown = CliRunner().invoke(main, ["--help"])
-    assert shown.exit_code == 0
-    commands = shown.output.split("Commands:")[1].splitlines()
+    result = CliRunner().invoke(main, ["--help"])
+    assert result.exit_code == 0
+    commands = result.output.split("Commands:")[1].splitlines()
     return {line.split()[0] for line in commands if line.strip()}
 
 
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("name", [*FORMER_NAMES, *FORMER_NAMES.values()])
 def test_a_missing_file_is_one_line_under_either_name(name: str) -> None:
-    done = CliRunner().invoke(main, [name, "no-such-file.conf"])
-    assert done.exit_code == 2
-    assert "no-such-file.conf" in done.output
+    result = CliRunner().invoke(main, [name, "no-such-file.conf"])
+    assert result.exit_code == 2
+    assert "no-such-file.conf" in result.output
 
 
 def test_an_alias_is_a_command_of_its_own() -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from command_line import DAYS, command
+from command_line import DAYS_FOLDER, run_command
 
 from pebblehinge.client import Result, RetryPolicy
 from pebblehinge.lab.days import DayError, timeline
@@ -16,7 +16,7 @@
 from pebblehinge.lab.village import play
 from pebblehinge.settings import load
 
-SHIPPED = sorted(p.stem for p in DAYS.glob("[!_]*.conf"))
+SHIPPED = sorted(p.stem for p in DAYS_FOLDER.glob("[!_]*.conf"))
 
 
 PLAYED = [name for name in SHIPPED if name != "rsync-tender"]  # a part of that one is played below
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("name", PLAYED)
 def test_every_shipped_day_keeps_all_rules_in_virtual_time(name: str) -> None:
-    config = load(DAYS / f"{name}.conf")
+    config = load(DAYS_FOLDER / f"{name}.conf")
     village, known = play(config, name, 11)
     told = summary(village.facts(), name, 11, {"faults": known["faults"]})
     assert all_checks_pass(told), told["rules"]
@@ -50,7 +50,7 @@
     kept_bytes = []
     for seed in ("1", "77"):
         folder = tmp_path / seed
-        done = command(
+        done = run_command(
             "lab",
             "day",
             "ledger",
@@ -65,28 +65,28 @@
         assert done.returncode == 0, done.stdout + done.stderr
         kept_bytes.append({p.name: p.read_bytes() for p in sorted(folder.iterdir())})
     assert kept_bytes[0] == kept_bytes[1] and len(kept_bytes[0]) > 10
-    again = command("lab", "check", str(tmp_path / "1"), "--json")
+    again = run_command("lab", "check", str(tmp_path / "1"), "--json")
     assert again.returncode == 0 and all(r["kept"] for r in json.loads(again.stdout)["rules"].values())
 
 
 def test_a_small_day_on_sockets_keeps_all_rules(tmp_path: Path) -> None:
     day = tmp_path / "small.conf"
     day.write_text(
-        f"include {(DAYS / '_archive.conf').resolve()}\n"
+        f"include {(DAYS_FOLDER / '_archive.conf').resolve()}\n"
         "day small {\n length 6s\n settle 1500ms\n at 1s crash s2 for 1s\n at 2s head-crash h1 for 1s\n"
         " at 3s head-stop h2 for 1s\n at 4s head-freeze h3 for 300ms\n at 2s release s3 for 2s\n}\n"
     )
-    done = command("lab", "day", str(day), "--json", "--quiet", "--records", str(tmp_path / "r"))
+    done = run_command("lab", "day", str(day), "--json", "--quiet", "--records", str(tmp_path / "r"))
     told = json.loads(done.stdout)
     assert done.returncode == 0 and all_checks_pass(told), told
     assert told["faults"] == [] and told["accesses"] > 500 and told["service"] > 0.5
     assert set(told["rules"]) == {"final_answer", "no_double_effect", "drains", "cold", "limits", "order", "budget"}
-    second = command("lab", "day", str(day), "--records", str(tmp_path / "r"))
+    second = run_command("lab", "day", str(day), "--records", str(tmp_path / "r"))
     assert second.returncode == 2 and "holds records of another day" in second.stderr
 
 
 def test_targets_are_names_racks_shares_and_all() -> None:
-    config = load(DAYS / "rack-restart.conf")
+    config = load(DAYS_FOLDER / "rack-restart.conf")
     steps = timeline(config, "rack-restart", 1)
     assert {s.target for s in steps if s.trouble == "mass-restart#0"} == {"s2", "s4", "s6", "s8"}
     assert [s.at_ms for s in steps] == sorted(s.at_ms for s in steps)
@@ -96,7 +96,7 @@
 
 
 def test_load_is_the_same_for_a_seed_and_reacts_to_its_troubles() -> None:
-    config = load(DAYS / "flood.conf")
+    config = load(DAYS_FOLDER / "flood.conf")
     runs = list(Draw(config, "flood", 4).runs())
     again = list(Draw(config, "flood", 4).runs())
     assert [(r.at_ms, r.extent) for r in runs] == [(r.at_ms, r.extent) for r in again]
--- a/tests/test_fault_processes.py
+++ b/tests/test_fault_processes.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from command_line import command
+from command_line import run_command
 
 from pebblehinge.event_log import read_events
 from pebblehinge.lab.check import DayFacts
@@ -34,7 +34,7 @@
 def test_a_struck_fleet_of_processes_keeps_all_rules_and_every_line_struck(tmp_path: Path) -> None:
     script, records = tmp_path / "script", tmp_path / "records"
     script.write_text(SCRIPT)
-    done = command("lab", "day", "struck", "--faults", str(script), "--records", str(records), "--json", "--quiet")
+    done = run_command("lab", "day", "struck", "--faults", str(script), "--records", str(records), "--json", "--quiet")
     assert done.stdout, done.stderr
     told = json.loads(done.stdout)
     assert all_checks_pass(told), told["rules"]
@@ -66,10 +66,10 @@
 def test_a_script_that_can_not_be_read_ends_with_one_line_a_fault(tmp_path: Path) -> None:
     script = tmp_path / "script"
     script.write_text("at 1s cut h1 from h9 for 1s\nat 1s\n")
-    done = command("lab", "day", "struck", "--faults", str(script), "--quiet")
+    done = run_command("lab", "day", "struck", "--faults", str(script), "--quiet")
     assert done.returncode == 2 and done.stdout == ""
     assert done.stderr.splitlines() == [
         f"pebblehinge: {script}:1:19: 'h9': expected a name of the fleet",
         f"{script}:2:6: the end: expected a kind of fault",
     ]
-    assert command("lab", "day", "struck", "--faults", str(tmp_path / "none"), "--quiet").returncode == 2
+    assert run_command("lab", "day", "struck", "--faults", str(tmp_path / "none"), "--quiet").returncode == 2
--- a/tests/test_plan_trials.py
+++ b/tests/test_plan_trials.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from captured_rows import CONFIG
-from command_line import DAYS, command
+from command_line import DAYS_FOLDER, run_command
 
 from pebblehinge.capacity_planner import Trial
 from pebblehinge.capture import CapturedRequest, parse_capture
@@ -45,10 +45,10 @@
 
 def test_a_plan_from_the_command_line_and_its_bad_input(tmp_path: Path) -> None:
     day = tmp_path / "short.conf"
-    day.write_text(f"include {(DAYS / '_archive.conf').resolve()}\nday short {{\n length 5s\n}}\n")
-    assert command("lab", "day", str(day), "--virtual", "--quiet", "--records", str(tmp_path / "r")).returncode == 0
+    day.write_text(f"include {(DAYS_FOLDER / '_archive.conf').resolve()}\nday short {{\n length 5s\n}}\n")
+    assert run_command("lab", "day", str(day), "--virtual", "--quiet", "--records", str(tmp_path / "r")).returncode == 0
     captures = sorted(str(p) for p in (tmp_path / "r").glob("*.capture"))
-    done = command("plan", *captures, "--fleet", str(day), "--json", "--quiet", "--formulas")
+    done = run_command("plan", *captures, "--fleet", str(day), "--json", "--quiet", "--formulas")
     told = json.loads(done.stdout)
     assert done.returncode == 0 and told["first_limit"]["at_multiple"] > 1.0
     assert {"name", "where", "at_multiple", "low", "high"} <= told["first_limit"].keys()
@@ -57,11 +57,11 @@
         (["--goal", "1.5"], "a goal of 1.5"),
         (["--lose-zone", "z9"], "zone 'z9' is not in the fleet"),
     ):
-        done = command("plan", *captures, "--fleet", str(day), "--quiet", *words)
+        done = run_command("plan", *captures, "--fleet", str(day), "--quiet", *words)
         assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
     (tmp_path / "bad.capture").write_bytes(b"no")
-    done = command("plan", str(tmp_path / "bad.capture"), "--fleet", str(day))
+    done = run_command("plan", str(tmp_path / "bad.capture"), "--fleet", str(day))
     assert done.returncode == 2 and "is no capture" in done.stderr
-    made = command("lab", "report", str(tmp_path / "r"), "-o", str(tmp_path / "r.html"))
+    made = run_command("lab", "report", str(tmp_path / "r"), "-o", str(tmp_path / "r.html"))
     page = (tmp_path / "r.html").read_text()
     assert made.returncode == 0 and page.count("data:image/svg+xml") == 2 and "http" not in page.partition("svg")[0]
--- a/tests/test_replicated_config_processes.py
+++ b/tests/test_replicated_config_processes.py
@@ -10,7 +10,7 @@
 
 from group_settings import settings_text
 from helpers import LOOPBACK
-from test_lab import command
+from test_command_line import run_command
 
 
 def test_the_command_line_proposes_and_shows_versions_of_member_processes(tmp_path: Path) -> None:
@@ -42,7 +42,7 @@
         initialized[name] = None
 
     def config(*args: str) -> subprocess.CompletedProcess[str]:
-        return command("config", "--group", str(path), *args)
+        return run_command("config", "--group", str(path), *args)
 
     try:
         for n in range(1, 6):
@@ -84,7 +84,7 @@
             (["--name", "g1", "--store", str(tmp_path / "g2")], "the folder is g2's of group"),
             (["--name", "g1", "--store", str(tmp_path / "new")], "the folder is empty: if g1 has never run"),
         ):
-            failure = command("group", str(path), *args)
+            failure = run_command("group", str(path), *args)
             assert failure.returncode == 2 and reason in failure.stderr and "Traceback" not in failure.stderr
         assert "voters g1 g2 g3 g4 g5" in config("members").stdout
         processes["g3"].kill()
@@ -135,12 +135,12 @@
             start("group", str(path), "--name", f"g{n}", "--store", str(tmp_path / f"g{n}"), "--begin")
             for n in (1, 2, 3)
         ]
-        assert command("config", "--group", str(path), "propose", str(path)).returncode == 0
+        assert run_command("config", "--group", str(path), "propose", str(path)).returncode == 0
         gateway = start(*gateway_args)
         wait_for((1, "active"))
         lower_limit_path = tmp_path / "lower.conf"
         lower_limit_path.write_text(text.replace("limit 90/s", "limit 60/s"))
-        assert command("config", "--group", str(path), "propose", str(lower_limit_path)).returncode == 0
+        assert run_command("config", "--group", str(path), "propose", str(lower_limit_path)).returncode == 0
         wait_for((2, "active"))
         members[0].kill()
         wait_for((2, "cut off"))  # two of five voters are running
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from command_line import DAYS
+from command_line import DAYS_FOLDER
 
 from pebblehinge.lab import search
 from pebblehinge.settings import Config, load
 
 
 def test_search_draws_the_same_days_and_shrinks_to_what_matters() -> None:
-    config = load(DAYS / "ledger.conf")
+    config = load(DAYS_FOLDER / "ledger.conf")
     assert search.draw(config, 4, 9000.0) == search.draw(config, 4, 9000.0)
     drawn = [search.draw(config, seed, 9000.0) for seed in range(30)]
     assert len({t.name for troubles in drawn for t in troubles}) > 15
