--- a/benchmarks/caps_laboratory.py
+++ b/benchmarks/caps_laboratory.py
@@ -67,9 +67,9 @@
     ),
     Cap(
         "datagrams that wait in virtual time",
-        "pebblehinge/lab/mempipes.py",
+        "pebblehinge/lab/memory_transport.py",
         "MOST_WAITING = ",
-        constant("pebblehinge.lab.mempipes", "MOST_WAITING"),
+        constant("pebblehinge.lab.memory_transport", "MAX_QUEUED_DATAGRAMS"),
         "datagrams",
         "of one process",
         None,
--- a/benchmarks/fault_days.py
+++ b/benchmarks/fault_days.py
@@ -22,9 +22,9 @@
 from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.faults.draw import cast_of, draw, shrink
 from pebblehinge.lab.faults.script import Fault, write
-from pebblehinge.lab.processes import Processes, own_loopback
+from pebblehinge.lab.processes import ProcessFleet, own_loopback
+from pebblehinge.lab.simulated_fleet import VillageError, play
 from pebblehinge.lab.verdict import summary
-from pebblehinge.lab.village import VillageError, play
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
@@ -85,7 +85,7 @@
     async def whole(folder: Path) -> dict[str, Any]:
         path = folder / "settings.conf"
         path.write_text(text)
-        stage = Processes(
+        stage = ProcessFleet(
             asyncio.get_running_loop(),
             config,
             path,
--- a/benchmarks/group_cost.py
+++ b/benchmarks/group_cost.py
@@ -28,7 +28,7 @@
 from raft_cluster import Cluster  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
-from pebblehinge.lab.village import Quiet  # noqa: E402
+from pebblehinge.lab.simulated_fleet import Quiet  # noqa: E402
 from pebblehinge.raft import Raft  # noqa: E402
 from pebblehinge.replicated_config.commands import CommandResult, ForgetGateway, encode_command  # noqa: E402
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: E402
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -25,7 +25,7 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.gateway import GatewayCore, GatewayServer
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.net import parse_address
 from pebblehinge.wire import Session
 
--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from pebblehinge.lab.village import play
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.settings.load import load
 from pebblehinge.settings.schema import DayBlock, ScheduledFault
 
@@ -35,7 +35,7 @@
         ScheduledFault(at=CRASH_MS, name="head-crash", target=heads, last=AWAY_MS),
     ]
     config.day[name] = DayBlock(length=CRASH_MS + AWAY_MS + LOOK_MS, at=at)
-    village, _ = play(config, name, seed, memory_age_ms=KINDS[kind])
+    village, _ = play(config, name, seed, snapshot_age_ms=KINDS[kind])
     facts = village.facts()
     due = got = 0.0
     late = count = 0
--- a/benchmarks/plan_check.py
+++ b/benchmarks/plan_check.py
@@ -28,8 +28,8 @@
 from pebblehinge.capacity_planner.evidence import Evidence
 from pebblehinge.capture import parse_capture
 from pebblehinge.lab.replay import merge
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.trials import WINDOW_S, Pool, fleet_of, lay_out, world_of
-from pebblehinge.lab.village import play
 from pebblehinge.settings.load import loads
 
 
--- a/benchmarks/plan_truth.py
+++ b/benchmarks/plan_truth.py
@@ -13,8 +13,8 @@
 
 from pebblehinge.capacity_planner import Trial
 from pebblehinge.lab.load import Draw
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.trials import AWAY_MS, WINDOW_S, fleet_of, read
-from pebblehinge.lab.village import play
 from pebblehinge.settings import Config, ScheduledFault, render_settings
 from pebblehinge.settings.load import loads
 
--- a/benchmarks/scale/events.py
+++ b/benchmarks/scale/events.py
@@ -66,11 +66,11 @@
 
     async def _leader(self) -> None:
         """Its process is killed, a version proposed at once; it comes back when that is in force."""
-        await self.stage.strike("kill", self.leader)
+        await self.stage.run_verb("kill", self.leader)
         row = await self.propose()
         await self.in_force(row)
         self.told["next_leader"] = await self.find_leader()
-        await self.stage.strike("start", self.leader)
+        await self.stage.run_verb("start", self.leader)
         self.told["well"] = await self.well()
 
     async def _restart(self) -> None:
@@ -125,7 +125,7 @@
     async def _discovery(self) -> None:
         """The node list is killed and started again, with nothing of what it knew."""
         before = dict(self.following.known)
-        await self.stage.strike("kill", "listing")
+        await self.stage.run_verb("kill", "listing")
         await asyncio.sleep(GONE_S)
         await self.stage.start_listing()
         self.told["well"] = await self.well(before)
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -14,7 +14,7 @@
 from pebblehinge.lab.faults.ground import ProcessGround, names_of
 from pebblehinge.lab.faults.player import Player
 from pebblehinge.lab.faults.script import Fault
-from pebblehinge.lab.processes import Processes
+from pebblehinge.lab.processes import ProcessFleet
 from pebblehinge.settings import Config
 from scale.bounds import HEADS_EACH, SHELFS_EACH
 from scale.settings import REAL_SHELFS, hollow_names
@@ -39,7 +39,7 @@
         yield lambda words: [sys.executable, LAUNCH, json.dumps(where), "--", *words], ()
 
 
-class ScaleStage(Processes):
+class ScaleStage(ProcessFleet):
     """`events(stage)` runs beside the load and is what the run is for."""
 
     def __init__(
@@ -63,9 +63,13 @@
         self.heads, self.shelfs, self.events = heads, shelfs, events
         self.figures = folder / "figures"
         self.figures.mkdir()
-        self.struck.close()
-        self.struck = CountedGround(self, loop, names_of(config), seed, folder / "copies")
-        self.struck.regions, self.struck.counting, self.struck.figures = regions, counting, self.figures
+        self.fault_ground.close()
+        self.fault_ground = CountedGround(self, loop, names_of(config), seed, folder / "copies")
+        self.fault_ground.regions, self.fault_ground.counting, self.fault_ground.figures = (
+            regions,
+            counting,
+            self.figures,
+        )
         self.regions, self.spread, self.attempts = regions, spread, attempts
         self.holds: dict[str, list[str]] = {}  # hollow heads by process
 
@@ -73,7 +77,7 @@
 
     async def start_all(self) -> None:
         if self.regions:
-            await self.struck.start(self.loopback)
+            await self.fault_ground.start(self.loopback)
             self.player = Player(self.ground(), [], self.clock, self.records.note)
             self._part_regions()
         await self.start_listing()
@@ -115,7 +119,7 @@
         )
 
     async def _spawn_hollow(self, name: str, role: str, given: dict[str, Any]) -> None:
-        with self.struck.control(name) as (command, _):
+        with self.fault_ground.control(name) as (command, _):
             process = await asyncio.create_subprocess_exec(
                 *command([role, json.dumps(given)]),
                 stdin=asyncio.subprocess.PIPE,
--- a/benchmarks/slopes_framed.py
+++ b/benchmarks/slopes_framed.py
@@ -14,7 +14,7 @@
 from pebblehinge.cli import clock_of
 from pebblehinge.client import connect
 from pebblehinge.discovery import DiscoveryServer
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 
--- a/benchmarks/slopes_version.py
+++ b/benchmarks/slopes_version.py
@@ -12,7 +12,7 @@
 
 from pebblehinge.cli import clock_of
 from pebblehinge.gateway import GatewayServer
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.replicated_config.activation import transitional_config
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.version_application import VersionApplication
--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -31,7 +31,7 @@
 from group_settings import settings_text  # noqa: E402
 
 from pebblehinge.cli import clock_of  # noqa: E402
-from pebblehinge.lab.village import Quiet  # noqa: E402
+from pebblehinge.lab.simulated_fleet import Quiet  # noqa: E402
 from pebblehinge.net import Peer  # noqa: E402
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher  # noqa: E402
 from pebblehinge.replicated_config.operator_client import ask_group  # noqa: E402
--- a/benchmarks/virtual_size.py
+++ b/benchmarks/virtual_size.py
@@ -24,7 +24,7 @@
 from fault_days import judged, text_of
 
 from pebblehinge.lab.faults.draw import cast_of, draw
-from pebblehinge.lab.village import Village, VillageError, play
+from pebblehinge.lab.simulated_fleet import SimulatedFleet, VillageError, play
 from pebblehinge.settings.load import loads
 
 
@@ -36,17 +36,17 @@
     raise Spent(getattr(asyncio.get_event_loop(), "now", 0.0))
 
 
-def digest_of(village: Village) -> str:
+def digest_of(village: SimulatedFleet) -> str:
     """What all records and captures of a day come to."""
     whole = hashlib.sha256()
-    for name, notes in sorted(village.notes.items()):
+    for name, notes in sorted(village.record_logs.items()):
         whole.update(msgspec.json.encode((name, notes.rows)))
     for name, data in sorted(village.captures.items()):
         whole.update(name.encode() + bytes(data))
     return whole.hexdigest()[:16]
 
 
-def writes(village: Village) -> dict[str, int]:
+def writes(village: SimulatedFleet) -> dict[str, int]:
     """How often something was written to connections, by who wrote to whom."""
     roles = {
         **dict.fromkeys(village.config.head, "head"),
@@ -54,7 +54,7 @@
         **dict.fromkeys(village.config.shelf, "shelf"),
     }
     found: dict[str, int] = {}
-    for (source, to), count in village.world.net.tried.items():
+    for (source, to), count in village.virtual_loop.net.send_counts.items():
         key = f"{roles.get(source, 'other')} to {roles.get(to, 'other')}"
         found[key] = found.get(key, 0) + count
     return dict(sorted(found.items()))
@@ -89,7 +89,7 @@
     asked = [r["ok"] for r in village.records.rows if r["e"] == "proposed"]
     return row | {
         "through": True,
-        "reached_s": round(village.world.now - loop_began, 2),
+        "reached_s": round(village.virtual_loop.now - loop_began, 2),
         "seconds": round(played - began, 1),
         "judging": round(time.process_time() - played, 1),
         "peak_mb": peak_mb(),
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -118,9 +118,9 @@
     draw_faults: int | None,
 ) -> None:
     """Play a day, NAME or FILE, with a fleet of processes, and judge the rules from what crossed the sockets."""
-    from pebblehinge.lab import village  # noqa: PLC0415
+    from pebblehinge.lab import simulated_fleet  # noqa: PLC0415
     from pebblehinge.lab.days import DayError  # noqa: PLC0415
-    from pebblehinge.lab.processes import Processes, own_loopback  # noqa: PLC0415
+    from pebblehinge.lab.processes import ProcessFleet, own_loopback  # noqa: PLC0415
     from pebblehinge.lab.verdict import summary  # noqa: PLC0415
 
     path, _ = find_day(name)
@@ -133,7 +133,7 @@
     script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
-        stage = Processes(loop, config, path, day_name, seed, folder, loopback, progress, script)
+        stage = ProcessFleet(loop, config, path, day_name, seed, folder, loopback, progress, script)
         try:
             return await stage.play()
         finally:
@@ -143,7 +143,7 @@
         folder = Path(records or temporary)
         try:
             if virtual:
-                stage, more = village.play(config, day_name, seed, progress, script=script)
+                stage, more = simulated_fleet.play(config, day_name, seed, progress, script=script)
                 if records is not None:
                     stage.write(folder)
                 facts = stage.facts()
--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -78,7 +78,7 @@
 
 def prepare(wanted: Call, address: str, verb: str, local: str | None, secret_file: str | None) -> tuple[str, int]:
     """Reads the secret and the local files into a call; returns host and port; exits where any is unusable."""
-    from pebblehinge.lab.local import LocalError, read_tree  # noqa: PLC0415
+    from pebblehinge.lab.file_tree import FileTreeError, read_tree  # noqa: PLC0415
 
     try:
         host, port = parse_address(address)
@@ -86,7 +86,7 @@
             wanted.secret = Path(secret_file).read_bytes().splitlines()[0]
         if local is not None and (verb == "push" or Path(local).is_dir()):
             wanted.files = read_tree(Path(local))
-    except (ValueError, IndexError, LocalError) as error:
+    except (ValueError, IndexError, FileTreeError) as error:
         give_up(str(error) or f"{secret_file} is empty")
     return host, port
 
@@ -121,13 +121,13 @@
 
 def save_pulled(wanted: Call, local: str | None) -> None:
     """Writes the files that a pull brought, where it ended whole or in part; exits where they can't be written."""
-    from pebblehinge.lab.local import LocalError, write_tree  # noqa: PLC0415
+    from pebblehinge.lab.file_tree import FileTreeError, write_tree  # noqa: PLC0415
 
     if wanted.code not in SAVED_CODES:
         return
     try:
         write_tree(Path(local or "."), wanted.files)
-    except LocalError as error:
+    except FileTreeError as error:
         give_up(str(error))
 
 
--- a/pebblehinge/lab/blame.py
+++ b/pebblehinge/lab/blame.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblehinge.lab.village import Village, play
+from pebblehinge.lab.simulated_fleet import SimulatedFleet, play
 from pebblehinge.settings.load import loads
 from pebblehinge.settings.schema import ScheduledFault
 from pebblehinge.wait_accounting import OWN_WORK, WaitCause
@@ -74,7 +74,7 @@
 """
 
 
-def play_one(seed: int, slow: str, noise: bool, by: float = 8.0) -> tuple[list[str], Village]:
+def play_one(seed: int, slow: str, noise: bool, by: float = 8.0) -> tuple[list[str], SimulatedFleet]:
     """The causes of the calm volumes' waiting, the largest first; their own work and each other's apart."""
     text = DAY.replace("NOISEunits", "200/s" if noise else "1/s").replace("LOAD", "190" if noise else "38")
     config = loads(text)
--- a/pebblehinge/lab/control.py
+++ b/pebblehinge/lab/control.py
@@ -10,7 +10,7 @@
 from pebblehinge.wire import Kind, Session
 
 
-class Hand(Peer):
+class ControlPeer(Peer):
     """A connection with the role that may bring troubles."""
 
     ACCEPTED_KINDS = frozenset({Kind.CONTROLLED})
@@ -45,7 +45,7 @@
     """Has a stand-in do something; raises OSError where it can't be reached within two seconds."""
     host, port = parse_address(address)
     async with asyncio.timeout(2.0):
-        _, hand = await loop.create_connection(lambda: Hand(loop), host, port)
+        _, hand = await loop.create_connection(lambda: ControlPeer(loop), host, port)
         try:
             return await hand.do(verb, values)
         finally:
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -13,7 +13,7 @@
 from pebblehinge.lab.crash.verdict import judge
 from pebblehinge.lab.crash.writers import Books, Writer
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.lab.village import Memory, Quiet
+from pebblehinge.lab.simulated_fleet import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.settings.load import loads
 from pebblehinge.storage_node import Contents, StorageNodeServer
@@ -128,8 +128,8 @@
         try:
             self.loop.run_until_complete(self.main(kills))
             faults = [v for _, event, v in self.log.lines if event == "fault"]
-            if faults or self.loop.caught:
-                raise RuntimeError(str(faults or self.loop.caught[0]))
+            if faults or self.loop.callback_errors:
+                raise RuntimeError(str(faults or self.loop.callback_errors[0]))
             return judge(self.books, self.held(), self.effects())
         finally:
             tasks = asyncio.all_tasks(self.loop)
--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -59,7 +59,7 @@
     nodes: dict[str, Node]
 
     def is_up(self, name: str) -> bool: ...
-    async def strike(self, verb: str, name: str) -> None: ...
+    async def run_verb(self, verb: str, name: str) -> None: ...
 
 
 class VillageGround(OnFleet):
@@ -131,14 +131,14 @@
 
     def way(self, source: str, to: str, held: Held) -> None:
         net = self.world.net
-        way, usual = net.own_way(source, to), net.usual
+        way, usual = net.own_link(source, to), net.default_link
         way.blocked, way.rate = held.blocked, held.rate / 1000.0
-        way.delay_ms, way.drop, way.twice = usual.delay_ms + held.delay_ms, held.lose, held.repeat
-        for pipe in net.between(source, to):
-            pipe.go_on()
+        way.delay_ms, way.drop, way.duplicate_chance = usual.delay_ms + held.delay_ms, held.lose, held.repeat
+        for pipe in net.pipes_between(source, to):
+            pipe.resume()
 
     def tried(self, source: str, to: str) -> int:
-        return self.world.net.tried[(source, to)]
+        return self.world.net.send_counts[(source, to)]
 
     def reset(self, a: str, b: str) -> int:
         return self.world.net.reset(a, b)
--- a/pebblehinge/lab/faults/player.py
+++ b/pebblehinge/lab/faults/player.py
@@ -37,16 +37,16 @@
         return self.fleet.is_up(name)
 
     async def down(self, name: str) -> None:
-        await self.fleet.strike("kill", name)
+        await self.fleet.run_verb("kill", name)
 
     async def again(self, name: str) -> None:
-        await self.fleet.strike("start", name)
+        await self.fleet.run_verb("start", name)
 
     async def stand(self, name: str) -> None:
-        await self.fleet.strike("freeze", name)
+        await self.fleet.run_verb("freeze", name)
 
     async def go_on(self, name: str) -> None:
-        await self.fleet.strike("thaw", name)
+        await self.fleet.run_verb("thaw", name)
 
 
 class Player:
--- a/pebblehinge/lab/local.py
+++ b/pebblehinge/lab/file_tree.py
@@ -8,17 +8,17 @@
 
 from pebblehinge.lab.rsync_call import Local
 
-MOST = 1 << 30  # bytes that are held
+MAX_TREE_BYTES = 1 << 30  # bytes that are held
 
 
-class LocalError(Exception):
+class FileTreeError(Exception):
     """A directory that can't be read or written as wanted."""
 
 
 def read_tree(top: Path) -> dict[bytes, Local]:
     """All files, directories and links below `top`; a single file under its own name."""
     if not top.exists():
-        raise LocalError(f"{top} is not there")
+        raise FileTreeError(f"{top} is not there")
     if not top.is_dir():
         return {os.fsencode(top.name): _one(top)}
     found = {b".": _one(top)}
@@ -26,8 +26,8 @@
     for path in sorted(top.rglob("*")):
         local = _one(path)
         total += local.size
-        if total > MOST:
-            raise LocalError(f"{top} holds more than {MOST} bytes: too much for this client")
+        if total > MAX_TREE_BYTES:
+            raise FileTreeError(f"{top} holds more than {MAX_TREE_BYTES} bytes: too much for this client")
         found[os.fsencode(path.relative_to(top).as_posix())] = local
     return found
 
@@ -52,7 +52,7 @@
         if name == b".":
             continue
         if any(above.is_symlink() for above in path.parents if above != top and top in above.parents):
-            raise LocalError(f"{path} lies beyond a link")
+            raise FileTreeError(f"{path} lies beyond a link")
         if stat.S_ISDIR(local.mode):
             path.mkdir(parents=True, exist_ok=True)
             continue
--- a/pebblehinge/lab/stage.py
+++ b/pebblehinge/lab/lab_fleet.py
@@ -16,7 +16,7 @@
 from pebblehinge.settings import Config
 
 
-class Stage:
+class LabFleet:
     """What all stages share: the order of a day, and the lab's own records. Subclasses bring the fleet."""
 
     def __init__(
@@ -32,7 +32,7 @@
     ) -> None:
         self.loop, self.clock, self.config, self.day, self.seed = loop, clock, config, day, seed
         self.records: EventLog = records
-        self.said = said
+        self.report_progress = said
         self.releases: dict[str, int] = {}
         self.frozen: set[str] = set()
         self.faults: list[str] = []
@@ -58,14 +58,14 @@
         block = self.config.day[self.day]
         steps = timeline(self.config, self.day, self.seed)
         await self.start_all()
-        self.said(f"{len(self.config.head)} heads, {len(self.config.shelf)} shelfs and the list are up")
+        self.report_progress(f"{len(self.config.head)} heads, {len(self.config.shelf)} shelfs and the list are up")
         parts = self.config.load.processes
         start_ms = self.clock() + max(block.settle, 1500.0)
         self.records.note(start_ms, "begin", day=self.day, seed=self.seed, length=block.length)
         progress = self.loop.create_task(self._progress(start_ms, block.length))
         loads = [self.run_load(part, parts, start_ms) for part in range(parts)]
         try:
-            *late, _, _ = await asyncio.gather(*loads, self._strike(steps, start_ms), self._play_script(start_ms))
+            *late, _, _ = await asyncio.gather(*loads, self._run_steps(steps, start_ms), self._play_script(start_ms))
         finally:
             progress.cancel()
         self.records.note(self.clock(), "end")
@@ -78,7 +78,7 @@
         known = {"start_ms": start_ms, "late_ms": max(late), "faults": self.faults}
         return known if self.player is None else {**known, "script": told(self.player)}
 
-    async def _strike(self, steps: list[Step], start_ms: float) -> None:
+    async def _run_steps(self, steps: list[Step], start_ms: float) -> None:
         doing = []
         for step in steps:
             await asyncio.sleep(max(0.0, (start_ms + step.at_ms - self.clock()) / 1000.0))
@@ -104,14 +104,14 @@
         if self.config.member:
             self.faults += await proposer.wrong()
 
-    async def strike(self, verb: str, name: str) -> None:
+    async def run_verb(self, verb: str, name: str) -> None:
         """One thing done to one process, with its records, as a step of a day would."""
         await getattr(self, "_" + verb)(name, {"cold": name in self.config.shelf} if verb == "start" else {})
 
     async def _progress(self, start_ms: float, length: float) -> None:
         while True:
             gone = self.clock() - start_ms
-            self.said(f"{max(0.0, gone) / 1000:.0f} s of {length / 1000:.0f} s")
+            self.report_progress(f"{max(0.0, gone) / 1000:.0f} s of {length / 1000:.0f} s")
             await asyncio.sleep(5.0)
 
     async def _do(self, step: Step) -> None:
--- a/pebblehinge/lab/mempipes.py
+++ b/pebblehinge/lab/memory_transport.py
@@ -6,9 +6,9 @@
 from collections import deque
 from typing import Any
 
-HIGH_WATER = 1 << 16  # unread bytes of one direction at which the writer is paused
-LOW_WATER = 1 << 14
-MOST_WAITING = 512  # datagrams that a process has not taken; what comes beyond is lost, as in a socket's buffer
+HIGH_WATER_BYTES = 1 << 16  # unread bytes of one direction at which the writer is paused
+LOW_WATER_BYTES = 1 << 14
+MAX_QUEUED_DATAGRAMS = 512  # datagrams that a process has not taken; what comes beyond is lost, as in a socket's buffer
 
 
 class Listener:
@@ -30,54 +30,54 @@
 class Pipe:
     """One direction of a connection: bytes in order, with what the way does to them."""
 
-    def __init__(self, net: Any, source: MemTransport, to: MemTransport) -> None:
+    def __init__(self, net: Any, source: MemoryTransport, to: MemoryTransport) -> None:
         self.net, self.source, self.to = net, source, to
         self.queue: deque[tuple[bytes | None, str]] = deque()  # bytes, or None for an end of kind eof or reset
         self.unread = 0
         self.free_at = 0.0  # when the way has taken what was written before
         self.moving = False
         net.pipes[self] = None
-        net.pairs.setdefault(self.pair, {})[self] = None
+        net.pipes_by_nodes.setdefault(self.node_names, {})[self] = None
 
     @property
-    def pair(self) -> frozenset[str]:
+    def node_names(self) -> frozenset[str]:
         return frozenset((self.source.node.name, self.to.node.name))
 
     def put(self, data: bytes | None, kind: str = "data") -> None:
-        self.net.tried[(self.source.node.name, self.to.node.name)] += 1
+        self.net.send_counts[(self.source.node.name, self.to.node.name)] += 1
         self.queue.append((data, kind))
         if data is not None:
             self.unread += len(data)
-            if self.unread > HIGH_WATER and not self.source.writer_paused:
+            if self.unread > HIGH_WATER_BYTES and not self.source.writer_paused:
                 self.source.writer_paused = True
                 self.source.node.call_soon(self.source.protocol.pause_writing)
-        self.go_on()
+        self.resume()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Sets the first of the queue on its way, unless one is or nothing passes."""
         if self.moving or not self.queue or self.to.reading_paused:
             return
-        way = self.net.way(self.source.node.name, self.to.node.name)
-        if way.blocked:
+        link = self.net.link(self.source.node.name, self.to.node.name)
+        if link.blocked:
             return
         data, kind = self.queue[0]
         loop = self.net.loop
-        if data and way.lose and self.net.rng.random() < way.lose:
+        if data and link.lose and self.net.rng.random() < link.lose:
             way_cut = self.net.rng.randrange(len(data) + 1)
             self._break(data[:way_cut])
             return
-        if data and way.cut_after is not None:
-            if len(data) >= way.cut_after:
-                cut, way.cut_after = way.cut_after, None
+        if data and link.reset_after_bytes is not None:
+            if len(data) >= link.reset_after_bytes:
+                cut, link.reset_after_bytes = link.reset_after_bytes, None
                 self._break(data[:cut])
                 return
-            way.cut_after -= len(data)
+            link.reset_after_bytes -= len(data)
         at = max(loop.now, self.free_at)
-        if way.rate and data:
-            at += len(data) / way.rate / 1000.0
+        if link.rate and data:
+            at += len(data) / link.rate / 1000.0
         self.free_at = at
         self.moving = True
-        loop.call_at(at + self.net.delay(way), self._arrive)
+        loop.call_at(at + self.net.delay(link), self._arrive)
 
     def cut_off(self) -> None:
         """The connection ends here and now, told to both ends; what was on its way is lost."""
@@ -90,43 +90,43 @@
             self.queue.append((last, "data"))
         self.queue.append((None, "reset"))
         self.moving = True
-        self.net.loop.call_later(self.net.delay(self.net.usual), self._arrive)
+        self.net.loop.call_later(self.net.delay(self.net.default_link), self._arrive)
         self.source.lose(ConnectionResetError(104, "connection reset"))
 
     def _arrive(self) -> None:
         self.moving = False
         if not self.queue:
             return
-        if self.to.reading_paused or self.net.way(self.source.node.name, self.to.node.name).blocked:
+        if self.to.reading_paused or self.net.link(self.source.node.name, self.to.node.name).blocked:
             return  # set on its way again by resume_reading or heal
         # All that was written by then arrives together: a stream knows no writes.
         data, kind = self.queue.popleft()
         if data is not None:
-            while self.queue and self.queue[0][0] is not None and len(data) < HIGH_WATER:
-                if self.net.usual.rate or self.net.way(self.source.node.name, self.to.node.name).rate:
+            while self.queue and self.queue[0][0] is not None and len(data) < HIGH_WATER_BYTES:
+                if self.net.default_link.rate or self.net.link(self.source.node.name, self.to.node.name).rate:
                     break
                 data += self.queue.popleft()[0] or b""
             self.unread -= len(data)
             self.to.deliver(data)
-            if self.source.writer_paused and self.unread <= LOW_WATER:
+            if self.source.writer_paused and self.unread <= LOW_WATER_BYTES:
                 self.source.writer_paused = False
                 self.source.node.call_soon(self.source.protocol.resume_writing)
         elif kind == "eof":
             self.to.end()
         else:
             self.to.lose(ConnectionResetError(104, "connection reset"))
-        self.go_on()
+        self.resume()
 
     def drop(self) -> None:
         self.queue.clear()
         self.net.pipes.pop(self, None)
-        mine = self.net.pairs.get(self.pair, {})
+        mine = self.net.pipes_by_nodes.get(self.node_names, {})
         mine.pop(self, None)
         if not mine:
-            self.net.pairs.pop(self.pair, None)
+            self.net.pipes_by_nodes.pop(self.node_names, None)
 
 
-class MemTransport(asyncio.Transport):
+class MemoryTransport(asyncio.Transport):
     """One end of a connection."""
 
     def __init__(self, node: Any, protocol: Any, peer: tuple[str, int]) -> None:
@@ -157,7 +157,7 @@
         if self.reading_paused:
             self.reading_paused = False
             other = self.out.to.out
-            self.node.call_soon(other.go_on)
+            self.node.call_soon(other.resume)
 
     def close(self) -> None:
         if not self.closing:
@@ -196,7 +196,7 @@
             self.node.call_soon(self.protocol.connection_lost, exc)
 
 
-class MemDatagrams(asyncio.DatagramTransport):
+class MemoryDatagramTransport(asyncio.DatagramTransport):
     """One end that sends and gets datagrams: each may be lost, late, or come twice."""
 
     def __init__(self, node: Any, protocol: Any, address: tuple[str, int]) -> None:
@@ -213,10 +213,10 @@
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         if not self.closing:
-            self.node.loop.net.throw(self, bytes(data), tuple(addr))
+            self.node.loop.net.send_datagram(self, bytes(data), tuple(addr))
 
-    def caught(self, data: bytes, source: tuple[str, int]) -> None:
-        if not self.closing and not self.node.dead and self.waiting < MOST_WAITING:
+    def deliver(self, data: bytes, source: tuple[str, int]) -> None:
+        if not self.closing and not self.node.dead and self.waiting < MAX_QUEUED_DATAGRAMS:
             self.waiting += 1
             self.node.call_soon(self._received, data, source)
 
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.faults.ground import ProcessGround, names_of
 from pebblehinge.lab.faults.player import Ground
 from pebblehinge.lab.faults.script import Fault
-from pebblehinge.lab.stage import Stage
+from pebblehinge.lab.lab_fleet import LabFleet
 from pebblehinge.settings import Config, render_settings
 
 
@@ -30,7 +30,7 @@
     return f"127.{20 + pid // 62500 % 200}.{pid // 250 % 250}.{1 + pid % 250}"
 
 
-class Processes(Stage):
+class ProcessFleet(LabFleet):
     """Each head, shelf, load and the list is a process of this command line."""
 
     def __init__(
@@ -53,9 +53,9 @@
         self.path, self.folder, self.loopback = path, folder, loopback
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs = (folder / "processes.log").open("ab")
-        self.lives: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
         self.state = folder / "state"  # a folder for each head and instance
-        self.struck = ProcessGround(self, loop, names_of(config), seed, folder / "copies")
+        self.fault_ground = ProcessGround(self, loop, names_of(config), seed, folder / "copies")
         (folder / "day.conf").write_text("\n".join(render_settings(config)) + "\n")
 
     def _command(self, role: list[str], name: str, *more: str) -> list[str]:
@@ -72,7 +72,7 @@
 
     async def _spawn(self, name: str, words: list[str]) -> asyncio.subprocess.Process:
         """Starts a process and waits for the line that says it is ready."""
-        with self.struck.control(name) as (command, passed):
+        with self.fault_ground.control(name) as (command, passed):
             process = await asyncio.create_subprocess_exec(
                 *command(words),
                 stdin=asyncio.subprocess.DEVNULL,
@@ -89,11 +89,11 @@
         return process
 
     def ground(self) -> Ground:
-        return self.struck
+        return self.fault_ground
 
     async def start_all(self) -> None:
         if self.script is not None:
-            await self.struck.start(self.loopback)
+            await self.fault_ground.start(self.loopback)
         await asyncio.gather(*(self.start_one(name, False) for name in self.config.member))
         await self._spawn("listing", self._command(["discovery"], "", "--seed", str(self.seed)))
         await asyncio.gather(*(self.start_one(name, False) for name in self.config.shelf))
@@ -119,7 +119,7 @@
             return
         if name in self.config.head:
             # A head that starts again draws anew: nothing of before is assumed, its chance neither.
-            life = self.lives[name] = self.lives.get(name, -1) + 1
+            life = self.incarnations[name] = self.incarnations.get(name, -1) + 1
             capture = str(self.folder / f"{name}.{life}.capture")
             more = ["--seed", str(self.seed * 1000 + life), "--capture", capture]
             if self.script is not None:
@@ -198,4 +198,4 @@
                 except ProcessLookupError:
                     pass
         self.logs.close()
-        self.struck.close()
+        self.fault_ground.close()
--- a/pebblehinge/lab/search.py
+++ b/pebblehinge/lab/search.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from pebblehinge.lab.simulated_fleet import VillageError, play
 from pebblehinge.lab.verdict import summary
-from pebblehinge.lab.village import VillageError, play
 from pebblehinge.settings import Config, ScheduledFault, render_settings
 from pebblehinge.settings.scheduled_faults import FAULT_KINDS
 from pebblehinge.settings.schema import DayBlock
--- a/pebblehinge/lab/village.py
+++ b/pebblehinge/lab/simulated_fleet.py
@@ -20,9 +20,9 @@
 from pebblehinge.lab.faults.player import Ground
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.fleet import released
+from pebblehinge.lab.lab_fleet import LabFleet
 from pebblehinge.lab.quiet import Memory, Quiet
 from pebblehinge.lab.rsync_load import Copies
-from pebblehinge.lab.stage import Stage
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings import Config, render_settings
@@ -31,7 +31,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Village(Stage):
+class SimulatedFleet(LabFleet):
     """Every head, shelf, load and the list stands on a node of its own. `head_core` and `head_config` let tests
     put in a head that breaks a rule on purpose."""
 
@@ -42,41 +42,41 @@
         day: str,
         seed: int,
         said: Callable[[str], None] = lambda line: None,
-        head_core: type[GatewayCore] = GatewayCore,
-        head_config: Config | None = None,
+        gateway_core: type[GatewayCore] = GatewayCore,
+        gateway_config: Config | None = None,
         draw: Any = None,
         fleet_seed: int | None = None,
-        memory_age_ms: float | None = None,
+        snapshot_age_ms: float | None = None,
         script: list[Fault] | None = None,
     ) -> None:
         super().__init__(loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, Memory(), said, script)
-        self.world, self.draw = loop, draw
+        self.virtual_loop, self.draw = loop, draw
         self.fleet_seed = seed if fleet_seed is None else fleet_seed  # shelfs of one seed have the same speeds
         # None: heads keep nothing; else each life finds what the one before learned, older by so much than it is.
-        self.memory_age_ms = memory_age_ms
+        self.snapshot_age_ms = snapshot_age_ms
         self.log = Quiet()
-        self.head_core, self.head_config = head_core, head_config or config
+        self.gateway_core, self.gateway_config = gateway_core, gateway_config or config
         self.nodes: dict[str, Node] = {}
         self.servers: dict[str, Any] = {}
-        self.notes: dict[str, Memory] = {"lab": self.records}  # type: ignore[dict-item]
+        self.record_logs: dict[str, Memory] = {"lab": self.records}  # type: ignore[dict-item]
         self.contents: dict[int, Contents] = {}
         self.captures: dict[str, bytearray] = {}
-        self.lives: dict[str, int] = {}
-        self.struck = VillageGround(self, loop)
+        self.incarnations: dict[str, int] = {}
+        self.fault_ground = VillageGround(self, loop)
         net = loop.net
         rng = random.Random(f"{seed}/net")
-        net.usual.delay_ms = rng.uniform(0.08, 0.2)
+        net.default_link.delay_ms = rng.uniform(0.08, 0.2)
 
     def _memory(self, name: str) -> Memory:
-        return self.notes.setdefault(name, Memory())
+        return self.record_logs.setdefault(name, Memory())
 
     def ground(self) -> Ground:
-        return self.struck
+        return self.fault_ground
 
     async def start_all(self) -> None:
         for name in self.config.member:
             await self.start_one(name, False)
-        node = self.nodes["listing"] = self.world.node("listing")
+        node = self.nodes["listing"] = self.virtual_loop.node("listing")
         listing = DiscoveryServer(node, self.clock, self.config, self.log, self._memory("listing"), self.seed)
         self.servers["listing"] = listing
         await listing.start()
@@ -86,21 +86,21 @@
             await self.start_one(name, False)
 
     async def start_one(self, name: str, cold: bool) -> None:
-        node = self.nodes[name] = self.world.node(name)
+        node = self.nodes[name] = self.virtual_loop.node(name)
         if name in self.config.head:
-            life = self.lives[name] = self.lives.get(name, -1) + 1
-            config = self.head_config
+            life = self.incarnations[name] = self.incarnations.get(name, -1) + 1
+            config = self.gateway_config
             block = msgspec.structs.replace(config.head[name], seed=self.seed * 1000 + life)
             config = msgspec.structs.replace(config, head={**config.head, name: block})
             notes, clock = self._memory(f"head-{name}"), clock_of(node)
-            head = GatewayServer(node, clock, config, name, self.log, notes, self.head_core)
+            head = GatewayServer(node, clock, config, name, self.log, notes, self.gateway_core)
             self.servers[name] = head
-            if self.memory_age_ms is not None or self.script is not None:
-                disk = self.struck.disk(name, self.seed)
-                ahead = life * (self.memory_age_ms or 0.0)
-                wall = self.struck.wall_of(name)
+            if self.snapshot_age_ms is not None or self.script is not None:
+                disk = self.fault_ground.disk(name, self.seed)
+                ahead = life * (self.snapshot_age_ms or 0.0)
+                wall = self.fault_ground.wall_of(name)
                 head.enable_snapshots(
-                    disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.struck.beside(name)
+                    disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.fault_ground.beside(name)
                 )
             kept = self.captures[f"{name}.{life}"] = bytearray()
             head.start_capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
@@ -112,14 +112,14 @@
                     self.config,
                     name,
                     head,
-                    self.struck.disk(name, self.seed),
+                    self.fault_ground.disk(name, self.seed),
                     self.log,
-                    self.struck.beside(name),
+                    self.fault_ground.beside(name),
                 )
             return
         if name in self.config.member:
-            disk, life = self.struck.disk(name, self.seed), self.lives.get(name, -1) + 1
-            self.lives[name] = life
+            disk, life = self.fault_ground.disk(name, self.seed), self.incarnations.get(name, -1) + 1
+            self.incarnations[name] = life
             member = MemberServer(node, clock_of(node), self.config, name, disk, self.log, self.seed * 1000 + life)
             self.servers[name] = member
             member.stopped.add_done_callback(lambda _: node.kill())  # its process ends
@@ -140,7 +140,7 @@
 
     async def run_load(self, part: int, parts: int, start_ms: float) -> float:
         name = f"load{part + 1}"
-        node = self.nodes[name] = self.world.node(name)
+        node = self.nodes[name] = self.virtual_loop.node(name)
         crowd = Crowd(node, self.clock, self.config, self.day, self.seed, self._memory(name), part, parts, self.draw)
         self.servers[name] = crowd
         await crowd.connect_all()
@@ -158,7 +158,7 @@
 
     async def kill_one(self, name: str) -> None:
         self.nodes[name].kill()
-        self.struck.killed(name)
+        self.fault_ground.killed(name)
 
     async def stop_one(self, name: str) -> int:
         server, node = self.servers[name], self.nodes[name]
@@ -189,7 +189,7 @@
 
     def facts(self) -> DayFacts:
         day = DayFacts(self.config)
-        for name, notes in sorted(self.notes.items()):
+        for name, notes in sorted(self.record_logs.items()):
             if name.startswith("load"):
                 day.clients(notes.rows)
             elif name == "lab":
@@ -206,7 +206,7 @@
         (folder / "day.conf").write_text("\n".join(render_settings(self.config)) + "\n")
         for name, data in self.captures.items():
             (folder / f"{name}.capture").write_bytes(data)
-        for name, notes in self.notes.items():
+        for name, notes in self.record_logs.items():
             (folder / f"{name}.jsonl").write_bytes(b"".join(_encode(row) + b"\n" for row in notes.rows))
 
 
@@ -216,16 +216,16 @@
 
 def play(
     config: Config, day: str, seed: int, said: Callable[[str], None] = lambda line: None, **more: Any
-) -> tuple[Village, dict[str, Any]]:
+) -> tuple[SimulatedFleet, dict[str, Any]]:
     """A whole day in virtual time: the village as the day left it, and what the lab knows."""
     loop = VirtualLoop(seed=seed)
     asyncio.set_event_loop(loop)
     try:
-        village = Village(loop, config, day, seed, said, **more)
+        village = SimulatedFleet(loop, config, day, seed, said, **more)
         known = loop.run_until_complete(village.play())
         # Whatever ran into an error in a callback would go unseen otherwise.
-        if loop.caught:
-            context = loop.caught[0]
+        if loop.callback_errors:
+            context = loop.callback_errors[0]
             raise VillageError(f"{context.get('message')}: {context.get('exception')!r}") from context.get("exception")
         return village, known
     finally:
--- a/pebblehinge/lab/trials.py
+++ b/pebblehinge/lab/trials.py
@@ -15,8 +15,8 @@
 from pebblehinge.capture import CapturedRequest
 from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.replay import Replay
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.verdict import service_shares
-from pebblehinge.lab.village import play
 from pebblehinge.settings import Config, ScheduledFault
 from pebblehinge.settings.schema import DayBlock, ShelfBlock
 
--- a/pebblehinge/lab/virtual.py
+++ b/pebblehinge/lab/virtual.py
@@ -13,15 +13,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from pebblehinge.lab.memnet import Net
-from pebblehinge.lab.mempipes import HIGH_WATER, Listener, MemDatagrams, MemTransport
+from pebblehinge.lab.memory_network import MemoryNetwork
+from pebblehinge.lab.memory_transport import HIGH_WATER_BYTES, Listener, MemoryDatagramTransport, MemoryTransport
 
-__all__ = ["HIGH_WATER", "Node", "VirtualLoop"]
+__all__ = ["HIGH_WATER_BYTES", "Node", "VirtualLoop"]
 
-TICK = 1e-9  # a timer comes just after its time: turned into milliseconds and back, a time may lose its last bit
+TIMER_MARGIN_S = (
+    1e-9  # a timer comes just after its time: turned into milliseconds and back, a time may lose its last bit
+)
 
 
-class _Jump:
+class _TimeAdvancingSelector:
     """In a selector's place: where a real loop would wait, virtual time passes at once."""
 
     def __init__(self, loop: VirtualLoop) -> None:
@@ -31,7 +33,7 @@
         if timeout is None:
             raise RuntimeError("nothing is scheduled and nothing is ready: this virtual world has come to rest")
         if timeout > 0:
-            self.loop.now = max(self.loop.now, self.loop.soonest())
+            self.loop.now = max(self.loop.now, self.loop.next_timer_time())
         return []
 
     def close(self) -> None:
@@ -45,15 +47,15 @@
         super().__init__()
         self.now = start
         self._clock_resolution = 1e-9  # a timer that is due now runs now
-        self._selector = _Jump(self)
-        self.net = Net(self, seed)
-        self.caught: list[dict[str, Any]] = []
-        self.set_exception_handler(lambda loop, context: self.caught.append(context))
+        self._selector = _TimeAdvancingSelector(self)
+        self.net = MemoryNetwork(self, seed)
+        self.callback_errors: list[dict[str, Any]] = []
+        self.set_exception_handler(lambda loop, context: self.callback_errors.append(context))
 
     def time(self) -> float:
         return self.now
 
-    def soonest(self) -> float:
+    def next_timer_time(self) -> float:
         return self._scheduled[0].when() if self._scheduled else self.now
 
     def _process_events(self, event_list: list[Any]) -> None:
@@ -79,18 +81,18 @@
     dead: bool = False
     frozen: bool = False
     busy_until: float = 0.0  # a call of it takes until then: nothing else of it runs meanwhile
-    held: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = field(default_factory=deque)
-    transports: dict[MemTransport, None] = field(default_factory=dict)
+    pending: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = field(default_factory=deque)
+    transports: dict[MemoryTransport, None] = field(default_factory=dict)
     tasks: dict[asyncio.Task, None] = field(default_factory=dict)
     listeners: list[Listener] = field(default_factory=list)
-    ends: list[MemDatagrams] = field(default_factory=list)
-    since: float = 0.0  # the world's time at which the rate began, and what the clock showed then
-    shown: float = 0.0
+    datagram_ends: list[MemoryDatagramTransport] = field(default_factory=list)
+    rate_began: float = 0.0  # the world's time at which the rate began, and what the clock showed then
+    clock_at_rate_began: float = 0.0
 
     # ---- what a program uses of a loop
 
     def time(self) -> float:
-        return self.shown + (self.loop.now - self.since) * self.rate
+        return self.clock_at_rate_began + (self.loop.now - self.rate_began) * self.rate
 
     def call_soon(self, call: Callable[..., Any], *args: Any) -> asyncio.Handle:
         return self.loop.call_soon(self._run, call, args)
@@ -99,8 +101,8 @@
         return self.loop.call_at(self.loop.now + max(0.0, delay) / self.rate, self._run, call, args)
 
     def call_at(self, when: float, call: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        at = self.since + (when - self.shown) / self.rate
-        return self.loop.call_at(max(at, self.loop.now) + TICK, self._run, call, args)
+        at = self.rate_began + (when - self.clock_at_rate_began) / self.rate
+        return self.loop.call_at(max(at, self.loop.now) + TIMER_MARGIN_S, self._run, call, args)
 
     def create_future(self) -> asyncio.Future[Any]:
         return self.loop.create_future()
@@ -125,10 +127,10 @@
 
     async def create_datagram_endpoint(
         self, factory: Callable[[], Any], local_addr: tuple[str, int]
-    ) -> tuple[MemDatagrams, Any]:
+    ) -> tuple[MemoryDatagramTransport, Any]:
         protocol = factory()
         end = self.loop.net.bind(self, protocol, local_addr)
-        self.ends.append(end)
+        self.datagram_ends.append(end)
         protocol.connection_made(end)
         return end, protocol
 
@@ -136,7 +138,7 @@
         if self.dead:
             return
         if self.frozen or self.loop.now < self.busy_until:
-            self.held.append((call, args))
+            self.pending.append((call, args))
         else:
             call(*args)
 
@@ -147,10 +149,10 @@
         if self.dead:
             return
         self.dead = True
-        self.held.clear()
+        self.pending.clear()
         for listener in self.listeners:
             listener.close()
-        for end in self.ends:
+        for end in self.datagram_ends:
             self.loop.net.unbind(end)
         for transport in list(self.transports):
             transport.lost = transport.closing = True
@@ -163,7 +165,7 @@
 
     def drift(self, rate: float) -> None:
         """From now on its clock counts so many seconds in one; timers that are set already stay as they are."""
-        self.shown, self.since, self.rate = self.time(), self.loop.now, rate
+        self.clock_at_rate_began, self.rate_began, self.rate = self.time(), self.loop.now, rate
 
     def freeze(self) -> None:
         """As SIGSTOP: connections stand, nothing runs."""
@@ -172,16 +174,16 @@
     def busy(self, seconds: float) -> None:
         """What it does now takes so long; where it is busy already, so much longer."""
         self.busy_until = max(self.busy_until, self.loop.now) + seconds
-        self.loop.call_at(self.busy_until, self._go_on)
+        self.loop.call_at(self.busy_until, self._run_pending)
 
     def thaw(self) -> None:
         self.frozen = False
-        self._go_on()
+        self._run_pending()
 
-    def _go_on(self) -> None:
+    def _run_pending(self) -> None:
         if self.frozen or self.loop.now < self.busy_until:
             return
-        held = list(self.held)
-        self.held.clear()
-        for call, args in held:
+        pending = list(self.pending)
+        self.pending.clear()
+        for call, args in pending:
             self.loop.call_soon(self._run, call, args)
--- a/tests/config_group.py
+++ b/tests/config_group.py
@@ -10,7 +10,7 @@
 from group_settings import RATE_TOLERANCE, allowed_rate, settings_text
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.config_watcher import ConfigWatcher
 from pebblehinge.replicated_config.operator_client import ask_group
@@ -181,5 +181,5 @@
     for task in asyncio.all_tasks(group.loop):
         task.cancel()
     group.loop.close()
-    assert not group.loop.caught, group.loop.caught[:1]
+    assert not group.loop.callback_errors, group.loop.callback_errors[:1]
     return group
--- a/tests/gateway_fleet.py
+++ b/tests/gateway_fleet.py
@@ -84,5 +84,5 @@
         for task in asyncio.all_tasks(fleet.loop):
             task.cancel()
         fleet.loop.close()
-    assert not fleet.loop.caught, fleet.loop.caught[:1]
+    assert not fleet.loop.callback_errors, fleet.loop.callback_errors[:1]
     return fleet
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 from pebblehinge.client import Client, connect
 from pebblehinge.discovery import DiscoveryServer
 from pebblehinge.gateway import GatewayCore, GatewayServer
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.net import Peer, parse_address
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
--- a/tests/large_group_faults.py
+++ b/tests/large_group_faults.py
@@ -142,6 +142,6 @@
         for task in asyncio.all_tasks(group.loop):
             task.cancel()
         group.loop.close()
-    assert not group.loop.caught, group.loop.caught[:1]
+    assert not group.loop.callback_errors, group.loop.callback_errors[:1]
     assert group.history_faults() == []
     return group
--- a/tests/rsync_fuzz.py
+++ b/tests/rsync_fuzz.py
@@ -170,7 +170,7 @@
                     assert not any(sum_) or block_extent("m", sum_) in context.held
 
     LOOP.run_until_complete(main())
-    assert not LOOP.caught, LOOP.caught
+    assert not LOOP.callback_errors, LOOP.callback_errors
 
 
 PUSH = b"@RSYNCD: 31.0 md5\nm\n--server\0-logDtpre.LsfxC\0.\0m/\0\0"
--- a/tests/rsync_town.py
+++ b/tests/rsync_town.py
@@ -12,7 +12,7 @@
 from pebblehinge.gateway import GatewayServer
 from pebblehinge.lab.rsync_call import Call
 from pebblehinge.lab.rsync_client import call
-from pebblehinge.lab.village import Memory, Quiet
+from pebblehinge.lab.simulated_fleet import Memory, Quiet
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.net import parse_address
 from pebblehinge.rsync.stream_protocol import StreamProtocol
@@ -211,7 +211,7 @@
     asyncio.set_event_loop(town.loop)
     try:
         town.loop.run_until_complete(main())
-        assert not town.loop.caught, town.loop.caught[0]
+        assert not town.loop.callback_errors, town.loop.callback_errors[0]
         faults = [values for _, event, values in town.log.lines if event == "fault"]
         assert not faults, faults[0]["where"]
         assert all(n == 1 for n in town.labels().values()), town.labels()
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -8,7 +8,7 @@
 from group_settings import settings_text
 from helpers import LOOPBACK
 
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.lab.virtual import VirtualLoop
 from pebblehinge.replicated_config.application_types import Grant
 from pebblehinge.replicated_config.config_watcher import MAX_LEADERLESS_GRANTS, ConfigWatcher
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -12,8 +12,8 @@
 from pebblehinge.client import Result, RetryPolicy
 from pebblehinge.lab.days import DayError, timeline
 from pebblehinge.lab.load import Draw
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.verdict import all_checks_pass, summary
-from pebblehinge.lab.village import play
 from pebblehinge.settings import load
 
 SHIPPED = sorted(p.stem for p in DAYS.glob("[!_]*.conf"))
--- a/tests/test_discovery_drawn.py
+++ b/tests/test_discovery_drawn.py
@@ -78,7 +78,7 @@
                 peer.write(chunk(b"\n"))
 
     async def switch_mode(self, mode: str) -> None:
-        self.loop.net.own_way("head", "agent").blocked = mode == "blocked"
+        self.loop.net.own_link("head", "agent").blocked = mode == "blocked"
         if self.listener is not None:
             self.listener.close()
             self.listener = None
@@ -119,7 +119,7 @@
 def measure_list_delay(seed: int) -> float:
     simulation = DiscoverySimulation(random.Random(seed))
     simulation.loop.run_until_complete(simulation.run())
-    assert simulation.loop.caught == []
+    assert simulation.loop.callback_errors == []
     return (
         min((list_s for list_s, version in simulation.updates if version == 2), default=float("inf"))
         - simulation.recovery_s
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -67,7 +67,7 @@
     assert known["faults"] == []
     told = [line for line in village.log.lines if "can't be kept" in line[1]]
     assert len(told) == 1 and told[0][0] == "error"
-    head, other = village.struck.disks["h1"], village.struck.disks["h2"]
+    head, other = village.fault_ground.disks["h1"], village.fault_ground.disks["h2"]
     last = VersionApplication.restore("h1", 0.2, head.read(AGREED)).active
     assert (
         last == VersionApplication.restore("h2", 0.2, other.read(AGREED)).active > 3
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -12,8 +12,8 @@
 from pebblehinge.gateway import GatewayCore
 from pebblehinge.lab.faults.draw import cast_of, draw
 from pebblehinge.lab.faults.script import Fault, read
+from pebblehinge.lab.simulated_fleet import SimulatedFleet, play
 from pebblehinge.lab.struck import Struck
-from pebblehinge.lab.village import Village, play
 from pebblehinge.settings import Config, load
 from pebblehinge.settings.load import loads
 
@@ -23,16 +23,16 @@
 
 def day(
     script: str | list[Fault], seed: int = 1, config: Config = STRUCK, **more: Any
-) -> tuple[Village, dict[str, Any]]:
+) -> tuple[SimulatedFleet, dict[str, Any]]:
     rows = read(script, cast_of(config).names) if isinstance(script, str) else script
     return play(config, next(iter(config.day)), seed, script=rows, **more)
 
 
-def verdicts(village: Village) -> dict[str, str]:
+def verdicts(village: SimulatedFleet) -> dict[str, str]:
     return {rule: v.offence for rule, v in village.facts().check_rules().items() if not v.kept}
 
 
-def answered(village: Village, head: str, begin: float, end: float) -> int:
+def answered(village: SimulatedFleet, head: str, begin: float, end: float) -> int:
     """How many requests a head succeeded within a part of the day, ms from its beginning."""
     facts = village.facts()
     return sum(
@@ -50,7 +50,7 @@
 
 
 def test_the_same_script_and_seed_leave_the_same_records() -> None:
-    left = [day(draw(CAST, 4, 12_000.0, 8), 4)[0].notes for _ in range(2)]
+    left = [day(draw(CAST, 4, 12_000.0, 8), 4)[0].record_logs for _ in range(2)]
     assert {n: m.rows for n, m in left[0].items()} == {n: m.rows for n, m in left[1].items()}
     assert sum(len(m.rows) for m in left[0].values()) > 5_000
 
@@ -82,7 +82,7 @@
             learned.setdefault(self.gateway_settings.listen, []).append(len(self.scheduler.nodes.restored_nodes))
             super().start(now)
 
-    village, known = day(script, head_core=Watches)
+    village, known = day(script, gateway_core=Watches)
     assert known["script"]["struck"] == 4 and not verdicts(village)
     assert answered(village, "h1", 3_050.0, 4_950.0) == 0 < answered(village, "h1", 5_000.0, 9_000.0)
     counts = {name: learned[STRUCK.head[name].listen] for name in ("h1", "h2", "h3", "h4")}
@@ -97,7 +97,9 @@
     village, known = day(script)
     rows = [(r["e"], round(r["t"] - village.facts().begin)) for r in village.records.rows if r.get("name") == "h1"]
     assert rows == [("killed", 2_000), ("started", 5_500)]
-    assert village.nodes["h1"].rate == 1.0 and village.nodes["h1"].since > 0.0  # drifted while it was new, and back
+    assert (
+        village.nodes["h1"].rate == 1.0 and village.nodes["h1"].rate_began > 0.0
+    )  # drifted while it was new, and back
     assert known["faults"] == []
 
 
@@ -145,7 +147,7 @@
         "at 2s delay h1 to s2 by 200ms for 1s\nat 3s silent s3 to h1 for 1s\nat 5s half-open h2 from s4\n",
         cast_of(config).names,
     )
-    found = verdicts(day(script, 3, config, head_core=core, head_config=alter(config) if alter else None)[0])
+    found = verdicts(day(script, 3, config, gateway_core=core, gateway_config=alter(config) if alter else None)[0])
     assert rule in found, f"{case}: {found}"
     assert not verdicts(day(script, 3, config)[0])
     assert "resets" in at or rule not in ("no_double_effect", "budget")
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -200,7 +200,7 @@
 def test_listening_on_an_address_in_use_raises_oserror() -> None:
     async def script(rig: Rig) -> None:
         from pebblehinge.gateway import GatewayServer
-        from pebblehinge.lab.village import Quiet
+        from pebblehinge.lab.simulated_fleet import Quiet
 
         second_gateway = GatewayServer(rig.loop, rig.clock, rig.config, "h1", Quiet())
         with pytest.raises(OSError):
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -14,7 +14,7 @@
 
 from pebblehinge.decide import MAX_CONCURRENCY, Scheduler
 from pebblehinge.interface import ListKind, Outcome
-from pebblehinge.lab.village import play
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.settings.load import loads
 from pebblehinge.store import memory
 
@@ -187,7 +187,7 @@
     script = "at 1s slow s1 s2 by 4x for 5s\nat 1s burst by 3x for 4s\nat 2s head-crash h1 h2 for 300ms\n"
     text = BASE_CONFIG.replace("extents 20", "extents 20\nimpatient 20%")
     config = loads(f"{text}\nday d {{\nlength 6s\n{script}}}\n")
-    village, known = play(config, "d", 5, memory_age_ms=memory_age_ms)
+    village, known = play(config, "d", 5, snapshot_age_ms=memory_age_ms)
     day = village.facts()
     assert not known["faults"] and len(day.tries) > 500
     assert all(verdict.kept for verdict in day.check_rules().values()), {
--- a/tests/test_lab_at_size.py
+++ b/tests/test_lab_at_size.py
@@ -40,9 +40,9 @@
 
     def same() -> int:
         found = [frozenset((p.source.node.name, p.to.node.name)) for p in net.pipes]
-        assert set(net.pairs) == set(found)
+        assert set(net.pipes_by_nodes) == set(found)
         for pair in set(found):
-            assert net.between(*sorted(pair)) == [p for p, of in zip(net.pipes, found, strict=True) if of == pair]
+            assert net.pipes_between(*sorted(pair)) == [p for p, of in zip(net.pipes, found, strict=True) if of == pair]
         return len(set(found))
 
     async def main() -> None:
@@ -74,4 +74,4 @@
 
     loop.run_until_complete(main())
     loop.close()
-    assert seen >= 8 and net.between("a", "nobody") == []
+    assert seen >= 8 and net.pipes_between("a", "nobody") == []
--- a/tests/test_memory_net.py
+++ b/tests/test_memory_net.py
@@ -14,7 +14,7 @@
 
 def world(script: Coroutine[Any, Any, None], loop: VirtualLoop) -> None:
     loop.run_until_complete(asyncio.wait_for(script, 100.0))
-    assert not loop.caught
+    assert not loop.callback_errors
 
 
 class Ears(asyncio.DatagramProtocol):
@@ -35,11 +35,11 @@
         there, _ = await b.create_datagram_endpoint(lambda: ears, ("10.0.0.2", 1))
         with pytest.raises(OSError, match="already in use"):
             await a.create_datagram_endpoint(Ears, ("10.0.0.2", 1))
-        way = loop.net.own_way("a", "b")
+        way = loop.net.own_link("a", "b")
 
         async def thrown(count: int, **change: Any) -> int:
             before = len(ears.got)
-            loop.net.ways[("a", "b")] = replace(way, **change)
+            loop.net.links[("a", "b")] = replace(way, **change)
             for n in range(count):
                 end.sendto(b"%d" % n, ("10.0.0.2", 1))
             await asyncio.sleep(1.0)
@@ -47,7 +47,7 @@
 
         assert await thrown(100) == 100
         assert 30 < await thrown(100, drop=0.5) < 70
-        assert 130 < await thrown(100, twice=0.5) < 170
+        assert 130 < await thrown(100, duplicate_chance=0.5) < 170
         assert await thrown(100, blocked=True) == 0
         b.freeze()
         assert await thrown(2_000) == 0
--- a/tests/test_plan_trials.py
+++ b/tests/test_plan_trials.py
@@ -13,8 +13,8 @@
 from pebblehinge.capacity_planner import Trial
 from pebblehinge.capture import CapturedRequest, parse_capture
 from pebblehinge.lab.replay import merge
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.trials import fleet_of, lay_out, losses, play_trial, world_of
-from pebblehinge.lab.village import play
 from pebblehinge.settings import Config
 
 
--- a/tests/test_replicated_config_faults.py
+++ b/tests/test_replicated_config_faults.py
@@ -10,7 +10,7 @@
 from group_settings import settings_text
 
 from pebblehinge.lab.disk import FaultyDisk
-from pebblehinge.lab.village import Quiet
+from pebblehinge.lab.simulated_fleet import Quiet
 from pebblehinge.replicated_config.server import MemberServer
 from pebblehinge.settings.load import loads
 
--- a/tests/test_rsync_bad_clients.py
+++ b/tests/test_rsync_bad_clients.py
@@ -21,7 +21,7 @@
         data = RNG.randbytes(2_000_000)
         assert (await t.push({b"f": Local(data)})).code == 0
         line, node = await t.line(stall_ms=1e6)
-        t.loop.net.own_way("h1", node.name).rate = 0.6  # bytes a millisecond
+        t.loop.net.own_link("h1", node.name).rate = 0.6  # bytes a millisecond
         held_most = 0
 
         async def watch() -> None:
@@ -49,7 +49,7 @@
         silent, _ = await t.line()
         await t.until(lambda: silent.lost, 10.0)  # no module within the login's time
         stuck, node = await t.line()
-        t.loop.net.own_way("h1", node.name).rate = 1e-9
+        t.loop.net.own_link("h1", node.name).rate = 1e-9
         task = asyncio.ensure_future(call(stuck.stream, Call("tenders"), "pull", ""))
         await t.until(lambda: t.servers["h1"].rsync_listener.sessions, 1.0)
         await t.until(lambda: not t.servers["h1"].rsync_listener.sessions, 30.0)
--- a/tests/test_rsync_days.py
+++ b/tests/test_rsync_days.py
@@ -11,8 +11,8 @@
 from pebblehinge.lab.rsync_call import Local
 from pebblehinge.lab.rsync_member import Member
 from pebblehinge.lab.rsync_verdict import judged, sound
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.lab.verdict import all_checks_pass, summary
-from pebblehinge.lab.village import play
 from pebblehinge.rsync.tree import Directory
 from pebblehinge.settings import Config, load
 
--- a/tests/test_rsync_interrupted.py
+++ b/tests/test_rsync_interrupted.py
@@ -132,7 +132,7 @@
     async def script(t: Town) -> None:
         assert (await t.push({b"f": Local(BIG)})).code == 0
         line, node = await t.line()
-        t.loop.net.own_way("h1", node.name).rate = 5.0
+        t.loop.net.own_link("h1", node.name).rate = 5.0
         task = asyncio.ensure_future(call(line.stream, Call("tenders"), "pull", ""))
         await asyncio.sleep(1.0)
         head = t.servers["h1"]
--- a/tests/test_rule_violations.py
+++ b/tests/test_rule_violations.py
@@ -15,7 +15,7 @@
 from pebblehinge.gateway import GatewayCore
 from pebblehinge.interface import EndpointEntry, EndpointState, ListKind, Outcome
 from pebblehinge.lab.check import RULES, Verdict
-from pebblehinge.lab.village import play
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.settings import Config
 from pebblehinge.settings.load import loads
 from pebblehinge.wire import Kind
@@ -200,7 +200,7 @@
 ) -> dict[str, Verdict]:
     """Plays a day with gateways of this core and these changed settings, and returns the verdict of each rule."""
     config = loads(f"{base}\nday d {{\nlength {length}\n{faults}}}\n")
-    village, known = play(config, "d", seed, head_core=core, head_config=change(config) if change else None)
+    village, known = play(config, "d", seed, gateway_core=core, gateway_config=change(config) if change else None)
     assert not known["faults"]
     return village.facts().check_rules()
 
--- a/tests/test_scale_small.py
+++ b/tests/test_scale_small.py
@@ -174,7 +174,7 @@
         for task in asyncio.all_tasks(fleet.loop):
             task.cancel()
         fleet.loop.close()
-        assert not fleet.loop.caught, fleet.loop.caught[:1]
+        assert not fleet.loop.callback_errors, fleet.loop.callback_errors[:1]
 
 
 def beyond(found: dict[int, dict[str, dict[Kind, float]]]) -> list[str]:
--- a/tests/test_sized_versions.py
+++ b/tests/test_sized_versions.py
@@ -38,7 +38,7 @@
     for task in asyncio.all_tasks(group.loop):
         task.cancel()
     group.loop.close()
-    assert not group.loop.caught, group.loop.caught[:1]
+    assert not group.loop.callback_errors, group.loop.callback_errors[:1]
 
 
 def test_a_large_version_becomes_active_also_at_a_gateway_that_lacks_the_last_two_versions() -> None:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -142,7 +142,7 @@
 def test_gateway_restores_its_snapshot_after_a_restart_and_ignores_a_damaged_one() -> None:
     async def script(rig: Rig) -> None:
         from pebblehinge.gateway import GatewayServer
-        from pebblehinge.lab.village import Quiet
+        from pebblehinge.lab.simulated_fleet import Quiet
 
         disk = FaultyDisk(random.Random(1))
 
--- a/tests/test_version_cache.py
+++ b/tests/test_version_cache.py
@@ -9,7 +9,7 @@
 from group_settings import apply_entry, settings_text, stored_form
 from test_faults_in_memory import STRUCK
 
-from pebblehinge.lab.village import play
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.raft import Entry
 from pebblehinge.replicated_config import ConfigState, Leases, VersionApplication, version_cache
 from pebblehinge.replicated_config.application_types import Grant
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pebblehinge.lab.virtual import HIGH_WATER, VirtualLoop
+from pebblehinge.lab.virtual import HIGH_WATER_BYTES, VirtualLoop
 
 
 class Echo(asyncio.Protocol):
@@ -42,12 +42,12 @@
 
     loop.run_until_complete(main())
     loop.close()
-    assert not loop.caught, loop.caught
+    assert not loop.callback_errors, loop.callback_errors
 
 
 def test_time_passes_at_once_and_bytes_take_their_way() -> None:
     async def script(loop: VirtualLoop, nodes: Any, here: Echo, there: Echo) -> None:
-        loop.net.own_way("a", "b").delay_ms = 5000.0
+        loop.net.own_link("a", "b").delay_ms = 5000.0
         began = loop.time()
         here.transport.write(b"one")
         here.transport.write(b"two")
@@ -77,7 +77,7 @@
 
 def test_a_reset_at_any_byte_delivers_what_went_before() -> None:
     async def script(loop: VirtualLoop, nodes: Any, here: Echo, there: Echo) -> None:
-        loop.net.own_way("a", "b").cut_after = 7
+        loop.net.own_link("a", "b").reset_after_bytes = 7
         here.transport.write(b"12345")
         await asyncio.sleep(1.0)
         here.transport.write(b"67890")
@@ -91,18 +91,18 @@
 def test_a_reader_that_stops_holds_its_writer_and_a_slow_way_takes_its_time() -> None:
     async def script(loop: VirtualLoop, nodes: Any, here: Echo, there: Echo) -> None:
         there.transport.pause_reading()
-        here.transport.write(b"z" * (HIGH_WATER + 1))
+        here.transport.write(b"z" * (HIGH_WATER_BYTES + 1))
         await asyncio.sleep(1.0)
         assert here.paused == 1 and there.got == b""
         there.transport.resume_reading()
         await asyncio.sleep(1.0)
-        assert len(there.got) == HIGH_WATER + 1
-        loop.net.own_way("a", "b").rate = 10.0  # bytes a millisecond
+        assert len(there.got) == HIGH_WATER_BYTES + 1
+        loop.net.own_link("a", "b").rate = 10.0  # bytes a millisecond
         here.transport.write(b"z" * 10_000)
         await asyncio.sleep(0.9)
-        assert len(there.got) == HIGH_WATER + 1
+        assert len(there.got) == HIGH_WATER_BYTES + 1
         await asyncio.sleep(0.2)
-        assert len(there.got) == HIGH_WATER + 10_001
+        assert len(there.got) == HIGH_WATER_BYTES + 10_001
 
     in_virtual(script)
 
--- a/tests/test_write_back.py
+++ b/tests/test_write_back.py
@@ -66,7 +66,7 @@
 async def restart_with_write_back(rig: Rig, disk: ControlledDisk) -> WriteBack:
     """Restarts the rig's gateway with a journal."""
     from pebblehinge.gateway import GatewayServer
-    from pebblehinge.lab.village import Quiet
+    from pebblehinge.lab.simulated_fleet import Quiet
 
     rig.kill_gateway()
     await asyncio.sleep(0.02)
