--- a/benchmarks/memory_gain.py
+++ b/benchmarks/memory_gain.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from pebblehinge.lab.village import play
+from pebblehinge.lab.simulated_fleet import play
 from pebblehinge.settings.load import load
 from pebblehinge.settings.schema import DayBlock, ScheduledFault
 
@@ -37,7 +37,7 @@
         ScheduledFault(at=CRASH_MS, name="head-crash", target=gateways, last=DOWNTIME_MS),
     ]
     config.day[day_name] = DayBlock(length=CRASH_MS + DOWNTIME_MS + OBSERVATION_MS, at=faults)
-    village, _ = play(config, day_name, seed, memory_age_ms=MEMORY_AGES_MS[memory_kind])
+    village, _ = play(config, day_name, seed, snapshot_age_ms=MEMORY_AGES_MS[memory_kind])
     facts = village.facts()
     due_value = earned_value = 0.0
     late_count = request_count = 0
--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -80,7 +80,7 @@
     rsync_call: Call, address: str, verb: str, local: str | None, secret_file: str | None
 ) -> tuple[str, int]:
     """Reads the secret and the local files into a call; returns host and port; exits where any is unusable."""
-    from pebblehinge.lab.local import LocalError, read_tree  # noqa: PLC0415
+    from pebblehinge.lab.file_tree import FileTreeError, read_tree  # noqa: PLC0415
 
     try:
         host, port = parse_address(address)
@@ -88,7 +88,7 @@
             rsync_call.secret = Path(secret_file).read_bytes().splitlines()[0]
         if local is not None and (verb == "push" or Path(local).is_dir()):
             rsync_call.files = read_tree(Path(local))
-    except (ValueError, IndexError, LocalError) as error:
+    except (ValueError, IndexError, FileTreeError) as error:
         exit_with_error(str(error) or f"{secret_file} is empty")
     return host, port
 
@@ -125,13 +125,13 @@
 
 def save_pulled(rsync_call: Call, local: str | None) -> None:
     """Writes the files that a pull brought, where it ended whole or in part; exits where they can't be written."""
-    from pebblehinge.lab.local import LocalError, write_tree  # noqa: PLC0415
+    from pebblehinge.lab.file_tree import FileTreeError, write_tree  # noqa: PLC0415
 
     if rsync_call.code not in WRITTEN_EXIT_CODES:
         return
     try:
         write_tree(Path(local or "."), rsync_call.files)
-    except LocalError as error:
+    except FileTreeError as error:
         exit_with_error(str(error))
 
 
