--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -134,7 +134,7 @@
     from concurrent.futures import ProcessPoolExecutor  # noqa: PLC0415
 
     from pebblehinge.lab.crash import verdict  # noqa: PLC0415
-    from pebblehinge.lab.crash.processes import Sockets  # noqa: PLC0415
+    from pebblehinge.lab.crash.processes import ProcessCrashTrial  # noqa: PLC0415
     from pebblehinge.lab.crash.virtual import one as one_round  # noqa: PLC0415
     from pebblehinge.lab.processes import own_loopback  # noqa: PLC0415
 
@@ -146,10 +146,10 @@
                 results.append(round_result)
                 if n % 100 == 99:
                     progress(f"{n + 1} of {rounds}")
-        totals = verdict.summed(results)
+        totals = verdict.sum_rounds(results)
     else:
         with tempfile.TemporaryDirectory(prefix="pebblehinge-") as folder:
-            totals = asyncio.run(Sockets(Path(folder), own_loopback(), seed).play(rounds, progress))
+            totals = asyncio.run(ProcessCrashTrial(Path(folder), own_loopback(), seed).play(rounds, progress))
     if as_json:
         click.echo(json.dumps(totals))
     else:
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -12,8 +12,8 @@
 
 from pebblehinge.event_log import EventLog
 from pebblehinge.lab.days import DayError
-from pebblehinge.lab.faults.ground import ProcessGround, names_of
-from pebblehinge.lab.faults.player import Ground
+from pebblehinge.lab.faults.ground import ProcessFaultTarget, names_by_address
+from pebblehinge.lab.faults.player import FaultTarget
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.lab_fleet import LabFleet
 from pebblehinge.settings import Config, render_settings
@@ -55,7 +55,7 @@
         self.logs = (folder / "processes.log").open("ab")
         self.incarnations: dict[str, int] = {}
         self.state = folder / "state"  # a folder for each head and instance
-        self.fault_ground = ProcessGround(self, loop, names_of(config), seed, folder / "copies")
+        self.fault_ground = ProcessFaultTarget(self, loop, names_by_address(config), seed, folder / "copies")
         (folder / "day.conf").write_text("\n".join(render_settings(config)) + "\n")
 
     def _command(self, role: list[str], name: str, *more: str) -> list[str]:
@@ -88,7 +88,7 @@
             raise DayError(f"{name} did not start: see {self.folder / 'processes.log'}")
         return process
 
-    def ground(self) -> Ground:
+    def ground(self) -> FaultTarget:
         return self.fault_ground
 
     async def start_all(self) -> None:
--- a/pebblehinge/lab/simulated_fleet.py
+++ b/pebblehinge/lab/simulated_fleet.py
@@ -16,12 +16,12 @@
 from pebblehinge.gateway import GatewayCore, GatewayServer
 from pebblehinge.lab.check import DayFacts
 from pebblehinge.lab.clients import Crowd
-from pebblehinge.lab.faults.ground_in_memory import VillageGround, clock_of, join
-from pebblehinge.lab.faults.player import Ground
+from pebblehinge.lab.faults.in_memory_target import InMemoryFaultTarget, clock_of, start_config_watcher
+from pebblehinge.lab.faults.player import FaultTarget
 from pebblehinge.lab.faults.script import Fault
 from pebblehinge.lab.fleet import released
+from pebblehinge.lab.in_memory_logs import InMemoryRecords, WarningLog
 from pebblehinge.lab.lab_fleet import LabFleet
-from pebblehinge.lab.quiet import Memory, Quiet
 from pebblehinge.lab.rsync_load import Copies
 from pebblehinge.lab.virtual import Node, VirtualLoop
 from pebblehinge.replicated_config.server import MemberServer
@@ -49,28 +49,30 @@
         snapshot_age_ms: float | None = None,
         script: list[Fault] | None = None,
     ) -> None:
-        super().__init__(loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, Memory(), said, script)
+        super().__init__(
+            loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, InMemoryRecords(), said, script
+        )
         self.virtual_loop, self.draw = loop, draw
         self.fleet_seed = seed if fleet_seed is None else fleet_seed  # shelfs of one seed have the same speeds
         # None: heads keep nothing; else each life finds what the one before learned, older by so much than it is.
         self.snapshot_age_ms = snapshot_age_ms
-        self.log = Quiet()
+        self.log = WarningLog()
         self.gateway_core, self.gateway_config = gateway_core, gateway_config or config
         self.nodes: dict[str, Node] = {}
         self.servers: dict[str, Any] = {}
-        self.record_logs: dict[str, Memory] = {"lab": self.records}  # type: ignore[dict-item]
+        self.record_logs: dict[str, InMemoryRecords] = {"lab": self.records}  # type: ignore[dict-item]
         self.contents: dict[int, Contents] = {}
         self.captures: dict[str, bytearray] = {}
         self.incarnations: dict[str, int] = {}
-        self.fault_ground = VillageGround(self, loop)
+        self.fault_ground = InMemoryFaultTarget(self, loop)
         net = loop.net
         rng = random.Random(f"{seed}/net")
         net.default_link.delay_ms = rng.uniform(0.08, 0.2)
 
-    def _memory(self, name: str) -> Memory:
-        return self.record_logs.setdefault(name, Memory())
+    def _memory(self, name: str) -> InMemoryRecords:
+        return self.record_logs.setdefault(name, InMemoryRecords())
 
-    def ground(self) -> Ground:
+    def ground(self) -> FaultTarget:
         return self.fault_ground
 
     async def start_all(self) -> None:
@@ -106,7 +108,7 @@
             head.start_capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
             await head.start()
             if self.config.member:
-                join(
+                start_config_watcher(
                     node,
                     clock,
                     self.config,
