--- a/pebblehinge/__main__.py
+++ b/pebblehinge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pebblehinge`."""
+"""Runs the command line as `python -m pebblehinge`."""
 
 from pebblehinge.cli import main
 
--- a/pebblehinge/cli/__init__.py
+++ b/pebblehinge/cli/__init__.py
@@ -1,10 +1,13 @@
-"""The command line. Exit status: 0 kept, 1 a rule or goal was missed, 2 wrong use, settings or surroundings.
+"""The command line.
 
-Commands stand in files by group; importing one joins its commands to `main`.
+Exit status: 0 for success, 1 for a broken rule or a missed goal, 2 for wrong usage, invalid settings or a fault of the
+environment, such as an address in use.
+
+Each module holds a group of commands; importing it registers them with `main`.
 
 A module here imports at its top only what every command needs. What one command needs is imported in the function
-that uses it, marked `noqa: PLC0415`: a process then loads its own role's packages and no other's, and `--help`, `check`
-and the start of each role stay quick. Types alone are imported under `TYPE_CHECKING`.
+that uses it, marked `noqa: PLC0415`: a process then loads only the packages of its own role, and `--help`, `check`
+and the start of each role stay fast. Imports that only type annotations need are under `TYPE_CHECKING`.
 """
 
 from pebblehinge.cli import clients, days, gateway, group, load, rsync_client, stand_ins, store, trials
--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -1,4 +1,4 @@
-"""What all commands share: how they end, logs, clocks, the loop, common options."""
+"""Helpers that all commands share: exit on errors, logging, clocks, the event loop, common options."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 Logger = structlog.typing.FilteringBoundLogger
 
 BlockKind = Literal["head", "shelf", "member", "day"]
-"""The kinds of named blocks of which a command takes one."""
+"""The kinds of named settings blocks from which a command selects one."""
 
 
 def exit_with_error(reason: str) -> NoReturn:
-    """One plain line, exit 2."""
+    """Prints the reason as one line on standard error and exits with status 2."""
     click.echo(f"pebblehinge: {reason}", err=True)
     sys.exit(2)
 
 
 def read_settings(file: str, loopback: str | None = None) -> Config:
-    """Returns a file's settings; exits with a line for each fault in them."""
+    """Returns a file's settings; prints one line per fault and exits if there are any."""
     try:
         return load(file, loopback)
     except SettingsError as error:
@@ -45,7 +45,7 @@
 
 
 def configure_logger(block: LogBlock, **context: str | None) -> Logger:
-    """Returns a structlog logger on standard error, as JSON or for a console, with fields that each line carries."""
+    """Returns a structlog logger on standard error, as JSON or for a console, with context fields in each line."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -62,16 +62,16 @@
 
 
 def ms_clock(loop: asyncio.AbstractEventLoop) -> Callable[[], float]:
-    """Milliseconds of the monotonic clock, which no change of the wall clock moves.
+    """Returns a function that reads the monotonic clock in ms, which changes of the wall clock don't affect.
 
-    The loop's own time has the same origin but stands still within a turn, and is too coarse for latencies.
+    The event loop's time has the same origin, but is constant within an iteration: too coarse for latencies.
     """
     monotonic = time.monotonic
     return lambda: monotonic() * 1000.0
 
 
 def run(main: Callable[[asyncio.AbstractEventLoop], Coroutine[Any, Any, int]]) -> NoReturn:
-    """Runs a process on uvloop; faults of its surroundings end it with one line and exit 2."""
+    """Runs a process on uvloop and exits with its status; an OS or event log error is printed as one line, status 2."""
     loop = uvloop.new_event_loop()
     try:
         asyncio.set_event_loop(loop)
@@ -85,7 +85,7 @@
 
 
 def describe_error(error: Exception) -> str:
-    """Returns an error as one line, with the file that it concerns if there is one."""
+    """Returns an error as one line, with the file name if it has one."""
     if isinstance(error, OSError):
         return f"{error.strerror or error}{f': {error.filename}' if error.filename else ''}"
     return str(error)
@@ -97,37 +97,39 @@
     loop: asyncio.AbstractEventLoop,
     failed: Callable[[EventLogError], None] | None = None,
 ) -> EventLog | NullEventLog:
-    """Returns the event log of a process in a folder, or one that keeps nothing without a folder.
+    """Opens the event log of a process, or returns one that discards all events if there is no folder.
 
     Args:
-        folder: Of the records, if any are kept.
-        name: Of the process; names its file.
-        loop: Writes after the turn in which an event came.
-        failed: Hears of the first event that can't be written.
+        folder: Folder of the records; None if none are kept.
+        name: Name of the process and of its file.
+        loop: Event loop, which writes events at the end of the iteration in which they occur.
+        failed: Called with the error of the first event that can't be written.
 
     Raises:
-        EventLogError: The file can't be opened.
+        EventLogError: If the file can't be opened.
     """
     return EventLog(folder, name, loop.call_soon, failed) if folder else NullEventLog()
 
 
 def print_ready() -> None:
-    """The line that a supervisor or the lab waits for."""
+    """Prints the line that a supervisor or the lab waits for before it uses this process."""
     click.echo("ready")
     sys.stdout.flush()
 
 
 def stop_on_signals(loop: asyncio.AbstractEventLoop, stop: Callable[[str], object]) -> None:
-    """Calls `stop` with a signal's name on SIGTERM and SIGINT."""
+    """Registers `stop`, which is called with the signal's name on SIGTERM and SIGINT."""
     for sig in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(sig, stop, sig.name)
 
 
 FILE = click.argument("file", type=click.Path(dir_okay=False))
-LOOPBACK = click.option("--loopback", help="Host of a fleet block's addresses, in place of the file's.")
-RECORDS = click.option("--records", type=click.Path(file_okay=False), help="Folder for records of the sockets.")
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print one object.")
-SEED = click.option("--seed", type=click.IntRange(0), default=0, show_default=True, help="Start of all chance.")
+LOOPBACK = click.option("--loopback", help="Host for the addresses of a fleet block, instead of the file's.")
+RECORDS = click.option("--records", type=click.Path(file_okay=False), help="Folder for the event log.")
+AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+SEED = click.option(
+    "--seed", type=click.IntRange(0), default=0, show_default=True, help="Seed of the random generators."
+)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -136,7 +138,7 @@
 
 
 def add_hidden_alias(command: click.Command, name: str) -> None:
-    """Keeps a command callable by its former name, which the help does not list: units and scripts use it."""
+    """Registers a command under its former name too, hidden from the help, as service units and scripts use it."""
     alias = copy.copy(command)
     alias.name = name
     alias.hidden = True
@@ -151,9 +153,9 @@
 
 @main.command()
 @FILE
-@click.option("--show", "show_it", is_flag=True, help="Print what is in force, defaults marked.")
+@click.option("--show", "show_it", is_flag=True, help="Print the settings in force, with defaults marked.")
 def check(file: str, show_it: bool) -> None:
-    """Check a settings file; all faults are told at once."""
+    """Check a settings file and report all its faults at once."""
     config = read_settings(file)
     if show_it:
         click.echo("\n".join(render_settings(config)))
@@ -162,7 +164,7 @@
 
 
 def select_block(config: Config, what: BlockKind, name: str | None) -> str:
-    """Returns the name of a block: the one asked for, or the only one; exits where that is none of the file's."""
+    """Returns the requested block's name, or that of the only block; exits if the settings don't have it."""
     known: dict[str, Any] = getattr(config, what)
     if name is None and len(known) == 1:
         return next(iter(known))
@@ -175,7 +177,11 @@
 
 
 def progress_printer(quiet: bool) -> Callable[[str], None]:
-    """Lines on standard error, led by the seconds since now."""
+    """Returns a function that prints progress lines on standard error, prefixed with the seconds elapsed.
+
+    Args:
+        quiet: Whether to print nothing.
+    """
     start_s = time.monotonic()
 
     def show_line(line: str) -> None:
@@ -185,10 +191,12 @@
     return show_line
 
 
-JOBS = click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Parallel processes; else all cores.")
-QUIET = click.option("--quiet", is_flag=True, help="No progress.")
+JOBS = click.option(
+    "--jobs", type=click.IntRange(1, 256), default=None, help="Parallel processes; default: one per core."
+)
+QUIET = click.option("--quiet", is_flag=True, help="Print no progress.")
 
 
 def worker_count(jobs: int | None) -> int:
-    """Returns how many processes work at once: as asked, else one for each core."""
+    """Returns the number of parallel processes: as requested, or one per core."""
     return jobs or max(1, (os.cpu_count() or 2))
--- a/pebblehinge/cli/clients.py
+++ b/pebblehinge/cli/clients.py
@@ -1,6 +1,6 @@
-"""`pebblehinge why` and `plan`: a question to a gateway's console, and the capacity planner.
+"""The commands `pebblehinge why`, which queries a gateway's console, and `plan`, the capacity planner.
 
-Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+Packages that only one command needs are imported in the function that uses them (see `pebblehinge.cli`).
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 @main.command(name="why")
 @click.argument("volume")
-@click.option("--console", required=True, metavar="HOST:PORT", help="Of the head that is asked.")
-@click.option("--token", default="", help="Where the console wants one.")
+@click.option("--console", required=True, metavar="HOST:PORT", help="Console address of the head to query.")
+@click.option("--token", default="", help="Access token, if the console requires one.")
 def why_command(volume: str, console: str, token: str) -> None:
-    """Where the time of VOLUME's requests went at a head, and behind whom they waited."""
+    """Show where the time of VOLUME's requests went at a head, and which requests they waited for."""
     import urllib.error  # noqa: PLC0415
     import urllib.parse  # noqa: PLC0415
     import urllib.request  # noqa: PLC0415
@@ -54,13 +54,19 @@
 
 @main.command(name="plan")
 @click.argument("captures", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--fleet", required=True, type=click.Path(dir_okay=False), help="Settings that describe the fleet.")
-@click.option("--goal", type=float, default=0.95, show_default=True, help="Service to be held, between 0 and 1.")
-@click.option("--growth", type=float, default=1.0, show_default=True, help="Load to be carried, in captures.")
-@click.option("--lose-zone", "zones", multiple=True, help="A zone to lose; else every zone, rack, a shelf, a head.")
-@click.option("--head-cost", type=float, default=100.0, show_default=True, help="CPU of an access at a head, in us.")
-@click.option("--formulas", is_flag=True, help="The first answer alone, with no trials.")
-@click.option("--html", "page_file", type=click.Path(dir_okay=False), help="Write a page with a plot too.")
+@click.option("--fleet", required=True, type=click.Path(dir_okay=False), help="Settings file that describes the fleet.")
+@click.option("--goal", type=float, default=0.95, show_default=True, help="Service to maintain, between 0 and 1.")
+@click.option(
+    "--growth", type=float, default=1.0, show_default=True, help="Load to plan for, as a multiple of the captured load."
+)
+@click.option(
+    "--lose-zone", "zones", multiple=True, help="A zone to lose; default: each zone, each rack, a shelf, a head."
+)
+@click.option(
+    "--head-cost", type=float, default=100.0, show_default=True, help="CPU time of an access at a head, in us."
+)
+@click.option("--formulas", is_flag=True, help="Print only the first answer, without trials.")
+@click.option("--html", "page_file", type=click.Path(dir_okay=False), help="Also write an HTML page with a plot.")
 @JOBS
 @AS_JSON
 @QUIET
@@ -77,7 +83,7 @@
     as_json: bool,
     quiet: bool,
 ) -> None:
-    """From CAPTURES of heads and a fleet: the first limit, shelfs and heads needed, what a loss would do."""
+    """Plan capacity from CAPTURES of heads: the first limit, the shelfs and heads needed, the effect of losses."""
     from pebblehinge.capacity_planner.report import report_lines  # noqa: PLC0415
     from pebblehinge.lab.trials import run_plan  # noqa: PLC0415
 
@@ -103,16 +109,16 @@
     gateway_cost_ms: float,
     formulas: bool,
 ) -> tuple[Planner, World]:
-    """Reads the captures; returns the planner and what its trials share; exits where either can't be used.
+    """Reads the captures and returns the planner and the data its trials share; exits if the input is unusable.
 
     Args:
         captures: Paths of the gateways' captures.
         config: Settings that describe the fleet.
-        goal: Service to be held, between 0 and 1.
-        growth: Load to be carried, in captures.
-        zones: Zones to lose; none: each zone, rack, one storage node, one gateway.
-        gateway_cost_ms: CPU of a request at a gateway.
-        formulas: Whether there are no trials, so that their size doesn't matter.
+        goal: Service to maintain, between 0 and 1.
+        growth: Load to plan for, as a multiple of the captured load.
+        zones: Zones to lose; if empty, each zone, each rack, one storage node and one gateway.
+        gateway_cost_ms: CPU time of a request at a gateway, in milliseconds.
+        formulas: Whether no trials are run, so that their size is not limited.
     """
     from pebblehinge.capacity_planner import PlanError, Planner  # noqa: PLC0415
     from pebblehinge.capacity_planner.demand import build_demand, describe_window  # noqa: PLC0415
@@ -132,8 +138,8 @@
         losses = [f"zone {zone}" for zone in zones] or None
         if len(world.rows) > MAX_TRIAL_REQUESTS and not formulas:
             raise PlanError(
-                f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MAX_TRIAL_REQUESTS} would run too "
-                "long here; --formulas gives the first answer"
+                f"{len(world.rows)} accesses in {WINDOW_S} s: trials of more than {MAX_TRIAL_REQUESTS} would take too "
+                "long; --formulas gives the first answer"
             )
         evidence = Evidence(demand, config, goal, growth, losses, gateway_cost_ms, notes, speeds_from=captured_demand)
         planner = Planner(evidence)
@@ -144,7 +150,11 @@
 
 
 def check_zones(zones: tuple[str, ...], config: Config) -> None:
-    """Raises PlanError for a zone that is not in the fleet."""
+    """Checks that the fleet has the zones.
+
+    Raises:
+        PlanError: If a zone is not in the fleet.
+    """
     from pebblehinge.capacity_planner import PlanError  # noqa: PLC0415
 
     known = {node.zone for node in config.shelf.values()}
@@ -154,7 +164,7 @@
 
 
 def write_page(path: str, answer: Answer) -> None:
-    """Writes a plan's answer as an HTML page; exits where the file can't be written."""
+    """Writes a plan's answer as an HTML page; exits if the file can't be written."""
     from pebblehinge.capacity_planner.page import render_page  # noqa: PLC0415
 
     try:
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -1,4 +1,4 @@
-"""`pebblehinge lab`: days, loads, records.
+"""The command group `pebblehinge lab`, with the commands that play a day and check its records.
 
 The laboratory's packages are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -26,7 +26,7 @@
 from pebblehinge.settings import Config
 
 MAX_TRIAL_REQUESTS = 400_000
-"""Requests of the longest trial that this program is ready to play."""
+"""Maximum number of requests in a capacity planner's trial; more would take too long."""
 VIRTUAL_LOOPBACK = "127.0.0.1"
 BUILT_IN = Path(__file__).parent.parent / "lab" / "days"
 
@@ -38,11 +38,11 @@
 
 @main.group()
 def lab() -> None:
-    """The laboratory: scripted days, load, and the checker of the rules."""
+    """Run scripted days and load in the laboratory, and check the rules."""
 
 
 def load_day_facts(records: str) -> DayFacts:
-    """Returns what a folder of records holds of its day; exits where it holds none or can't be read."""
+    """Returns the facts of a day from its folder of records; exits if they are missing or unreadable."""
     folder = Path(records)
     if not (folder / "day.conf").is_file():
         exit_with_error(f"{records} holds no day.conf: expected the records of a day")
@@ -57,17 +57,19 @@
     """Reads the records of a day.
 
     Raises:
-        EventLogError: They can't be read.
+        EventLogError: If they can't be read.
     """
     from pebblehinge.lab.check import DayFacts  # noqa: PLC0415
 
     facts = DayFacts.read(folder, config)
-    assert isinstance(facts, DayFacts)  # `read` is of the base class, and makes what it is called on
+    assert isinstance(
+        facts, DayFacts
+    )  # `read` is a class method of the base class and returns an instance of the class it is called on.
     return facts
 
 
 def find_day(name: str) -> tuple[Path, str | None]:
-    """Returns a day's file, by its path or by the name of one that ships, and that name; exits where there is none."""
+    """Returns the file of a day, given by path or by built-in name, and the built-in name; exits if there is none."""
     path = Path(name)
     if path.is_file():
         return path, None
@@ -81,7 +83,7 @@
 def read_fault_script(
     config: Config, day_name: str, file: str | None, count: int | None, seed: int
 ) -> list[Fault] | None:
-    """Returns the faults of a run, drawn or from a file; None: the fleet is not prepared for any."""
+    """Returns the faults of a run, drawn or read from a file; None if there are to be none."""
     from pebblehinge.lab.faults.draw import cast_of, draw  # noqa: PLC0415
     from pebblehinge.lab.faults.script import ScriptError, read  # noqa: PLC0415
 
@@ -100,13 +102,15 @@
 
 @lab.command()
 @click.argument("name", default="bad-day")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Start of all chance.")
-@click.option("--json", "as_json", is_flag=True, help="Print one object.")
-@click.option("--records", type=click.Path(file_okay=False), help="Keep the records in this folder.")
-@click.option("--quiet", is_flag=True, help="No progress.")
-@click.option("--virtual", is_flag=True, help="In one process and in virtual time, instead of processes on sockets.")
-@click.option("--faults", type=click.Path(dir_okay=False), help="A script of faults between and in processes.")
-@click.option("--draw-faults", type=click.IntRange(1, 100), help="Draw so many faults by the seed instead.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the random generators.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+@click.option("--records", type=click.Path(file_okay=False), help="Folder in which to keep the records.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
+@click.option("--virtual", is_flag=True, help="Run in one process in virtual time, instead of processes on sockets.")
+@click.option(
+    "--faults", type=click.Path(dir_okay=False), help="Script of faults in processes and on the links between them."
+)
+@click.option("--draw-faults", type=click.IntRange(1, 100), help="Draw this many faults from the seed instead.")
 def day(
     name: str,
     seed: int,
@@ -117,7 +121,7 @@
     faults: str | None,
     draw_faults: int | None,
 ) -> None:
-    """Play a day, NAME or FILE, with a fleet of processes, and judge the rules from what crossed the sockets."""
+    """Play a day, given as NAME or FILE, with a fleet of processes, and check the rules from its traffic records."""
     from pebblehinge.lab import village  # noqa: PLC0415
     from pebblehinge.lab.days import DayError  # noqa: PLC0415
     from pebblehinge.lab.processes import Processes, own_loopback  # noqa: PLC0415
@@ -159,7 +163,7 @@
 
 
 def show_verdict(verdict: dict[str, Any], goal: float, as_json: bool) -> bool:
-    """Prints the summary of a day; returns whether the rules were kept and the goal met, without a fault."""
+    """Prints the summary of a day; returns whether all rules hold and the goal is met, without a fault."""
     from pebblehinge.lab.verdict import all_checks_pass, summary_lines  # noqa: PLC0415
 
     missed: bool = verdict["service"] < goal
@@ -171,9 +175,9 @@
 
 @lab.command(name="check")
 @click.argument("records", type=click.Path(file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="Print one object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def check_records(records: str, as_json: bool) -> None:
-    """Judge the rules again from a day's RECORDS."""
+    """Check the rules again from a day's RECORDS."""
     from pebblehinge.lab.verdict import all_checks_pass, summary, summary_lines  # noqa: PLC0415
 
     facts = load_day_facts(records)
--- a/pebblehinge/cli/gateway.py
+++ b/pebblehinge/cli/gateway.py
@@ -1,4 +1,4 @@
-"""`pebblehinge gateway`: a running gateway with all that its settings join to it."""
+"""The command `pebblehinge gateway`: runs a gateway with the parts that its settings enable."""
 
 from __future__ import annotations
 
@@ -24,14 +24,20 @@
 
 @main.command(name="gateway")
 @FILE
-@click.option("--name", help="Which head block of the file; not needed where it has one.")
+@click.option("--name", help="Head block of the file; optional if there is only one.")
 @LOOPBACK
 @RECORDS
-@click.option("--seed", type=click.IntRange(0), help="In place of the block's seed.")
-@click.option("--capture", type=click.Path(dir_okay=False), help="Keep what is taken, without payload, in this file.")
-@click.option("--agreed", type=click.Path(dir_okay=False), help="Where to keep the last agreed version, with a group.")
-@click.option("--store", type=click.Path(file_okay=False), help="Folder of its journal; else the block's.")
-@click.option("--pid", "pid_path", type=click.Path(dir_okay=False), help="Holds its process id, and is held by it.")
+@click.option("--seed", type=click.IntRange(0), help="Seed, instead of the block's.")
+@click.option(
+    "--capture", type=click.Path(dir_okay=False), help="File in which to capture the requests, without payload."
+)
+@click.option(
+    "--agreed", type=click.Path(dir_okay=False), help="File for the last agreed configuration version, with a group."
+)
+@click.option("--store", type=click.Path(file_okay=False), help="Folder of the journal; default: the block's.")
+@click.option(
+    "--pid", "pid_path", type=click.Path(dir_okay=False), help="File for the process id, locked while the process runs."
+)
 def gateway(
     file: str,
     name: str | None,
@@ -43,7 +49,7 @@
     store: str | None,
     pid_path: str | None,
 ) -> None:
-    """Run a gateway. SIGTERM: nothing new, every accepted request its answer, then exit 0. SIGHUP: settings again."""
+    """Run a gateway. SIGTERM: reject new requests, answer the accepted ones, exit 0. SIGHUP: reload the settings."""
     config = read_settings(file, loopback)
     name = select_block(config, "head", name)
     if seed is not None:
@@ -58,7 +64,7 @@
 
 
 def hold_pid_file(path: str, name: str) -> None:
-    """Writes the process id to a file and keeps it until the exit; exits where another process holds it."""
+    """Writes the process id to a file and locks it until the exit; exits if another process holds it."""
     from pebblehinge.daemon import PidFile, PidFileError  # noqa: PLC0415
 
     try:
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -1,4 +1,4 @@
-"""A gateway's link to the group that replicates configuration.
+"""Connects a gateway to the group that replicates configuration.
 
 Packages that only a gateway needs are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -28,16 +28,16 @@
 ) -> ConfigWatcher:
     """Connects a gateway to the group that replicates its configuration.
 
-    Until the group has sent a version, the file's own settings are in force, under the floor that holds for a gateway
+    Until the group has sent a version, the settings of the file apply, reduced to the floor share of a gateway
     without a lease.
 
     Args:
-        loop: Runs the watcher.
+        loop: Event loop of the watcher.
         config: The settings of the file, with the group's members.
-        name: The gateway's block in them.
-        server: Adopts each version.
-        version_file: Path of the last agreed version, read now and replaced with each later one; None: it isn't kept.
-        log: Hears of versions and of faults.
+        name: Name of the gateway's block.
+        server: Gateway that applies each version.
+        version_file: Path of the last agreed version, read now and replaced by each later one; None to keep none.
+        log: Receives messages about versions and faults.
 
     Returns:
         The watcher, not yet started.
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -1,4 +1,4 @@
-"""The process of `pebblehinge gateway`: starts a gateway's parts in order, serves, and stops them.
+"""The process of `pebblehinge gateway`: starts the parts of a gateway in order, serves, and stops them.
 
 Packages that only this process needs are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -36,20 +36,20 @@
 
 RECORDS_FAILURE_REASON = "its records can't be written"
 FLUSH_DELAY_S = 0.02
-"""How long the loop goes on after the end, so that the last bytes leave the sockets."""
+"""How long the event loop runs after the gateway has stopped, so that the last bytes leave the sockets."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayOptions:
-    """What the command line says of a gateway.
+    """A gateway's options on the command line.
 
     Attributes:
-        file: Path of the settings.
-        name: The gateway's block in them.
-        loopback: Host of a fleet block's addresses in place of the file's, if any.
-        records: Folder of the records, if any are kept.
-        capture: Path of the capture, if one is written.
-        version_file: Path of the last agreed configuration version, if it is kept.
+        file: Path of the settings file.
+        name: Name of the gateway's block in it.
+        loopback: Host for the addresses of a fleet block; None for the file's.
+        records: Folder of the records; None if none are kept.
+        capture: Path of the capture; None if none is written.
+        version_file: Path of the last agreed configuration version; None if it is not kept.
     """
 
     file: str
@@ -61,15 +61,19 @@
 
 
 class GatewayProcess:
-    """A gateway's server and what hears of its state: the service manager, signals, records.
+    """A gateway's server, with its signals, records, capture and reports to the service manager.
 
     Attributes:
         server: The gateway.
-        notifier: Tells the service manager.
-        record_fault: The first failure of the records, which stops the gateway.
+        loop: Event loop of the process.
+        config: Settings at the start.
+        options: Options of the command line.
+        log: Logger of the process.
+        notifier: Sends state changes to the service manager.
+        record_fault: The first write error of the records, which stops the gateway; None if there is none.
 
     Raises:
-        EventLogError: The records can't be opened.
+        EventLogError: If the records can't be opened.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Logger) -> None:
@@ -100,7 +104,7 @@
         self.server.stop(RECORDS_FAILURE_REASON)
 
     def start_capture(self) -> None:
-        """Captures requests to the file that the options name, if any."""
+        """Starts the capture of requests, if the options name a file for it."""
         from pebblehinge.capture import CaptureWriter, open_sink  # noqa: PLC0415
 
         path = self.options.capture
@@ -116,10 +120,10 @@
         )
 
     def _report_capture_end(self, error: Exception) -> None:
-        self.log.error("the capture has ended", why=describe_error(error))
+        self.log.error("capture stopped after a write error", why=describe_error(error))
 
     async def start_server(self) -> None:
-        """Opens the storage and the sockets; exits where either can't be used."""
+        """Opens the storage and the sockets; exits if either can't be used."""
         from pebblehinge.gateway.metrics import serve_metrics  # noqa: PLC0415
         from pebblehinge.store import StorageError  # noqa: PLC0415
 
@@ -134,17 +138,17 @@
             exit_with_error(f"head {self.options.name}: {error}")
 
     def handle_signals(self) -> None:
-        """SIGTERM and SIGINT stop the gateway, SIGHUP reads the settings again."""
+        """Registers the signal handlers: SIGTERM and SIGINT stop the gateway, SIGHUP reloads the settings."""
         stop_on_signals(self.loop, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def stop(self, why: str) -> None:
-        """Begins the graceful shutdown: nothing new, an answer to every accepted request."""
+        """Starts the graceful shutdown: new requests are rejected, all accepted ones are answered."""
         self.notifier.notify_stopping(f"{self.server.core.open_count} accesses are owed an answer")
         self.server.stop(why)
 
     def reload(self) -> None:
-        """Reads the settings again; those in force stay where the file is faulty or a group decides on them."""
+        """Reloads the settings; those in force stay if the file is invalid or a group replicates the configuration."""
         options = self.options
         try:
             config = load(options.file, options.loopback)
@@ -154,7 +158,7 @@
             self.log.error("settings stay as they were", fault=str(error).splitlines())
             return
         if config.member:
-            self.log.warning("the group's configuration stays in force", file=options.file)
+            self.log.warning("settings file ignored: the group's configuration stays in force", file=options.file)
             return
         self.notifier.notify_reloading(int(time.monotonic() * 1e6))
         self.server.apply_config(config)
@@ -165,7 +169,7 @@
         self.notifier.notify_ready(f"{self.options.name} serves {self.server.gateway_settings.listen}")
 
     async def start_console(self) -> Console | None:
-        """Returns the running console, if the gateway's block has one; exits where its address can't be used."""
+        """Starts and returns the console, if the gateway's block has one; exits if its address can't be used."""
         from pebblehinge.console import Console  # noqa: PLC0415
 
         block = self.server.gateway_settings
@@ -179,14 +183,14 @@
         return console
 
     def announce(self) -> None:
-        """Says on standard output, to the service manager and in the log that the gateway serves."""
+        """Reports on standard output, to the service manager and in the log that the gateway serves."""
         block = self.server.gateway_settings
         print_ready()
         self._notify_ready()
         self.log.info("serving", listen=block.listen, metrics=block.metrics, version=__version__)
 
     def finish(self) -> int:
-        """Reports how the gateway ended; returns the exit status."""
+        """Reports why the gateway stopped; returns the exit status."""
         if self.record_fault is not None:
             click.echo(f"pebblehinge: {self.record_fault}", err=True)
             return 2
@@ -195,7 +199,7 @@
 
 
 async def run_gateway(loop: asyncio.AbstractEventLoop, config: Config, options: GatewayOptions, log: Logger) -> int:
-    """Serves until the gateway has stopped; returns the exit status."""
+    """Runs a gateway until it has stopped; returns the exit status."""
     process = GatewayProcess(loop, config, options, log)
     process.start_capture()
     await process.start_server()
@@ -205,7 +209,7 @@
         watcher = watch_config(loop, config, options.name, process.server, options.version_file, log)
         watcher.start()
     console = await process.start_console()
-    gc.freeze()  # what stands now stays: the collector need not look at it again
+    gc.freeze()  # Objects made so far live as long as the process: the collector skips them.
     process.announce()
     await process.server.stopped
     if watcher is not None:
--- a/pebblehinge/cli/gateway_storage.py
+++ b/pebblehinge/cli/gateway_storage.py
@@ -1,4 +1,4 @@
-"""What a running gateway keeps on disk: its journal, and snapshots of what the scheduler has learned.
+"""A gateway's storage on disk: its journal and snapshots of the scheduler's state.
 
 Packages that only a gateway needs are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -18,14 +18,15 @@
     from pebblehinge.store import RealDisk
 
 SWITCH_INTERVAL_S = 0.0005
-"""The interpreter's switch interval beside a journal.
+"""The interpreter's thread switch interval while a journal is in use.
 
-The thread of a sync asks for its turn when the disk is done: with the usual 5 ms each batch would wait that long.
+When the disk has synced a batch, the syncing thread must get the interpreter lock back: with the default of 5 ms each
+batch would wait that long.
 """
 
 
 def read_machine_times() -> tuple[float, float, str]:
-    """Wall clock and time since the machine started, in ms, and the name of that start."""
+    """Returns the wall clock and the monotonic clock, in ms, and the id of the machine's current boot."""
     try:
         boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -34,13 +35,13 @@
 
 
 def open_storage(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: GatewayServer) -> None:
-    """Gives a gateway its folder for snapshots and, where it has buffered volumes, its journal.
+    """Opens a gateway's folder for snapshots and, if it has buffered volumes, its journal.
 
-    Syncs run in a thread, so that the loop goes on.
+    Syncs run in a thread, so that they don't block the event loop.
 
     Raises:
-        StorageError: The folder is missing from the settings, or can't be used.
-        OSError: The disk failed.
+        StorageError: If the folder is missing from the settings or can't be used.
+        OSError: If the disk fails.
     """
     from pebblehinge.store import RealDisk, StorageError  # noqa: PLC0415
     from pebblehinge.store.background import thread_runner  # noqa: PLC0415
@@ -59,7 +60,7 @@
 
 
 def enable_journal(loop: asyncio.AbstractEventLoop, disk: RealDisk, server: GatewayServer) -> None:
-    """Enables write-back through a journal on a disk."""
+    """Enables write-back with a journal on a disk."""
     from pebblehinge.store import JournalFencedError  # noqa: PLC0415
     from pebblehinge.store.journal import FENCE_FILE, Batch  # noqa: PLC0415
 
