--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -95,7 +95,7 @@
     folder: str | None,
     name: str,
     loop: asyncio.AbstractEventLoop,
-    failed: Callable[[EventLogError], None] | None = None,
+    on_failure: Callable[[EventLogError], None] | None = None,
 ) -> EventLog | NullEventLog:
     """Opens the event log of a process, or returns one that discards all events if there is no folder.
 
@@ -103,12 +103,12 @@
         folder: Folder of the records; None if none are kept.
         name: Name of the process and of its file.
         loop: Event loop, which writes events at the end of the iteration in which they occur.
-        failed: Called with the error of the first event that can't be written.
+        on_failure: Called with the error of the first event that can't be written.
 
     Raises:
         EventLogError: If the file can't be opened.
     """
-    return EventLog(folder, name, loop.call_soon, failed) if folder else NullEventLog()
+    return EventLog(folder, name, loop.call_soon, on_failure) if folder else NullEventLog()
 
 
 def print_ready() -> None:
@@ -165,13 +165,15 @@
 
 def select_block(config: Config, what: BlockKind, name: str | None) -> str:
     """Returns the requested block's name, or that of the only block; exits if the settings don't have it."""
-    known: dict[str, Any] = getattr(config, what)
-    if name is None and len(known) == 1:
-        return next(iter(known))
-    if name is None or name not in known:
-        has = ", ".join(known) or "none"
+    blocks: dict[str, Any] = getattr(config, what)
+    if name is None and len(blocks) == 1:
+        return next(iter(blocks))
+    if name is None or name not in blocks:
+        available_names = ", ".join(blocks) or "none"
         exit_with_error(
-            f"{what} {name!r} is not in the settings: they have {has}" if name else f"name one {what} of {has}"
+            f"{what} {name!r} is not in the settings: they have {available_names}"
+            if name
+            else f"name one {what} of {available_names}"
         )
     return name
 
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -75,8 +75,8 @@
         return path, None
     built_in = BUILT_IN / f"{name}.conf"
     if not built_in.is_file():
-        known = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
-        exit_with_error(f"no day {name!r}: expected a file, or one of {known}")
+        built_in_days = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
+        exit_with_error(f"no day {name!r}: expected a file, or one of {built_in_days}")
     return built_in, name
 
 
@@ -134,10 +134,10 @@
     if records is not None and any(Path(records).glob("*.jsonl")):
         exit_with_error(f"{records} holds records of another day already")
     progress = progress_printer(quiet)
-    script = read_fault_script(config, day_name, faults, draw_faults, seed)
+    fault_script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
-        stage = Processes(loop, config, path, day_name, seed, folder, loopback, progress, script)
+        stage = Processes(loop, config, path, day_name, seed, folder, loopback, progress, fault_script)
         try:
             return await stage.play()
         finally:
@@ -147,17 +147,21 @@
         folder = Path(records or temporary)
         try:
             if virtual:
-                stage, more = village.play(config, day_name, seed, progress, script=script)
+                stage, outcome = village.play(config, day_name, seed, progress, script=fault_script)
                 if records is not None:
                     stage.write(folder)
                 facts = stage.facts()
             else:
                 with asyncio.Runner() as runner:
-                    more = runner.run(play(runner.get_loop(), folder))
+                    outcome = runner.run(play(runner.get_loop(), folder))
                 facts = read_day(folder, config)
         except (DayError, EventLogError, OSError) as error:
             exit_with_error(describe_error(error))
-        extras = {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})}
+        extras = {
+            "faults": outcome["faults"],
+            "load_late_ms": round(outcome["late_ms"], 1),
+            **outcome.get("script", {}),
+        }
         verdict = summary(facts, day_name, seed, extras)
     sys.exit(0 if show_verdict(verdict, config.day[day_name].goal, as_json) else 1)
 
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -28,8 +28,8 @@
 ) -> ConfigWatcher:
     """Connects a gateway to the group that replicates its configuration.
 
-    Until the group has sent a version, the settings of the file apply, reduced to the floor share of a gateway
-    without a lease.
+    Until the group has sent a version, the settings of the file apply, with every limit reduced to the floor,
+    the share of a gateway without a lease.
 
     Args:
         loop: Event loop of the watcher.
@@ -56,16 +56,17 @@
             application = VersionApplication.restore(name, floor, path.read_bytes())
         except (OSError, ValueError) as error:
             exit_with_error(
-                f"head {name}: {path} can't be used ({describe_error(error)}); without it the head begins anew"
+                f"head {name}: {path} can't be used ({describe_error(error)}); "
+                "without it the head starts with no agreed version"
             )
 
     def save_version(data: bytes) -> None:
         if path is not None:
             RealDisk(path.parent).replace(path.name, data)
 
-    def apply_version(new: Config, mode: str) -> None:
+    def apply_version(new_config: Config, mode: str) -> None:
         server.config_status = {"version": application.active, "pending": application.pending, "mode": mode}
-        server.apply_config(new)
+        server.apply_config(new_config)
 
     server.apply_config(config_without_lease(config, floor))
     return ConfigWatcher(
--- a/pebblehinge/cli/gateway_process.py
+++ b/pebblehinge/cli/gateway_process.py
@@ -94,8 +94,8 @@
         from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
 
         connections = self.config.limits.connections
-        wanted = needed_open_files("head", storage_nodes=len(self.config.shelf), connections=connections)
-        if warning := raise_open_file_limit(wanted):
+        needed_files = needed_open_files("head", storage_nodes=len(self.config.shelf), connections=connections)
+        if warning := raise_open_file_limit(needed_files):
             self.log.warning("limits", why=f"{warning}, or lower `connections`")
 
     def _stop_without_records(self, error: EventLogError) -> None:
--- a/pebblehinge/cli/gateway_storage.py
+++ b/pebblehinge/cli/gateway_storage.py
@@ -28,10 +28,10 @@
 def read_machine_times() -> tuple[float, float, str]:
     """Returns the wall clock and the monotonic clock, in ms, and the id of the machine's current boot."""
     try:
-        boot = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
+        boot_id = Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
-        boot = ""
-    return time.time() * 1000.0, time.monotonic() * 1000.0, boot
+        boot_id = ""
+    return time.time() * 1000.0, time.monotonic() * 1000.0, boot_id
 
 
 def open_storage(loop: asyncio.AbstractEventLoop, config: Config, name: str, server: GatewayServer) -> None:
--- a/pebblehinge/cli/group.py
+++ b/pebblehinge/cli/group.py
@@ -1,6 +1,6 @@
-"""`pebblehinge group` and `config`: a member of the group that replicates configuration, and an operator's commands.
+"""The commands `pebblehinge group`, a member of the group that replicates configuration, and `config` for operators.
 
-Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+Packages that only one command needs are imported in the function that uses them (see `pebblehinge.cli`).
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
 
 @main.command()
 @FILE
-@click.option("--name", help="Which member block of the file.")
-@click.option("--store", type=click.Path(file_okay=False), help="Folder of this instance; else the block's.")
-@click.option("--begin", is_flag=True, help="This instance has never run before: an empty folder is right.")
+@click.option("--name", help="Member block of the file.")
+@click.option("--store", type=click.Path(file_okay=False), help="Folder of this instance; default: the block's.")
+@click.option("--begin", is_flag=True, help="First start of this instance: accept an empty folder.")
 @LOOPBACK
 @SEED
 def group(file: str, name: str | None, store: str | None, begin: bool, loopback: str | None, seed: int) -> None:
-    """Run one instance of the group that agrees on configuration."""
+    """Run one instance of the group that replicates configuration."""
     config = read_settings(file, loopback)
     name = select_block(config, "member", name)
     folder = store or config.member[name].store
     if not folder:
-        exit_with_error(f"member {name} has no store: name one by --store or in its block")
+        exit_with_error(f"member {name} has no store: set it with --store or in its block")
     log = configure_logger(config.log, member=name)
     run(lambda loop: _run_member(loop, config, name, folder, begin, seed, log))
 
@@ -88,15 +88,15 @@
 @LOOPBACK
 @click.pass_context
 def config_group(context: click.Context, file: str, loopback: str | None) -> None:
-    """Look at and change what the group has agreed on."""
+    """Show and change the configuration that the group has agreed on."""
     config = read_settings(file, loopback)
     if not config.member:
-        exit_with_error(f"{file} has no member blocks: there is no group to ask")
+        exit_with_error(f"{file} has no member blocks: there is no group to query")
     context.obj = config
 
 
-def ask(config: Config, verb: str, **values: str | int) -> str:
-    """Returns the group's answer to an operator's request; exits with 1 where it is rejected, with 2 without one."""
+def query_group(config: Config, verb: str, **values: str | int) -> str:
+    """Returns the group's answer to an operator's request; exits with 1 if it is rejected, with 2 if there is none."""
     from pebblehinge.replicated_config.operator_client import ask_group  # noqa: PLC0415
 
     addresses = [block.listen for block in config.member.values()]
@@ -110,11 +110,11 @@
 
 @config_group.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--base", type=click.IntRange(0), help="The version that it is based on; else the newest now.")
-@click.option("--note", default="", help="A word on why.")
+@click.option("--base", type=click.IntRange(0), help="Version that the proposal is based on; default: the newest.")
+@click.option("--note", default="", help="Reason for the change.")
 @click.pass_obj
 def propose(config: Config, file: str, base: int | None, note: str) -> None:
-    """Propose FILE as the next version; refused where another came since BASE."""
+    """Propose FILE as the next version; rejected if there is a newer version than BASE."""
     from pebblehinge.replicated_config.errors import VersionTooLargeError  # noqa: PLC0415
     from pebblehinge.replicated_config.size_limits import check_text_size  # noqa: PLC0415
 
@@ -125,25 +125,25 @@
     except VersionTooLargeError as error:
         exit_with_error(f"{file}: {error}")
     if base is None:
-        lines = ask(config, "history").splitlines()
+        lines = query_group(config, "history").splitlines()
         base = 0 if lines[-1].startswith("no ") else int(lines[-1].split()[0])
     session = f"{os.getpid()}-{time.time_ns()}"
-    who = os.environ.get("USER", "operator")
-    number = ask(config, "propose", text=text, base=base, author=who, note=note, session=session, serial=1)
+    author = os.environ.get("USER", "operator")
+    number = query_group(config, "propose", text=text, base=base, author=author, note=note, session=session, serial=1)
     click.echo(f"version {number} is agreed on and being taken up")
 
 
 def resolved_text(file: str) -> str:
-    """Returns a file's settings as one text, includes resolved."""
+    """Returns a file's settings as one text, with includes resolved."""
     return "\n".join(render_settings(load(file))) + "\n"
 
 
 @config_group.command(name="show")
-@click.option("--version", "number", type=click.IntRange(1), help="Else the active one.")
+@click.option("--version", "number", type=click.IntRange(1), help="Version to print; default: the active one.")
 @click.pass_obj
 def show_version(config: Config, number: int | None) -> None:
-    """Print a version."""
-    click.echo(ask(config, "show", version=number or 0))
+    """Print the settings of a version."""
+    click.echo(query_group(config, "show", version=number or 0))
 
 
 @config_group.command()
@@ -151,15 +151,15 @@
 @click.argument("b", type=click.IntRange(1))
 @click.pass_obj
 def diff(config: Config, a: int, b: int) -> None:
-    """What changed from version A to B."""
-    click.echo(ask(config, "diff", a=a, b=b))
+    """Show the changes from version A to version B."""
+    click.echo(query_group(config, "diff", a=a, b=b))
 
 
 @config_group.command()
 @click.pass_obj
 def history(config: Config) -> None:
-    """All versions that are kept."""
-    click.echo(ask(config, "history"))
+    """List all versions that are kept."""
+    click.echo(query_group(config, "history"))
 
 
 @config_group.command()
@@ -168,8 +168,8 @@
 def rollback(config: Config, number: int) -> None:
     """Propose an older version's text as the next version."""
     session = f"{os.getpid()}-{time.time_ns()}"
-    newest = ask(config, "rollback", version=number, author="operator", session=session, serial=1)
-    click.echo(f"version {newest} is agreed on and being taken up")
+    new_version = query_group(config, "rollback", version=number, author="operator", session=session, serial=1)
+    click.echo(f"version {new_version} is agreed on and being taken up")
 
 
 @config_group.command()
@@ -177,37 +177,37 @@
 @click.argument("name", required=False)
 @click.pass_obj
 def members(config: Config, what: str, name: str | None) -> None:
-    """List the group's instances, add one (first as a learner, then, said again, as a voter), or remove one."""
-    click.echo(ask(config, "members", do=what, name=name or ""))
+    """List the group's instances, add one (first as a learner; repeat to make it a voter), or remove one."""
+    click.echo(query_group(config, "members", do=what, name=name or ""))
 
 
 @config_group.command()
 @click.argument("head")
 @click.pass_obj
 def forget(config: Config, head: str) -> None:
-    """Vouch that HEAD will not come back as it was, so that nothing is set aside for it."""
-    click.echo(ask(config, "forget", head=head))
+    """Confirm that HEAD will not return with its old state, so that no quota is reserved for it."""
+    click.echo(query_group(config, "forget", head=head))
 
 
 @config_group.command()
 @AS_JSON
 @click.pass_obj
 def status(config: Config, as_json: bool) -> None:
-    """What each instance says of itself."""
+    """Show the status that each instance reports."""
     from pebblehinge.replicated_config.operator_client import ask_member  # noqa: PLC0415
 
     async def ask_members(loop: asyncio.AbstractEventLoop) -> int:
-        found = 0
+        reachable_count = 0
         for name, block in config.member.items():
             try:
                 _, text, _ = await ask_member(loop, block.listen, "status", {"json": 1} if as_json else {})
-                found += 1
+                reachable_count += 1
             except (OSError, TimeoutError) as error:
                 text = f"{name}: can't be reached ({describe_error(error) or 'no answer'})"
                 if as_json:
                     text = json.dumps({"instance": name, "error": describe_error(error) or "no answer"})
             click.echo(text)
-        return found
+        return reachable_count
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         if not runner.run(ask_members(runner.get_loop())):
--- a/pebblehinge/cli/load.py
+++ b/pebblehinge/cli/load.py
@@ -1,4 +1,4 @@
-"""`pebblehinge lab load`: the requests of a day's clients, or of captures.
+"""The command `pebblehinge lab load`: sends the requests of a day's clients, or of captures.
 
 The laboratory's packages are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -28,13 +28,22 @@
 
 @lab.command(name="load")
 @FILE
-@click.option("--day", "day_name", required=True, help="Which day block.")
-@click.option("--part", type=click.IntRange(0), default=0, help="Which of the processes this is.")
-@click.option("--parts", type=click.IntRange(1), default=1, help="How many there are.")
-@click.option("--start", type=float, help="When to begin, on the machine's monotonic clock in ms; else in a second.")
-@click.option("--replay", multiple=True, type=click.Path(dir_okay=False), help="Captures, in place of the day's load.")
-@click.option("--speed", type=click.FloatRange(0.01, 1000.0), default=1.0, help="Replay so many times as fast.")
-@click.option("--multiple", type=click.FloatRange(0.001, 100.0), default=1.0, help="Under 1 thins, over 1 grows.")
+@click.option("--day", "day_name", required=True, help="Day block of the file.")
+@click.option("--part", type=click.IntRange(0), default=0, help="Index of this load process, from 0.")
+@click.option("--parts", type=click.IntRange(1), default=1, help="Number of load processes.")
+@click.option("--start", type=float, help="Start on the machine's monotonic clock, in ms; default: in 1 s.")
+@click.option(
+    "--replay", multiple=True, type=click.Path(dir_okay=False), help="Capture to replay instead of the day's load."
+)
+@click.option(
+    "--speed",
+    type=click.FloatRange(0.01, 1000.0),
+    default=1.0,
+    help="Speed of the replay, as a multiple of the original.",
+)
+@click.option(
+    "--multiple", type=click.FloatRange(0.001, 100.0), default=1.0, help="Load, as a multiple of the captured load."
+)
 @LOOPBACK
 @RECORDS
 @SEED
@@ -51,7 +60,7 @@
     records: str | None,
     seed: int,
 ) -> None:
-    """Ask as a day's clients do, or as captures say; prints what became of the requests."""
+    """Send the requests of a day's clients, or of captures, and print their outcomes."""
     from pebblehinge.capture import CaptureError, read_capture  # noqa: PLC0415
     from pebblehinge.lab.clients import Crowd  # noqa: PLC0415
     from pebblehinge.lab.replay import Replay, merge  # noqa: PLC0415
--- a/pebblehinge/cli/rsync_client.py
+++ b/pebblehinge/cli/rsync_client.py
@@ -1,4 +1,4 @@
-"""`pebblehinge rsync-client`: the stand-in rsync client.
+"""The command `pebblehinge rsync-client`, a stand-in rsync client.
 
 The client's packages are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -29,13 +29,13 @@
 @click.argument("verb", type=click.Choice(["modules", "list", "pull", "push"]))
 @click.argument("where", metavar="HOST:PORT[/MODULE[/PATH]]")
 @click.argument("local", required=False, type=click.Path())
-@click.option("--version", type=click.IntRange(27, 31), default=31, show_default=True, help="Of the protocol.")
-@click.option("--user", default="", help="Who logs in; the secret comes from --secret-file.")
-@click.option("--secret-file", type=click.Path(dir_okay=False), help="Its first line.")
-@click.option("--compress", is_flag=True, help="Deflate what is sent.")
-@click.option("--checksum", is_flag=True, help="Compare files by their sums.")
-@click.option("--delete", is_flag=True, help="With push: remove there what is not here.")
-@click.option("--filter", "filters", multiple=True, help="A rule such as '- *.tmp'.")
+@click.option("--version", type=click.IntRange(27, 31), default=31, show_default=True, help="Protocol version.")
+@click.option("--user", default="", help="User to log in as; see --secret-file.")
+@click.option("--secret-file", type=click.Path(dir_okay=False), help="File with the secret in its first line.")
+@click.option("--compress", is_flag=True, help="Compress the data sent.")
+@click.option("--checksum", is_flag=True, help="Compare files by checksum.")
+@click.option("--delete", is_flag=True, help="With push: delete remote files that don't exist locally.")
+@click.option("--filter", "filters", multiple=True, help="Filter rule such as '- *.tmp'.")
 @AS_JSON
 def rsync_client(
     verb: str,
@@ -50,13 +50,13 @@
     filters: tuple[str, ...],
     as_json: bool,
 ) -> None:
-    """The stand-in rsync client: list modules or files, pull to LOCAL or push LOCAL. Exits as such tools do."""
+    """Run the stand-in rsync client: list modules or files, pull to LOCAL or push LOCAL. Exit codes are rsync's."""
     from pebblehinge.lab.rsync_call import Call  # noqa: PLC0415
 
     address, _, path = where.partition("/")
     module, _, path = path.partition("/")
     if verb != "modules" and not module:
-        exit_with_error("a module is missing: HOST:PORT/MODULE")
+        exit_with_error("a module is missing: expected HOST:PORT/MODULE")
     if verb in TRANSFERS and local is None:
         exit_with_error(f"{verb} needs a local path")
 
@@ -79,7 +79,7 @@
 def prepare_call(
     rsync_call: Call, address: str, verb: str, local: str | None, secret_file: str | None
 ) -> tuple[str, int]:
-    """Reads the secret and the local files into a call; returns host and port; exits where any is unusable."""
+    """Reads the secret and the local files into a call; returns host and port; exits if any is unusable."""
     from pebblehinge.lab.local import LocalError, read_tree  # noqa: PLC0415
 
     try:
@@ -96,10 +96,10 @@
 async def run_call(
     loop: asyncio.AbstractEventLoop, rsync_call: Call, host: str, port: int, verb: str, path: str
 ) -> None:
-    """Plays a call on a connection of its own; what happened stands in the call.
+    """Runs a call on a new connection and records its outcome in the call.
 
     Raises:
-        OSError: No connection could be made.
+        OSError: If the connection fails.
     """
     from pebblehinge.lab.rsync_client import call  # noqa: PLC0415
     from pebblehinge.rsync.stream_protocol import StreamProtocol  # noqa: PLC0415
@@ -111,7 +111,7 @@
 
 
 def show_lines(rsync_call: Call, verb: str) -> None:
-    """Prints what the server sent: its lines and, with the verb `list`, the files; its messages as errors."""
+    """Prints the server's lines and, for the verb `list`, its files; its messages go to standard error."""
     for text in rsync_call.lines:
         click.echo(text)
     for _, text in rsync_call.said:
@@ -124,7 +124,7 @@
 
 
 def save_pulled(rsync_call: Call, local: str | None) -> None:
-    """Writes the files that a pull brought, where it ended whole or in part; exits where they can't be written."""
+    """Writes the files of a complete or partial pull; exits if they can't be written."""
     from pebblehinge.lab.local import LocalError, write_tree  # noqa: PLC0415
 
     if rsync_call.code not in WRITTEN_EXIT_CODES:
@@ -136,16 +136,16 @@
 
 
 def show_totals(rsync_call: Call, verb: str, as_json: bool) -> None:
-    """Prints what was transferred: one JSON object, or a line after a pull or push."""
-    file_count, literal, matched = len(rsync_call.moved), rsync_call.literal, rsync_call.matched
+    """Prints the totals of a transfer as one JSON object, or as one line after a pull or push."""
+    file_count, literal_bytes, matched_bytes = len(rsync_call.moved), rsync_call.literal, rsync_call.matched
     if as_json:
         totals = {
             "code": rsync_call.code,
             "error": rsync_call.error,
             "files": file_count,
-            "literal": literal,
-            "matched": matched,
+            "literal": literal_bytes,
+            "matched": matched_bytes,
         }
         click.echo(json.dumps(totals))
     elif verb in TRANSFERS:
-        click.echo(f"{file_count} files, {literal} bytes sent, {matched} matched")
+        click.echo(f"{file_count} files, {literal_bytes} bytes sent, {matched_bytes} matched")
--- a/pebblehinge/cli/stand_ins.py
+++ b/pebblehinge/cli/stand_ins.py
@@ -1,6 +1,6 @@
-"""`pebblehinge storage-node` and `discovery`: the stand-ins.
+"""The commands `pebblehinge storage-node` and `discovery`, which run stand-ins for tests and the lab.
 
-Each one's packages are imported in the functions that use them (see `pebblehinge.cli`).
+The packages of each are imported in the functions that use them (see `pebblehinge.cli`).
 """
 
 from __future__ import annotations
@@ -39,13 +39,17 @@
 
 @main.command(name="storage-node")
 @FILE
-@click.option("--name", help="Which shelf block of the file.")
+@click.option("--name", help="Shelf block of the file.")
 @LOOPBACK
 @RECORDS
 @SEED
-@click.option("--store", type=click.Path(file_okay=False), help="Folder for contents and the journal of effects.")
-@click.option("--cold", is_flag=True, help="It comes back from a crash.")
-@click.option("--release", type=click.IntRange(1, 30), help="It replaces the named shelf, under a further name.")
+@click.option("--store", type=click.Path(file_okay=False), help="Folder for the contents and the journal of effects.")
+@click.option("--cold", is_flag=True, help="Start as after a crash.")
+@click.option(
+    "--release",
+    type=click.IntRange(1, 30),
+    help="Replace the named shelf by its release of this number, under a new name.",
+)
 def storage_node(
     file: str,
     name: str | None,
@@ -91,17 +95,23 @@
         log.warning("limits", why=warning)
     event_log = open_event_log(folder, f"shelf-{name}", loop)
     server = StorageNodeServer(loop, ms_clock(loop), config, name, log, event_log, contents, not cold, seed)
-    return await _until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
+    return await _serve_until_stopped(loop, server, f"shelf {name}: {server.block.listen}")
 
 
-async def _until_stopped(
-    loop: asyncio.AbstractEventLoop, server: DiscoveryServer | StorageNodeServer, what: str
+async def _serve_until_stopped(
+    loop: asyncio.AbstractEventLoop, server: DiscoveryServer | StorageNodeServer, label: str
 ) -> int:
-    """Starts a stand-in, says that it is ready, and stops it on a signal; returns the exit status."""
+    """Runs a stand-in until a signal stops it; returns the exit status.
+
+    Args:
+        loop: Event loop of the server.
+        server: The stand-in, not yet started.
+        label: Name and address in the message of a failed start.
+    """
     try:
         await server.start()
     except OSError as error:
-        exit_with_error(f"{what}: {describe_error(error)}")
+        exit_with_error(f"{label}: {describe_error(error)}")
     stopped = asyncio.Event()
     stop_on_signals(loop, lambda _: stopped.set())
     print_ready()
@@ -117,7 +127,7 @@
 @RECORDS
 @SEED
 def discovery(file: str, loopback: str | None, records: str | None, seed: int) -> None:
-    """Run the stand-in node list."""
+    """Run the stand-in discovery service."""
     config = read_settings(file, loopback)
     log = configure_logger(config.log, listing=config.listing.listen)
     run(lambda loop: _run_discovery(loop, config, records, seed, log))
@@ -132,9 +142,9 @@
     from pebblehinge.daemon.open_files import needed_open_files, raise_open_file_limit  # noqa: PLC0415
     from pebblehinge.discovery import DiscoveryServer  # noqa: PLC0415
 
-    wanted = needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
-    if warning := raise_open_file_limit(wanted):
+    needed_files = needed_open_files("listing", gateways=len(config.head), storage_nodes=len(config.shelf))
+    if warning := raise_open_file_limit(needed_files):
         log.warning("limits", why=warning)
     event_log = open_event_log(folder, "listing", loop)
     server = DiscoveryServer(loop, ms_clock(loop), config, log, event_log, seed)
-    return await _until_stopped(loop, server, f"listing: {config.listing.listen}")
+    return await _serve_until_stopped(loop, server, f"listing: {config.listing.listen}")
--- a/pebblehinge/cli/store.py
+++ b/pebblehinge/cli/store.py
@@ -1,6 +1,6 @@
-"""`pebblehinge store`: a journal looked at, verified, exported, replayed.
+"""The commands `pebblehinge store`: inspect, verify, export and replay a gateway's journal.
 
-Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+Packages that only one command needs are imported in the function that uses them (see `pebblehinge.cli`).
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
     from pebblehinge.store.records import Write
 
 REQUEST_DEADLINE_MS = 4000.0
-"""The deadline of each request of a replay."""
+"""Deadline of each request of a replay."""
 MAX_ATTEMPTS = 50
-"""Of a replay for each write."""
+"""Maximum number of attempts for each replayed write."""
 MIN_RETRY_DELAY_S = 0.1
 MAX_SHOWN_WRITES = 20
 
 
 @main.group()
 def store() -> None:
-    """A head's journal, read elsewhere: for a head that will not come back."""
+    """Inspect and recover the journal of a head that will not return."""
 
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
 def read_journal(folder: str) -> tuple[RealDisk, Inspection]:
-    """Returns a folder's disk and what its journal holds; changes nothing."""
+    """Returns a folder's disk and the contents of its journal, without changing it."""
     from pebblehinge.store import RealDisk  # noqa: PLC0415
     from pebblehinge.store.inspection import inspect_journal  # noqa: PLC0415
 
@@ -51,14 +51,14 @@
 @FOLDER
 @AS_JSON
 def store_inspect(folder: str, as_json: bool) -> None:
-    """What FOLDER holds: nothing is changed."""
+    """Show the contents of the journal in FOLDER, without changing it."""
     _, inspection = read_journal(folder)
     live = len(inspection.writes)
     live_bytes = sum(len(write.data) for write in inspection.writes)
     if as_json:
         fields = ("segments", "bytes", "fenced", "damage", "done", "barriers")
-        shown = {name: getattr(inspection, name) for name in fields} | {"live": live, "live_bytes": live_bytes}
-        click.echo(json.dumps(shown))
+        report = {name: getattr(inspection, name) for name in fields} | {"live": live, "live_bytes": live_bytes}
+        click.echo(json.dumps(report))
         return
     click.echo(
         f"{inspection.segments} segments, {inspection.bytes} bytes; {live} writes not yet at their shelfs "
@@ -75,7 +75,7 @@
 @store.command(name="verify")
 @FOLDER
 def store_verify(folder: str) -> None:
-    """Exit 0 where all that was promised can be read, 1 and the places where not."""
+    """Check that every promised write in FOLDER can be read: exit 0, or 1 with the place of the damage."""
     from pebblehinge.store import StorageError  # noqa: PLC0415
     from pebblehinge.store.segment import read_segment  # noqa: PLC0415
 
@@ -94,7 +94,7 @@
 @FOLDER
 @click.argument("target", type=click.Path(file_okay=False))
 def store_export(folder: str, target: str) -> None:
-    """Write what can be read of FOLDER's live writes to files below TARGET: VOLUME/EXTENT, by offset."""
+    """Write the readable live writes of FOLDER to files TARGET/VOLUME/EXTENT, at their offsets."""
     _, inspection = read_journal(folder)
     for write in inspection.writes:
         path = Path(target) / write.volume / write.extent.replace("/", "%2F")
@@ -109,9 +109,9 @@
 @store.command(name="replay")
 @FOLDER
 @click.argument("address", metavar="HOST:PORT")
-@click.option("--profile", required=True, help="Of the accesses.")
+@click.option("--profile", required=True, help="Profile of the accesses.")
 def store_replay(folder: str, address: str, profile: str) -> None:
-    """Fence FOLDER, then bring its live writes through the head at HOST:PORT, in order, each once."""
+    """Fence FOLDER, then replay its live writes through the head at HOST:PORT, in order, each once."""
     from pebblehinge.client import connect  # noqa: PLC0415
     from pebblehinge.store import StorageError  # noqa: PLC0415
     from pebblehinge.store.journal import fence  # noqa: PLC0415
@@ -120,7 +120,7 @@
     try:
         disk.acquire_lock()
     except StorageError as error:
-        exit_with_error(f"{error}: a head that runs brings its writes itself")
+        exit_with_error(f"{error}: a running head replays its writes itself")
     if inspection.damage and any("promised" in line for line in inspection.damage):
         click.echo("\n".join(inspection.damage), err=True)
     fence(disk, f"replay through {address}")
@@ -131,7 +131,7 @@
         for write in inspection.writes:
             outcome, reply = await replay_write(client, write, profile)
             if outcome is ReplayOutcome.FAILED:
-                click.echo(f"write {write.number} could not be brought: {reply.final} {reply.reason}", err=True)
+                click.echo(f"write {write.number} could not be replayed: {reply.final} {reply.reason}", err=True)
                 return 1
             replayed_count += outcome is ReplayOutcome.BROUGHT
         client.close()
@@ -142,7 +142,13 @@
 
 
 class ReplayOutcome(Enum):
-    """What became of a write of the journal."""
+    """Outcome of the replay of one write.
+
+    Attributes:
+        BROUGHT: The write was replayed.
+        STOOD_ALREADY: The storage node held the data already.
+        FAILED: All attempts failed.
+    """
 
     BROUGHT = auto()
     STOOD_ALREADY = auto()
@@ -150,15 +156,15 @@
 
 
 async def replay_write(client: Client, write: Write, profile: str) -> tuple[ReplayOutcome, Result]:
-    """Writes what a journal holds through a gateway, unless a read shows that it is there; retries both.
+    """Replays a write of a journal through a gateway unless a read shows that the data is stored; retries both.
 
     Args:
-        client: Is connected to the gateway.
-        write: Of the journal.
-        profile: The requests' class.
+        client: Client connected to the gateway.
+        write: Write of the journal.
+        profile: Request class of the reads and writes.
 
     Returns:
-        What became of it, and the last reply.
+        The outcome and the last reply.
     """
 
     async def read() -> Result:
--- a/pebblehinge/cli/trials.py
+++ b/pebblehinge/cli/trials.py
@@ -1,6 +1,6 @@
-"""`pebblehinge lab`: searches, models, crashes, reports, comparisons.
+"""The commands of `pebblehinge lab` that search, model, crash, attribute causes, report and compare.
 
-Packages of one command are imported in the function that uses them (see `pebblehinge.cli`).
+Packages that only one command needs are imported in the function that uses them (see `pebblehinge.cli`).
 """
 
 from __future__ import annotations
@@ -33,26 +33,30 @@
     from pebblehinge.lab.search import Find
 
 MAX_SAVED_FAILING_DAYS = 5
-"""How many days with a broken rule or a fault a search saves."""
+"""Maximum number of days with a broken rule or a fault that a search saves."""
 MAX_SAVED_SLOW_DAYS = 2
-"""How many days it saves where none is broken: those of the worst service."""
+"""Maximum number of days with the worst service that a search saves if no day has a broken rule or a fault."""
 SHRINK_SERVICE_TOLERANCE = 0.03
-"""By how much the service of a shrunk day may be better than that of the find."""
+"""How much better the service of a shrunk day may be than that of the original find."""
 
 
 @lab.command(name="search")
 @click.argument("name", default="quiet")
-@click.option("--days", type=click.IntRange(1, 100_000), default=40, show_default=True, help="How many are drawn.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of the first day drawn.")
-@click.option("--length", type=click.IntRange(4, 600), default=20, show_default=True, help="Seconds of a day.")
-@click.option("--save", "folder", type=click.Path(file_okay=False), help="Shrink and save finds as day files here.")
+@click.option("--days", type=click.IntRange(1, 100_000), default=40, show_default=True, help="Number of days to draw.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
+@click.option(
+    "--length", type=click.IntRange(4, 600), default=20, show_default=True, help="Length of a day, in seconds."
+)
+@click.option(
+    "--save", "folder", type=click.Path(file_okay=False), help="Folder in which to save shrunk finds as day files."
+)
 @JOBS
 @AS_JSON
 @QUIET
 def search_days(
     name: str, days: int, seed: int, length: int, folder: str | None, jobs: int | None, as_json: bool, quiet: bool
 ) -> None:
-    """Draw days with overlapping troubles on the fleet of day NAME, and hunt for broken rules and the worst service."""
+    """Draw days with overlapping faults on the fleet of day NAME; search for broken rules and the worst service."""
     from pebblehinge.lab import search as day_search  # noqa: PLC0415
 
     path, _ = find_day(name)
@@ -99,15 +103,23 @@
 
 
 @lab.command(name="model")
-@click.option("--terms", type=click.IntRange(1, 5), default=1, show_default=True, help="Elections that may begin.")
+@click.option("--terms", type=click.IntRange(1, 5), default=1, show_default=True, help="Maximum number of elections.")
 @click.option("--proposals", type=click.IntRange(0, 5), default=1, show_default=True)
 @click.option("--crashes", type=click.IntRange(0, 5), default=1, show_default=True)
 @click.option("--beats", type=click.IntRange(0, 5), default=0, show_default=True, help="Heartbeats beyond appends.")
-@click.option("--way", type=click.IntRange(1, 20), default=3, show_default=True, help="Messages on their way at once.")
-@click.option("--states", type=click.IntRange(10, 10_000_000), default=100_000, show_default=True, help="At most.")
+@click.option(
+    "--way", type=click.IntRange(1, 20), default=3, show_default=True, help="Maximum number of messages in flight."
+)
+@click.option(
+    "--states",
+    type=click.IntRange(10, 10_000_000),
+    default=100_000,
+    show_default=True,
+    help="Maximum number of states.",
+)
 @QUIET
 def model(terms: int, proposals: int, crashes: int, beats: int, way: int, states: int, quiet: bool) -> None:
-    """Every order of events of three Raft instances, within bounds."""
+    """Explore every order of events of three Raft instances, within bounds."""
     from pebblehinge.raft.errors import SafetyViolationError  # noqa: PLC0415
     from pebblehinge.raft.model import Bounds, explore  # noqa: PLC0415
 
@@ -118,7 +130,7 @@
         click.echo(str(error))
         sys.exit(1)
     except KeyboardInterrupt:
-        exit_with_error("interrupted: nothing broken so far")
+        exit_with_error("interrupted: no violation found so far")
     extent = "all within the bounds" if exploration.complete else "as many as were asked"
     click.echo(f"{exploration.states} states, {exploration.transitions} transitions, {extent}")
 
@@ -126,11 +138,11 @@
 @lab.command(name="crash")
 @click.option("--rounds", type=click.IntRange(1, 100_000), default=20, show_default=True)
 @SEED
-@click.option("--virtual", is_flag=True, help="In virtual time, with a disk that loses what was not synced.")
+@click.option("--virtual", is_flag=True, help="Run in virtual time, with a disk that loses unsynced data.")
 @AS_JSON
-@click.option("--quiet", is_flag=True, help="No progress.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 def crash_rounds(rounds: int, seed: int, virtual: bool, as_json: bool, quiet: bool) -> None:
-    """Kill a head at random moments under buffered writes; every confirmed one must stand exactly once."""
+    """Kill a head at random times under buffered writes; check that each confirmed write is applied exactly once."""
     from concurrent.futures import ProcessPoolExecutor  # noqa: PLC0415
 
     from pebblehinge.lab.crash import verdict  # noqa: PLC0415
@@ -160,40 +172,31 @@
 @lab.command(name="blame")
 @click.option("--days", type=click.IntRange(1, 10_000), default=50, show_default=True)
 @SEED
-@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Parallel processes; else all cores.")
+@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Parallel processes; default: one per core.")
 @AS_JSON
 def blame_days(days: int, seed: int, jobs: int | None, as_json: bool) -> None:
-    """Draw days with a slow shelf, a noisy tenant or both: does the account name the right cause?"""
+    """Draw days with a slow shelf, a noisy tenant or both; check that the wait accounting names the right cause."""
     from concurrent.futures import ProcessPoolExecutor  # noqa: PLC0415
 
     from pebblehinge.lab import blame  # noqa: PLC0415
 
     with ProcessPoolExecutor(worker_count(jobs)) as executor:
         results = list(executor.map(blame.drawn, range(seed, seed + days)))
-    misjudged_days = [d for d in results if not d["right"]]
+    misses = [d for d in results if not d["right"]]
     if as_json:
-        click.echo(
-            json.dumps(
-                {
-                    "days": days,
-                    "right": days - len(misjudged_days),
-                    "wrong": len(misjudged_days),
-                    "which": misjudged_days[:20],
-                }
-            )
-        )
+        click.echo(json.dumps({"days": days, "right": days - len(misses), "wrong": len(misses), "which": misses[:20]}))
     else:
-        click.echo(f"{days} days, {days - len(misjudged_days)} right")
-        for day in misjudged_days[:20]:
+        click.echo(f"{days} days, {days - len(misses)} right")
+        for day in misses[:20]:
             click.echo(f"  seed {day['seed']}: {', '.join(day['wanted'])}; named were {', '.join(day['named'])}")
-    sys.exit(1 if misjudged_days else 0)
+    sys.exit(1 if misses else 0)
 
 
 @lab.command(name="report")
 @click.argument("records", type=click.Path(file_okay=False))
-@click.option("-o", "--output", required=True, type=click.Path(dir_okay=False), help="The HTML file.")
+@click.option("-o", "--output", required=True, type=click.Path(dir_okay=False), help="HTML file to write.")
 def report(records: str, output: str) -> None:
-    """One self-contained HTML file from a day's RECORDS."""
+    """Write one self-contained HTML report from a day's RECORDS."""
     from pebblehinge.lab.report import page  # noqa: PLC0415
     from pebblehinge.lab.verdict import summary  # noqa: PLC0415
 
@@ -209,15 +212,17 @@
 @lab.command(name="compare")
 @click.argument("a")
 @click.argument("b")
-@click.option("--seeds", type=click.IntRange(2, 1000), default=8, show_default=True, help="Pairs of days.")
-@click.option("--build-a", type=click.Path(file_okay=False), help="Checkout of the build that plays A; else this one.")
+@click.option("--seeds", type=click.IntRange(2, 1000), default=8, show_default=True, help="Number of pairs of days.")
+@click.option(
+    "--build-a", type=click.Path(file_okay=False), help="Checkout of the build that plays A; default: this one."
+)
 @click.option("--build-b", type=click.Path(file_okay=False), help="The same for B.")
 @JOBS
 @AS_JSON
 def compare_days(
     a: str, b: str, seeds: int, build_a: str | None, build_b: str | None, jobs: int | None, as_json: bool
 ) -> None:
-    """Day A against day B (two settings) or one day by two builds, with confidence from repeated seeds."""
+    """Compare day A with day B, or one day on two builds, with confidence intervals from repeated seeds."""
     from pebblehinge.lab.compare import build_root, compare  # noqa: PLC0415
 
     paths = [str(find_day(name)[0].resolve()) for name in (a, b)]
--- a/tests/command_line.py
+++ b/tests/command_line.py
@@ -1,4 +1,4 @@
-"""Runs the command line in a process of its own, for tests; where the shipped days lie."""
+"""Runs the command line in a separate process, for tests; path of the built-in days."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 DAYS_FOLDER = Path("pebblehinge/lab/days")
 
 
-def run_command(*words: str, **options: Any) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str, **options: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "pebblehinge", *words],
+        [sys.executable, "-m", "pebblehinge", *arguments],
         capture_output=True,
         text=True,
         timeout=100,
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: wrong use, help, settings read again by signal."""
+"""Tests of the command line: usage errors, help, and the reload of the settings by signal."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "text", "message"),
+    ("arguments", "settings_text", "message"),
     [
         (["check", "FILE"], "rulez {\n}\n", "FILE:1:1: unknown directive 'rulez': expected rules"),
         (["check", "nowhere.conf"], "", "nowhere.conf can't be read"),
@@ -39,27 +39,29 @@
         (["head"], "", "Missing argument"),
     ],
 )
-def test_wrong_use_is_one_plain_line_and_exit_2(tmp_path: Path, words: list[str], text: str, message: str) -> None:
+def test_usage_errors_exit_with_2_and_a_message_without_traceback(
+    tmp_path: Path, arguments: list[str], settings_text: str, message: str
+) -> None:
     path = tmp_path / "f.conf"
-    path.write_text(text)
-    result = run_command(*(w.replace("FILE", str(path)) for w in words))
+    path.write_text(settings_text)
+    result = run_command(*(argument.replace("FILE", str(path)) for argument in arguments))
     assert result.returncode == 2 and "Traceback" not in result.stderr
     assert message.replace("FILE", str(path)) in result.stderr, result.stderr
 
 
-def test_help_version_and_check_are_there() -> None:
+def test_help_version_and_check_succeed() -> None:
     assert run_command("version").stdout.startswith("pebblehinge ")
-    for words in ([], ["head"], ["shelf"], ["listing"], ["check"], ["lab"], ["lab", "day"], ["lab", "load"]):
-        result = run_command(*words, "--help")
+    for arguments in ([], ["head"], ["shelf"], ["listing"], ["check"], ["lab"], ["lab", "day"], ["lab", "load"]):
+        result = run_command(*arguments, "--help")
         assert result.returncode == 0 and "Usage:" in result.stdout
     shown = run_command("check", "--show", str(DAYS_FOLDER / "bad-day.conf"))
     assert shown.returncode == 0 and "# default" in shown.stdout
 
 
-def test_settings_are_read_again_by_signal_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_reloads_settings_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     path = tmp_path / "head.conf"
-    text = GATEWAY_SETTINGS.replace("127.0.0.1:1", f"{LOOPBACK}:7999") + "log {\n    form json\n}\n"
-    path.write_text(text)
+    settings_text = GATEWAY_SETTINGS.replace("127.0.0.1:1", f"{LOOPBACK}:7999") + "log {\n    form json\n}\n"
+    path.write_text(settings_text)
     with (tmp_path / "log").open("wb") as log:
         process = subprocess.Popen(
             [sys.executable, "-m", "pebblehinge", "head", str(path)], stdout=subprocess.PIPE, stderr=log
@@ -76,10 +78,10 @@
                 time.sleep(0.02)
             return []
 
-        path.write_text(text.replace("expected", "expecting"))
+        path.write_text(settings_text.replace("expected", "expecting"))
         process.send_signal(signal.SIGHUP)
         assert "'expecting'" in str(logged_events("settings stay as they were"))
-        path.write_text(text.replace("100ms", "200ms"))
+        path.write_text(settings_text.replace("100ms", "200ms"))
         process.send_signal(signal.SIGHUP)
         assert logged_events("settings taken up")
         process.terminate()
--- a/tests/test_command_names.py
+++ b/tests/test_command_names.py
@@ -1,4 +1,4 @@
-"""Commands carry the standard names; the former ones go on unlisted, since units and scripts out there use them."""
+"""Tests of command names: the former names still work, unlisted, since service units and scripts use them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def listed_commands() -> set[str]:
-    """The commands that `pebblehinge --help` names."""
+    """Returns the commands that `pebblehinge --help` lists."""
     result = CliRunner().invoke(main, ["--help"])
     assert result.exit_code == 0
     commands = result.output.split("Commands:")[1].splitlines()
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("former", FORMER_NAMES)
-def test_a_former_name_does_what_the_command_does_and_is_not_listed(former: str) -> None:
+def test_former_name_runs_the_same_command_and_is_not_listed(former: str) -> None:
     current = FORMER_NAMES[former]
     command, alias = main.commands[current], main.commands[former]
     assert alias.hidden and not command.hidden
@@ -30,14 +30,14 @@
 
 
 @pytest.mark.parametrize("name", [*FORMER_NAMES, *FORMER_NAMES.values()])
-def test_a_missing_file_is_one_line_under_either_name(name: str) -> None:
+def test_missing_file_is_reported_under_current_and_former_names(name: str) -> None:
     result = CliRunner().invoke(main, [name, "no-such-file.conf"])
     assert result.exit_code == 2
     assert "no-such-file.conf" in result.output
 
 
-def test_an_alias_is_a_command_of_its_own() -> None:
-    """Hiding the alias must not hide the command: both are objects of their own."""
+def test_alias_is_a_separate_command_object() -> None:
+    """Guards against a shared object: hiding the alias would then hide the command too."""
     for former, current in FORMER_NAMES.items():
         assert isinstance(main.commands[former], click.Command)
         assert main.commands[former] is not main.commands[current]
--- a/tests/test_config_commands.py
+++ b/tests/test_config_commands.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("command", "parts"), STORED_FORMS, ids=[parts[0] for _, parts in STORED_FORMS])
-def test_a_command_keeps_its_stored_form(command: AnyCommand, parts: tuple[object, ...]) -> None:
+def test_command_keeps_its_stored_form(command: AnyCommand, parts: tuple[object, ...]) -> None:
     assert encode_command(command) == stored_form(*parts)
     assert decode_command(stored_form(*parts)) == command
 
@@ -45,12 +45,12 @@
 @pytest.mark.parametrize(
     "parts", [("begin",), ("forget",), ("forget", "h1", "h2"), ("forget", 1), (), ("activate", 1, {"v": (1.0,)}, 2)]
 )
-def test_decoding_fails_for_a_stored_form_of_no_command(parts: tuple[object, ...]) -> None:
+def test_decoding_rejects_invalid_stored_forms(parts: tuple[object, ...]) -> None:
     with pytest.raises(msgspec.DecodeError):
         decode_command(stored_form(*parts))
 
 
-def test_a_result_is_stored_as_its_reason() -> None:
+def test_result_is_stored_as_its_reason() -> None:
     assert CommandResult().stored_reason() == "" and CommandResult.from_stored("") == CommandResult()
     rejection = CommandResult(StaleBaseError(1, 2))
     restored = CommandResult.from_stored(rejection.stored_reason())
