--- a/pebblehinge/cli/base.py
+++ b/pebblehinge/cli/base.py
@@ -102,7 +102,7 @@
     Args:
         folder: Folder of the records; None if none are kept.
         name: Name of the process and of its file.
-        loop: Event loop, which writes events at the end of the iteration in which they occur.
+        loop: Event loop, which writes events after the callbacks that are ready when they occur.
         on_failure: Called with the error of the first event that can't be written.
 
     Raises:
--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -62,9 +62,8 @@
     from pebblehinge.lab.check import DayFacts  # noqa: PLC0415
 
     facts = DayFacts.read(folder, config)
-    assert isinstance(
-        facts, DayFacts
-    )  # `read` is a class method of the base class and returns an instance of the class it is called on.
+    # `read` is declared in the base class; it returns an instance of the class on which it is called.
+    assert isinstance(facts, DayFacts)
     return facts
 
 
@@ -83,7 +82,7 @@
 def read_fault_script(
     config: Config, day_name: str, file: str | None, count: int | None, seed: int
 ) -> list[Fault] | None:
-    """Returns the faults of a run, drawn or read from a file; None if there are to be none."""
+    """Returns the faults of a run, drawn or read from a file; None if the fleet is not prepared for faults."""
     from pebblehinge.lab.faults.draw import cast_of, draw  # noqa: PLC0415
     from pebblehinge.lab.faults.script import ScriptError, read  # noqa: PLC0415
 
