--- a/pebblehinge/cli/days.py
+++ b/pebblehinge/cli/days.py
@@ -1,4 +1,4 @@
-"""`pebblehinge lab`: days, loads, records.
+"""The command group `pebblehinge lab`, with the commands that play a day and check its records.
 
 The laboratory's packages are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -26,7 +26,7 @@
 from pebblehinge.settings import Config
 
 MAX_TRIAL_REQUESTS = 400_000
-"""Requests of the longest trial that this program is ready to play."""
+"""Maximum number of requests in a capacity planner's trial; more would take too long."""
 VIRTUAL_LOOPBACK = "127.0.0.1"
 BUILT_IN = Path(__file__).parent.parent / "lab" / "days"
 
@@ -38,11 +38,11 @@
 
 @main.group()
 def lab() -> None:
-    """The laboratory: scripted days, load, and the checker of the rules."""
+    """Run scripted days and load in the laboratory, and check the rules."""
 
 
 def load_day_facts(records: str) -> DayFacts:
-    """Returns what a folder of records holds of its day; exits where it holds none or can't be read."""
+    """Returns the facts of a day from its folder of records; exits if they are missing or unreadable."""
     folder = Path(records)
     if not (folder / "day.conf").is_file():
         exit_with_error(f"{records} holds no day.conf: expected the records of a day")
@@ -57,31 +57,32 @@
     """Reads the records of a day.
 
     Raises:
-        EventLogError: They can't be read.
+        EventLogError: If they can't be read.
     """
     from pebblehinge.lab.check import DayFacts  # noqa: PLC0415
 
     facts = DayFacts.read(folder, config)
-    assert isinstance(facts, DayFacts)  # `read` is of the base class, and makes what it is called on
+    # `read` is declared in the base class; it returns an instance of the class on which it is called.
+    assert isinstance(facts, DayFacts)
     return facts
 
 
 def find_day(name: str) -> tuple[Path, str | None]:
-    """Returns a day's file, by its path or by the name of one that ships, and that name; exits where there is none."""
+    """Returns the file of a day, given by path or by built-in name, and the built-in name; exits if there is none."""
     path = Path(name)
     if path.is_file():
         return path, None
     built_in = BUILT_IN / f"{name}.conf"
     if not built_in.is_file():
-        known = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
-        exit_with_error(f"no day {name!r}: expected a file, or one of {known}")
+        built_in_days = ", ".join(sorted(p.stem for p in BUILT_IN.glob("*.conf") if not p.stem.startswith("_")))
+        exit_with_error(f"no day {name!r}: expected a file, or one of {built_in_days}")
     return built_in, name
 
 
 def read_fault_script(
     config: Config, day_name: str, file: str | None, count: int | None, seed: int
 ) -> list[Fault] | None:
-    """Returns the faults of a run, drawn or from a file; None: the fleet is not prepared for any."""
+    """Returns the faults of a run, drawn or read from a file; None if the fleet is not prepared for faults."""
     from pebblehinge.lab.faults.draw import draw, participants_of  # noqa: PLC0415
     from pebblehinge.lab.faults.script import ScriptError, read  # noqa: PLC0415
 
@@ -100,13 +101,15 @@
 
 @lab.command()
 @click.argument("name", default="bad-day")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Start of all chance.")
-@click.option("--json", "as_json", is_flag=True, help="Print one object.")
-@click.option("--records", type=click.Path(file_okay=False), help="Keep the records in this folder.")
-@click.option("--quiet", is_flag=True, help="No progress.")
-@click.option("--virtual", is_flag=True, help="In one process and in virtual time, instead of processes on sockets.")
-@click.option("--faults", type=click.Path(dir_okay=False), help="A script of faults between and in processes.")
-@click.option("--draw-faults", type=click.IntRange(1, 100), help="Draw so many faults by the seed instead.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the random generators.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+@click.option("--records", type=click.Path(file_okay=False), help="Folder in which to keep the records.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
+@click.option("--virtual", is_flag=True, help="Run in one process in virtual time, instead of processes on sockets.")
+@click.option(
+    "--faults", type=click.Path(dir_okay=False), help="Script of faults in processes and on the links between them."
+)
+@click.option("--draw-faults", type=click.IntRange(1, 100), help="Draw this many faults from the seed instead.")
 def day(
     name: str,
     seed: int,
@@ -117,7 +120,7 @@
     faults: str | None,
     draw_faults: int | None,
 ) -> None:
-    """Play a day, NAME or FILE, with a fleet of processes, and judge the rules from what crossed the sockets."""
+    """Play a day, given as NAME or FILE, with a fleet of processes, and check the rules from its traffic records."""
     from pebblehinge.lab import simulated_fleet  # noqa: PLC0415
     from pebblehinge.lab.days import DayError  # noqa: PLC0415
     from pebblehinge.lab.processes import ProcessFleet, own_loopback  # noqa: PLC0415
@@ -130,10 +133,10 @@
     if records is not None and any(Path(records).glob("*.jsonl")):
         exit_with_error(f"{records} holds records of another day already")
     progress = progress_printer(quiet)
-    script = read_fault_script(config, day_name, faults, draw_faults, seed)
+    fault_script = read_fault_script(config, day_name, faults, draw_faults, seed)
 
     async def play(loop: asyncio.AbstractEventLoop, folder: Path) -> dict[str, Any]:
-        stage = ProcessFleet(loop, config, path, day_name, seed, folder, loopback, progress, script)
+        stage = ProcessFleet(loop, config, path, day_name, seed, folder, loopback, progress, fault_script)
         try:
             return await stage.play()
         finally:
@@ -143,23 +146,27 @@
         folder = Path(records or temporary)
         try:
             if virtual:
-                stage, more = simulated_fleet.play(config, day_name, seed, progress, script=script)
+                stage, outcome = simulated_fleet.play(config, day_name, seed, progress, script=fault_script)
                 if records is not None:
                     stage.write(folder)
                 facts = stage.facts()
             else:
                 with asyncio.Runner() as runner:
-                    more = runner.run(play(runner.get_loop(), folder))
+                    outcome = runner.run(play(runner.get_loop(), folder))
                 facts = read_day(folder, config)
         except (DayError, EventLogError, OSError) as error:
             exit_with_error(describe_error(error))
-        extras = {"faults": more["faults"], "load_late_ms": round(more["late_ms"], 1), **more.get("script", {})}
+        extras = {
+            "faults": outcome["faults"],
+            "load_late_ms": round(outcome["late_ms"], 1),
+            **outcome.get("script", {}),
+        }
         verdict = summary(facts, day_name, seed, extras)
     sys.exit(0 if show_verdict(verdict, config.day[day_name].goal, as_json) else 1)
 
 
 def show_verdict(verdict: dict[str, Any], goal: float, as_json: bool) -> bool:
-    """Prints the summary of a day; returns whether the rules were kept and the goal met, without a fault."""
+    """Prints the summary of a day; returns whether all rules hold and the goal is met, without a fault."""
     from pebblehinge.lab.verdict import all_checks_pass, summary_lines  # noqa: PLC0415
 
     missed: bool = verdict["service"] < goal
@@ -171,9 +178,9 @@
 
 @lab.command(name="check")
 @click.argument("records", type=click.Path(file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="Print one object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def check_records(records: str, as_json: bool) -> None:
-    """Judge the rules again from a day's RECORDS."""
+    """Check the rules again from a day's RECORDS."""
     from pebblehinge.lab.verdict import all_checks_pass, summary, summary_lines  # noqa: PLC0415
 
     facts = load_day_facts(records)
--- a/pebblehinge/cli/gateway_config.py
+++ b/pebblehinge/cli/gateway_config.py
@@ -1,4 +1,4 @@
-"""A gateway's link to the group that replicates configuration.
+"""Connects a gateway to the group that replicates configuration.
 
 Packages that only a gateway needs are imported in the functions that use them (see `pebblehinge.cli`).
 """
@@ -28,16 +28,16 @@
 ) -> ConfigWatcher:
     """Connects a gateway to the group that replicates its configuration.
 
-    Until the group has sent a version, the file's own settings are in force, under the floor that holds for a gateway
-    without a lease.
+    Until the group has sent a version, the settings of the file apply, with every limit reduced to the floor,
+    the share of a gateway without a lease.
 
     Args:
-        loop: Runs the watcher.
+        loop: Event loop of the watcher.
         config: The settings of the file, with the group's members.
-        name: The gateway's block in them.
-        server: Adopts each version.
-        version_file: Path of the last agreed version, read now and replaced with each later one; None: it isn't kept.
-        log: Hears of versions and of faults.
+        name: Name of the gateway's block.
+        server: Gateway that applies each version.
+        version_file: Path of the last agreed version, read now and replaced by each later one; None to keep none.
+        log: Receives messages about versions and faults.
 
     Returns:
         The watcher, not yet started.
@@ -56,16 +56,17 @@
             application = VersionApplication.restore(name, floor, path.read_bytes())
         except (OSError, ValueError) as error:
             exit_with_error(
-                f"head {name}: {path} can't be used ({describe_error(error)}); without it the head begins anew"
+                f"head {name}: {path} can't be used ({describe_error(error)}); "
+                "without it the head starts with no agreed version"
             )
 
     def save_version(data: bytes) -> None:
         if path is not None:
             RealDisk(path.parent).replace(path.name, data)
 
-    def apply_version(new: Config, mode: str) -> None:
+    def apply_version(new_config: Config, mode: str) -> None:
         server.config_status = {"version": application.active, "pending": application.pending, "mode": mode}
-        server.apply_config(new)
+        server.apply_config(new_config)
 
     server.apply_config(config_without_lease(config, floor))
     return ConfigWatcher(
