--- a/pebblehinge/lab/faults/__init__.py
+++ b/pebblehinge/lab/faults/__init__.py
@@ -1,5 +1,8 @@
-"""Faults between processes and in them: `script` reads and writes lines, `draw` draws and shrinks them, `ways` says
-what holds between two ends, `player` does the steps on a ground, `relay` and `under` are the ground of processes."""
+"""Fault injection for links and processes of a fleet.
+
+`script` parses and formats fault scripts, `draw` generates and shrinks them, `link_faults` computes the state of each
+link, `player` applies the steps to a target; `relay` and `process_environment` inject faults into real processes.
+"""
 
 from pebblehinge.lab.faults.script import Fault, ScriptError, Step, read, steps, write
 
--- a/pebblehinge/lab/faults/draw.py
+++ b/pebblehinge/lab/faults/draw.py
@@ -1,4 +1,4 @@
-"""Scripts drawn by seed, and shrunk to the fewest lines that still show something. No I/O and no clock."""
+"""Random fault scripts by seed, and their reduction to the fewest lines that reproduce a failure. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pebblehinge.lab.faults.script import BOTH, KINDS, PROCESS, Fault, read, write
 from pebblehinge.settings import Config
 
-# How long a drawn fault lasts, ms, and its figure: from mild to strong.
+# Ranges of a generated fault: its duration in ms, and its magnitude in the unit of its kind.
 LONG = {"kill": (300.0, 4000.0), "freeze": (100.0, 6000.0)}
 USUAL = (400.0, 5000.0)
 BY = {
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Participants:
-    """Who there is. Disks and clocks are struck at heads and instances alone: shelfs and loads are the judge's eyes."""
+    """Processes of a fleet. Disk and clock faults hit gateways and members only: nodes and loads supply evidence."""
 
     heads: tuple[str, ...]
     shelfs: tuple[str, ...] = ()
     members: tuple[str, ...] = ()
-    rest: tuple[str, ...] = ()  # the list, loads
-    together: bool = False  # heads speak to each other, by datagrams too
+    rest: tuple[str, ...] = ()  # discovery and load processes
+    together: bool = False  # gateways send each other messages and datagrams
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -41,13 +41,13 @@
 
 
 def participants_of(config: Config) -> Participants:
-    """Everyone who stands in a day's settings."""
+    """Returns all processes of a day's settings."""
     loads = tuple(f"load{n + 1}" for n in range(config.load.processes))
     return Participants(tuple(config.head), tuple(config.shelf), tuple(config.member), ("listing", *loads))
 
 
 def draw(cast: Participants, seed: int, length_ms: float, count: int = 6, without: tuple[str, ...] = ()) -> list[Fault]:
-    """So many faults that overlap in the middle of a run, all over before its last eighth."""
+    """Generates `count` faults that overlap in the middle of a run and end before its last eighth."""
     rng = random.Random(f"{seed}/faults")
     kinds = [k for k in KINDS if k not in without and (cast.together or k not in DATAGRAMS)]
     own = [*cast.heads, *cast.members]
@@ -64,19 +64,19 @@
         if form == PROCESS:
             pool = own if kind not in ("kill", "freeze") else [*own, *cast.shelfs]
             some = tuple(rng.sample(pool, min(len(pool), rng.choice((1, 1, 2)))))
-            if kind == "kill" and all(n in cast.heads for n in some):  # an instance that forgets is beyond Raft
+            if kind == "kill" and all(n in cast.heads for n in some):  # Raft members must keep state
                 folder = rng.choice(("", "", "old", "empty"))
                 old = round(rng.uniform(0.1, 0.9) * at) if folder == "old" else 0
         else:
             some, others = _sides(cast, rng, form == BOTH and kind == "cut")
         if (last or not lasts) and (by or unit is None):
             found.append(Fault(float(at), kind, some, others, by, float(last), folder, float(old)))
-    # Written and read: what is played is what its text says.
+    # Formatting and parsing makes the played script equal to its text.
     return read(write(found), cast.names)
 
 
 def _sides(cast: Participants, rng: random.Random, halves: bool) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Two ends that speak to each other; for cuts, now and then the fleet in two."""
+    """Picks two processes that communicate; for cuts, sometimes splits the fleet in two."""
     if halves and rng.random() < 0.4 and len(cast.heads) > 1:
         everyone = [*cast.heads, *cast.members]
         rng.shuffle(everyone)
@@ -92,8 +92,10 @@
 
 
 def shrink(faults: list[Fault], shows: Callable[[list[Fault]], bool], tries: int = 200) -> list[Fault]:
-    """The same with as many lines left out as can be, in halves, then one by one. `shows` plays a script and says
-    whether what was found is still there; it is called at most so often."""
+    """Removes as many faults as possible, in halves, then one by one.
+
+    `shows` plays a script and returns whether the failure still occurs; it is called at most `tries` times.
+    """
     size = max(1, len(faults) // 2)
     while tries:
         at, gone = 0, False
--- a/pebblehinge/lab/faults/ground.py
+++ b/pebblehinge/lab/faults/ground.py
@@ -1,4 +1,4 @@
-"""The ground of processes: a relay between them, a launcher under each, a copy of a folder now and then."""
+"""Fault target of real processes: a relay between them, a launcher for each, and copies of their folders."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from pebblehinge.lab.fleet import release_address
 from pebblehinge.settings import Config
 
-RELEASES = 8  # further addresses of one shelf's slot that are known by the shelf's name
+RELEASES = 8  # addresses of successive processes of a node that map to the node's name
 
 
 def names_by_address(config: Config) -> dict[str, str]:
-    """Whose each listening address is."""
+    """Returns the name of the process behind each listening address."""
     found = {config.listing.listen: "listing"}
     for blocks in (config.head, config.member):
         found |= {block.listen: name for name, block in blocks.items()}
@@ -34,7 +34,7 @@
 
 
 class Fleet(Protocol):
-    """The processes that are struck."""
+    """What a target uses of its fleet of processes."""
 
     script: Any
     processes: dict[str, asyncio.subprocess.Process]
@@ -46,7 +46,7 @@
 
 
 class ProcessFaultTarget(FleetFaultTarget):
-    """Without a script, processes are started as ever and nothing of this is there."""
+    """Injects faults into processes. Without a script, processes start directly, with no launcher or relay."""
 
     def __init__(
         self, fleet: Fleet, loop: asyncio.AbstractEventLoop, names: dict[str, str], seed: int, copies: Path
@@ -67,7 +67,7 @@
 
     @contextmanager
     def control(self, name: str) -> Iterator[tuple[Callable[[list[str]], list[str]], tuple[int, ...]]]:
-        """How to start a process: its whole command from its words, and the descriptors that it gets."""
+        """Yields a function that builds a process's command line from its arguments, and the descriptors to pass on."""
         if self.fleet.script is None:
             yield lambda words: [sys.executable, "-m", "pebblehinge", *words], ()
             return
@@ -86,7 +86,7 @@
     # ---- folders, clocks, disks
 
     def copy(self, name: str, mark: str) -> None:
-        """Stopped while it is copied: what is copied is what a crash could have left."""
+        """Copies a folder while its process is stopped, so that the copy is what a crash could have left."""
         stops = self.is_up(name) and name not in self.fleet.frozen
         if stops:
             self.fleet.processes[name].send_signal(signal.SIGSTOP)
@@ -100,7 +100,7 @@
 
     @staticmethod
     def _wait_until_stopped(pid: int) -> None:
-        """A signal takes its time; where the system does not tell, a tenth of a second is all."""
+        """Waits until SIGSTOP takes effect; at most about 0.1 s where the system does not report it."""
         for _ in range(100):
             try:
                 if Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] in ("T", "Z"):
@@ -120,9 +120,9 @@
             try:
                 os.write(self.controls[name], f"{kind} {'' if by is None else by}\n".encode())
             except BrokenPipeError:
-                pass  # it has just ended
+                pass  # the process has just ended
 
-    # ---- ways
+    # ---- links
 
     def way(self, source: str, to: str, held: LinkState) -> None:
         self.relay.way(source, to, held)
--- a/pebblehinge/lab/faults/in_memory_target.py
+++ b/pebblehinge/lab/faults/in_memory_target.py
@@ -1,4 +1,4 @@
-"""The ground of virtual time: ways of the network in memory, nodes, disks that forget what was not synced."""
+"""Fault target in virtual time: links of the in-memory network, nodes, and disks that lose what was not synced."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from pebblehinge.settings import Config
 from pebblehinge.store.background import BackgroundRunner, CompletionCallback, run_inline
 
-AGREED = "agreed"  # the file in which a head keeps the version that it took up
+AGREED = "agreed"  # the file in which a gateway stores its applied version
 
 
 def clock_of(node: Node) -> Callable[[], float]:
-    """The node's own clock, ms."""
+    """Returns the node's own clock, in ms."""
     return lambda: node.time() * 1000.0
 
 
@@ -35,7 +35,7 @@
     log: Any,
     beside: BackgroundRunner,
 ) -> ConfigWatcher:
-    """A head's way to the group, as the command line makes it."""
+    """Connects a gateway to the configuration group as the command line does, and returns the watcher."""
     floor = config.group.floor
     application = VersionApplication(name, floor)
     if disk.exists(AGREED):
@@ -68,7 +68,7 @@
         self.disks: dict[str, FaultyDisk] = {}
         self.copies: dict[tuple[str, str], FaultyDisk] = {}
         self.walls: dict[str, float] = {}
-        self.slow: dict[str, float] = {}  # ms that each write takes
+        self.slow: dict[str, float] = {}  # duration of each write, ms
 
     def disk(self, name: str, seed: int) -> FaultyDisk:
         if name not in self.disks:
@@ -76,7 +76,7 @@
         return self.disks[name]
 
     def beside(self, name: str) -> BackgroundRunner:
-        """What a head has done beside its loop: over when its disk has taken its time; the node goes on meanwhile."""
+        """Returns a runner of disk calls that complete after the disk's delay, while the node's loop continues."""
 
         def begin(call: Callable[[], Any], done: CompletionCallback) -> None:
             if name in self.slow:
@@ -93,7 +93,7 @@
         return begin
 
     def wall_of(self, name: str) -> Callable[[], float]:
-        """By how much its wall clock is off, ms."""
+        """Returns a function that reads the offset of the wall clock, in ms."""
         return lambda: self.walls.get(name, 0.0)
 
     def killed(self, name: str) -> None:
@@ -127,7 +127,7 @@
         elif name in self.disks:
             self.disks[name].fail = "" if by is None else "append" if kind == "disk-full" else "sync"
 
-    # ---- ways
+    # ---- links
 
     def way(self, source: str, to: str, held: LinkState) -> None:
         net = self.world.net
--- a/pebblehinge/lab/faults/link_faults.py
+++ b/pebblehinge/lab/faults/link_faults.py
@@ -1,4 +1,4 @@
-"""What holds between two ends now, by the faults that are under way. No I/O and no clock."""
+"""State of the link between two processes under the active faults. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """One direction, from one end to another: as bad as the worst that holds for it."""
+    """State of one direction of a link: the worst of each kind of its active faults."""
 
-    blocked: bool = False  # nothing passes; bytes stand
+    blocked: bool = False  # nothing passes; bytes are held back
     delay_ms: float = 0.0
-    rate: float = 0.0  # bytes a second; 0: no bound
-    lose: float = 0.0  # chance of a datagram to be lost
-    repeat: float = 0.0  # chance of a datagram to come twice
+    rate: float = 0.0  # bytes per second; 0: unlimited
+    lose: float = 0.0  # probability that a datagram is lost
+    repeat: float = 0.0  # probability that a datagram arrives twice
 
     @property
     def sound(self) -> bool:
@@ -26,7 +26,7 @@
 
 
 class LinkFaults:
-    """All faults under way that strike ways. `changed` names the directions that a call altered."""
+    """The active faults of links. `begin` and `end` return the directions that the fault affects."""
 
     def __init__(self) -> None:
         self.under_way: dict[tuple[str, str], list[Fault]] = {}
@@ -34,13 +34,13 @@
 
     @staticmethod
     def pairs(fault: Fault) -> list[tuple[str, str]]:
-        """The directions that a fault strikes, each once, in order."""
+        """Returns the directions that a fault affects, each once, in order."""
         there = [(a, b) for a in fault.some for b in fault.others if a != b]
         back = [(b, a) for a, b in there] if KINDS[fault.kind][0] == BOTH else []
         return list(dict.fromkeys(there + back))
 
     def begin(self, fault: Fault) -> list[tuple[str, str]]:
-        """A fault of a way begins; returns the directions it strikes."""
+        """Adds a fault of a link and returns the directions that it affects."""
         assert KINDS[fault.kind][0] in (BOTH, ONE) and KINDS[fault.kind][2]
         for pair in self.pairs(fault):
             self.under_way.setdefault(pair, []).append(fault)
@@ -48,7 +48,7 @@
         return self.pairs(fault)
 
     def end(self, fault: Fault) -> list[tuple[str, str]]:
-        """It ends; one that is not under way changes nothing."""
+        """Removes a fault and returns its directions; an inactive fault changes nothing."""
         for pair in self.pairs(fault):
             rows = self.under_way.get(pair, [])
             if fault in rows:
--- a/pebblehinge/lab/faults/player.py
+++ b/pebblehinge/lab/faults/player.py
@@ -1,4 +1,4 @@
-"""Does the steps of a script on a ground, wherever the fleet lives, and counts what each line struck."""
+"""Applies the steps of a fault script to a target, real or in memory, and counts what each line affected."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class FaultTarget(Protocol):
-    """A fleet that can be struck. Names are those of the script; what is not up is passed over."""
+    """A fleet that takes faults. Names are those of the script; processes that are not up are skipped."""
 
     def is_up(self, name: str) -> bool: ...
     async def down(self, name: str) -> None: ...  # SIGKILL
-    async def again(self, name: str) -> None: ...  # starts with the folder that it has
+    async def again(self, name: str) -> None: ...  # restarts with its present folder
     async def stand(self, name: str) -> None: ...  # SIGSTOP
     async def go_on(self, name: str) -> None: ...
-    def copy(self, name: str, mark: str) -> None: ...  # keeps its folder as it is now
-    def go_back(self, name: str, mark: str) -> None: ...  # puts that in its place; "" for none
+    def copy(self, name: str, mark: str) -> None: ...  # copies its folder
+    def go_back(self, name: str, mark: str) -> None: ...  # restores that copy; "" for an empty folder
     def way(self, source: str, to: str, held: LinkState) -> None: ...
-    def tried(self, source: str, to: str) -> int: ...  # how often something wanted to pass, ever
-    def reset(self, a: str, b: str) -> int: ...  # how many connections there were
+    def tried(self, source: str, to: str) -> int: ...  # total attempts to send
+    def reset(self, a: str, b: str) -> int: ...  # returns the number of connections
     def half_open(self, a: str, b: str) -> int: ...
-    def late_ms(self) -> float: ...  # by how much what passed was late at the most, by the ground's own doing
-    def set(self, name: str, kind: str, by: float | None) -> None: ...  # clock or disk; None: sound again
+    def late_ms(self) -> float: ...  # maximum delay added by the target itself
+    def set(self, name: str, kind: str, by: float | None) -> None: ...  # clock or disk; None: ends the fault
 
 
 class FleetFaultTarget:
-    """What every ground does to processes in the same way: by the steps of a day, with their records."""
+    """Process faults that all targets inject alike, by the steps of a day, which record them."""
 
     fleet: Any
 
@@ -50,7 +50,7 @@
 
 
 class Player:
-    """One script. Overlapping faults of one process end with the last of them."""
+    """Plays one script. Overlapping faults of one kind at one process end with the last of them."""
 
     def __init__(
         self, ground: FaultTarget, faults: list[Fault], clock: Callable[[], float], note: Callable[..., None]
@@ -58,19 +58,19 @@
         self.ground, self.faults, self.clock, self.note = ground, faults, clock, note
         self.ways = LinkFaults()
         self.struck = dict.fromkeys(faults, 0)
-        self.under_way: dict[tuple[str, str], list[Fault]] = {}  # of processes, by name and kind
+        self.under_way: dict[tuple[str, str], list[Fault]] = {}  # active process faults, by name and kind
 
     async def play(self, start_ms: float) -> None:
-        """Every step at its time after the start, on the clock that was handed in."""
+        """Applies each step at its time after the start, on the given clock."""
         doing = []
         for step in steps(self.faults):
             await asyncio.sleep(max(0.0, (start_ms + step.at_ms - self.clock()) / 1000.0))
             doing.append(asyncio.ensure_future(self.do(step)))
-            await asyncio.sleep(0)  # its first part is done before the next step's
+            await asyncio.sleep(0)  # runs up to its first wait before the next step begins
         await asyncio.gather(*doing)
 
     def idle(self) -> list[str]:
-        """Lines that struck nothing."""
+        """Returns the lines that affected nothing."""
         return [write([f]).strip() for f, count in self.struck.items() if not count]
 
     async def do(self, step: Step) -> None:
@@ -91,11 +91,11 @@
         else:
             self._way(step.what, fault)
 
-    # ---- ways
+    # ---- links
 
     def _way(self, what: str, fault: Fault) -> None:
         tried = sum(self.ground.tried(a, b) for a, b in LinkFaults.pairs(fault))
-        self.struck[fault] += tried if what == "end" else -tried  # what wanted to pass meanwhile
+        self.struck[fault] += tried if what == "end" else -tried  # attempts to send during the fault
         for a, b in self.ways.begin(fault) if what == "begin" else self.ways.end(fault):
             held = self.ways.between(a, b)
             self.note(
@@ -138,19 +138,19 @@
         else:
             self.ground.set(name, fault.kind, rows[-1].by if rows else None)
             if not rows and not self.ground.is_up(name) and not self.under_way.get((name, "kill")):
-                # A process that can't write says so and ends: whoever looks after it starts it when the disk is well.
+                # A process that can't write logs that and exits; its supervisor restarts it once the disk works.
                 await self.ground.again(name)
                 self._settle(name)
 
     def _settle(self, name: str) -> None:
-        """A new process stands under what is still under way for its name."""
+        """Applies the active faults of a name to its new process."""
         for (of, kind), rows in self.under_way.items():
             if of == name and rows and kind not in ("kill", "freeze"):
                 self.ground.set(name, kind, rows[-1].by)
 
 
 def script_report(player: Player) -> dict[str, Any]:
-    """What a script did, for a report."""
+    """Returns what a script affected, for a report."""
     return {
         "scripted": len(player.faults),
         "struck": sum(1 for n in player.struck.values() if n),
--- a/pebblehinge/lab/faults/process_environment.py
+++ b/pebblehinge/lab/faults/process_environment.py
@@ -1,8 +1,8 @@
-"""The surroundings of one process of a fleet: `python -m pebblehinge.lab.faults.process_environment WHERE -- ROLE ...`.
+"""Runs one process under faults: `python -m pebblehinge.lab.faults.process_environment WHERE -- ROLE ...`.
 
-The program's own command line runs in it unaltered. Underneath, its outgoing connections and datagrams go through the
-laboratory's relay, its clocks count as the laboratory says, and its disk is as slow, full or failing as it says. WHERE
-is one JSON object: name, relay, datagrams (addresses), control (a pipe's descriptor, lines of `kind figure`).
+The program's command line runs unchanged. Its outgoing connections and datagrams go through the laboratory's relay,
+and the laboratory sets the rate of its clocks and makes its disk slow, full or failing. WHERE is one JSON object: name,
+relay, datagrams (addresses), control (a pipe's descriptor, lines of `kind figure`).
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from pebblehinge.lab.faults.relay import CONNECTED
 
 PROGRAM = "pebblehinge"
-"""The module that runs in the surroundings, by name: as `python -m` starts it, and after they are laid."""
+"""The module to run, by name: it is imported only after the environment is installed."""
 
 _monotonic, _wall, _sleep = time.monotonic, time.time, time.sleep
 
 
 class Clock:
-    """A process's idea of time. What it counts goes on without a jump when its rate changes."""
+    """A process's clock. A change of its rate causes no jump."""
 
     def __init__(self) -> None:
         self.rate, self.since, self.shown = 1.0, _monotonic(), _monotonic()
@@ -45,7 +45,7 @@
 
 
 class ProcessEnvironment:
-    """What the laboratory does to this process."""
+    """Faults of this process's clocks and disk, and the addresses of its relay."""
 
     def __init__(self, where: dict[str, Any]) -> None:
         self.name, self.clock = where["name"], Clock()
@@ -70,10 +70,10 @@
         else:
             self.disk[kind] = by
 
-    # ---- underneath the program
+    # ---- installation
 
     def lay(self) -> None:
-        """Puts itself under clocks, loop and disks. Before the program is loaded."""
+        """Replaces clocks, event loop and disk calls. Must run before the program is imported."""
         from pebblehinge.store.disk import RealDisk
 
         time.monotonic, time.time = self.clock.now, self.clock.wall  # type: ignore[assignment]
@@ -94,7 +94,7 @@
 
 
 class RelayedLoop(uvloop.Loop):
-    """The program's loop: its time is the process's clock, its ways go through the relay."""
+    """The program's event loop: it uses the process's clock and connects through the relay."""
 
     def __init__(self, under: ProcessEnvironment) -> None:
         super().__init__()
@@ -138,7 +138,7 @@
 
 
 class RelayHandshake(asyncio.Protocol):
-    """Until the relay has said whether the other end is there."""
+    """Waits for the relay's answer whether the destination accepted the connection."""
 
     def __init__(self, loop: RelayedLoop, line: bytes) -> None:
         self.line = line
@@ -157,7 +157,7 @@
 
 
 class RelayedDatagrams(asyncio.DatagramProtocol):
-    """Datagrams by way of the relay; to the program it is a transport, to the loop a protocol."""
+    """Sends datagrams through the relay; a transport for the program, a protocol for the loop."""
 
     def __init__(self, loop: RelayedLoop, protocol: Any, own: str) -> None:
         self.under, self.protocol, self.own = loop.under, protocol, own
--- a/pebblehinge/lab/faults/relay.py
+++ b/pebblehinge/lab/faults/relay.py
@@ -1,7 +1,7 @@
 """The relay through which processes of a fleet reach each other: TCP connections and datagrams, by pair and direction.
 
-A process that was started by `under` leads each outgoing connection here and says in one line who it is and whom it
-wants. The relay connects onward and answers with one byte, so that a refusal is a refusal; a cut way says nothing.
+A process started by `process_environment` opens each outgoing connection to the relay and sends one line with its
+name and the destination. The relay connects there and answers with one byte, which reports a refusal; on a cut link it waits.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class RelayRequest(asyncio.Protocol):
-    """A connection that has not said yet whom it wants."""
+    """A connection that has not sent its destination yet."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay, self.line = relay, b""
@@ -69,7 +69,7 @@
 
 
 class DatagramForwarder(asyncio.DatagramProtocol):
-    """Datagrams on their way: `source host port own_host own_port`, a line end, then what is carried."""
+    """Forwards datagrams: `source host port own_host own_port`, a line end, then the payload."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
@@ -99,7 +99,7 @@
 
 
 class Relay:
-    """Everything that passes. `names` says whose each listening address is."""
+    """Forwards all traffic of a fleet. `names` maps each listening address to its process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, names: dict[str, str], seed: int) -> None:
         self.loop, self.names, self.rng = loop, names, random.Random(f"{seed}/relay")
@@ -122,7 +122,7 @@
         self._look(self.loop.time())
 
     def _look(self, expected: float) -> None:
-        """How late this loop is: what passes is late by as much."""
+        """Measures the delay of this loop, which delays all relayed traffic equally."""
         self.late_ms = max(self.late_ms, (self.loop.time() - expected) * 1000.0)
         at = self.loop.time() + 0.02
         self.timer = self.loop.call_at(at, self._look, at)
@@ -136,7 +136,7 @@
             end.cut_off()
 
     def way(self, source: str, to: str, held: LinkState) -> None:
-        """This direction is so from now on."""
+        """Sets the state of one direction."""
         self.ways[(source, to)] = held
         if not held.blocked:
             for future in self.waiting.pop((source, to), []):
@@ -146,7 +146,7 @@
             end.push()
 
     def bound_for(self, source: str, host: str, port: int) -> str:
-        """Whose an address is that something from a source wants to reach; one that nobody has is its own name."""
+        """Counts an attempt and returns the process behind an address; an unknown address is its own name."""
         to = self.names.get(f"{host}:{port}", f"{host}:{port}")
         self.count[(source, to)] += 1
         return to
@@ -170,7 +170,7 @@
         return len(found) // 2
 
     def half_open(self, a: str, b: str) -> int:
-        """Ends b's side of each connection between them; a's stays, and takes what is sent to nobody."""
+        """Resets b's side of each connection between them; a's side stays open, and its data is dropped."""
         found = [e for e in self.between(a, b) if e.source == b and not e.alone]
         for end in found:
             end.cut_off()
--- a/pebblehinge/lab/faults/relay_endpoint.py
+++ b/pebblehinge/lab/faults/relay_endpoint.py
@@ -1,4 +1,4 @@
-"""Connections on their way through the relay: bytes in order, ends told when the way lets them be."""
+"""Connections through the relay: forwards bytes, end of file and closing in order, as the state of the link allows."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from pebblehinge.lab.faults.link_faults import LinkState
 
-MOST_HELD = 1 << 16  # bytes of one direction that stand here before its sender is no longer read
+MOST_HELD = 1 << 16  # bytes buffered for one direction before reading from its sender pauses
 
 
 class RelayContext(Protocol):
-    """The relay that an end belongs to."""
+    """What an endpoint uses of its relay."""
 
     loop: asyncio.AbstractEventLoop
     ends: dict[RelayEndpoint, None]
@@ -24,17 +24,17 @@
 
 
 class RelayEndpoint(asyncio.Protocol):
-    """One side of a connection that passes: what comes in here goes out at `other`, when the way lets it."""
+    """One side of a relayed connection: what it receives is sent by `other` when the link allows it."""
 
     def __init__(self, relay: RelayContext, source: str, to: str) -> None:
         self.relay, self.source, self.to = relay, source, to
         self.transport: Any = None
         self.other: RelayEndpoint | None = None
-        self.queue: deque[tuple[float, str, bytes]] = deque()  # when it may go; data, eof, closed or broken
+        self.queue: deque[tuple[float, str, bytes]] = deque()  # due time in s; data, eof, closed or broken; bytes
         self.held = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.paused = self.stuck = False  # not read; what goes out here is not taken
-        self.got_eof = self.sent_eof = self.over = self.alone = False  # alone: half open, what comes is nobody's
+        self.paused = self.stuck = False  # paused: reading is paused; stuck: the write buffer is full
+        self.got_eof = self.sent_eof = self.over = self.alone = False  # alone: half open, received data is dropped
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -47,7 +47,7 @@
         self.got_eof = True
         self.put("eof")
         self._close_if_done()
-        return not self.alone  # the other direction may go on, where there is one
+        return not self.alone  # the other direction, if there is one, stays open
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.over = True
@@ -68,7 +68,7 @@
         self.push()
 
     def push(self) -> None:
-        """Hands on what may go now, and comes again for the rest."""
+        """Forwards what is due and schedules a call for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -94,7 +94,7 @@
         self._forget()
 
     def take(self, what: str, data: bytes) -> None:
-        """Something from the other side goes out here."""
+        """Sends an event of the other side on this connection."""
         if self.over or self.transport.is_closing():
             return
         if what == "data":
@@ -103,7 +103,7 @@
             self.sent_eof = True
             try:
                 self.transport.write_eof()
-            except OSError:  # it was reset meanwhile, and the loop has not told yet
+            except OSError:  # reset in the meantime; the loop has not reported it yet
                 return
             self._close_if_done()
         elif what == "closed":
@@ -116,7 +116,7 @@
             self.transport.close()
 
     def _forget(self) -> None:
-        """A side that is over, with nothing left to hand on, is kept no longer."""
+        """Drops an endpoint that is closed and has nothing left to forward."""
         if self.over and not self.queue:
             self.relay.ends.pop(self, None)
 
@@ -129,7 +129,7 @@
             self.other.push()
 
     def cut_off(self) -> None:
-        """This side ends as by a reset, the other side is not told and what it sends is nobody's."""
+        """Resets this side; the other side is not notified, and what it sends is dropped."""
         if self.other is not None:
             self.other.alone = True
             self.other.queue.clear()
@@ -140,7 +140,7 @@
 
 
 def reset(transport: Any) -> None:
-    """Closes so that the other end is told of a reset, whatever it had not read."""
+    """Closes a connection with a TCP reset, even if the peer has unread data."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/pebblehinge/lab/faults/script.py
+++ b/pebblehinge/lab/faults/script.py
@@ -1,4 +1,4 @@
-"""A script of faults: lines with times, read, written, and turned into steps. No I/O and no clock."""
+"""Fault scripts: parses and formats their lines, and converts them to timed steps. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# What each kind strikes, the unit of its figure (None: it has none), and whether it lasts.
+# For each kind: what it affects, the unit of its magnitude (None: it has none), and whether it has a duration.
 BOTH, ONE, PROCESS = "from", "to", ""
 KINDS: dict[str, tuple[str, str | None, bool]] = {
     "cut": (BOTH, None, True),
@@ -28,17 +28,17 @@
 FORMS = {BOTH: "NAME ... from NAME ...", ONE: "NAME ... to NAME ...", PROCESS: "NAME ..."}
 TIME = re.compile(r"(-?\d+(?:\.\d+)?)(ms|s)")
 FIGURE = {"ms": TIME, "KiB": re.compile(r"(\d+(?:\.\d+)?)(KiB)"), "%": re.compile(r"(-?\d+(?:\.\d+)?)(%)")}
-SIGNED = ("drift", "wall")  # these go either way
+SIGNED = ("drift", "wall")  # these may be negative
 MOST_LINES = 10_000
 
 
 class ScriptError(Exception):
-    """A script that can't be read: one line a fault, each with its place."""
+    """A script has syntax errors: one line per error, each with its position."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One line. Times in ms; `by` in ms, bytes a second, or as a part of 1."""
+    """One line of a script. Times in ms; `by` in ms, bytes per second, or as a fraction of 1."""
 
     at_ms: float
     kind: str
@@ -46,13 +46,13 @@
     others: tuple[str, ...] = ()
     by: float = 0.0
     last_ms: float = 0.0
-    folder: str = ""  # of a kill: "" its own, "old", "empty"
+    folder: str = ""  # for a kill, the folder to restart with: "" the current one, "old", "empty"
     old_ms: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One thing to do: `begin` or `end` of what lasts, `copy` of the folder that a kill will go back to."""
+    """One timed action: `begin` or `end` of a fault, or `copy` of the folder that a kill will restore."""
 
     at_ms: float
     what: str
@@ -132,7 +132,7 @@
 
 
 def read(text: str, names: Iterable[str], file: str = "script") -> list[Fault]:
-    """All faults of a text, in order of time. Raises ScriptError with every line that can't be read."""
+    """Returns the faults of a text in order of time. Raises ScriptError with all syntax errors."""
     known, found, wrong = set(names), [], []
     lines = text.splitlines()
     if len(lines) > MOST_LINES:
@@ -156,7 +156,7 @@
 
 
 def write(faults: Iterable[Fault]) -> str:
-    """The text of faults; what `read` makes of it is the same."""
+    """Formats faults as text, which `read` parses to equal faults."""
     lines = []
     for f in faults:
         form, unit, lasts = KINDS[f.kind]
@@ -169,7 +169,7 @@
 
 
 def steps(faults: Iterable[Fault]) -> list[Step]:
-    """What is to be done, in order of time; an end goes before a beginning of the same time."""
+    """Returns the steps in order of time; an end precedes a beginning at the same time."""
     found = []
     for f in faults:
         if f.folder == "old":
