--- a/benchmarks/version_spread.py
+++ b/benchmarks/version_spread.py
@@ -1,7 +1,6 @@
 """Measures the frames that a version costs, and the time until it is active at all gateways.
 
-    python benchmarks/version_spread.py [--heads 5 25 50] [--members 5] [--versions 3] [--within 30] [--pause 0]
-        [--sockets]
+    version_spread.py [--heads 5 25 50] [--members 5] [--versions 3] [--within 30] [--pause 0] [--sockets]
 
 Members and gateways are the production classes in one process: in virtual time, where computation costs no time and
 counts are the same in every run, or with `--sockets` on loopback with real folders, where times include the computation
--- a/pebblehinge/lab/connection_cut.py
+++ b/pebblehinge/lab/connection_cut.py
@@ -6,7 +6,7 @@
 
 
 class ConnectionCutter:
-    """Ends a connection after so many bytes that its client has sent; what was sent arrives, unless it is reset."""
+    """Ends a connection after `after` bytes that its client sent; they arrive unless the connection is reset."""
 
     def __init__(self, line: StreamProtocol, after: int, reset: bool = False) -> None:
         self.line, self.left, self.write, self.reset = line, after, line.stream._write, reset
--- a/pebblehinge/lab/crash/__init__.py
+++ b/pebblehinge/lab/crash/__init__.py
@@ -1,6 +1,6 @@
-"""Heads killed at random moments under buffered writes; then every confirmed write must stand exactly once.
+"""Crash tests: gateways are killed at random moments under buffered writes; each confirmed write must exist once.
 
-One round: writers send writes, barriers and flushes to a head whose volume is buffered; the head dies at a moment
-that chance picks (its disk loses what was not synced, in virtual time), and starts again, at times while it recovers.
-What is judged comes from the clients' answers and from the shelfs' journals of effects alone.
+In one round, writers send writes, barriers and flushes to a gateway whose volume is buffered. The gateway is killed at
+a random moment (in virtual time its disk loses what was not synced) and restarted, sometimes again during recovery.
+The verdict uses only the clients' answers and the storage nodes' journals of effects.
 """
--- a/pebblehinge/lab/crash/processes.py
+++ b/pebblehinge/lab/crash/processes.py
@@ -19,8 +19,10 @@
 
 
 class ProcessCrashTrial:
-    """The same with processes: the head is killed with SIGKILL, its journal lies in a real folder. The machine does not
-    lose power, so what the system holds survives; what the head's memory held does not."""
+    """Crash rounds with real processes: SIGKILL ends the gateway, whose journal is in a real folder.
+
+    The machine does not lose power, so the system's page cache survives; the gateway's memory does not.
+    """
 
     def __init__(self, folder: Path, loopback: str, seed: int) -> None:
         self.folder, self.loopback, self.seed = folder, loopback, seed
@@ -66,7 +68,7 @@
             await asyncio.gather(*(self.start(name, "shelf") for name in self.config.shelf))
             await self.start("h1", "head")
             for n in range(rounds):
-                # A round: everything of this round and before is looked at once the head has brought it to its shelfs.
+                # All rounds are judged together at the end, when the gateway has written everything to its nodes.
                 writers = [Writer(f"r{n}c{i}", random.Random(f"{self.seed}/{n}/{i}"), self.books) for i in range(3)]
                 tasks = [asyncio.ensure_future(self.writes(w, loop.time() + 0.45)) for w in writers]
                 await asyncio.sleep(self.rng.uniform(0.0, 0.4))
@@ -77,7 +79,7 @@
                 await asyncio.gather(*tasks)
                 if n % 20 == 19:
                     said(f"round {n + 1} of {rounds}: {len(self.books.confirmed)} confirmed")
-            self.processes["h1"].terminate()  # brings the rest to the shelfs first
+            self.processes["h1"].terminate()  # the gateway writes the rest to the nodes before it exits
             code = await asyncio.wait_for(self.processes["h1"].wait(), 40.0)
             told = judge(self.books, *self.stands())
             return {"rounds": rounds, **told, "fault": int(code != 0)}
@@ -88,7 +90,7 @@
                     await process.wait()
 
     def stands(self) -> tuple[dict[str, bytearray], list[tuple[str, int]]]:
-        """What the shelfs' journals of effects hold, read from their files alone."""
+        """Returns extents and effects as read from the files of the storage nodes' journals of effects."""
         extents: dict[str, bytearray] = {}
         rows = []
         for path in sorted((self.folder / "store").rglob("effects.journal")):
--- a/pebblehinge/lab/crash/verdict.py
+++ b/pebblehinge/lab/crash/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of crash rounds: what was confirmed against what the storage nodes hold."""
+"""The verdict of crash rounds: compares confirmed writes with the contents of the storage nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def judge(books: WriteRecords, extents: dict[str, bytearray], effects: list[tuple[str, int]]) -> dict[str, Any]:
-    """`effects`: label and order of each effect at the shelfs."""
+    """Counts violations. `effects` holds the label and order of each effect at the storage nodes."""
     missing = [
         label
         for label in books.confirmed
@@ -21,7 +21,7 @@
     first = {label: n for label, n in reversed(effects)}
     broken = 0
     for asked, succeeded in books.barriers:
-        # What was confirmed before it was asked lands before what was sent after it was succeeded.
+        # Writes confirmed before a barrier was sent must be applied before writes sent after it succeeded.
         before = [first[x] for x, at in books.confirmed.items() if at < asked and x in first]
         after = [first[x] for x, at in books.asked.items() if at > succeeded and x in first]
         broken += bool(before and after and max(before) > min(after))
@@ -39,7 +39,7 @@
 
 
 def sum_rounds(rounds: list[dict[str, Any]]) -> dict[str, Any]:
-    """All rounds together, and the first find."""
+    """Returns the sums of all rounds, and the first violation."""
     total: Counter[str] = Counter()
     first = ""
     for n, told in enumerate(rounds):
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -22,7 +22,7 @@
 
 
 class VirtualCrashTrial:
-    """One seed: everything on nodes of a network in memory, the disk simulated."""
+    """The crash trial of one seed, on an in-memory network with a simulated disk."""
 
     def __init__(self, seed: int, disk: type[FaultyDisk] = FaultyDisk) -> None:
         self.seed, self.rng = seed, random.Random(f"{seed}/crash")
@@ -42,7 +42,7 @@
         return self.loop.now * 1000.0
 
     async def lasts(self, batch: Batch) -> None:
-        """As a thread would: the append, some time, the sync."""
+        """Appends, waits and syncs, as a background thread does."""
         life = self.lives
         self.disk.append(batch.file_name, batch.data)
         await asyncio.sleep(self.rng.uniform(0.0002, 0.004) + self.stall_ms / 1000.0)
@@ -113,7 +113,7 @@
             self.kill_head()
             await asyncio.sleep(self.rng.choice([0.0, 0.05, 0.3]))
             await self.start_head()
-            if self.rng.random() < 0.3:  # once more, while it recovers
+            if self.rng.random() < 0.3:  # killed again during recovery
                 await asyncio.sleep(self.rng.uniform(0.0, 0.05))
                 self.kill_head()
                 await self.start_head()
@@ -141,7 +141,7 @@
 
 
 def one(seed: int, kills: int = 3) -> dict[str, Any]:
-    """One seed; an error of the head's own counts as a find."""
+    """Runs one seed; an error raised by the gateway counts as a violation."""
     try:
         return VirtualCrashTrial(seed).play(kills)
     except (AssertionError, RuntimeError, StorageError) as error:
--- a/pebblehinge/lab/crash/writers.py
+++ b/pebblehinge/lab/crash/writers.py
@@ -9,14 +9,14 @@
 
 
 class WriteRecords:
-    """What writers asked and heard."""
+    """Requests of all writers and their answers."""
 
     def __init__(self) -> None:
         self.sent: dict[str, tuple[str, int, int, bytes]] = {}  # label -> extent, slot, offset, data
-        self.confirmed: dict[str, int] = {}  # label -> which of all events that was
+        self.confirmed: dict[str, int] = {}  # label -> event number of the confirmation
         self.unknown: dict[str, None] = {}
-        self.asked: dict[str, int] = {}  # label -> when it was sent
-        self.barriers: list[tuple[int, int]] = []  # when one was asked, and when it was succeeded
+        self.asked: dict[str, int] = {}  # label -> event number of the sending
+        self.barriers: list[tuple[int, int]] = []  # event numbers of sending and success
         self.flushes = 0
         self.claimed_wrongly: list[str] = []
         self.events = 0
@@ -27,12 +27,12 @@
 
 
 class Writer:
-    """Sends writes, each to a place of its own; some overlap an earlier one of its own whose answer it has."""
+    """Sends writes, each to its own range of an extent, appended to the writer's earlier writes."""
 
     def __init__(self, name: str, rng: random.Random, books: WriteRecords) -> None:
         self.name, self.rng, self.books = name, rng, books
         self.count = 0
-        self.at: dict[str, int] = {}  # extent -> its end
+        self.at: dict[str, int] = {}  # extent -> its end offset
 
     def draw(self) -> tuple[str, str, int, int, bytes]:
         self.count += 1
@@ -44,7 +44,7 @@
         return f"{self.name}.{self.count}", extent, slot, offset, data
 
     async def one(self, client: Client, held: Callable[[], dict[str, bytearray]] | None) -> None:
-        """One write, barrier or flush, and what became of it. `held` tells what stands at the shelfs now."""
+        """Sends one write, barrier or flush and records its result. `held` returns the nodes' present extents."""
         books, what = self.books, self.rng.random()
         if what < 0.04:
             began = books.event()
--- a/pebblehinge/lab/disk.py
+++ b/pebblehinge/lab/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: what was not synced may be lost, torn or full of holes; it fails and fills up when told."""
+"""A simulated disk: a crash may lose, tear or partly zero unsynced data; errors and a full disk can be injected."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 
 class FaultyDisk:
-    """A folder in memory. `crash` keeps what was synced, and of the rest of each file a prefix that chance picks; with
-    `holes` some sectors of that prefix are zeros, since a disk writes them in the order that suits it."""
+    """A folder in memory. `crash` keeps synced data and a random prefix of the unsynced rest of each file.
+
+    With `holes` some sectors of that prefix are zeros, since a disk may write sectors in any order.
+    """
 
     def __init__(self, rng: random.Random, holes: bool = False) -> None:
         self.rng, self.holes = rng, holes
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
-        self.fail = ""  # append, sync: from now on these fail
+        self.fail = ""  # the operation that fails: append or sync
         self.room: int | None = None
-        self.slow: Callable[[], None] | None = None  # called by each operation that writes
+        self.slow: Callable[[], None] | None = None  # called by each write operation to simulate latency
 
     def names(self) -> list[str]:
         return sorted(self.files)
--- a/pebblehinge/lab/faults/relay.py
+++ b/pebblehinge/lab/faults/relay.py
@@ -1,7 +1,8 @@
 """The relay through which processes of a fleet reach each other: TCP connections and datagrams, by pair and direction.
 
-A process started by `process_environment` opens each outgoing connection to the relay and sends one line with its
-name and the destination. The relay connects there and answers with one byte, which reports a refusal; on a cut link it waits.
+A process started by `process_environment` opens each outgoing connection to the relay and sends one line with its own
+name and the destination. The relay connects there and answers with one byte, which reports success or a refusal; on a
+blocked link it waits.
 """
 
 from __future__ import annotations
--- a/pebblehinge/lab/in_memory_logs.py
+++ b/pebblehinge/lab/in_memory_logs.py
@@ -1,4 +1,4 @@
-"""Records and logs that stay in memory, for what runs in virtual time."""
+"""In-memory records and logs for runs in virtual time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class InMemoryRecords:
-    """Records that stay in memory."""
+    """Keeps records in memory."""
 
     enabled = True
 
@@ -21,7 +21,7 @@
 
 
 class WarningLog:
-    """A log that keeps warnings and worse."""
+    """A log that keeps warnings and errors in memory and drops the rest."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, str, dict[str, Any]]] = []
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -1,4 +1,4 @@
-"""A relay, a server that is `b`, and a loop whose connections are those of `a`, as a launcher makes it."""
+"""A test rig of a relay, a server named `b`, and an event loop that connects through the relay as `a`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Side(asyncio.Protocol):
-    """One end of a connection: what came, and how it ended."""
+    """One end of a connection: records received data and how it ended."""
 
     def __init__(self, at: list[Side] | None = None) -> None:
         self.got, self.lost, self.eof = b"", None, False
@@ -50,7 +50,7 @@
 
 
 class World:
-    """A relay, a server that is `b`, and a loop whose connections are those of `a`, as a launcher makes it."""
+    """A test rig of a relay, a server named `b`, and an event loop that connects through the relay as `a`."""
 
     def __init__(self, loop: RelayedLoop, relay: Relay, server: Any, there: list[Side]) -> None:
         self.loop, self.relay, self.there = loop, relay, there
@@ -68,7 +68,7 @@
 
 
 def on_relay(script: Callable[[World], Coroutine[Any, Any, None]]) -> None:
-    """Runs a script on one loop that is relay, server and client at once; the server's ways are not led."""
+    """Runs a script on one loop for relay, server and client; the server does not connect through the relay."""
 
     async def whole() -> None:
         there: list[Side] = []
@@ -92,7 +92,7 @@
 
 
 class Plain:
-    """The relay's own loop in this test: the same, past the launcher."""
+    """The same loop for the relay itself, which connects directly."""
 
     def __init__(self, loop: RelayedLoop) -> None:
         self.loop = loop
--- a/tests/test_fault_group.py
+++ b/tests/test_fault_group.py
@@ -1,4 +1,4 @@
-"""The group and the heads that follow it under faults: its word stands, and what can't be kept is not taken up."""
+"""Group and gateways under faults: accepted versions survive, and a version that can't be stored is not applied."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     return yes, next((r["versions"] for r in rows if r["e"] == "agreed"), [])
 
 
-def test_what_the_group_said_yes_to_stands_though_all_its_instances_are_killed() -> None:
+def test_accepted_versions_survive_when_all_members_are_killed() -> None:
     village, known = day("at 3s kill g1 for 1s\nat 5s kill g1 g2 g3 for 1s\nat 8s cut g1 from g2 g3 for 1s\n")
     yes, kept = agreed(village)
     assert known["faults"] == [] and len(yes) > 5 and set(yes[-5:]) <= set(kept)
 
 
-def test_a_group_whose_disks_sync_nothing_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_group_whose_disks_do_not_sync_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FaultyDisk, "sync", lambda disk, name: None)
     for seed in range(6):  # how much of a file a crash leaves is drawn
         _, known = day("at 5s kill g1 g2 g3 for 1s\n", seed)
@@ -54,15 +54,15 @@
         ("a b c", "b", "c was said yes to and is gone"),
     ],
 )
-def test_a_broken_word_is_told(yes: str, kept: str, said: str) -> None:
+def test_lost_or_reordered_versions_are_reported(yes: str, kept: str, said: str) -> None:
     found = broken_word(yes.split(), kept.split())
     assert (said in found) if said else found == []
 
 
 @pytest.mark.parametrize("kind", ["disk-full", "disk-fail"])
-def test_a_head_that_can_not_keep_a_version_does_not_take_it_up_until_it_can(kind: str) -> None:
-    """Seen on 10 of 24 drawn scripts: OSError out of the connection's own call, after the version was in force: the
-    next renewal acknowledged what no disk had."""
+def test_a_gateway_applies_a_version_only_once_it_can_store_it(kind: str) -> None:
+    """Guards against an OSError that left the version applied, so that the next renewal acknowledged a version on no
+    disk; it occurred in 10 of 24 random scripts."""
     village, known = day(f"at 3s {kind} h1 for 4s\n")
     assert known["faults"] == []
     told = [line for line in village.log.lines if "can't be kept" in line[1]]
@@ -71,10 +71,10 @@
     last = VersionApplication.restore("h1", 0.2, head.read(AGREED)).active
     assert (
         last == VersionApplication.restore("h2", 0.2, other.read(AGREED)).active > 3
-    )  # it caught up when the disk was well
+    )  # it caught up when the disk worked again
 
 
-def test_an_answer_is_taken_back_whole() -> None:
+def test_a_rollback_restores_the_whole_state() -> None:
     application = VersionApplication("h1", 0.2)
     assert application.apply_grant(Grant(application.begin_renewal(0.0), 2_000.0, 1, TEXT, 0, "", {}))
     mark = application.checkpoint()
--- a/tests/test_fault_processes.py
+++ b/tests/test_fault_processes.py
@@ -1,4 +1,4 @@
-"""A fleet of processes with a group, under a script of faults that the processes know nothing of."""
+"""A fleet of unmodified processes with a group, under a fault script."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 """
 
 
-def test_a_struck_fleet_of_processes_keeps_all_rules_and_every_line_struck(tmp_path: Path) -> None:
+def test_a_fleet_of_processes_keeps_all_rules_and_every_fault_has_an_effect(tmp_path: Path) -> None:
     script, records = tmp_path / "script", tmp_path / "records"
     script.write_text(SCRIPT)
     done = command("lab", "day", "struck", "--faults", str(script), "--records", str(records), "--json", "--quiet")
@@ -44,13 +44,13 @@
     lives = [(r["e"], r["name"]) for r in rows if r["e"] in ("killed", "started")]
     struck = [(e, n) for n in ("h1", "h2", "h3", "s4") for e in ("killed", "started")]
     assert sorted(lives) == sorted([*struck, ("started", "g2")])
-    # The instance whose disk failed said so, ended, and was started again when the disk was well.
+    # The member whose disk failed logged that, exited, and was restarted when the disk worked again.
     assert "storage failed" in (records / "processes.log").read_text()
     facts = DayFacts.read(records, load(str(records / "day.conf")))
     assert facts.ways.held("g1", "h1", facts.begin + 2_000.0, facts.begin + 2_000.0)
     copies = records / "copies" / "h2"
     assert [p.name for p in copies.iterdir()] == ["3500-3000"] and not (records / "copies" / "h3").exists()
-    for name in ("h1", "h2", "h3"):  # it came again and served
+    for name in ("h1", "h2", "h3"):  # it restarted and served requests
         ups = [r["t"] for r in read_events(records / f"head-{name}.jsonl") if r["e"] == "up"]
         assert len(ups) == 2
         after = [
@@ -63,7 +63,7 @@
         assert len(after) > 20, name
 
 
-def test_a_script_that_can_not_be_read_ends_with_one_line_a_fault(tmp_path: Path) -> None:
+def test_an_invalid_script_ends_with_one_line_per_error(tmp_path: Path) -> None:
     script = tmp_path / "script"
     script.write_text("at 1s cut h1 from h9 for 1s\nat 1s\n")
     done = command("lab", "day", "struck", "--faults", str(script), "--quiet")
--- a/tests/test_fault_scripts.py
+++ b/tests/test_fault_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of faults: lines read and written, drawn by seed, shrunk, and what they make of the ways between two ends."""
+"""Fault scripts: parsing, formatting, random generation, shrinking, and their effect on the state of links."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     return Fault(at, kind, tuple(draw_from(names)), others, by, draw_from(times) if lasts else 0.0, folder, old)
 
 
-def test_every_kind_is_read_and_written() -> None:
+def test_every_kind_is_parsed_and_formatted() -> None:
     found = read(ALL, CAST.names)
     assert {f.kind for f in found} == set(KINDS) and len(found) == 17
     assert read(write(found), CAST.names) == found
@@ -58,7 +58,7 @@
 
 @settings(deadline=None, max_examples=300)
 @given(st.lists(faults(), max_size=12))
-def test_what_is_written_is_read_as_it_was(rows: list[Fault]) -> None:
+def test_formatted_faults_parse_to_equal_faults(rows: list[Fault]) -> None:
     rows.sort(key=lambda f: f.at_ms)
     assert read(write(rows), CAST.names) == rows
 
@@ -83,13 +83,13 @@
         ("at 2s kill h1 for", "script:1:18: the end: expected a time"),
     ],
 )
-def test_a_line_that_can_not_be_read_is_one_error_with_its_place(line: str, said: str) -> None:
+def test_an_invalid_line_is_one_error_with_its_position(line: str, said: str) -> None:
     with pytest.raises(ScriptError) as error:
         read(line, CAST.names)
     assert str(error.value).startswith(said) and "\n" not in str(error.value)
 
 
-def test_all_bad_lines_are_told_at_once_and_a_script_is_bounded() -> None:
+def test_all_invalid_lines_are_reported_at_once_and_the_length_is_limited() -> None:
     with pytest.raises(ScriptError) as error:
         read("at 1s cut\n\n# fine\nat 2s kill h1\n", CAST.names, "f")
     assert [line.split(":")[1] for line in str(error.value).splitlines()] == ["1", "4"]
@@ -97,7 +97,7 @@
         read("\n" * 20_000, CAST.names)
 
 
-def test_steps_come_in_order_and_an_end_before_a_beginning_of_its_time() -> None:
+def test_steps_are_in_order_and_an_end_precedes_a_beginning_at_the_same_time() -> None:
     rows = read("at 1s freeze h1 for 1s\nat 2s freeze h1 for 1s\nat 3s kill h1 for 1s old 2s\n", CAST.names)
     assert [(s.at_ms, s.what, s.fault.kind) for s in steps(rows)] == [
         (1000, "copy", "kill"),
@@ -111,18 +111,18 @@
 
 
 @pytest.mark.parametrize("seed", range(0, 300, 3))
-def test_a_drawn_script_is_the_same_for_a_seed_and_ends_in_time(seed: int) -> None:
+def test_a_random_script_is_reproducible_by_seed_and_ends_in_time(seed: int) -> None:
     rows = draw(CAST, seed, 20_000.0, 8)
     assert rows == draw(CAST, seed, 20_000.0, 8) != draw(CAST, seed + 1, 20_000.0, 8)
     assert len(rows) == 8 and max(f.at_ms + f.last_ms for f in rows) <= 17_500.0
     for f in rows:
         if f.kind in ("drift", "wall") or f.kind.startswith("disk"):
             assert not set(f.some) & {"s1", "s2", "listing", "load1"}
-        if f.folder:  # an instance that forgets its votes is beyond what Raft promises
+        if f.folder:  # Raft does not tolerate a member that loses its votes
             assert set(f.some) <= set(CAST.heads)
 
 
-def test_drawn_scripts_have_all_kinds_and_alone_heads_no_ways_between_them() -> None:
+def test_random_scripts_have_all_kinds_and_no_links_between_independent_gateways() -> None:
     assert {f.kind for seed in range(60) for f in draw(CAST, seed, 20_000.0, 8)} == set(KINDS)
     alone = Participants(CAST.heads, CAST.shelfs, CAST.members, CAST.rest)
     rows = [f for seed in range(60) for f in draw(alone, seed, 20_000.0, 8) if KINDS[f.kind][0] != PROCESS]
@@ -130,7 +130,7 @@
     assert not any(set(f.some) | set(f.others) <= set(CAST.heads) for f in rows if f.kind != "cut")
 
 
-def test_a_script_is_shrunk_to_what_shows_it() -> None:
+def test_a_script_is_shrunk_to_the_faults_that_reproduce_the_failure() -> None:
     rows, plays = draw(CAST, 7, 20_000.0, 20), 0
     wanted = {rows[3], rows[11]}
 
@@ -144,7 +144,7 @@
     assert len(shrink(rows, lambda some: shows(some) and False, tries=9)) == 20 and plays == 9
 
 
-def test_a_way_is_as_bad_as_the_worst_that_holds_for_it() -> None:
+def test_a_link_has_the_worst_state_of_its_active_faults() -> None:
     text = """at 1s delay h1 to s1 by 100ms for 9s
               at 1s delay h1 h2 to s1 by 300ms for 9s
               at 1s slow h1 to s1 by 4KiB for 9s
@@ -159,13 +159,13 @@
     assert ways.between("s1", "h1") is HEALTHY_LINK and not ways.between("h1", "s1").blocked
     for f in rows[:-1]:
         ways.end(f)
-        ways.end(f)  # one that is over changes nothing
+        ways.end(f)  # ending an inactive fault changes nothing
     assert not ways.held and not ways.under_way
 
 
 @settings(deadline=None, max_examples=200)
 @given(st.lists(faults().filter(lambda f: KINDS[f.kind][0] != PROCESS and KINDS[f.kind][2]), max_size=10), st.data())
-def test_in_whatever_order_faults_end_all_ways_are_sound_after(rows: list[Fault], data: st.DataObject) -> None:
+def test_all_links_are_healthy_after_faults_end_in_any_order(rows: list[Fault], data: st.DataObject) -> None:
     ways = LinkFaults()
     for f in rows:
         ways.begin(f)
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -1,5 +1,5 @@
-"""Scripts of faults in virtual time: what each does to a fleet, that rules hold through drawn ones, and that a head
-that breaks a rule is still caught under them."""
+"""Fault scripts in virtual time: the effect of each fault, rules that hold under random scripts, and detection of a
+gateway that breaks a rule under faults."""
 
 from __future__ import annotations
 
@@ -43,19 +43,19 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_all_rules_hold_through_a_drawn_script(seed: int) -> None:
+def test_all_rules_hold_under_a_random_script(seed: int) -> None:
     village, known = day(draw(CAST, seed, 12_000.0, 6), seed)
     assert not verdicts(village) and known["faults"] == []
     assert known["script"]["scripted"] == 6 and known["script"]["struck"] >= 2
 
 
-def test_the_same_script_and_seed_leave_the_same_records() -> None:
+def test_the_same_script_and_seed_produce_the_same_records() -> None:
     left = [day(draw(CAST, 4, 12_000.0, 8), 4)[0].notes for _ in range(2)]
     assert {n: m.rows for n, m in left[0].items()} == {n: m.rows for n, m in left[1].items()}
     assert sum(len(m.rows) for m in left[0].values()) > 5_000
 
 
-def test_a_cut_shelf_answers_nothing_until_it_heals_and_the_way_back_is_noted() -> None:
+def test_a_cut_node_answers_nothing_until_the_link_heals_and_the_fault_is_recorded() -> None:
     everyone = "h1 h2 h3 h4 h5"
     village, known = day(f"at 3s cut {everyone} from s1 for 4s\n")
     facts = village.facts()
@@ -69,8 +69,8 @@
     assert not facts.ways.held("h1", "s2", 5_000 + facts.begin, 5_000 + facts.begin)
 
 
-def test_a_frozen_head_answers_nothing_and_one_that_was_killed_starts_with_what_its_folder_had() -> None:
-    """Its folder says what it had learned of shelfs; it is written every so often (the settings' `memory`)."""
+def test_a_frozen_gateway_answers_nothing_and_a_killed_one_restarts_from_its_folder() -> None:
+    """The folder holds what the gateway learned about nodes, saved periodically (`memory` in the settings)."""
     script = """at 3s freeze h1 for 2s
                 at 8s kill h2 for 500ms
                 at 8s kill h3 for 500ms old 7900ms
@@ -90,34 +90,34 @@
     assert counts["h2"] == [0, len(STRUCK.shelf)]
 
 
-def test_overlapping_kills_end_with_the_last_and_a_new_process_stands_under_what_is_under_way() -> None:
+def test_overlapping_kills_end_with_the_last_and_active_faults_apply_to_a_new_process() -> None:
     script = """at 2s kill h1 for 1s
                 at 2500ms kill h1 for 3s
                 at 3s drift h1 by 0.2% for 5s"""
     village, known = day(script)
     rows = [(r["e"], round(r["t"] - village.facts().begin)) for r in village.records.rows if r.get("name") == "h1"]
     assert rows == [("killed", 2_000), ("started", 5_500)]
-    assert village.nodes["h1"].rate == 1.0 and village.nodes["h1"].since > 0.0  # drifted while it was new, and back
+    assert village.nodes["h1"].rate == 1.0 and village.nodes["h1"].since > 0.0  # drift applied, then ended
     assert known["faults"] == []
 
 
-def test_a_client_notices_a_connection_that_only_it_believes_in() -> None:
-    """Seen: 'at 3381ms half-open load1 from h3', and every request on it ran out of its time to the end of the day, 120
-    of 1,229: the client library asked nothing of a silent connection."""
+def test_a_client_detects_a_half_open_connection() -> None:
+    """Guards against a client without keepalive: after 'at 3381ms half-open load1 from h3' every request on that
+    connection timed out to the end of the day, 120 of 1,229."""
     village, _ = day("at 3s half-open load1 from h3\n")
     assert not verdicts(village)
     assert answered(village, "h3", 3_100.0, 4_500.0) == 0 < answered(village, "h3", 5_500.0, 12_000.0)
 
 
-def test_a_full_or_failing_disk_costs_a_head_its_memory_and_nothing_else() -> None:
+def test_a_full_or_failing_disk_costs_a_gateway_only_its_snapshots() -> None:
     village, known = day("at 2s disk-full h1 for 3s\nat 6s disk-fail h2 for 3s\n")
     assert not verdicts(village) and known["faults"] == []
     for name in ("h1", "h2"):
         assert answered(village, name, 2_000.0, 9_000.0) > 50
 
 
-def test_a_slow_disk_costs_a_heads_requests_nothing() -> None:
-    """Seed 192 of the drawn scripts, 'disk-slow h2 by 378ms', with its writes in the loop: connections were cut."""
+def test_a_slow_disk_does_not_delay_a_gateways_requests() -> None:
+    """Guards against disk writes in the event loop: random script 192, 'disk-slow h2 by 378ms', cut connections."""
 
     def mean(script: str) -> float:
         village, known = day(script)
@@ -136,8 +136,8 @@
 
 
 @pytest.mark.parametrize("case", VIOLATIONS)
-def test_a_head_that_breaks_a_rule_is_caught_under_faults_too(case: str) -> None:
-    """What a checker excuses where ways were struck must not cover a defence that is gone."""
+def test_a_gateway_that_breaks_a_rule_is_detected_under_faults(case: str) -> None:
+    """What a checker excuses on faulty links must not hide a missing safeguard."""
     rule, at, core, alter = VIOLATIONS[case]
     at, base = config_for_rule(rule, at)
     config = loads(f"{base}\nlimits {{\nkeepalive 500ms\n}}\nday d {{\nlength 8s\n{at}}}\n")
@@ -151,14 +151,14 @@
     assert "resets" in at or rule not in ("no_double_effect", "budget")
 
 
-def test_which_ways_were_struck_is_read_from_the_labs_rows() -> None:
+def test_link_faults_are_read_from_the_labs_rows() -> None:
     struck = LinkFaultHistory()
     for t, held in ((100.0, True), (200.0, True), (300.0, False), (900.0, True)):
         struck.note({"e": "way", "a": "x", "b": "y", "t": t, "held": held})
     struck.note({"e": "cut off", "a": "x", "b": "z", "t": 500.0})
     assert struck.held("x", "y", 150.0, 150.0)
-    assert struck.held("x", "y", 390.0, 400.0)  # what stood comes a little after
+    assert struck.held("x", "y", 390.0, 400.0)  # held-back data arrives a little later
     assert not struck.held("x", "y", 450.0, 800.0) and not struck.held("y", "x", 150.0, 150.0)
-    assert struck.held("x", "y", 5_000.0, 5_000.0)  # it has not healed
+    assert struck.held("x", "y", 5_000.0, 5_000.0)  # the fault has not ended
     assert struck.may_have_failed("z", "x", 700.0, 250.0) and not struck.may_have_failed("z", "x", 800.0, 250.0)
     assert struck.may_have_failed("y", "x", 150.0, 0.0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay of the laboratory: what each fault does to bytes and datagrams of processes that know nothing of it."""
+"""The laboratory's relay: the effect of each fault on bytes and datagrams of unmodified processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pebblehinge.lab.faults.process_environment import ProcessEnvironment, RelayedLoop
 
 
-def test_a_sound_way_passes_all_bytes_and_both_ends() -> None:
+def test_a_healthy_link_forwards_all_bytes_and_closes_both_ends() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
         data = bytes(range(256)) * 4096
@@ -29,7 +29,7 @@
     on_relay(script)
 
 
-def test_a_dead_process_refuses_and_one_that_is_cut_off_says_nothing_until_it_heals() -> None:
+def test_a_closed_port_refuses_and_a_blocked_link_connects_after_it_heals() -> None:
     async def script(world: World) -> None:
         world.way("b", "a", blocked=True)  # either direction is enough
         making = asyncio.ensure_future(world.connect())
@@ -47,17 +47,17 @@
     on_relay(script)
 
 
-def test_bytes_stand_while_one_way_is_silent_and_come_whole_and_in_order_after() -> None:
+def test_bytes_on_a_blocked_direction_arrive_complete_and_in_order_after_it_heals() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
         world.way("a", "b", blocked=True)
         here.transport.write(b"one")
         there.transport.write(b"back")
-        await until(lambda: here.got == b"back")  # the other way passes
+        await until(lambda: here.got == b"back")  # the other direction is healthy
         here.transport.write(b"two")
         await asyncio.sleep(0.1)
         assert there.got == b""
-        here.transport.close()  # the end stands too
+        here.transport.close()  # closing is held back too
         await asyncio.sleep(0.05)
         assert there.lost is None
         world.way("a", "b")
@@ -67,7 +67,7 @@
     on_relay(script)
 
 
-def test_what_stands_on_a_way_is_bounded() -> None:
+def test_bytes_buffered_on_a_blocked_link_are_bounded() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
         world.way("a", "b", blocked=True)
@@ -82,7 +82,7 @@
     on_relay(script)
 
 
-def test_a_way_is_late_or_slow_as_it_was_told() -> None:
+def test_a_link_has_the_configured_delay_and_rate() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
         world.way("a", "b", delay_ms=200.0)
@@ -99,7 +99,7 @@
     on_relay(script)
 
 
-def test_a_reset_is_told_to_both_and_half_open_to_one() -> None:
+def test_a_reset_notifies_both_ends_and_half_open_only_one() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
         assert world.relay.reset("b", "a") == 1
@@ -119,7 +119,7 @@
     on_relay(script)
 
 
-def test_datagrams_pass_with_their_source_and_are_lost_or_repeated_as_told() -> None:
+def test_datagrams_keep_their_source_and_are_lost_or_repeated_as_configured() -> None:
     async def script(world: World) -> None:
         ears = [Ears(), Ears()]
         ends = [await world.loop.create_datagram_endpoint(lambda e=e: e, local_addr=(LOOPBACK, 0)) for e in ears]
@@ -143,7 +143,7 @@
         wrapped.sendto(b"cut", places[1])
         await until(lambda: world.relay.count[("a", "b")] == 23)
         world.way("a", "b")
-        ears[1].transport.transport.sendto(b"no head", places[1])  # past the relay: not of a process of the fleet
+        ears[1].transport.transport.sendto(b"no head", places[1])  # not from the relay, so it is dropped
         await asyncio.sleep(0.1)
         assert [data for data, _ in ears[1].got] == [b"one", b"twice", b"twice"]
         for end, _ in ends:
@@ -152,7 +152,7 @@
     on_relay(script)
 
 
-def test_a_clock_counts_as_it_is_told_and_never_jumps_by_its_rate() -> None:
+def test_a_clock_runs_at_the_configured_rate_and_a_rate_change_causes_no_jump() -> None:
     under = ProcessEnvironment({"name": "a", "relay": ("", 0), "datagrams": ("", 0)})
     loop = RelayedLoop(under)
 
