--- a/benchmarks/scale/launch.py
+++ b/benchmarks/scale/launch.py
@@ -22,7 +22,7 @@
     if where.get("relay") is not None:
         from pebblehinge.lab.faults.process_environment import ProcessEnvironment
 
-        ProcessEnvironment({**where, "control": None}).lay()
+        ProcessEnvironment({**where, "control": None}).install()
     counting.lay()
     if words[0] == "hollow-heads":
         from scale import hollow_heads
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -167,5 +167,5 @@
     def way(self, what: str, fault: Fault) -> None:
         """A fault between processes begins or ends now, with its records."""
         assert self.player is not None
-        self.player.struck.setdefault(fault, 0)
+        self.player.hit_counts.setdefault(fault, 0)
         self.player._way(what, fault)
--- a/pebblehinge/lab/disk.py
+++ b/pebblehinge/lab/disk.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-SECTOR = 512
+SECTOR_BYTES = 512
 
 
 class FaultyDisk:
@@ -19,7 +19,7 @@
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
         self.fail = ""  # the operation that fails: append or sync
-        self.room: int | None = None
+        self.free_bytes: int | None = None
         self.slow: Callable[[], None] | None = None  # called by each write operation to simulate latency
 
     def names(self) -> list[str]:
@@ -31,21 +31,21 @@
     def read(self, name: str) -> bytes:
         return bytes(self.files[name])
 
-    def _takes(self) -> None:
+    def _simulate_latency(self) -> None:
         if self.slow is not None:
             self.slow()
 
     def append(self, name: str, data: bytes) -> None:
-        self._takes()
-        if self.fail == "append" or (self.room is not None and len(data) > self.room):
+        self._simulate_latency()
+        if self.fail == "append" or (self.free_bytes is not None and len(data) > self.free_bytes):
             raise OSError(28, "No space left on device")
-        if self.room is not None:
-            self.room -= len(data)
+        if self.free_bytes is not None:
+            self.free_bytes -= len(data)
         self.files.setdefault(name, bytearray()).extend(data)
         self.synced.setdefault(name, 0)
 
     def sync(self, name: str) -> None:
-        self._takes()
+        self._simulate_latency()
         if self.fail == "sync":
             raise OSError(5, "Input/output error")
         self.synced[name] = len(self.files[name])
@@ -55,7 +55,7 @@
         self.synced[name] = size
 
     def replace(self, name: str, data: bytes) -> None:
-        self._takes()
+        self._simulate_latency()
         if self.fail:
             raise OSError(5, "Input/output error")
         self.files[name] = bytearray(data)
@@ -75,8 +75,8 @@
             kept += self.rng.randint(0, len(data) - kept)
             del data[kept:]
             if self.holes:
-                for at in range(first // SECTOR * SECTOR, kept, SECTOR):
+                for at in range(first // SECTOR_BYTES * SECTOR_BYTES, kept, SECTOR_BYTES):
                     if self.rng.random() < 0.3:
-                        low, high = max(first, at), min(kept, at + SECTOR)
+                        low, high = max(first, at), min(kept, at + SECTOR_BYTES)
                         data[low:high] = bytes(high - low)
             self.synced[name] = kept
--- a/pebblehinge/lab/facts.py
+++ b/pebblehinge/lab/facts.py
@@ -196,7 +196,7 @@
                 name = got.shelf.partition(".")[0]
                 got.late = any(
                     kind == "frozen" and b <= got.t <= b + 2 * self.transit_ms for _, b, kind in self.away.get(name, ())
-                ) or self.ways.held(got.head, name, got.t - self.transit_ms, got.t)
+                ) or self.ways.may_have_been_held(got.head, name, got.t - self.transit_ms, got.t)
 
     @property
     def doubt_ms(self) -> float:
--- a/pebblehinge/lab/faults/draw.py
+++ b/pebblehinge/lab/faults/draw.py
@@ -10,9 +10,9 @@
 from pebblehinge.settings import Config
 
 # Ranges of a generated fault: its duration in ms, and its magnitude in the unit of its kind.
-LONG = {"kill": (300.0, 4000.0), "freeze": (100.0, 6000.0)}
-USUAL = (400.0, 5000.0)
-BY = {
+DURATIONS_MS = {"kill": (300.0, 4000.0), "freeze": (100.0, 6000.0)}
+DEFAULT_DURATION_MS = (400.0, 5000.0)
+MAGNITUDES = {
     "delay": (20.0, 1500.0),
     "slow": (2048.0, 65536.0),
     "lose": (0.05, 0.9),
@@ -46,48 +46,54 @@
     return Participants(tuple(config.head), tuple(config.shelf), tuple(config.member), ("listing", *loads))
 
 
-def draw(cast: Participants, seed: int, length_ms: float, count: int = 6, without: tuple[str, ...] = ()) -> list[Fault]:
+def draw(
+    participants: Participants, seed: int, length_ms: float, count: int = 6, without: tuple[str, ...] = ()
+) -> list[Fault]:
     """Generates `count` faults that overlap in the middle of a run and end before its last eighth."""
     rng = random.Random(f"{seed}/faults")
-    kinds = [k for k in KINDS if k not in without and (cast.together or k not in DATAGRAMS)]
-    own = [*cast.heads, *cast.members]
+    kinds = [k for k in KINDS if k not in without and (participants.together or k not in DATAGRAMS)]
+    own = [*participants.heads, *participants.members]
     found: list[Fault] = []
     while len(found) < count:
         kind = rng.choices(kinds, [WEIGHTS.get(k, 2) for k in kinds])[0]
         form, unit, lasts = KINDS[kind]
         at = round(rng.uniform(0.1, 0.7) * length_ms)
-        last = round(min(rng.uniform(*LONG.get(kind, USUAL)), 0.875 * length_ms - at)) if lasts else 0
-        low, high = BY.get(kind, (0.0, 0.0))
+        last = (
+            round(min(rng.uniform(*DURATIONS_MS.get(kind, DEFAULT_DURATION_MS)), 0.875 * length_ms - at))
+            if lasts
+            else 0
+        )
+        low, high = MAGNITUDES.get(kind, (0.0, 0.0))
         by = rng.uniform(low, high)
         by = 0.0 if unit is None else round(by, 4) if unit == "%" else float(round(by))
         folder, old, others = "", 0, ()
         if form == PROCESS:
-            pool = own if kind not in ("kill", "freeze") else [*own, *cast.shelfs]
+            pool = own if kind not in ("kill", "freeze") else [*own, *participants.shelfs]
             some = tuple(rng.sample(pool, min(len(pool), rng.choice((1, 1, 2)))))
-            if kind == "kill" and all(n in cast.heads for n in some):  # Raft members must keep state
+            if kind == "kill" and all(n in participants.heads for n in some):  # Raft members must keep state
                 folder = rng.choice(("", "", "old", "empty"))
                 old = round(rng.uniform(0.1, 0.9) * at) if folder == "old" else 0
         else:
-            some, others = _sides(cast, rng, form == BOTH and kind == "cut")
+            some, others = _sides(participants, rng, form == BOTH and kind == "cut")
         if (last or not lasts) and (by or unit is None):
             found.append(Fault(float(at), kind, some, others, by, float(last), folder, float(old)))
     # Formatting and parsing makes the played script equal to its text.
-    return read(write(found), cast.names)
+    return read(write(found), participants.names)
 
 
-def _sides(cast: Participants, rng: random.Random, halves: bool) -> tuple[tuple[str, ...], tuple[str, ...]]:
+def _sides(participants: Participants, rng: random.Random, halves: bool) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Picks two processes that communicate; for cuts, sometimes splits the fleet in two."""
-    if halves and rng.random() < 0.4 and len(cast.heads) > 1:
-        everyone = [*cast.heads, *cast.members]
+    if halves and rng.random() < 0.4 and len(participants.heads) > 1:
+        everyone = [*participants.heads, *participants.members]
         rng.shuffle(everyone)
         half = max(1, len(everyone) // 2)
         return tuple(sorted(everyone[:half])), tuple(sorted(everyone[half:]))
-    head = rng.choice(cast.heads)
-    others = tuple(h for h in cast.heads if h != head) if cast.together else ()
-    pools = [p for p in (cast.shelfs, cast.members, cast.rest, others) if p]
+    head = rng.choice(participants.heads)
+    others = tuple(h for h in participants.heads if h != head) if participants.together else ()
+    pools = [p for p in (participants.shelfs, participants.members, participants.rest, others) if p]
     other = rng.choice(rng.choice(pools))
-    if len(cast.members) > 1 and rng.random() < 0.2:
-        head, other = rng.sample(cast.members, 2)
+    if len(participants.members) > 1 and rng.random() < 0.2:
+        head, other = rng.sample(participants.members, 2)
     return ((head,), (other,)) if rng.random() < 0.5 else ((other,), (head,))
 
 
--- a/pebblehinge/lab/faults/ground.py
+++ b/pebblehinge/lab/faults/ground.py
@@ -85,7 +85,7 @@
 
     # ---- folders, clocks, disks
 
-    def copy(self, name: str, mark: str) -> None:
+    def copy_folder(self, name: str, mark: str) -> None:
         """Copies a folder while its process is stopped, so that the copy is what a crash could have left."""
         stops = self.is_up(name) and name not in self.fleet.frozen
         if stops:
@@ -109,13 +109,13 @@
                 pass
             time.sleep(0.001)
 
-    def go_back(self, name: str, mark: str) -> None:
-        folder, kept = self.fleet.state / name, self.copies / name / mark
+    def restore_folder(self, name: str, mark: str) -> None:
+        folder, copied = self.fleet.state / name, self.copies / name / mark
         shutil.rmtree(folder, ignore_errors=True)
-        if mark and kept.exists():
-            shutil.copytree(kept, folder)
+        if mark and copied.exists():
+            shutil.copytree(copied, folder)
 
-    def set(self, name: str, kind: str, by: float | None) -> None:
+    def set_local_fault(self, name: str, kind: str, by: float | None) -> None:
         if name in self.controls and self.is_up(name):
             try:
                 os.write(self.controls[name], f"{kind} {'' if by is None else by}\n".encode())
@@ -124,10 +124,10 @@
 
     # ---- links
 
-    def way(self, source: str, to: str, held: LinkState) -> None:
-        self.relay.way(source, to, held)
+    def set_link(self, source: str, to: str, state: LinkState) -> None:
+        self.relay.set_link(source, to, state)
 
-    def tried(self, source: str, to: str) -> int:
+    def count_attempts(self, source: str, to: str) -> int:
         return self.relay.count[(source, to)]
 
     def reset(self, a: str, b: str) -> int:
--- a/pebblehinge/lab/faults/in_memory_target.py
+++ b/pebblehinge/lab/faults/in_memory_target.py
@@ -102,18 +102,18 @@
 
     # ---- folders, clocks, disks
 
-    def copy(self, name: str, mark: str) -> None:
+    def copy_folder(self, name: str, mark: str) -> None:
         if name in self.disks:
-            kept = self.copies[(name, mark)] = FaultyDisk(random.Random(f"{name}/{mark}"))
-            kept.files, kept.synced = copy.deepcopy((self.disks[name].files, self.disks[name].synced))
-            kept.crash()
+            copied = self.copies[(name, mark)] = FaultyDisk(random.Random(f"{name}/{mark}"))
+            copied.files, copied.synced = copy.deepcopy((self.disks[name].files, self.disks[name].synced))
+            copied.crash()
 
-    def go_back(self, name: str, mark: str) -> None:
-        old, kept = self.disks.get(name), self.copies.get((name, mark))
+    def restore_folder(self, name: str, mark: str) -> None:
+        old, copied = self.disks.get(name), self.copies.get((name, mark))
         if old is not None:
-            old.files, old.synced = ({}, {}) if kept is None else copy.deepcopy((kept.files, kept.synced))
+            old.files, old.synced = ({}, {}) if copied is None else copy.deepcopy((copied.files, copied.synced))
 
-    def set(self, name: str, kind: str, by: float | None) -> None:
+    def set_local_fault(self, name: str, kind: str, by: float | None) -> None:
         if kind == "drift":
             self.fleet.nodes[name].drift(1.0 + (by or 0.0))
         elif kind == "wall":
@@ -129,7 +129,7 @@
 
     # ---- links
 
-    def way(self, source: str, to: str, held: LinkState) -> None:
+    def set_link(self, source: str, to: str, held: LinkState) -> None:
         net = self.world.net
         way, usual = net.own_way(source, to), net.usual
         way.blocked, way.rate = held.blocked, held.rate / 1000.0
@@ -137,7 +137,7 @@
         for pipe in net.between(source, to):
             pipe.go_on()
 
-    def tried(self, source: str, to: str) -> int:
+    def count_attempts(self, source: str, to: str) -> int:
         return self.world.net.tried[(source, to)]
 
     def reset(self, a: str, b: str) -> int:
--- a/pebblehinge/lab/faults/link_faults.py
+++ b/pebblehinge/lab/faults/link_faults.py
@@ -18,7 +18,7 @@
     repeat: float = 0.0  # probability that a datagram arrives twice
 
     @property
-    def sound(self) -> bool:
+    def is_healthy(self) -> bool:
         return not (self.blocked or self.delay_ms or self.rate or self.lose or self.repeat)
 
 
@@ -29,8 +29,8 @@
     """The active faults of links. `begin` and `end` return the directions that the fault affects."""
 
     def __init__(self) -> None:
-        self.under_way: dict[tuple[str, str], list[Fault]] = {}
-        self.held: dict[tuple[str, str], LinkState] = {}
+        self.active_faults: dict[tuple[str, str], list[Fault]] = {}
+        self.states: dict[tuple[str, str], LinkState] = {}
 
     @staticmethod
     def pairs(fault: Fault) -> list[tuple[str, str]]:
@@ -43,37 +43,37 @@
         """Adds a fault of a link and returns the directions that it affects."""
         assert KINDS[fault.kind][0] in (BOTH, ONE) and KINDS[fault.kind][2]
         for pair in self.pairs(fault):
-            self.under_way.setdefault(pair, []).append(fault)
-            self._reckon(pair)
+            self.active_faults.setdefault(pair, []).append(fault)
+            self._update_state(pair)
         return self.pairs(fault)
 
     def end(self, fault: Fault) -> list[tuple[str, str]]:
         """Removes a fault and returns its directions; an inactive fault changes nothing."""
         for pair in self.pairs(fault):
-            rows = self.under_way.get(pair, [])
+            rows = self.active_faults.get(pair, [])
             if fault in rows:
                 rows.remove(fault)
-            self._reckon(pair)
+            self._update_state(pair)
         return self.pairs(fault)
 
-    def _reckon(self, pair: tuple[str, str]) -> None:
-        rows = self.under_way.get(pair)
+    def _update_state(self, pair: tuple[str, str]) -> None:
+        rows = self.active_faults.get(pair)
         if not rows:
-            self.under_way.pop(pair, None)
-            self.held.pop(pair, None)
+            self.active_faults.pop(pair, None)
+            self.states.pop(pair, None)
             return
-        held = self.held[pair] = LinkState()
+        state = self.states[pair] = LinkState()
         for f in rows:
             if f.kind in ("cut", "silent"):
-                held.blocked = True
+                state.blocked = True
             elif f.kind == "delay":
-                held.delay_ms = max(held.delay_ms, f.by)
+                state.delay_ms = max(state.delay_ms, f.by)
             elif f.kind == "slow":
-                held.rate = min(held.rate or f.by, f.by)
+                state.rate = min(state.rate or f.by, f.by)
             elif f.kind == "lose":
-                held.lose = max(held.lose, f.by)
+                state.lose = max(state.lose, f.by)
             else:
-                held.repeat = max(held.repeat, f.by)
+                state.repeat = max(state.repeat, f.by)
 
     def between(self, source: str, to: str) -> LinkState:
-        return self.held.get((source, to), HEALTHY_LINK)
+        return self.states.get((source, to), HEALTHY_LINK)
--- a/pebblehinge/lab/faults/process_environment.py
+++ b/pebblehinge/lab/faults/process_environment.py
@@ -72,7 +72,7 @@
 
     # ---- installation
 
-    def lay(self) -> None:
+    def install(self) -> None:
         """Replaces clocks, event loop and disk calls. Must run before the program is imported."""
         from pebblehinge.store.disk import RealDisk
 
@@ -115,11 +115,11 @@
         asking = RelayHandshake(self, f"{self.under.name} {host} {port}\n".encode())
         transport, _ = await super().create_connection(lambda: asking, *self.under.relay)
         try:
-            said, rest = await asking.said
+            answer, rest = await asking.answer
         except BaseException:
             transport.abort()
             raise
-        if said != CONNECTED:
+        if answer != CONNECTED:
             transport.abort()
             raise ConnectionRefusedError(111, f"{host}:{port}: connection refused")
         protocol = factory()
@@ -142,18 +142,18 @@
 
     def __init__(self, loop: RelayedLoop, line: bytes) -> None:
         self.line = line
-        self.said: asyncio.Future[tuple[bytes, bytes]] = loop.create_future()
+        self.answer: asyncio.Future[tuple[bytes, bytes]] = loop.create_future()
 
     def connection_made(self, transport: Any) -> None:
         transport.write(self.line)
 
     def data_received(self, data: bytes) -> None:
-        if not self.said.done():
-            self.said.set_result((data[:1], data[1:]))
+        if not self.answer.done():
+            self.answer.set_result((data[:1], data[1:]))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.said.done():
-            self.said.set_exception(ConnectionResetError(104, "connection reset"))
+        if not self.answer.done():
+            self.answer.set_exception(ConnectionResetError(104, "connection reset"))
 
 
 class RelayedDatagrams(asyncio.DatagramProtocol):
@@ -197,7 +197,7 @@
 
 def main() -> None:
     where, words = json.loads(sys.argv[1]), sys.argv[3:]
-    ProcessEnvironment(where).lay()
+    ProcessEnvironment(where).install()
     sys.argv = [PROGRAM, *words]
     runpy.run_module(PROGRAM, run_name="__main__")
 
--- a/pebblehinge/lab/faults/relay.py
+++ b/pebblehinge/lab/faults/relay.py
@@ -15,7 +15,7 @@
 from pebblehinge.lab.faults.link_faults import HEALTHY_LINK, LinkState
 from pebblehinge.lab.faults.relay_endpoint import RelayEndpoint
 
-MOST_LINE = 512
+MAX_LINE_BYTES = 512
 CONNECTED, REFUSED = b"+", b"-"
 
 
@@ -38,7 +38,7 @@
                 self.relay.loop.create_task(self._connect(words[0], words[1], int(words[2])))
                 return
             self.transport.abort()
-        elif len(self.line) > MOST_LINE:
+        elif len(self.line) > MAX_LINE_BYTES:
             self.transport.abort()
 
     async def _connect(self, source: str, host: str, port: int) -> None:
@@ -63,7 +63,7 @@
         near.connection_made(self.transport)
         self.transport.set_protocol(near)
         self.transport.write(CONNECTED)
-        far.push()
+        far.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
         pass
@@ -87,14 +87,14 @@
         source, host, port = words[0], words[1], int(words[2])
         relay = self.relay
         to = relay.bound_for(source, host, port)
-        held = relay.held(source, to)
-        if held.blocked or (held.lose and relay.rng.random() < held.lose):
+        state = relay.link_state(source, to)
+        if state.blocked or (state.lose and relay.rng.random() < state.lose):
             return
-        told = f"{words[3]} {words[4]}\n".encode() + rest
-        for _ in range(2 if held.repeat and relay.rng.random() < held.repeat else 1):
-            relay.loop.call_later(held.delay_ms / 1000.0, self._go, told, (host, port))
+        payload = f"{words[3]} {words[4]}\n".encode() + rest
+        for _ in range(2 if state.repeat and relay.rng.random() < state.repeat else 1):
+            relay.loop.call_later(state.delay_ms / 1000.0, self._send, payload, (host, port))
 
-    def _go(self, data: bytes, to: tuple[str, int]) -> None:
+    def _send(self, data: bytes, to: tuple[str, int]) -> None:
         if not self.transport.is_closing():
             self.transport.sendto(data, to)
 
@@ -120,13 +120,13 @@
         self.address = self.server.sockets[0].getsockname()[:2]
         self.udp, _ = await self.loop.create_datagram_endpoint(lambda: DatagramForwarder(self), local_addr=(host, 0))
         self.datagrams = self.udp.get_extra_info("sockname")[:2]
-        self._look(self.loop.time())
+        self._measure_lateness(self.loop.time())
 
-    def _look(self, expected: float) -> None:
+    def _measure_lateness(self, expected: float) -> None:
         """Measures the delay of this loop, which delays all relayed traffic equally."""
         self.late_ms = max(self.late_ms, (self.loop.time() - expected) * 1000.0)
         at = self.loop.time() + 0.02
-        self.timer = self.loop.call_at(at, self._look, at)
+        self.timer = self.loop.call_at(at, self._measure_lateness, at)
 
     def close(self) -> None:
         self.server.close()
@@ -136,15 +136,15 @@
         for end in list(self.ends):
             end.cut_off()
 
-    def way(self, source: str, to: str, held: LinkState) -> None:
+    def set_link(self, source: str, to: str, state: LinkState) -> None:
         """Sets the state of one direction."""
-        self.ways[(source, to)] = held
-        if not held.blocked:
+        self.ways[(source, to)] = state
+        if not state.blocked:
             for future in self.waiting.pop((source, to), []):
                 if not future.done():
                     future.set_result(None)
         for end in [e for e in self.ends if (e.source, e.to) == (source, to)]:
-            end.push()
+            end.flush()
 
     def bound_for(self, source: str, host: str, port: int) -> str:
         """Counts an attempt and returns the process behind an address; an unknown address is its own name."""
@@ -153,12 +153,12 @@
         return to
 
     async def passable(self, source: str, to: str) -> None:
-        while self.held(source, to).blocked:
+        while self.link_state(source, to).blocked:
             future = self.loop.create_future()
             self.waiting.setdefault((source, to), []).append(future)
             await future
 
-    def held(self, source: str, to: str) -> LinkState:
+    def link_state(self, source: str, to: str) -> LinkState:
         return self.ways.get((source, to), HEALTHY_LINK)
 
     def between(self, a: str, b: str) -> list[RelayEndpoint]:
@@ -172,7 +172,7 @@
 
     def half_open(self, a: str, b: str) -> int:
         """Resets b's side of each connection between them; a's side stays open, and its data is dropped."""
-        found = [e for e in self.between(a, b) if e.source == b and not e.alone]
+        found = [e for e in self.between(a, b) if e.source == b and not e.is_half_open]
         for end in found:
             end.cut_off()
         return len(found)
--- a/pebblehinge/lab/faults/relay_endpoint.py
+++ b/pebblehinge/lab/faults/relay_endpoint.py
@@ -10,7 +10,7 @@
 
 from pebblehinge.lab.faults.link_faults import LinkState
 
-MOST_HELD = 1 << 16  # bytes buffered for one direction before reading from its sender pauses
+MAX_BUFFERED_BYTES = 1 << 16  # bytes buffered for one direction before reading from its sender pauses
 
 
 class RelayContext(Protocol):
@@ -20,7 +20,7 @@
     ends: dict[RelayEndpoint, None]
     count: dict[tuple[str, str], int]
 
-    def held(self, source: str, to: str) -> LinkState: ...
+    def link_state(self, source: str, to: str) -> LinkState: ...
 
 
 class RelayEndpoint(asyncio.Protocol):
@@ -31,71 +31,71 @@
         self.transport: Any = None
         self.other: RelayEndpoint | None = None
         self.queue: deque[tuple[float, str, bytes]] = deque()  # due time in s; data, eof, closed or broken; bytes
-        self.held = 0
+        self.buffered_bytes = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.paused = self.stuck = False  # paused: reading is paused; stuck: the write buffer is full
-        self.got_eof = self.sent_eof = self.over = self.alone = False  # alone: half open, received data is dropped
+        self.read_paused = self.write_paused = False  # write_paused: the write buffer is full
+        self.got_eof = self.sent_eof = self.closed = self.is_half_open = False  # is_half_open: received data is dropped
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         self.relay.ends[self] = None
 
     def data_received(self, data: bytes) -> None:
-        self.put("data", data)
+        self.enqueue("data", data)
 
     def eof_received(self) -> bool:
         self.got_eof = True
-        self.put("eof")
+        self.enqueue("eof")
         self._close_if_done()
-        return not self.alone  # the other direction, if there is one, stays open
+        return not self.is_half_open  # the other direction, if there is one, stays open
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = True
-        self.put("closed" if exc is None else "broken")
+        self.closed = True
+        self.enqueue("closed" if exc is None else "broken")
 
-    def put(self, what: str, data: bytes = b"") -> None:
+    def enqueue(self, what: str, data: bytes = b"") -> None:
         relay = self.relay
         relay.count[(self.source, self.to)] += 1
-        if self.alone:
+        if self.is_half_open:
             self._forget()
             return
-        held = relay.held(self.source, self.to)
-        self.queue.append((relay.loop.time() + held.delay_ms / 1000.0, what, data))
-        self.held += len(data)
-        if self.held > MOST_HELD and not self.paused and not self.over:
-            self.paused = True
+        state = relay.link_state(self.source, self.to)
+        self.queue.append((relay.loop.time() + state.delay_ms / 1000.0, what, data))
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes > MAX_BUFFERED_BYTES and not self.read_paused and not self.closed:
+            self.read_paused = True
             self.transport.pause_reading()
-        self.push()
+        self.flush()
 
-    def push(self) -> None:
+    def flush(self) -> None:
         """Forwards what is due and schedules a call for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         relay, other = self.relay, self.other
-        while self.queue and other is not None and not other.stuck:
-            held = relay.held(self.source, self.to)
-            if held.blocked:
+        while self.queue and other is not None and not other.write_paused:
+            state = relay.link_state(self.source, self.to)
+            if state.blocked:
                 return
             at, what, data = self.queue[0]
             wait = at - relay.loop.time()
             if wait > 0:
-                self.timer = relay.loop.call_later(wait, self.push)
+                self.timer = relay.loop.call_later(wait, self.flush)
                 return
             self.queue.popleft()
-            some = data[: max(1, int(held.rate / 100.0))] if held.rate and data else data
+            some = data[: max(1, int(state.rate / 100.0))] if state.rate and data else data
             if len(some) < len(data):
                 self.queue.appendleft((relay.loop.time() + 0.01, what, data[len(some) :]))
-            self.held -= len(some)
-            other.take(what, some)
-        if self.paused and self.held <= MOST_HELD // 2 and not self.over:
-            self.paused = False
+            self.buffered_bytes -= len(some)
+            other.send_event(what, some)
+        if self.read_paused and self.buffered_bytes <= MAX_BUFFERED_BYTES // 2 and not self.closed:
+            self.read_paused = False
             self.transport.resume_reading()
         self._forget()
 
-    def take(self, what: str, data: bytes) -> None:
+    def send_event(self, what: str, data: bytes) -> None:
         """Sends an event of the other side on this connection."""
-        if self.over or self.transport.is_closing():
+        if self.closed or self.transport.is_closing():
             return
         if what == "data":
             self.transport.write(data)
@@ -112,30 +112,30 @@
             reset(self.transport)
 
     def _close_if_done(self) -> None:
-        if self.got_eof and self.sent_eof and not self.over:
+        if self.got_eof and self.sent_eof and not self.closed:
             self.transport.close()
 
     def _forget(self) -> None:
         """Drops an endpoint that is closed and has nothing left to forward."""
-        if self.over and not self.queue:
+        if self.closed and not self.queue:
             self.relay.ends.pop(self, None)
 
     def pause_writing(self) -> None:
-        self.stuck = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.stuck = False
+        self.write_paused = False
         if self.other is not None:
-            self.other.push()
+            self.other.flush()
 
     def cut_off(self) -> None:
         """Resets this side; the other side is not notified, and what it sends is dropped."""
         if self.other is not None:
-            self.other.alone = True
+            self.other.is_half_open = True
             self.other.queue.clear()
-        self.alone = True
+        self.is_half_open = True
         self.queue.clear()
-        if not self.over:
+        if not self.closed:
             reset(self.transport)
 
 
--- a/pebblehinge/lab/faults/script.py
+++ b/pebblehinge/lab/faults/script.py
@@ -59,37 +59,37 @@
     fault: Fault
 
 
-class _Bad(Exception):
+class _SyntaxProblem(Exception):
     def __init__(self, column: int, found: str, expected: str) -> None:
         super().__init__(f"{column}: {found}: expected {expected}")
 
 
-def _time(word: str, column: int, least: float = 0.0) -> float:
+def _parse_time(word: str, column: int, least: float = 0.0) -> float:
     found = TIME.fullmatch(word)
     value = float(found[1]) * (1000.0 if found[2] == "s" else 1.0) if found else least - 1.0
     if value < least:
-        raise _Bad(column, repr(word), "a time such as 300ms or 4s")
+        raise _SyntaxProblem(column, repr(word), "a time such as 300ms or 4s")
     return value
 
 
-def _line(words: list[tuple[int, str]], names: set[str]) -> Fault:
+def _parse_line(words: list[tuple[int, str]], names: set[str]) -> Fault:
     last = words[-1][0] + len(words[-1][1])
     todo = iter(words)
 
     def after(what: str) -> tuple[int, str]:
         found = next(todo, None)
         if found is None:
-            raise _Bad(last, "the end", what)
+            raise _SyntaxProblem(last, "the end", what)
         return found
 
     column, word = after("at TIME KIND")
     if word != "at":
-        raise _Bad(column, repr(word), "at TIME KIND ...")
+        raise _SyntaxProblem(column, repr(word), "at TIME KIND ...")
     column, word = after("a time")
-    at = _time(word, column)
+    at = _parse_time(word, column)
     column, kind = after("a kind of fault")
     if kind not in KINDS:
-        raise _Bad(column, f"unknown fault {kind!r}", "one of " + ", ".join(KINDS))
+        raise _SyntaxProblem(column, f"unknown fault {kind!r}", "one of " + ", ".join(KINDS))
     form, unit, lasts = KINDS[kind]
     sides: list[list[str]] = [[]]
     by = length = old = 0.0
@@ -104,29 +104,31 @@
                 column, word = after("a figure")
                 found = FIGURE[unit].fullmatch(word)
                 if found is None:
-                    raise _Bad(column, repr(word), {"ms": "a time", "KiB": "KiB a second", "%": "a share"}[unit])
+                    raise _SyntaxProblem(
+                        column, repr(word), {"ms": "a time", "KiB": "KiB a second", "%": "a share"}[unit]
+                    )
                 by = float(found[1]) * {"ms": 1.0, "s": 1000.0, "KiB": 1024.0, "%": 0.01}[found[2]]
                 if (by <= 0.0 and kind not in SIGNED) or (unit == "%" and not -1.0 < by <= 1.0):
-                    raise _Bad(column, repr(word), "more than none, and no share beyond the whole")
+                    raise _SyntaxProblem(column, repr(word), "more than none, and no share beyond the whole")
             elif word == "for" and lasts:
-                length = _time(*reversed(after("a time")), 1.0)  # type: ignore[arg-type]
+                length = _parse_time(*reversed(after("a time")), 1.0)  # type: ignore[arg-type]
             elif word == "old" and kind == "kill" and not folder:
-                folder, old = "old", _time(*reversed(after("a time")), 1.0)  # type: ignore[arg-type]
+                folder, old = "old", _parse_time(*reversed(after("a time")), 1.0)  # type: ignore[arg-type]
             elif word == "empty" and kind == "kill" and not folder:
                 folder = "empty"
             else:
-                raise _Bad(clause, f"{word!r} with {kind}", "none")
+                raise _SyntaxProblem(clause, f"{word!r} with {kind}", "none")
         elif not seen and word in names:
             sides[-1].append(word)
         else:
-            raise _Bad(column, repr(word), "a name of the fleet" if not seen else "by, for, or the end")
+            raise _SyntaxProblem(column, repr(word), "a name of the fleet" if not seen else "by, for, or the end")
     if not all(sides) or (len(sides) == 1) != (form == PROCESS):
-        raise _Bad(last, f"{kind} {' '.join(sides[0])}".strip(), f"{kind} {FORMS[form]}")
+        raise _SyntaxProblem(last, f"{kind} {' '.join(sides[0])}".strip(), f"{kind} {FORMS[form]}")
     for word, needed in (("by", unit is not None), ("for", lasts)):
         if needed and word not in seen:
-            raise _Bad(last, f"{kind} without {word!r}", f"{word} and a figure")
+            raise _SyntaxProblem(last, f"{kind} without {word!r}", f"{word} and a figure")
     if folder == "old" and old > at:
-        raise _Bad(clause, f"a folder of {old:g} ms before {at:g} ms", "one of after the beginning")
+        raise _SyntaxProblem(clause, f"a folder of {old:g} ms before {at:g} ms", "one of after the beginning")
     others = tuple(sides[1]) if len(sides) == 2 else ()
     return Fault(at, kind, tuple(sides[0]), others, by, length, folder, old)
 
@@ -141,15 +143,15 @@
         words = [(m.start() + 1, m[0]) for m in re.finditer(r"\S+", line.partition("#")[0])]
         if words:
             try:
-                found.append(_line(words, known))
-            except _Bad as bad:
+                found.append(_parse_line(words, known))
+            except _SyntaxProblem as bad:
                 wrong.append(f"{file}:{number}:{bad}")
     if wrong:
         raise ScriptError("\n".join(wrong))
     return sorted(found, key=lambda f: f.at_ms)
 
 
-def _say(value: float, unit: str) -> str:
+def _format_value(value: float, unit: str) -> str:
     if unit == "ms":
         return f"{value / 1000:g}s" if value and value % 1000 == 0 else f"{value:.12g}ms"
     return f"{value / 1024:.12g}KiB" if unit == "KiB" else f"{value * 100:.12g}%"
@@ -160,10 +162,10 @@
     lines = []
     for f in faults:
         form, unit, lasts = KINDS[f.kind]
-        words = ["at", _say(f.at_ms, "ms"), f.kind, *f.some, *([form, *f.others] if form != PROCESS else [])]
-        words += ["by", _say(f.by, unit)] if unit is not None else []
-        words += ["for", _say(f.last_ms, "ms")] if lasts else []
-        words += ["old", _say(f.old_ms, "ms")] if f.folder == "old" else ["empty"] if f.folder else []
+        words = ["at", _format_value(f.at_ms, "ms"), f.kind, *f.some, *([form, *f.others] if form != PROCESS else [])]
+        words += ["by", _format_value(f.by, unit)] if unit is not None else []
+        words += ["for", _format_value(f.last_ms, "ms")] if lasts else []
+        words += ["old", _format_value(f.old_ms, "ms")] if f.folder == "old" else ["empty"] if f.folder else []
         lines.append(" ".join(words) + "\n")
     return "".join(lines)
 
--- a/pebblehinge/lab/link_fault_history.py
+++ b/pebblehinge/lab/link_fault_history.py
@@ -27,7 +27,7 @@
         elif pair in self.since:
             self.spans.setdefault(pair, []).append((self.since.pop(pair), t))
 
-    def held(self, source: str, to: str, begin: float, end: float) -> bool:
+    def may_have_been_held(self, source: str, to: str, begin: float, end: float) -> bool:
         """Returns whether data sent in this direction between `begin` and `end` may have been held back."""
         spans = [*self.spans.get((source, to), ()), (self.since.get((source, to), math.inf), math.inf)]
         return any(a <= end and begin <= b + AFTER_MS for a, b in spans)
@@ -39,4 +39,4 @@
         """
         if any(t - after_ms <= at <= t for at in self.cuts.get((a, b), ())):
             return True
-        return self.held(a, b, t - after_ms, t) or self.held(b, a, t - after_ms, t)
+        return self.may_have_been_held(a, b, t - after_ms, t) or self.may_have_been_held(b, a, t - after_ms, t)
--- a/pebblehinge/lab/node_rules.py
+++ b/pebblehinge/lab/node_rules.py
@@ -49,7 +49,7 @@
 
     def was_held(gateway: str, life: Life, time_ms: float) -> bool:
         """Returns whether the connection to the node was held, so that earlier attempts may have arrived at once."""
-        return day.ways.held(
+        return day.ways.may_have_been_held(
             gateway, life.name.partition(".")[0], time_ms - rules.fall_window - day.transit_ms, time_ms
         )
 
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -63,8 +63,8 @@
         await until(lambda: len(self.there) > before)
         return here, self.there[-1]
 
-    def way(self, source: str, to: str, **held: Any) -> None:
-        self.relay.way(source, to, LinkState(**held))
+    def set_link(self, source: str, to: str, **state: Any) -> None:
+        self.relay.set_link(source, to, LinkState(**state))
 
 
 def on_relay(script: Callable[[World], Coroutine[Any, Any, None]]) -> None:
--- a/tests/test_fault_processes.py
+++ b/tests/test_fault_processes.py
@@ -47,7 +47,7 @@
     # The member whose disk failed logged that, exited, and was restarted when the disk worked again.
     assert "storage failed" in (records / "processes.log").read_text()
     facts = DayFacts.read(records, load(str(records / "day.conf")))
-    assert facts.ways.held("g1", "h1", facts.begin + 2_000.0, facts.begin + 2_000.0)
+    assert facts.ways.may_have_been_held("g1", "h1", facts.begin + 2_000.0, facts.begin + 2_000.0)
     copies = records / "copies" / "h2"
     assert [p.name for p in copies.iterdir()] == ["3500-3000"] and not (records / "copies" / "h3").exists()
     for name in ("h1", "h2", "h3"):  # it restarted and served requests
--- a/tests/test_fault_scripts.py
+++ b/tests/test_fault_scripts.py
@@ -160,7 +160,7 @@
     for f in rows[:-1]:
         ways.end(f)
         ways.end(f)  # ending an inactive fault changes nothing
-    assert not ways.held and not ways.under_way
+    assert not ways.states and not ways.active_faults
 
 
 @settings(deadline=None, max_examples=200)
@@ -170,8 +170,8 @@
     for f in rows:
         ways.begin(f)
         for a, b in LinkFaults.pairs(f):
-            assert not ways.between(a, b).sound
-            assert KINDS[f.kind][0] != BOTH or not ways.between(b, a).sound
+            assert not ways.between(a, b).is_healthy
+            assert KINDS[f.kind][0] != BOTH or not ways.between(b, a).is_healthy
     for f in data.draw(st.permutations(rows)):
         ways.end(f)
-    assert not ways.held
+    assert not ways.states
--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -65,8 +65,8 @@
     got = [g.t - facts.begin for attempts in facts.attempts.values() for g in attempts if g.shelf == "s1"]
     assert not any(3_010 < t < 7_000 for t in got) and any(7_000 < t < 9_000 for t in got)
     assert min(said) < 3_000 and known["script"]["idle"] == []
-    assert facts.ways.held("h1", "s1", 5_000 + facts.begin, 5_000 + facts.begin)
-    assert not facts.ways.held("h1", "s2", 5_000 + facts.begin, 5_000 + facts.begin)
+    assert facts.ways.may_have_been_held("h1", "s1", 5_000 + facts.begin, 5_000 + facts.begin)
+    assert not facts.ways.may_have_been_held("h1", "s2", 5_000 + facts.begin, 5_000 + facts.begin)
 
 
 def test_a_frozen_gateway_answers_nothing_and_a_killed_one_restarts_from_its_folder() -> None:
@@ -152,13 +152,15 @@
 
 
 def test_link_faults_are_read_from_the_labs_rows() -> None:
-    struck = LinkFaultHistory()
+    history = LinkFaultHistory()
     for t, held in ((100.0, True), (200.0, True), (300.0, False), (900.0, True)):
-        struck.note({"e": "way", "a": "x", "b": "y", "t": t, "held": held})
-    struck.note({"e": "cut off", "a": "x", "b": "z", "t": 500.0})
-    assert struck.held("x", "y", 150.0, 150.0)
-    assert struck.held("x", "y", 390.0, 400.0)  # held-back data arrives a little later
-    assert not struck.held("x", "y", 450.0, 800.0) and not struck.held("y", "x", 150.0, 150.0)
-    assert struck.held("x", "y", 5_000.0, 5_000.0)  # the fault has not ended
-    assert struck.may_have_failed("z", "x", 700.0, 250.0) and not struck.may_have_failed("z", "x", 800.0, 250.0)
-    assert struck.may_have_failed("y", "x", 150.0, 0.0)
+        history.note({"e": "way", "a": "x", "b": "y", "t": t, "held": held})
+    history.note({"e": "cut off", "a": "x", "b": "z", "t": 500.0})
+    assert history.may_have_been_held("x", "y", 150.0, 150.0)
+    assert history.may_have_been_held("x", "y", 390.0, 400.0)  # held-back data arrives a little later
+    assert not history.may_have_been_held("x", "y", 450.0, 800.0) and not history.may_have_been_held(
+        "y", "x", 150.0, 150.0
+    )
+    assert history.may_have_been_held("x", "y", 5_000.0, 5_000.0)  # the fault has not ended
+    assert history.may_have_failed("z", "x", 700.0, 250.0) and not history.may_have_failed("z", "x", 800.0, 250.0)
+    assert history.may_have_failed("y", "x", 150.0, 0.0)
--- a/tests/test_raft_storage.py
+++ b/tests/test_raft_storage.py
@@ -69,13 +69,13 @@
     cluster = Cluster(MEMBER_NAMES, 10)
     leader = cluster.run_until(cluster.leader)
     full_member = cluster.members[next(n for n in MEMBER_NAMES if n != leader.name)]
-    full_member.disk.room = 10
+    full_member.disk.free_bytes = 10
     for i in range(10):
         cluster.propose(f"x{i}")
         cluster.run(2)
     cluster.run_until(lambda: leader.applied_texts[-1:] == ["x9"])
     assert not full_member.is_running
-    full_member.disk.room = None
+    full_member.disk.free_bytes = None
     full_member.start()
     cluster.run_until(lambda: full_member.applied_texts == leader.applied_texts)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -31,11 +31,11 @@
 
 def test_a_closed_port_refuses_and_a_blocked_link_connects_after_it_heals() -> None:
     async def script(world: World) -> None:
-        world.way("b", "a", blocked=True)  # either direction is enough
+        world.set_link("b", "a", blocked=True)  # either direction is enough
         making = asyncio.ensure_future(world.connect())
         await asyncio.sleep(0.15)
         assert not making.done() and not world.there
-        world.way("b", "a")
+        world.set_link("b", "a")
         here, there = await making
         here.transport.write(b"x")
         await until(lambda: there.got == b"x")
@@ -50,7 +50,7 @@
 def test_bytes_on_a_blocked_direction_arrive_complete_and_in_order_after_it_heals() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
-        world.way("a", "b", blocked=True)
+        world.set_link("a", "b", blocked=True)
         here.transport.write(b"one")
         there.transport.write(b"back")
         await until(lambda: here.got == b"back")  # the other direction is healthy
@@ -60,7 +60,7 @@
         here.transport.close()  # closing is held back too
         await asyncio.sleep(0.05)
         assert there.lost is None
-        world.way("a", "b")
+        world.set_link("a", "b")
         await until(lambda: there.lost is not None)
         assert there.got == b"onetwo"
 
@@ -70,13 +70,13 @@
 def test_bytes_buffered_on_a_blocked_link_are_bounded() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
-        world.way("a", "b", blocked=True)
+        world.set_link("a", "b", blocked=True)
         for _ in range(400):
             here.transport.write(bytes(1 << 16))
         await asyncio.sleep(0.3)
-        held = sum(end.held for end in world.relay.ends)
+        held = sum(end.buffered_bytes for end in world.relay.ends)
         assert 1 << 16 < held < 1 << 20, held
-        world.way("a", "b")
+        world.set_link("a", "b")
         await until(lambda: len(there.got) == 400 << 16)
 
     on_relay(script)
@@ -85,12 +85,12 @@
 def test_a_link_has_the_configured_delay_and_rate() -> None:
     async def script(world: World) -> None:
         here, there = await world.connect()
-        world.way("a", "b", delay_ms=200.0)
+        world.set_link("a", "b", delay_ms=200.0)
         began = time.monotonic()
         here.transport.write(b"late")
         await until(lambda: there.got == b"late")
         assert 0.19 < time.monotonic() - began < 2.0
-        world.way("a", "b", rate=20_000.0)
+        world.set_link("a", "b", rate=20_000.0)
         began = time.monotonic()
         here.transport.write(bytes(8_000))
         await until(lambda: len(there.got) == 8_004)
@@ -131,18 +131,18 @@
         wrapped.sendto(b"one", places[1])
         await until(lambda: len(ears[1].got) == 1)
         assert ears[1].got == [(b"one", tuple(places[0]))]
-        world.way("a", "b", lose=1.0)
+        world.set_link("a", "b", lose=1.0)
         for _ in range(20):
             wrapped.sendto(b"lost", places[1])
         await asyncio.sleep(0.1)
         assert len(ears[1].got) == 1 and world.relay.count[("a", "b")] == 21
-        world.way("a", "b", repeat=1.0)
+        world.set_link("a", "b", repeat=1.0)
         wrapped.sendto(b"twice", places[1])
         await until(lambda: len(ears[1].got) == 3)
-        world.way("a", "b", blocked=True)
+        world.set_link("a", "b", blocked=True)
         wrapped.sendto(b"cut", places[1])
         await until(lambda: world.relay.count[("a", "b")] == 23)
-        world.way("a", "b")
+        world.set_link("a", "b")
         ears[1].transport.transport.sendto(b"no head", places[1])  # not from the relay, so it is dropped
         await asyncio.sleep(0.1)
         assert [data for data, _ in ears[1].got] == [b"one", b"twice", b"twice"]
