--- a/pebblehinge/lab/crash/processes.py
+++ b/pebblehinge/lab/crash/processes.py
@@ -61,7 +61,7 @@
         if client is not None:
             client.close()
 
-    async def play(self, rounds: int, said: Callable[[str], None]) -> dict[str, Any]:
+    async def play(self, rounds: int, on_progress: Callable[[str], None]) -> dict[str, Any]:
         loop = asyncio.get_running_loop()
         try:
             await self.start("listing", "listing")
@@ -78,18 +78,18 @@
                 await self.start("h1", "head")
                 await asyncio.gather(*tasks)
                 if n % 20 == 19:
-                    said(f"round {n + 1} of {rounds}: {len(self.books.confirmed)} confirmed")
+                    on_progress(f"round {n + 1} of {rounds}: {len(self.books.confirmed)} confirmed")
             self.processes["h1"].terminate()  # the gateway writes the rest to the nodes before it exits
             code = await asyncio.wait_for(self.processes["h1"].wait(), 40.0)
-            told = judge(self.books, *self.stands())
-            return {"rounds": rounds, **told, "fault": int(code != 0)}
+            totals = judge(self.books, *self.read_effects())
+            return {"rounds": rounds, **totals, "fault": int(code != 0)}
         finally:
             for process in self.processes.values():
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
 
-    def stands(self) -> tuple[dict[str, bytearray], list[tuple[str, int]]]:
+    def read_effects(self) -> tuple[dict[str, bytearray], list[tuple[str, int]]]:
         """Returns extents and effects as read from the files of the storage nodes' journals of effects."""
         extents: dict[str, bytearray] = {}
         rows = []
--- a/pebblehinge/lab/crash/verdict.py
+++ b/pebblehinge/lab/crash/verdict.py
@@ -42,12 +42,12 @@
     """Returns the sums of all rounds, and the first violation."""
     total: Counter[str] = Counter()
     first = ""
-    for n, told in enumerate(rounds):
-        for key, value in told.items():
+    for n, totals in enumerate(rounds):
+        for key, value in totals.items():
             if key != "first":
                 total[key] += value
-        if told["first"] and not first:
-            first = f"round {n}: {told['first']}"
+        if totals["first"] and not first:
+            first = f"round {n}: {totals['first']}"
     keys = (
         "confirmed",
         "missing",
@@ -62,5 +62,5 @@
     return {"rounds": len(rounds), **{k: total[k] for k in keys}, "first": first}
 
 
-def sound(told: dict[str, Any]) -> bool:
-    return not any(told.get(k) for k in ("missing", "doubled", "claimed_wrongly", "order_broken", "fault"))
+def sound(totals: dict[str, Any]) -> bool:
+    return not any(totals.get(k) for k in ("missing", "doubled", "claimed_wrongly", "order_broken", "fault"))
--- a/pebblehinge/lab/crash/virtual.py
+++ b/pebblehinge/lab/crash/virtual.py
@@ -35,37 +35,37 @@
         self.stall_ms = 0.0
         self.node: Node | None = None
         self.head: GatewayServer | None = None
-        self.lives = 0
+        self.incarnation = 0
         self.shelfs: list[StorageNodeServer] = []
 
     def clock(self) -> float:
         return self.loop.now * 1000.0
 
-    async def lasts(self, batch: Batch) -> None:
+    async def append_and_sync(self, batch: Batch) -> None:
         """Appends, waits and syncs, as a background thread does."""
-        life = self.lives
+        incarnation = self.incarnation
         self.disk.append(batch.file_name, batch.data)
         await asyncio.sleep(self.rng.uniform(0.0002, 0.004) + self.stall_ms / 1000.0)
-        if life != self.lives:
+        if incarnation != self.incarnation:
             raise OSError(5, "the process is gone")
         self.disk.sync(batch.file_name)
 
     async def start_head(self) -> None:
-        self.lives += 1
+        self.incarnation += 1
         self.node = self.loop.node("h1")
         head = self.head = GatewayServer(self.node, self.clock, self.config, "h1", self.log, InMemoryRecords())
-        head.enable_write_back(self.disk, self.lasts)
+        head.enable_write_back(self.disk, self.append_and_sync)
         await head.start()
 
     def kill_head(self) -> None:
         assert self.node is not None and self.head is not None
-        self.lives += 1
+        self.incarnation += 1
         self.node.kill()
         if self.head.write_back is not None:
             self.head.write_back.close()
         self.disk.crash()
 
-    def held(self) -> dict[str, bytearray]:
+    def stored_extents(self) -> dict[str, bytearray]:
         return {x.removeprefix("bids/"): data for c in self.contents for x, data in c.extents.items()}
 
     def effects(self) -> list[tuple[str, int]]:
@@ -82,7 +82,7 @@
                 except OSError:
                     await asyncio.sleep(0.02)
                     continue
-            await writer.one(client, self.held)
+            await writer.one(client, self.stored_extents)
             await asyncio.sleep(writer.rng.uniform(0.0, 0.01))
         if client is not None:
             client.close()
@@ -130,7 +130,7 @@
             faults = [v for _, event, v in self.log.lines if event == "fault"]
             if faults or self.loop.caught:
                 raise RuntimeError(str(faults or self.loop.caught[0]))
-            return judge(self.books, self.held(), self.effects())
+            return judge(self.books, self.stored_extents(), self.effects())
         finally:
             tasks = asyncio.all_tasks(self.loop)
             for task in tasks:
--- a/pebblehinge/lab/crash/writers.py
+++ b/pebblehinge/lab/crash/writers.py
@@ -45,27 +45,27 @@
 
     async def one(self, client: Client, held: Callable[[], dict[str, bytearray]] | None) -> None:
         """Sends one write, barrier or flush and records its result. `held` returns the nodes' present extents."""
-        books, what = self.books, self.rng.random()
-        if what < 0.04:
-            began = books.event()
-            got = await client.barrier("bids", profile="save", patience_ms=2000.0)
-            if got.succeeded:
-                books.barriers.append((began, books.event()))
-        elif what < 0.08:
+        books, choice = self.books, self.rng.random()
+        if choice < 0.04:
+            asked_at = books.event()
+            result = await client.barrier("bids", profile="save", patience_ms=2000.0)
+            if result.succeeded:
+                books.barriers.append((asked_at, books.event()))
+        elif choice < 0.08:
             before = [label for label in books.confirmed]
-            got = await client.flush_volume("bids", profile="save", patience_ms=2500.0)
-            if got.succeeded:
+            result = await client.flush_volume("bids", profile="save", patience_ms=2500.0)
+            if result.succeeded:
                 books.flushes += 1
-                stands = held() if held is not None else {}
+                stored = held() if held is not None else {}
                 for label in before if held is not None else ():
                     extent, _, offset, data = books.sent[label]
-                    if bytes(stands.get(extent, b"")[offset : offset + len(data)]) != data:
+                    if bytes(stored.get(extent, b"")[offset : offset + len(data)]) != data:
                         books.claimed_wrongly.append(f"a flush was honoured and {label} does not stand")
         else:
             label, extent, slot, offset, data = self.draw()
             books.sent[label] = (extent, slot, offset, data)
             books.asked[label] = books.event()
-            got = await client.write(
+            result = await client.write(
                 "bids",
                 extent,
                 data,
@@ -76,7 +76,7 @@
                 units=1.0,
                 patience_ms=2000.0,
             )
-            if got.succeeded:
+            if result.succeeded:
                 books.confirmed[label] = books.event()
-            elif got.final != "pushed back":
+            elif result.final != "pushed back":
                 books.unknown[label] = None
--- a/tests/relay_rig.py
+++ b/tests/relay_rig.py
@@ -14,10 +14,10 @@
 from pebblehinge.lab.faults.relay import Relay
 
 
-class Side(asyncio.Protocol):
+class RecordingEndpoint(asyncio.Protocol):
     """One end of a connection: records received data and how it ended."""
 
-    def __init__(self, at: list[Side] | None = None) -> None:
+    def __init__(self, at: list[RecordingEndpoint] | None = None) -> None:
         self.got, self.lost, self.eof = b"", None, False
         self.transport: Any = None
         if at is not None:
@@ -37,7 +37,7 @@
         self.lost = repr(exc)
 
 
-class Ears(asyncio.DatagramProtocol):
+class DatagramRecorder(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.got: list[tuple[bytes, Any]] = []
         self.transport: Any = None
@@ -49,49 +49,49 @@
         self.got.append((data, addr))
 
 
-class World:
+class RelayRig:
     """A test rig of a relay, a server named `b`, and an event loop that connects through the relay as `a`."""
 
-    def __init__(self, loop: RelayedLoop, relay: Relay, server: Any, there: list[Side]) -> None:
-        self.loop, self.relay, self.there = loop, relay, there
+    def __init__(self, loop: RelayedLoop, relay: Relay, server: Any, accepted: list[RecordingEndpoint]) -> None:
+        self.loop, self.relay, self.accepted = loop, relay, accepted
         self.server = server
         self.port = server.sockets[0].getsockname()[1]
 
-    async def connect(self) -> tuple[Side, Side]:
-        here, before = Side(), len(self.there)
+    async def connect(self) -> tuple[RecordingEndpoint, RecordingEndpoint]:
+        here, before = RecordingEndpoint(), len(self.accepted)
         await self.loop.create_connection(lambda: here, LOOPBACK, self.port)
-        await until(lambda: len(self.there) > before)
-        return here, self.there[-1]
+        await until(lambda: len(self.accepted) > before)
+        return here, self.accepted[-1]
 
     def set_link(self, source: str, to: str, **state: Any) -> None:
         self.relay.set_link(source, to, LinkState(**state))
 
 
-def on_relay(script: Callable[[World], Coroutine[Any, Any, None]]) -> None:
+def on_relay(script: Callable[[RelayRig], Coroutine[Any, Any, None]]) -> None:
     """Runs a script on one loop for relay, server and client; the server does not connect through the relay."""
 
-    async def whole() -> None:
-        there: list[Side] = []
-        server = await loop.create_server(lambda: Side(there), LOOPBACK, 0)
+    async def run() -> None:
+        accepted: list[RecordingEndpoint] = []
+        server = await loop.create_server(lambda: RecordingEndpoint(accepted), LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         relay = Relay(plain, {f"{LOOPBACK}:{port}": "b"}, 1)
         await relay.start(LOOPBACK)
-        under.relay, under.datagrams = relay.address, relay.datagrams
-        await asyncio.wait_for(script(World(loop, relay, server, there)), 20.0)
+        environment.relay, environment.datagrams = relay.address, relay.datagrams
+        await asyncio.wait_for(script(RelayRig(loop, relay, server, accepted)), 20.0)
         assert relay.late_ms < 5_000.0
         relay.close()
         server.close()
 
-    under = ProcessEnvironment({"name": "a", "relay": ("", 0), "datagrams": ("", 0)})
-    loop = RelayedLoop(under)
-    plain = Plain(loop)
+    environment = ProcessEnvironment({"name": "a", "relay": ("", 0), "datagrams": ("", 0)})
+    loop = RelayedLoop(environment)
+    plain = DirectLoop(loop)
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run())
     finally:
         loop.close()
 
 
-class Plain:
+class DirectLoop:
     """The same loop for the relay itself, which connects directly."""
 
     def __init__(self, loop: RelayedLoop) -> None:
