--- a/pebblehinge/lab/crash/verdict.py
+++ b/pebblehinge/lab/crash/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of crash rounds: what was confirmed against what the storage nodes hold."""
+"""The verdict of crash rounds: compares confirmed writes with the contents of the storage nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def judge(books: WriteRecords, extents: dict[str, bytearray], effects: list[tuple[str, int]]) -> dict[str, Any]:
-    """`effects`: label and order of each effect at the shelfs."""
+    """Counts violations. `effects` holds the label and order of each effect at the storage nodes."""
     missing = [
         label
         for label in books.confirmed
@@ -21,7 +21,7 @@
     first = {label: n for label, n in reversed(effects)}
     broken = 0
     for asked, succeeded in books.barriers:
-        # What was confirmed before it was asked lands before what was sent after it was succeeded.
+        # Writes confirmed before a barrier was sent must be applied before writes sent after it succeeded.
         before = [first[x] for x, at in books.confirmed.items() if at < asked and x in first]
         after = [first[x] for x, at in books.asked.items() if at > succeeded and x in first]
         broken += bool(before and after and max(before) > min(after))
@@ -39,15 +39,15 @@
 
 
 def sum_rounds(rounds: list[dict[str, Any]]) -> dict[str, Any]:
-    """All rounds together, and the first find."""
+    """Returns the sums of all rounds, and the first violation."""
     total: Counter[str] = Counter()
     first = ""
-    for n, told in enumerate(rounds):
-        for key, value in told.items():
+    for n, totals in enumerate(rounds):
+        for key, value in totals.items():
             if key != "first":
                 total[key] += value
-        if told["first"] and not first:
-            first = f"round {n}: {told['first']}"
+        if totals["first"] and not first:
+            first = f"round {n}: {totals['first']}"
     keys = (
         "confirmed",
         "missing",
@@ -62,5 +62,5 @@
     return {"rounds": len(rounds), **{k: total[k] for k in keys}, "first": first}
 
 
-def sound(told: dict[str, Any]) -> bool:
-    return not any(told.get(k) for k in ("missing", "doubled", "claimed_wrongly", "order_broken", "fault"))
+def sound(totals: dict[str, Any]) -> bool:
+    return not any(totals.get(k) for k in ("missing", "doubled", "claimed_wrongly", "order_broken", "fault"))
--- a/pebblehinge/lab/faults/in_memory_target.py
+++ b/pebblehinge/lab/faults/in_memory_target.py
@@ -1,4 +1,4 @@
-"""The ground of virtual time: ways of the network in memory, nodes, disks that forget what was not synced."""
+"""Fault target in virtual time: links of the in-memory network, nodes, and disks that lose what was not synced."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from pebblehinge.settings import Config
 from pebblehinge.store.background import BackgroundRunner, CompletionCallback, run_inline
 
-AGREED = "agreed"  # the file in which a head keeps the version that it took up
+AGREED = "agreed"  # the file in which a gateway stores its applied version
 
 
 def clock_of(node: Node) -> Callable[[], float]:
-    """The node's own clock, ms."""
+    """Returns the node's own clock, in ms."""
     return lambda: node.time() * 1000.0
 
 
@@ -35,7 +35,7 @@
     log: Any,
     beside: BackgroundRunner,
 ) -> ConfigWatcher:
-    """A head's way to the group, as the command line makes it."""
+    """Connects a gateway to the configuration group as the command line does, and returns the watcher."""
     floor = config.group.floor
     application = VersionApplication(name, floor)
     if disk.exists(AGREED):
@@ -68,7 +68,7 @@
         self.disks: dict[str, FaultyDisk] = {}
         self.copies: dict[tuple[str, str], FaultyDisk] = {}
         self.walls: dict[str, float] = {}
-        self.slow: dict[str, float] = {}  # ms that each write takes
+        self.slow: dict[str, float] = {}  # duration of each write, ms
 
     def disk(self, name: str, seed: int) -> FaultyDisk:
         if name not in self.disks:
@@ -76,7 +76,7 @@
         return self.disks[name]
 
     def beside(self, name: str) -> BackgroundRunner:
-        """What a head has done beside its loop: over when its disk has taken its time; the node goes on meanwhile."""
+        """Returns a runner of disk calls that complete after the disk's delay, while the node's loop continues."""
 
         def begin(call: Callable[[], Any], done: CompletionCallback) -> None:
             if name in self.slow:
@@ -93,7 +93,7 @@
         return begin
 
     def wall_of(self, name: str) -> Callable[[], float]:
-        """By how much its wall clock is off, ms."""
+        """Returns a function that reads the offset of the wall clock, in ms."""
         return lambda: self.walls.get(name, 0.0)
 
     def killed(self, name: str) -> None:
@@ -102,18 +102,18 @@
 
     # ---- folders, clocks, disks
 
-    def copy(self, name: str, mark: str) -> None:
+    def copy_folder(self, name: str, mark: str) -> None:
         if name in self.disks:
-            kept = self.copies[(name, mark)] = FaultyDisk(random.Random(f"{name}/{mark}"))
-            kept.files, kept.synced = copy.deepcopy((self.disks[name].files, self.disks[name].synced))
-            kept.crash()
+            copied = self.copies[(name, mark)] = FaultyDisk(random.Random(f"{name}/{mark}"))
+            copied.files, copied.synced = copy.deepcopy((self.disks[name].files, self.disks[name].synced))
+            copied.crash()
 
-    def go_back(self, name: str, mark: str) -> None:
-        old, kept = self.disks.get(name), self.copies.get((name, mark))
+    def restore_folder(self, name: str, mark: str) -> None:
+        old, copied = self.disks.get(name), self.copies.get((name, mark))
         if old is not None:
-            old.files, old.synced = ({}, {}) if kept is None else copy.deepcopy((kept.files, kept.synced))
+            old.files, old.synced = ({}, {}) if copied is None else copy.deepcopy((copied.files, copied.synced))
 
-    def set(self, name: str, kind: str, by: float | None) -> None:
+    def set_local_fault(self, name: str, kind: str, by: float | None) -> None:
         if kind == "drift":
             self.fleet.nodes[name].drift(1.0 + (by or 0.0))
         elif kind == "wall":
@@ -127,9 +127,9 @@
         elif name in self.disks:
             self.disks[name].fail = "" if by is None else "append" if kind == "disk-full" else "sync"
 
-    # ---- ways
+    # ---- links
 
-    def way(self, source: str, to: str, held: LinkState) -> None:
+    def set_link(self, source: str, to: str, held: LinkState) -> None:
         net = self.world.net
         way, usual = net.own_link(source, to), net.default_link
         way.blocked, way.rate = held.blocked, held.rate / 1000.0
@@ -137,7 +137,7 @@
         for pipe in net.pipes_between(source, to):
             pipe.resume()
 
-    def tried(self, source: str, to: str) -> int:
+    def count_attempts(self, source: str, to: str) -> int:
         return self.world.net.send_counts[(source, to)]
 
     def reset(self, a: str, b: str) -> int:
