--- a/tests/test_faults_in_memory.py
+++ b/tests/test_faults_in_memory.py
@@ -97,9 +97,7 @@
     village, known = day(script)
     rows = [(r["e"], round(r["t"] - village.facts().begin)) for r in village.records.rows if r.get("name") == "h1"]
     assert rows == [("killed", 2_000), ("started", 5_500)]
-    assert (
-        village.nodes["h1"].rate == 1.0 and village.nodes["h1"].rate_began > 0.0
-    )  # drift applied, then ended
+    assert village.nodes["h1"].rate == 1.0 and village.nodes["h1"].rate_began > 0.0  # drift applied, then ended
     assert known["faults"] == []
 
 
