--- a/pebblehinge/lab/memory_network.py
+++ b/pebblehinge/lab/memory_network.py
@@ -1,4 +1,4 @@
-"""A network in memory: listening addresses, and the ways between nodes."""
+"""An in-memory network: listening addresses, and the links between nodes."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(slots=True)
 class Link:
-    """How bytes go from one node to another."""
+    """Conditions in one direction between two nodes."""
 
     delay_ms: float = 0.2
-    jitter: float = 0.2  # part of the delay, drawn anew for each write
-    rate: float = 0.0  # bytes a millisecond; 0: as fast as the delay allows
-    blocked: bool = False  # a partition: what is sent stays on the way until it heals
-    lose: float = 0.0  # chance that a connection breaks at a write
-    reset_after_bytes: int | None = None  # a reset after so many more bytes, in the middle of a frame if need be
-    drop: float = 0.0  # chance of a datagram to be lost
-    duplicate_chance: float = 0.0  # chance of one to come twice
+    jitter: float = 0.2  # share of the delay, drawn for each write
+    rate: float = 0.0  # bytes per millisecond; 0: limited by the delay alone
+    blocked: bool = False  # partitioned: stream data stays queued until the link heals
+    lose: float = 0.0  # probability that a connection breaks at a write
+    reset_after_bytes: int | None = None  # resets after so many more bytes, even within a frame
+    drop: float = 0.0  # probability that a datagram is lost
+    duplicate_chance: float = 0.0  # probability that a datagram arrives twice
 
 
 class MemoryNetwork:
-    """Listening addresses and the ways between nodes."""
+    """Listening addresses, open connections and the links between nodes."""
 
     def __init__(self, loop: Any, seed: int) -> None:
         self.loop = loop
@@ -36,32 +36,32 @@
         self.links: dict[tuple[str, str], Link] = {}
         self.default_link = Link()
         self.pipes: dict[Pipe, None] = {}
-        self.pipes_by_nodes: dict[frozenset[str], dict[Pipe, None]] = {}  # the same by the two nodes that they join
+        self.pipes_by_nodes: dict[frozenset[str], dict[Pipe, None]] = {}  # by the two nodes connected
         self.datagram_ends: dict[tuple[str, int], MemoryDatagramTransport] = {}
-        self.send_counts: Counter[tuple[str, str]] = Counter()  # what wanted to pass, by direction
-
-    def link(self, source: str, to: str) -> Link:
-        return self.links.get((source, to), self.default_link)
-
-    def own_link(self, source: str, to: str) -> Link:
-        """The way of this pair alone, to be altered."""
-        if (source, to) not in self.links:
-            u = self.default_link
-            self.links[(source, to)] = replace(u)
-        return self.links[(source, to)]
-
-    def partition(self, some: list[str], others: list[str], both: bool = True) -> None:
-        """Nothing of `some` reaches `others`; with `both`, nor the other way."""
-        for a in some:
-            for b in others:
+        self.send_counts: Counter[tuple[str, str]] = Counter()  # attempts to send, by direction
+
+    def link(self, source: str, destination: str) -> Link:
+        return self.links.get((source, destination), self.default_link)
+
+    def own_link(self, source: str, destination: str) -> Link:
+        """Returns the link of this direction alone, which the caller may change."""
+        if (source, destination) not in self.links:
+            default = self.default_link
+            self.links[(source, destination)] = replace(default)
+        return self.links[(source, destination)]
+
+    def partition(self, sources: list[str], destinations: list[str], both: bool = True) -> None:
+        """Blocks the links from `sources` to `destinations`; with `both`, the opposite direction too."""
+        for a in sources:
+            for b in destinations:
                 self.own_link(a, b).blocked = True
                 if both:
                     self.own_link(b, a).blocked = True
 
-    def heal(self, some: list[str], others: list[str]) -> None:
-        """What stood on the way goes on, as TCP would send it again."""
-        for a in some:
-            for b in others:
+    def heal(self, sources: list[str], destinations: list[str]) -> None:
+        """Unblocks the links in both directions and delivers the queued data, as TCP would retransmit it."""
+        for a in sources:
+            for b in destinations:
                 self.own_link(a, b).blocked = False
                 self.own_link(b, a).blocked = False
         for pipe in list(self.pipes):
@@ -72,45 +72,48 @@
 
     async def connect(self, node: Any, factory: Callable[[], Any], host: str, port: int) -> tuple[Any, Any]:
         key = (host, port)
-        there = self.listening.get(key)
-        name = there[0].name if there else host
+        server = self.listening.get(key)
+        name = server[0].name if server else host
         self.send_counts[(node.name, name)] += 1
-        there_way, back = self.link(node.name, name), self.link(name, node.name)
-        if there_way.blocked or back.blocked:
+        outbound, inbound = self.link(node.name, name), self.link(name, node.name)
+        if outbound.blocked or inbound.blocked:
             await asyncio.sleep(20.0)
             raise TimeoutError(f"{host}:{port}: no answer")
-        await asyncio.sleep(self.delay(there_way) + self.delay(back))
-        there = self.listening.get(key)
-        if there is None or there[0].dead:
+        await asyncio.sleep(self.delay(outbound) + self.delay(inbound))
+        server = self.listening.get(key)
+        if server is None or server[0].dead:
             raise ConnectionRefusedError(111, f"{host}:{port}: connection refused")
         if node.dead:
             raise ConnectionAbortedError("the node is gone")
-        other, make, _ = there
-        protocol, answering = factory(), make()
-        ours, theirs = MemoryTransport(node, protocol, key), MemoryTransport(other, answering, (node.name, 0))
-        ours.out, theirs.out = Pipe(self, ours, theirs), Pipe(self, theirs, ours)
-        # A frozen process has its connections accepted all the same; it hears of them when it thaws.
-        other.call_soon(answering.connection_made, theirs)
-        protocol.connection_made(ours)
-        return ours, protocol
+        server_node, server_factory, _ = server
+        protocol, server_protocol = factory(), server_factory()
+        client_end, server_end = (
+            MemoryTransport(node, protocol, key),
+            MemoryTransport(server_node, server_protocol, (node.name, 0)),
+        )
+        client_end.out, server_end.out = Pipe(self, client_end, server_end), Pipe(self, server_end, client_end)
+        # The system accepts connections for a frozen process too; the process learns of them when it thaws.
+        server_node.call_soon(server_protocol.connection_made, server_end)
+        protocol.connection_made(client_end)
+        return client_end, protocol
 
     def pipes_between(self, a: str, b: str) -> list[Pipe]:
-        """The directions of all connections between two nodes."""
+        """Returns both pipes of each connection between two nodes."""
         return list(self.pipes_by_nodes.get(frozenset((a, b)), ()))
 
     def reset(self, a: str, b: str) -> int:
-        """All connections between them end, told to both; how many there were."""
-        found = [p for p in self.pipes_between(a, b) if p.source.node.name == a and not p.source.lost]
-        for pipe in found:
+        """Resets all connections between two nodes at both ends; returns their number."""
+        open_pipes = [p for p in self.pipes_between(a, b) if p.source.node.name == a and not p.source.lost]
+        for pipe in open_pipes:
             pipe.cut_off()
-        return len(found)
+        return len(open_pipes)
 
     def half_open(self, a: str, b: str) -> int:
-        """All connections between them end, told to b alone: a believes that they stand."""
-        found = [p for p in self.pipes_between(a, b) if p.source.node.name == a and not p.to.lost]
-        for pipe in found:
+        """Resets all connections at node b alone: node a takes them for open. Returns their number."""
+        open_pipes = [p for p in self.pipes_between(a, b) if p.source.node.name == a and not p.to.lost]
+        for pipe in open_pipes:
             pipe.to.lose(ConnectionResetError(104, "connection reset"))
-        return len(found)
+        return len(open_pipes)
 
     # ---- datagrams
 
@@ -124,14 +127,14 @@
         if self.datagram_ends.get(end.address) is end:
             del self.datagram_ends[end.address]
 
-    def send_datagram(self, end: MemoryDatagramTransport, data: bytes, to: tuple[str, int]) -> None:
-        """A datagram leaves: it comes once, twice or not at all, each with a delay of its own."""
-        there = self.datagram_ends.get(to)
-        if there is None:
+    def send_datagram(self, end: MemoryDatagramTransport, data: bytes, destination: tuple[str, int]) -> None:
+        """Delivers a datagram once, twice or not at all, each copy with a delay of its own."""
+        receiver = self.datagram_ends.get(destination)
+        if receiver is None:
             return
-        self.send_counts[(end.node.name, there.node.name)] += 1
-        link = self.link(end.node.name, there.node.name)
+        self.send_counts[(end.node.name, receiver.node.name)] += 1
+        link = self.link(end.node.name, receiver.node.name)
         if link.blocked or (link.drop and self.rng.random() < link.drop):
             return
         for _ in range(2 if link.duplicate_chance and self.rng.random() < link.duplicate_chance else 1):
-            self.loop.call_at(self.loop.now + self.delay(link), there.deliver, data, end.address)
+            self.loop.call_at(self.loop.now + self.delay(link), receiver.deliver, data, end.address)
--- a/pebblehinge/lab/memory_transport.py
+++ b/pebblehinge/lab/memory_transport.py
@@ -1,4 +1,4 @@
-"""Connections and datagrams of a network in memory: bytes in order, with what their way does to them."""
+"""Transports of the in-memory network: connections and datagrams, with the faults of their links."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from collections import deque
 from typing import Any
 
-HIGH_WATER_BYTES = 1 << 16  # unread bytes of one direction at which the writer is paused
+HIGH_WATER_BYTES = 1 << 16  # unread bytes of one direction above which the writer is paused
 LOW_WATER_BYTES = 1 << 14
-MAX_QUEUED_DATAGRAMS = 512  # datagrams that a process has not taken; what comes beyond is lost, as in a socket's buffer
+MAX_QUEUED_DATAGRAMS = 512  # unread by a process; further ones are lost, as with a full socket buffer
 
 
 class Listener:
-    """What create_server gives."""
+    """A listening socket, as `create_server` returns it."""
 
     def __init__(self, net: Any, key: tuple[str, int]) -> None:
         self.net, self.key = net, key
         self.sockets: list[Any] = []
 
     def close(self) -> None:
-        mine = self.net.listening.get(self.key)
-        if mine is not None and mine[2] is self:
+        registered = self.net.listening.get(self.key)
+        if registered is not None and registered[2] is self:
             del self.net.listening[self.key]
 
     async def wait_closed(self) -> None:
@@ -28,13 +28,13 @@
 
 
 class Pipe:
-    """One direction of a connection: bytes in order, with what the way does to them."""
+    """One direction of a connection: delivers bytes in order, with the delays and faults of its link."""
 
     def __init__(self, net: Any, source: MemoryTransport, to: MemoryTransport) -> None:
         self.net, self.source, self.to = net, source, to
-        self.queue: deque[tuple[bytes | None, str]] = deque()  # bytes, or None for an end of kind eof or reset
+        self.queue: deque[tuple[bytes | None, str]] = deque()  # bytes of kind data; None of kind eof or reset
         self.unread = 0
-        self.free_at = 0.0  # when the way has taken what was written before
+        self.free_at = 0.0  # when the link has transmitted the earlier writes
         self.moving = False
         net.pipes[self] = None
         net.pipes_by_nodes.setdefault(self.node_names, {})[self] = None
@@ -54,7 +54,7 @@
         self.resume()
 
     def resume(self) -> None:
-        """Sets the first of the queue on its way, unless one is or nothing passes."""
+        """Starts the delivery of the first queued item, unless one is in flight or the pipe is blocked or paused."""
         if self.moving or not self.queue or self.to.reading_paused:
             return
         link = self.net.link(self.source.node.name, self.to.node.name)
@@ -63,13 +63,13 @@
         data, kind = self.queue[0]
         loop = self.net.loop
         if data and link.lose and self.net.rng.random() < link.lose:
-            way_cut = self.net.rng.randrange(len(data) + 1)
-            self._break(data[:way_cut])
+            break_offset = self.net.rng.randrange(len(data) + 1)
+            self._break(data[:break_offset])
             return
         if data and link.reset_after_bytes is not None:
             if len(data) >= link.reset_after_bytes:
-                cut, link.reset_after_bytes = link.reset_after_bytes, None
-                self._break(data[:cut])
+                reset_offset, link.reset_after_bytes = link.reset_after_bytes, None
+                self._break(data[:reset_offset])
                 return
             link.reset_after_bytes -= len(data)
         at = max(loop.now, self.free_at)
@@ -80,11 +80,11 @@
         loop.call_at(at + self.net.delay(link), self._arrive)
 
     def cut_off(self) -> None:
-        """The connection ends here and now, told to both ends; what was on its way is lost."""
+        """Resets the connection at both ends; queued data is lost."""
         self._break(b"")
 
     def _break(self, last: bytes) -> None:
-        """The connection breaks in both directions; the bytes before the break do arrive."""
+        """Resets the connection in both directions after delivering `last`, the bytes before the reset."""
         self.queue.clear()
         if last:
             self.queue.append((last, "data"))
@@ -98,8 +98,8 @@
         if not self.queue:
             return
         if self.to.reading_paused or self.net.link(self.source.node.name, self.to.node.name).blocked:
-            return  # set on its way again by resume_reading or heal
-        # All that was written by then arrives together: a stream knows no writes.
+            return  # resume_reading or heal resumes the delivery
+        # Delivers all queued writes together: a stream keeps no boundaries between writes.
         data, kind = self.queue.popleft()
         if data is not None:
             while self.queue and self.queue[0][0] is not None and len(data) < HIGH_WATER_BYTES:
@@ -120,14 +120,14 @@
     def drop(self) -> None:
         self.queue.clear()
         self.net.pipes.pop(self, None)
-        mine = self.net.pipes_by_nodes.get(self.node_names, {})
-        mine.pop(self, None)
-        if not mine:
+        registered = self.net.pipes_by_nodes.get(self.node_names, {})
+        registered.pop(self, None)
+        if not registered:
             self.net.pipes_by_nodes.pop(self.node_names, None)
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection."""
+    """One end of a connection, as an asyncio transport."""
 
     def __init__(self, node: Any, protocol: Any, peer: tuple[str, int]) -> None:
         super().__init__()
@@ -156,8 +156,8 @@
     def resume_reading(self) -> None:
         if self.reading_paused:
             self.reading_paused = False
-            other = self.out.to.out
-            self.node.call_soon(other.resume)
+            incoming = self.out.to.out
+            self.node.call_soon(incoming.resume)
 
     def close(self) -> None:
         if not self.closing:
@@ -197,7 +197,7 @@
 
 
 class MemoryDatagramTransport(asyncio.DatagramTransport):
-    """One end that sends and gets datagrams: each may be lost, late, or come twice."""
+    """Sends and receives datagrams at one address; each may be lost, delayed or duplicated."""
 
     def __init__(self, node: Any, protocol: Any, address: tuple[str, int]) -> None:
         super().__init__()
--- a/pebblehinge/lab/virtual.py
+++ b/pebblehinge/lab/virtual.py
@@ -1,8 +1,8 @@
-"""An asyncio loop in virtual time with a network in memory: one process, one thread, no waiting, no chance of its own.
+"""An asyncio event loop in virtual time with an in-memory network: one process, one thread, no waiting, deterministic.
 
-`VirtualLoop` jumps to the next timer when nothing is ready. A `Node` is what one machine of a fleet gets for its
-loop: its connections carry its name, so that links between two nodes can be delayed, cut, partitioned or slowed,
-and the whole node can be killed or frozen. To the code above it is an ordinary loop.
+`VirtualLoop` advances the time to the next timer when no callback is ready. A `Node` is the event loop of one machine
+of a fleet: its connections carry its name, so that links between two nodes can be delayed, cut, partitioned or slowed,
+and the whole node can be killed or frozen. The code that runs on it uses it as an ordinary loop.
 """
 
 from __future__ import annotations
@@ -18,20 +18,19 @@
 
 __all__ = ["HIGH_WATER_BYTES", "Node", "VirtualLoop"]
 
-TIMER_MARGIN_S = (
-    1e-9  # a timer comes just after its time: turned into milliseconds and back, a time may lose its last bit
-)
+# Timers fire just after their time: converted to milliseconds and back, a time may lose its last bit.
+TIMER_MARGIN_S = 1e-9
 
 
 class _TimeAdvancingSelector:
-    """In a selector's place: where a real loop would wait, virtual time passes at once."""
+    """Replaces the selector: where a real loop would wait, it advances the virtual time at once."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing is scheduled and nothing is ready: this virtual world has come to rest")
+            raise RuntimeError("no callback is ready and no timer is set: the simulation can not go on")
         if timeout > 0:
             self.loop.now = max(self.loop.now, self.loop.next_timer_time())
         return []
@@ -41,12 +40,12 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Time starts at `start` seconds and passes only when nothing else can happen."""
+    """Event loop whose time starts at `start` seconds and advances only when no callback is ready."""
 
     def __init__(self, start: float = 1000.0, seed: int = 0) -> None:
         super().__init__()
         self.now = start
-        self._clock_resolution = 1e-9  # a timer that is due now runs now
+        self._clock_resolution = 1e-9  # Runs a timer in the iteration in which it falls due.
         self._selector = _TimeAdvancingSelector(self)
         self.net = MemoryNetwork(self, seed)
         self.callback_errors: list[dict[str, Any]] = []
@@ -70,9 +69,9 @@
 
 @dataclass(eq=False)
 class Node:
-    """One machine: a loop to what runs on it. Killed, nothing of it runs any more; frozen, it waits.
+    """One machine, and the event loop of the code on it. Killed, it runs nothing more; frozen, it queues its callbacks.
 
-    `rate` is how many seconds its clock counts in one of the world; `drift` alters it while things run.
+    `rate` is the seconds that its clock counts in one second of the simulation; `drift` changes it at run time.
     """
 
     loop: VirtualLoop
@@ -80,16 +79,16 @@
     rate: float = 1.0
     dead: bool = False
     frozen: bool = False
-    busy_until: float = 0.0  # a call of it takes until then: nothing else of it runs meanwhile
+    busy_until: float = 0.0  # a callback occupies the node until then: its other callbacks are queued
     pending: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = field(default_factory=deque)
     transports: dict[MemoryTransport, None] = field(default_factory=dict)
     tasks: dict[asyncio.Task, None] = field(default_factory=dict)
     listeners: list[Listener] = field(default_factory=list)
     datagram_ends: list[MemoryDatagramTransport] = field(default_factory=list)
-    rate_began: float = 0.0  # the world's time at which the rate began, and what the clock showed then
+    rate_began: float = 0.0  # simulation time when the rate was set; the next field is the node's clock then
     clock_at_rate_began: float = 0.0
 
-    # ---- what a program uses of a loop
+    # ---- the event loop interface that programs use
 
     def time(self) -> float:
         return self.clock_at_rate_began + (self.loop.now - self.rate_began) * self.rate
@@ -142,10 +141,10 @@
         else:
             call(*args)
 
-    # ---- what a lab does to it
+    # ---- faults that the laboratory injects
 
     def kill(self) -> None:
-        """As SIGKILL: nothing is told, sockets are reset by the system."""
+        """Ends the node as SIGKILL does: its code is not notified, and the system resets its sockets."""
         if self.dead:
             return
         self.dead = True
@@ -164,15 +163,15 @@
             task.cancel()
 
     def drift(self, rate: float) -> None:
-        """From now on its clock counts so many seconds in one; timers that are set already stay as they are."""
+        """Sets the rate of the clock from now on; timers that are already set keep their times."""
         self.clock_at_rate_began, self.rate_began, self.rate = self.time(), self.loop.now, rate
 
     def freeze(self) -> None:
-        """As SIGSTOP: connections stand, nothing runs."""
+        """Suspends the node as SIGSTOP does: its connections stay open and no callback runs."""
         self.frozen = True
 
     def busy(self, seconds: float) -> None:
-        """What it does now takes so long; where it is busy already, so much longer."""
+        """Makes the current callback take `seconds`; a node that is busy already is busy for that much longer."""
         self.busy_until = max(self.busy_until, self.loop.now) + seconds
         self.loop.call_at(self.busy_until, self._run_pending)
 
