--- a/pebblehinge/lab/control.py
+++ b/pebblehinge/lab/control.py
@@ -1,4 +1,4 @@
-"""The lab's hand on a stand-in: one CONTROL frame, one answer."""
+"""Control client of the laboratory: sends a stand-in one CONTROL frame and awaits its response."""
 
 from __future__ import annotations
 
@@ -11,42 +11,46 @@
 
 
 class ControlPeer(Peer):
-    """A connection with the role that may bring troubles."""
+    """A connection in the role `lab`, which may inject faults."""
 
     ACCEPTED_KINDS = frozenset({Kind.CONTROLLED})
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop, Session("lab", "lab", 1 << 20, 64, dialed=True), 5000.0)
-        self.waiting: dict[int, asyncio.Future[str]] = {}
+        self.pending: dict[int, asyncio.Future[str]] = {}
         self.tokens = itertools.count(1)
-        self.why = "closed"
+        self.close_reason = "closed"
 
     def on_rejection(self, reason: str) -> None:
-        self.why = reason
+        self.close_reason = reason
 
     def on_disconnect(self, exc: Exception | None) -> None:
-        for future in self.waiting.values():
+        for future in self.pending.values():
             if not future.done():
-                future.set_exception(ConnectionError(self.why))
+                future.set_exception(ConnectionError(self.close_reason))
 
-    def on_controlled(self, token: int, said: str) -> None:
-        future = self.waiting.pop(token, None)
+    def on_controlled(self, token: int, response: str) -> None:
+        future = self.pending.pop(token, None)
         if future is not None and not future.done():
-            future.set_result(said)
+            future.set_result(response)
 
-    async def do(self, verb: str, values: dict[str, Any]) -> str:
+    async def request(self, verb: str, values: dict[str, Any]) -> str:
         token = next(self.tokens)
-        self.waiting[token] = self.loop.create_future()
+        self.pending[token] = self.loop.create_future()
         self.send(Kind.CONTROL, token, verb, values)
-        return await self.waiting[token]
+        return await self.pending[token]
 
 
 async def control(address: str, verb: str, values: dict[str, Any], loop: asyncio.AbstractEventLoop) -> str:
-    """Has a stand-in do something; raises OSError where it can't be reached within two seconds."""
+    """Sends a control command to a stand-in and returns its response.
+
+    Raises:
+        OSError: The stand-in can't be reached within two seconds.
+    """
     host, port = parse_address(address)
     async with asyncio.timeout(2.0):
-        _, hand = await loop.create_connection(lambda: ControlPeer(loop), host, port)
+        _, peer = await loop.create_connection(lambda: ControlPeer(loop), host, port)
         try:
-            return await hand.do(verb, values)
+            return await peer.request(verb, values)
         finally:
-            hand.close()
+            peer.close()
--- a/pebblehinge/lab/lab_fleet.py
+++ b/pebblehinge/lab/lab_fleet.py
@@ -1,4 +1,4 @@
-"""Plays a day's steps on a fleet, wherever it lives: in processes (`processes`) or in virtual time (`village`)."""
+"""Runs the steps of a day on a fleet of processes (`processes`) or in virtual time (`simulated_fleet`)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LabFleet:
-    """What all stages share: the order of a day, and the lab's own records. Subclasses bring the fleet."""
+    """Base class of the fleets: the course of a day and the laboratory's own records. Subclasses run the fleet."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
         self.releases: dict[str, int] = {}
         self.frozen: set[str] = set()
         self.faults: list[str] = []
-        self.script = script  # faults between processes and in them; None: the fleet is not prepared for any
+        self.script = script  # faults between processes and in them; None: fault injection is off
         self.player: Player | None = None
 
-    # ---- what a subclass brings; names are those of the settings' shelf and head blocks
+    # ---- implemented by subclasses; names are those of the settings' shelf and head blocks
 
     async def start_all(self) -> None: ...
     async def start_one(self, name: str, cold: bool) -> None: ...
@@ -54,7 +54,7 @@
     # ---- the day
 
     async def play(self) -> dict[str, Any]:
-        """The whole day; what the lab knows of it."""
+        """Runs the whole day; returns the laboratory's results."""
         block = self.config.day[self.day]
         steps = timeline(self.config, self.day, self.seed)
         await self.start_all()
@@ -65,7 +65,9 @@
         progress = self.loop.create_task(self._progress(start_ms, block.length))
         loads = [self.run_load(part, parts, start_ms) for part in range(parts)]
         try:
-            *late, _, _ = await asyncio.gather(*loads, self._run_steps(steps, start_ms), self._play_script(start_ms))
+            *lateness, _, _ = await asyncio.gather(
+                *loads, self._run_steps(steps, start_ms), self._play_script(start_ms)
+            )
         finally:
             progress.cancel()
         self.records.note(self.clock(), "end")
@@ -75,43 +77,43 @@
             await self._thaw(name, {})
         await self.stop_all()
         self.records.close()
-        known = {"start_ms": start_ms, "late_ms": max(late), "faults": self.faults}
-        return known if self.player is None else {**known, "script": told(self.player)}
+        results = {"start_ms": start_ms, "late_ms": max(lateness), "faults": self.faults}
+        return results if self.player is None else {**results, "script": told(self.player)}
 
     async def _run_steps(self, steps: list[Step], start_ms: float) -> None:
-        doing = []
+        running_steps = []
         for step in steps:
             await asyncio.sleep(max(0.0, (start_ms + step.at_ms - self.clock()) / 1000.0))
-            doing.append(self.loop.create_task(self._do(step)))
-        await asyncio.gather(*doing)
+            running_steps.append(self.loop.create_task(self._do(step)))
+        await asyncio.gather(*running_steps)
 
     def ground(self) -> Ground:
-        """Where a script is played."""
+        """Returns the environment in which a fault script is played."""
         raise DayError("no script of faults can be played here")
 
     async def _play_script(self, start_ms: float) -> None:
-        """The faults, and where there is a group someone who asks it for changes meanwhile."""
+        """Plays the fault script; in a fleet with a replicated group, proposes changes to it meanwhile."""
         if self.script is None:
             return
         self.player = Player(self.ground(), self.script, self.clock, self.records.note)
-        playing = [self.player.play(start_ms)]
+        running = [self.player.play(start_ms)]
         if self.config.member:
             note = self.records.note
             proposer = Proposer(self.loop, self.config, self.seed, lambda e, **v: note(self.clock(), e, **v))
             await asyncio.sleep(max(0.0, (start_ms - self.clock()) / 1000.0))
-            playing.append(proposer.run(self.config.day[self.day].length))
-        await asyncio.gather(*playing)
+            running.append(proposer.run(self.config.day[self.day].length))
+        await asyncio.gather(*running)
         if self.config.member:
             self.faults += await proposer.wrong()
 
     async def run_verb(self, verb: str, name: str) -> None:
-        """One thing done to one process, with its records, as a step of a day would."""
+        """Applies one action to one process and records it, as a step of a day does."""
         await getattr(self, "_" + verb)(name, {"cold": name in self.config.shelf} if verb == "start" else {})
 
     async def _progress(self, start_ms: float, length: float) -> None:
         while True:
-            gone = self.clock() - start_ms
-            self.report_progress(f"{max(0.0, gone) / 1000:.0f} s of {length / 1000:.0f} s")
+            elapsed_ms = self.clock() - start_ms
+            self.report_progress(f"{max(0.0, elapsed_ms) / 1000:.0f} s of {length / 1000:.0f} s")
             await asyncio.sleep(5.0)
 
     async def _do(self, step: Step) -> None:
@@ -120,7 +122,7 @@
         try:
             await getattr(self, "_" + step.verb)(step.target, values)
         except (OSError, TimeoutError) as error:
-            # A stand-in that is down can't be told of its trouble: overlapping days bring that about.
+            # A stand-in that is down can't be sent its fault: this happens where faults of a day overlap.
             self.records.note(self.clock(), "missed", verb=step.verb, target=step.target, why=str(error))
         except DayError as error:
             self.faults.append(str(error))
@@ -128,7 +130,7 @@
     async def _kill(self, name: str, _: dict[str, Any]) -> None:
         if self.is_up(name):
             self.frozen.discard(name)
-            # Noted before it is done: the socket may tell a client sooner than this process goes on.
+            # Recorded first: a client may see the closed socket before this process runs again.
             self.records.note(self.clock(), "killed", name=name)
             await self.kill_one(name)
 
@@ -165,12 +167,12 @@
         await self._tell("listing", self.config.listing.listen, values)
 
     async def _tell(self, name: str, address: str, values: dict[str, Any]) -> None:
-        said = await control(address, values.pop("verb"), values, self.loop)
-        if said.startswith("no"):
-            self.faults.append(f"{name}: {said}")
+        response = await control(address, values.pop("verb"), values, self.loop)
+        if response.startswith("no"):
+            self.faults.append(f"{name}: {response}")
 
     async def _release(self, name: str, _: dict[str, Any]) -> None:
-        """The drained process goes, another one with a new name and address holds its slot, cold."""
+        """Stops the drained process and starts a cold one with a new name and address for its slot."""
         await self._stop(name, {})
         self.releases[name] = self.releases.get(name, 0) + 1
         await self.start_one(name, True)
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -1,4 +1,4 @@
-"""A fleet of processes on loopback, killed outright where the day says so."""
+"""A fleet of processes on loopback addresses; a day may kill them with SIGKILL."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 def monotonic_ms() -> float:
-    """The clock that all processes of one machine share."""
+    """Returns the monotonic clock in ms, which all processes of one machine share."""
     return time.monotonic() * 1000.0
 
 
 def own_loopback() -> str:
-    """An address of the loopback range that no other day on this machine uses now."""
+    """Returns a loopback address derived from the process id, so that no other running day on this machine uses it."""
     pid = os.getpid()
     return f"127.{20 + pid // 62500 % 200}.{pid // 250 % 250}.{1 + pid % 250}"
 
 
 class ProcessFleet(LabFleet):
-    """Each head, shelf, load and the list is a process of this command line."""
+    """A fleet whose gateways, storage nodes, loads and discovery server are processes of this command line."""
 
     def __init__(
         self,
@@ -48,17 +48,17 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
-            raise DayError(f"records: {folder} can't be made ({error.strerror})") from None
+            raise DayError(f"records: {folder} can't be created ({error.strerror})") from None
         super().__init__(loop, monotonic_ms, config, day, seed, EventLog(folder, "lab", loop.call_soon), said, script)
         self.path, self.folder, self.loopback = path, folder, loopback
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs = (folder / "processes.log").open("ab")
         self.incarnations: dict[str, int] = {}
-        self.state = folder / "state"  # a folder for each head and instance
+        self.state = folder / "state"  # a folder for each gateway and member
         self.fault_ground = ProcessGround(self, loop, names_of(config), seed, folder / "copies")
         (folder / "day.conf").write_text("\n".join(render_settings(config)) + "\n")
 
-    def _command(self, role: list[str], name: str, *more: str) -> list[str]:
+    def _command(self, role: list[str], name: str, *extra_arguments: str) -> list[str]:
         base = [*role, str(self.path)]
         return [
             *base,
@@ -67,18 +67,18 @@
             self.loopback,
             "--records",
             str(self.folder),
-            *more,
+            *extra_arguments,
         ]
 
-    async def _spawn(self, name: str, words: list[str]) -> asyncio.subprocess.Process:
-        """Starts a process and waits for the line that says it is ready."""
-        with self.fault_ground.control(name) as (command, passed):
+    async def _spawn(self, name: str, arguments: list[str]) -> asyncio.subprocess.Process:
+        """Starts a process and waits for the line that reports it ready."""
+        with self.fault_ground.control(name) as (command, passed_fds):
             process = await asyncio.create_subprocess_exec(
-                *command(words),
+                *command(arguments),
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=self.logs,
-                pass_fds=passed,
+                pass_fds=passed_fds,
             )
         self.processes[name] = process
         assert process.stdout is not None
@@ -101,8 +101,8 @@
 
     async def start_one(self, name: str, cold: bool) -> None:
         if name in self.config.member:
-            first = not (self.state / name).exists()
-            words = [
+            is_first_start = not (self.state / name).exists()
+            arguments = [
                 "group",
                 str(self.path),
                 "--name",
@@ -113,23 +113,23 @@
                 str(self.state / name),
                 "--seed",
                 str(self.seed),
-                *(["--begin"] if first else []),
+                *(["--begin"] if is_first_start else []),
             ]
-            await self._spawn(name, words)
+            await self._spawn(name, arguments)
             return
         if name in self.config.head:
-            # A head that starts again draws anew: nothing of before is assumed, its chance neither.
-            life = self.incarnations[name] = self.incarnations.get(name, -1) + 1
-            capture = str(self.folder / f"{name}.{life}.capture")
-            more = ["--seed", str(self.seed * 1000 + life), "--capture", capture]
+            # A restarted gateway gets a new seed: it assumes no state and no random draws of its last incarnation.
+            incarnation = self.incarnations[name] = self.incarnations.get(name, -1) + 1
+            capture = str(self.folder / f"{name}.{incarnation}.capture")
+            extra_arguments = ["--seed", str(self.seed * 1000 + incarnation), "--capture", capture]
             if self.script is not None:
-                more += ["--store", str(self.state), "--agreed", str(self.state / name / "agreed")]
-            await self._spawn(name, self._command(["gateway"], name, *more))
+                extra_arguments += ["--store", str(self.state), "--agreed", str(self.state / name / "agreed")]
+            await self._spawn(name, self._command(["gateway"], name, *extra_arguments))
             return
-        more = ["--seed", str(self.seed), "--store", str(self.folder / "store")]
-        more += ["--cold"] if cold else []
-        more += ["--release", str(self.releases[name])] if self.releases.get(name) else []
-        await self._spawn(name, self._command(["storage-node"], name, *more))
+        extra_arguments = ["--seed", str(self.seed), "--store", str(self.folder / "store")]
+        extra_arguments += ["--cold"] if cold else []
+        extra_arguments += ["--release", str(self.releases[name])] if self.releases.get(name) else []
+        await self._spawn(name, self._command(["storage-node"], name, *extra_arguments))
 
     async def run_load(self, part: int, parts: int, start_ms: float) -> float:
         name = f"load{part + 1}"
@@ -151,11 +151,11 @@
             ),
         )
         assert process.stdout is not None
-        told = await process.stdout.read()
+        output = await process.stdout.read()
         code = await process.wait()
         if code != 0:
             raise DayError(f"{name} ended with {code}: see {self.folder / 'processes.log'}")
-        return float(json.loads(told)["late_ms"])
+        return float(json.loads(output)["late_ms"])
 
     def is_up(self, name: str) -> bool:
         process = self.processes.get(name)
@@ -177,10 +177,10 @@
 
     async def stop_all(self) -> None:
         for group in (list(self.config.head), list(self.config.shelf), ["listing"], list(self.config.member)):
-            up = [name for name in group if self.is_up(name)]
-            for name in up:
+            running = [name for name in group if self.is_up(name)]
+            for name in running:
                 self.processes[name].terminate()
-            for name in up:
+            for name in running:
                 try:
                     code = await asyncio.wait_for(self.processes[name].wait(), 15.0)
                     if code != 0:
@@ -190,7 +190,7 @@
                     self.faults.append(f"{name} did not stop")
 
     def abandon(self) -> None:
-        """Ends every process at once, by its own id: the day is over, or can't go on."""
+        """Kills every process at once, by its own id, when the day is over or can not continue."""
         for process in self.processes.values():
             if process.returncode is None:
                 try:
--- a/pebblehinge/lab/simulated_fleet.py
+++ b/pebblehinge/lab/simulated_fleet.py
@@ -1,5 +1,5 @@
-"""A whole fleet in one process and in virtual time: the very classes of the running program, on nodes of a network
-in memory. Same seed, same records."""
+"""A simulated fleet: the classes of the running program in one process, in virtual time and on an in-memory network.
+The same seed gives the same records."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 class SimulatedFleet(LabFleet):
-    """Every head, shelf, load and the list stands on a node of its own. `head_core` and `head_config` let tests
-    put in a head that breaks a rule on purpose."""
+    """A fleet whose gateways, storage nodes, loads and discovery server each run on a `Node` of the virtual loop.
+    `gateway_core` and `gateway_config` let tests run a gateway that breaks a rule on purpose."""
 
     def __init__(
         self,
@@ -51,8 +51,9 @@
     ) -> None:
         super().__init__(loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, Memory(), said, script)
         self.virtual_loop, self.draw = loop, draw
-        self.fleet_seed = seed if fleet_seed is None else fleet_seed  # shelfs of one seed have the same speeds
-        # None: heads keep nothing; else each life finds what the one before learned, older by so much than it is.
+        self.fleet_seed = seed if fleet_seed is None else fleet_seed  # fixes the speeds of the storage nodes
+        # None: gateways store no snapshots unless a fault script is given; else each incarnation reads the one
+        # of its predecessor, whose age is increased by so much.
         self.snapshot_age_ms = snapshot_age_ms
         self.log = Quiet()
         self.gateway_core, self.gateway_config = gateway_core, gateway_config or config
@@ -77,9 +78,9 @@
         for name in self.config.member:
             await self.start_one(name, False)
         node = self.nodes["listing"] = self.virtual_loop.node("listing")
-        listing = DiscoveryServer(node, self.clock, self.config, self.log, self._memory("listing"), self.seed)
-        self.servers["listing"] = listing
-        await listing.start()
+        discovery = DiscoveryServer(node, self.clock, self.config, self.log, self._memory("listing"), self.seed)
+        self.servers["listing"] = discovery
+        await discovery.start()
         for name in self.config.shelf:
             await self.start_one(name, False)
         for name in self.config.head:
@@ -88,70 +89,76 @@
     async def start_one(self, name: str, cold: bool) -> None:
         node = self.nodes[name] = self.virtual_loop.node(name)
         if name in self.config.head:
-            life = self.incarnations[name] = self.incarnations.get(name, -1) + 1
+            incarnation = self.incarnations[name] = self.incarnations.get(name, -1) + 1
             config = self.gateway_config
-            block = msgspec.structs.replace(config.head[name], seed=self.seed * 1000 + life)
+            block = msgspec.structs.replace(config.head[name], seed=self.seed * 1000 + incarnation)
             config = msgspec.structs.replace(config, head={**config.head, name: block})
-            notes, clock = self._memory(f"head-{name}"), clock_of(node)
-            head = GatewayServer(node, clock, config, name, self.log, notes, self.gateway_core)
-            self.servers[name] = head
+            records, clock = self._memory(f"head-{name}"), clock_of(node)
+            gateway = GatewayServer(node, clock, config, name, self.log, records, self.gateway_core)
+            self.servers[name] = gateway
             if self.snapshot_age_ms is not None or self.script is not None:
                 disk = self.fault_ground.disk(name, self.seed)
-                ahead = life * (self.snapshot_age_ms or 0.0)
-                wall = self.fault_ground.wall_of(name)
-                head.enable_snapshots(
-                    disk, lambda: (clock() + ahead + wall(), clock() + ahead, "virtual"), self.fault_ground.beside(name)
+                snapshot_age = incarnation * (self.snapshot_age_ms or 0.0)
+                wall_offset = self.fault_ground.wall_of(name)
+                gateway.enable_snapshots(
+                    disk,
+                    lambda: (clock() + snapshot_age + wall_offset(), clock() + snapshot_age, "virtual"),
+                    self.fault_ground.beside(name),
                 )
-            kept = self.captures[f"{name}.{life}"] = bytearray()
-            head.start_capture(CaptureWriter(kept.extend, name, self.clock(), self.clock()))
-            await head.start()
+            capture = self.captures[f"{name}.{incarnation}"] = bytearray()
+            gateway.start_capture(CaptureWriter(capture.extend, name, self.clock(), self.clock()))
+            await gateway.start()
             if self.config.member:
                 join(
                     node,
                     clock,
                     self.config,
                     name,
-                    head,
+                    gateway,
                     self.fault_ground.disk(name, self.seed),
                     self.log,
                     self.fault_ground.beside(name),
                 )
             return
         if name in self.config.member:
-            disk, life = self.fault_ground.disk(name, self.seed), self.incarnations.get(name, -1) + 1
-            self.incarnations[name] = life
-            member = MemberServer(node, clock_of(node), self.config, name, disk, self.log, self.seed * 1000 + life)
+            disk, incarnation = self.fault_ground.disk(name, self.seed), self.incarnations.get(name, -1) + 1
+            self.incarnations[name] = incarnation
+            member = MemberServer(
+                node, clock_of(node), self.config, name, disk, self.log, self.seed * 1000 + incarnation
+            )
             self.servers[name] = member
-            member.stopped.add_done_callback(lambda _: node.kill())  # its process ends
+            member.stopped.add_done_callback(lambda _: node.kill())  # the member's process ends
             await member.start()
             return
-        own, config = name, self.config
+        release_name, config = name, self.config
         if self.releases.get(name):
             config = msgspec.structs.replace(config, shelf=dict(config.shelf))
-            own = released(config, name, self.releases[name])
-        contents = self.contents.setdefault(config.shelf[own].slot, Contents())
-        notes = self._memory(f"shelf-{own}")
-        # A name's further lives differ by their seed alone, so that a restart is no replay of the first hour.
-        shelf = StorageNodeServer(node, self.clock, config, own, self.log, notes, contents, not cold, self.seed)
-        speed = shelf.machine.kind.speed
-        shelf.machine.speed = random.Random(f"{self.fleet_seed}/{own}").uniform(*speed)
-        self.servers[name] = shelf
-        await shelf.start()
+            release_name = released(config, name, self.releases[name])
+        contents = self.contents.setdefault(config.shelf[release_name].slot, Contents())
+        records = self._memory(f"shelf-{release_name}")
+        # Further incarnations differ by their seed alone, so that a restart does not replay the first hour.
+        storage_node = StorageNodeServer(
+            node, self.clock, config, release_name, self.log, records, contents, not cold, self.seed
+        )
+        speed = storage_node.machine.kind.speed
+        storage_node.machine.speed = random.Random(f"{self.fleet_seed}/{release_name}").uniform(*speed)
+        self.servers[name] = storage_node
+        await storage_node.start()
 
     async def run_load(self, part: int, parts: int, start_ms: float) -> float:
         name = f"load{part + 1}"
         node = self.nodes[name] = self.virtual_loop.node(name)
-        crowd = Crowd(node, self.clock, self.config, self.day, self.seed, self._memory(name), part, parts, self.draw)
-        self.servers[name] = crowd
-        await crowd.connect_all()
-        crowd.start(start_ms)
+        clients = Crowd(node, self.clock, self.config, self.day, self.seed, self._memory(name), part, parts, self.draw)
+        self.servers[name] = clients
+        await clients.connect_all()
+        clients.start(start_ms)
         if part == 0 and self.config.copies is not None:
             copies = Copies(node, self.clock, self.config, self.day, self.seed, self._memory(name))
             copies.start(start_ms)
             await copies.ended
-        await crowd.ended
-        await crowd.close()
-        return crowd.late_ms
+        await clients.ended
+        await clients.close()
+        return clients.late_ms
 
     def is_up(self, name: str) -> bool:
         return name in self.nodes and not self.nodes[name].dead
@@ -185,49 +192,49 @@
         for name in self.config.member:
             self.servers[name].stop()
 
-    # ---- what the day left
+    # ---- results of the day
 
     def facts(self) -> DayFacts:
         day = DayFacts(self.config)
-        for name, notes in sorted(self.record_logs.items()):
+        for name, records in sorted(self.record_logs.items()):
             if name.startswith("load"):
-                day.clients(notes.rows)
+                day.clients(records.rows)
             elif name == "lab":
-                day.lab(notes.rows)
+                day.lab(records.rows)
             elif name == "listing":
-                day.listing(notes.rows)
+                day.listing(records.rows)
             elif name.startswith("shelf-"):
-                day.shelf(name.removeprefix("shelf-"), notes.rows)
+                day.shelf(name.removeprefix("shelf-"), records.rows)
         return day
 
     def write(self, folder: Path) -> None:
-        """The records as files, as processes would have left them."""
+        """Writes the records to files, as a fleet of processes does."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.conf").write_text("\n".join(render_settings(self.config)) + "\n")
         for name, data in self.captures.items():
             (folder / f"{name}.capture").write_bytes(data)
-        for name, notes in self.record_logs.items():
-            (folder / f"{name}.jsonl").write_bytes(b"".join(_encode(row) + b"\n" for row in notes.rows))
+        for name, records in self.record_logs.items():
+            (folder / f"{name}.jsonl").write_bytes(b"".join(_encode(row) + b"\n" for row in records.rows))
 
 
 class VillageError(Exception):
-    """The code under the virtual loop failed: the first fault it was caught with."""
+    """A callback on the virtual loop raised an exception; holds the first one."""
 
 
 def play(
     config: Config, day: str, seed: int, said: Callable[[str], None] = lambda line: None, **more: Any
 ) -> tuple[SimulatedFleet, dict[str, Any]]:
-    """A whole day in virtual time: the village as the day left it, and what the lab knows."""
+    """Runs a whole day in virtual time; returns the fleet after the day and the laboratory's results."""
     loop = VirtualLoop(seed=seed)
     asyncio.set_event_loop(loop)
     try:
-        village = SimulatedFleet(loop, config, day, seed, said, **more)
-        known = loop.run_until_complete(village.play())
-        # Whatever ran into an error in a callback would go unseen otherwise.
+        fleet = SimulatedFleet(loop, config, day, seed, said, **more)
+        results = loop.run_until_complete(fleet.play())
+        # Exceptions in callbacks would go unnoticed otherwise.
         if loop.callback_errors:
             context = loop.callback_errors[0]
             raise VillageError(f"{context.get('message')}: {context.get('exception')!r}") from context.get("exception")
-        return village, known
+        return fleet, results
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
--- a/pebblehinge/lab/virtual.py
+++ b/pebblehinge/lab/virtual.py
@@ -30,7 +30,7 @@
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("no callback is ready and no timer is set: the simulation can not go on")
+            raise RuntimeError("nothing is scheduled and nothing is ready: this virtual world has come to rest")
         if timeout > 0:
             self.loop.now = max(self.loop.now, self.loop.next_timer_time())
         return []
