--- a/pebblehinge/lab/faults/ground_in_memory.py
+++ b/pebblehinge/lab/faults/ground_in_memory.py
@@ -133,7 +133,11 @@
         net = self.world.net
         way, usual = net.own_link(source, to), net.default_link
         way.blocked, way.rate = held.blocked, held.rate / 1000.0
-        way.delay_ms, way.drop, way.duplicate_chance = usual.delay_ms + held.delay_ms, held.lose, held.repeat
+        way.delay_ms, way.drop_probability, way.duplicate_probability = (
+            usual.delay_ms + held.delay_ms,
+            held.lose,
+            held.repeat,
+        )
         for pipe in net.pipes_between(source, to):
             pipe.resume()
 
--- a/pebblehinge/lab/lab_fleet.py
+++ b/pebblehinge/lab/lab_fleet.py
@@ -27,12 +27,12 @@
         day: str,
         seed: int,
         records: Any,
-        said: Callable[[str], None],
+        report_progress: Callable[[str], None],
         script: list[Fault] | None = None,
     ) -> None:
         self.loop, self.clock, self.config, self.day, self.seed = loop, clock, config, day, seed
         self.records: EventLog = records
-        self.report_progress = said
+        self.report_progress = report_progress
         self.releases: dict[str, int] = {}
         self.frozen: set[str] = set()
         self.faults: list[str] = []
@@ -84,7 +84,7 @@
         running_steps = []
         for step in steps:
             await asyncio.sleep(max(0.0, (start_ms + step.at_ms - self.clock()) / 1000.0))
-            running_steps.append(self.loop.create_task(self._do(step)))
+            running_steps.append(self.loop.create_task(self._run_step(step)))
         await asyncio.gather(*running_steps)
 
     def ground(self) -> Ground:
@@ -116,7 +116,7 @@
             self.report_progress(f"{max(0.0, elapsed_ms) / 1000:.0f} s of {length / 1000:.0f} s")
             await asyncio.sleep(5.0)
 
-    async def _do(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         values = dict(step.values)
         self.records.note(self.clock(), "step", verb=step.verb, target=step.target, values=values, trouble=step.trouble)
         try:
@@ -161,12 +161,12 @@
             self.faults.append(f"{name} ended with {code} when told to stop")
 
     async def _control(self, name: str, values: dict[str, Any]) -> None:
-        await self._tell(name, self._address(name), values)
+        await self._send_control(name, self._address(name), values)
 
     async def _list(self, _: str, values: dict[str, Any]) -> None:
-        await self._tell("listing", self.config.listing.listen, values)
+        await self._send_control("listing", self.config.listing.listen, values)
 
-    async def _tell(self, name: str, address: str, values: dict[str, Any]) -> None:
+    async def _send_control(self, name: str, address: str, values: dict[str, Any]) -> None:
         response = await control(address, values.pop("verb"), values, self.loop)
         if response.startswith("no"):
             self.faults.append(f"{name}: {response}")
--- a/pebblehinge/lab/memory_network.py
+++ b/pebblehinge/lab/memory_network.py
@@ -20,10 +20,10 @@
     jitter: float = 0.2  # share of the delay, drawn for each write
     rate: float = 0.0  # bytes per millisecond; 0: limited by the delay alone
     blocked: bool = False  # partitioned: stream data stays queued until the link heals
-    lose: float = 0.0  # probability that a connection breaks at a write
+    break_probability: float = 0.0  # probability that a connection breaks at a write
     reset_after_bytes: int | None = None  # resets after so many more bytes, even within a frame
-    drop: float = 0.0  # probability that a datagram is lost
-    duplicate_chance: float = 0.0  # probability that a datagram arrives twice
+    drop_probability: float = 0.0  # probability that a datagram is lost
+    duplicate_probability: float = 0.0  # probability that a datagram arrives twice
 
 
 class MemoryNetwork:
@@ -134,7 +134,7 @@
             return
         self.send_counts[(end.node.name, receiver.node.name)] += 1
         link = self.link(end.node.name, receiver.node.name)
-        if link.blocked or (link.drop and self.rng.random() < link.drop):
+        if link.blocked or (link.drop_probability and self.rng.random() < link.drop_probability):
             return
-        for _ in range(2 if link.duplicate_chance and self.rng.random() < link.duplicate_chance else 1):
+        for _ in range(2 if link.duplicate_probability and self.rng.random() < link.duplicate_probability else 1):
             self.loop.call_at(self.loop.now + self.delay(link), receiver.deliver, data, end.address)
--- a/pebblehinge/lab/memory_transport.py
+++ b/pebblehinge/lab/memory_transport.py
@@ -62,7 +62,7 @@
             return
         data, kind = self.queue[0]
         loop = self.net.loop
-        if data and link.lose and self.net.rng.random() < link.lose:
+        if data and link.break_probability and self.net.rng.random() < link.break_probability:
             break_offset = self.net.rng.randrange(len(data) + 1)
             self._break(data[:break_offset])
             return
--- a/pebblehinge/lab/processes.py
+++ b/pebblehinge/lab/processes.py
@@ -42,14 +42,16 @@
         seed: int,
         folder: Path,
         loopback: str,
-        said: Callable[[str], None],
+        report_progress: Callable[[str], None],
         script: list[Fault] | None = None,
     ) -> None:
         try:
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
             raise DayError(f"records: {folder} can't be created ({error.strerror})") from None
-        super().__init__(loop, monotonic_ms, config, day, seed, EventLog(folder, "lab", loop.call_soon), said, script)
+        super().__init__(
+            loop, monotonic_ms, config, day, seed, EventLog(folder, "lab", loop.call_soon), report_progress, script
+        )
         self.path, self.folder, self.loopback = path, folder, loopback
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.logs = (folder / "processes.log").open("ab")
--- a/pebblehinge/lab/simulated_fleet.py
+++ b/pebblehinge/lab/simulated_fleet.py
@@ -41,7 +41,7 @@
         config: Config,
         day: str,
         seed: int,
-        said: Callable[[str], None] = lambda line: None,
+        report_progress: Callable[[str], None] = lambda line: None,
         gateway_core: type[GatewayCore] = GatewayCore,
         gateway_config: Config | None = None,
         draw: Any = None,
@@ -49,7 +49,9 @@
         snapshot_age_ms: float | None = None,
         script: list[Fault] | None = None,
     ) -> None:
-        super().__init__(loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, Memory(), said, script)
+        super().__init__(
+            loop.node("lab"), lambda: loop.now * 1000.0, config, day, seed, Memory(), report_progress, script
+        )
         self.virtual_loop, self.draw = loop, draw
         self.fleet_seed = seed if fleet_seed is None else fleet_seed  # fixes the speeds of the storage nodes
         # None: gateways store no snapshots unless a fault script is given; else each incarnation reads the one
@@ -222,13 +224,13 @@
 
 
 def play(
-    config: Config, day: str, seed: int, said: Callable[[str], None] = lambda line: None, **more: Any
+    config: Config, day: str, seed: int, report_progress: Callable[[str], None] = lambda line: None, **more: Any
 ) -> tuple[SimulatedFleet, dict[str, Any]]:
     """Runs a whole day in virtual time; returns the fleet after the day and the laboratory's results."""
     loop = VirtualLoop(seed=seed)
     asyncio.set_event_loop(loop)
     try:
-        fleet = SimulatedFleet(loop, config, day, seed, said, **more)
+        fleet = SimulatedFleet(loop, config, day, seed, report_progress, **more)
         results = loop.run_until_complete(fleet.play())
         # Exceptions in callbacks would go unnoticed otherwise.
         if loop.callback_errors:
--- a/tests/test_memory_net.py
+++ b/tests/test_memory_net.py
@@ -46,8 +46,8 @@
             return len(receiver.received) - count_before
 
         assert await count_delivered(100) == 100
-        assert 30 < await count_delivered(100, drop=0.5) < 70
-        assert 130 < await count_delivered(100, duplicate_chance=0.5) < 170
+        assert 30 < await count_delivered(100, drop_probability=0.5) < 70
+        assert 130 < await count_delivered(100, duplicate_probability=0.5) < 170
         assert await count_delivered(100, blocked=True) == 0
         b.freeze()
         assert await count_delivered(2_000) == 0
