--- a/benchmarks/caps_laboratory.py
+++ b/benchmarks/caps_laboratory.py
@@ -68,7 +68,7 @@
     Cap(
         "datagrams that wait in virtual time",
         "pebblehinge/lab/memory_transport.py",
-        "MOST_WAITING = ",
+        "MAX_QUEUED_DATAGRAMS = ",
         constant("pebblehinge.lab.memory_transport", "MAX_QUEUED_DATAGRAMS"),
         "datagrams",
         "of one process",
