--- a/pebblehinge/lab/verdict.py
+++ b/pebblehinge/lab/verdict.py
@@ -105,7 +105,9 @@
         )
     for rule, verdict in day_summary["rules"].items():
         result = "kept  " if verdict["kept"] else "BROKEN"
-        cases = f"{verdict['cases']} cases, nearest {verdict['nearest']:.2f}" if verdict["cases"] else "nothing asked of it"
+        cases = (
+            f"{verdict['cases']} cases, nearest {verdict['nearest']:.2f}" if verdict["cases"] else "nothing asked of it"
+        )
         lines.append(f"  {result} {rule.replace('_', ' '):18} {cases}")
         if not verdict["kept"]:
             lines.append(f"         {verdict['offences']} offences; the first: {verdict['first']}")
