--- a/pebblehinge/settings/values.py
+++ b/pebblehinge/settings/values.py
@@ -39,7 +39,7 @@
 
     Args:
         text: The word.
-        unit: A key of `EXPECTED`.
+        unit: A key of `EXPECTED_BY_UNIT`.
 
     Raises:
         InvalidValueError: The word is not a number of that unit.
@@ -87,7 +87,7 @@
 
     Attributes:
         base_type: The type without `Annotated` and without None.
-        unit: A key of `EXPECTED`, empty for a plain number.
+        unit: A key of `EXPECTED_BY_UNIT`, empty for a plain number.
         expected: What is expected of a value, for problems; empty if the unit or the type defines it.
         optional: Whether the value may be none.
     """
--- a/tests/test_lowered_limit.py
+++ b/tests/test_lowered_limit.py
@@ -1,7 +1,7 @@
 """Tests of a rate limit that is lowered far while a gateway is cut off.
 
 The share that is reserved for that gateway must have been left unused by the transitional gateways. Random scripts of
-`wide_faults` found that 76 units a second could be sent under a limit of 60: a transitional gateway, which had
+`large_group_faults` found that 76 units a second could be sent under a limit of 60: a transitional gateway, which had
 acknowledged the version with the limit of 60, used its whole allowance of it, and the version became active with 16
 reserved for a gateway that was cut off on an older version. Until the others learned of that reservation, at worst for
 the duration of a lease, all together might have sent 76.
